--- a/crates/entry/src/adapt/schedule.rs
+++ b/crates/entry/src/adapt/schedule.rs
@@ -6,7 +6,7 @@
 use base::{id, prefix, refusal};
 use conf::inventory;
 use flow::port;
-use sched::{ask, driver};
+use sched::{driver, request};
 use tokio::time;
 
 use crate::{adapt::service_pool, configure, roster};
@@ -48,12 +48,18 @@
         }
     }
 
-    async fn admit_generation(&self, ask: ask::Ask) -> Result<PlaneGrant, refusal::RefusalBody> {
+    async fn admit_generation(
+        &self,
+        ask: request::GenerationRequest,
+    ) -> Result<PlaneGrant, refusal::RefusalBody> {
         let grant = self.driver.admit(ask).await.map_err(refused_body)?;
         Ok(PlaneGrant::Engine(grant))
     }
 
-    fn generation_ask(&self, asked: &port::AdmissionAsk) -> Result<ask::Ask, refusal::RefusalBody> {
+    fn generation_ask(
+        &self,
+        asked: &port::AdmissionAsk,
+    ) -> Result<request::GenerationRequest, refusal::RefusalBody> {
         let port::AskedWork::Generation {
             model: name,
             adapter,
@@ -66,7 +72,7 @@
         let Some(model) = self.roster.model_key(name) else {
             return Err(no_server("no engine is known for this model; ask again"));
         };
-        let mut ask = ask::Ask::new(
+        let mut ask = request::GenerationRequest::new(
             asked.organisation,
             asked.class,
             model,
@@ -151,17 +157,17 @@
     adapter: Option<&str>,
     prompt: &str,
     block_tokens: u32,
-) -> ask::PrefixChain {
+) -> request::PrefixChain {
     let start = &prompt[..prompt.floor_char_boundary(PREFIX_BYTES)];
     let hashes = prefix::chain(model, adapter, start, block_tokens);
-    ask::PrefixChain::sample(&hashes, block_tokens)
+    request::PrefixChain::sample(&hashes, block_tokens)
 }
 
 fn no_server(message: &str) -> refusal::RefusalBody {
     refusal::RefusalBody::not_run(refusal::RefusalCode::Unavailable, message).retry_after_ms(1_000)
 }
 
-fn refused_body(refused: driver::RefusedAsk) -> refusal::RefusalBody {
+fn refused_body(refused: driver::RefusedRequest) -> refusal::RefusalBody {
     let body = refusal::RefusalBody::not_run(refused.reason.code(), refused.reason.to_string());
     match refused.retry_after {
         Some(delay) => {
@@ -194,12 +200,12 @@
     }
 }
 
-fn core_failure(failure: port::FailureKind) -> ask::FailureKind {
+fn core_failure(failure: port::FailureKind) -> request::FailureKind {
     match failure {
-        port::FailureKind::Broken => ask::FailureKind::Broken,
-        port::FailureKind::Silent => ask::FailureKind::Silent,
-        port::FailureKind::Rejected => ask::FailureKind::Rejected,
-        port::FailureKind::Errored => ask::FailureKind::Errored,
+        port::FailureKind::Broken => request::FailureKind::Broken,
+        port::FailureKind::Silent => request::FailureKind::Silent,
+        port::FailureKind::Rejected => request::FailureKind::Rejected,
+        port::FailureKind::Errored => request::FailureKind::Errored,
     }
 }
 
--- a/crates/entry/src/roster.rs
+++ b/crates/entry/src/roster.rs
@@ -6,7 +6,7 @@
 use base::{id, ops, rendezvous};
 use conf::{inventory, snapshot};
 use gossip::digest;
-use sched::{ask, driver, view};
+use sched::{driver, request, view};
 use tokio::{sync::watch as channel, time};
 
 use crate::{sight, watch};
@@ -301,7 +301,7 @@
     /// Takes in what a server's cache stored (true) and evicted, up to event number `position`.
     pub fn cache_changed<I>(&self, key: id::ServerKey, changes: I, position: u64)
     where
-        I: Iterator<Item = (ask::PrefixHash, bool)>,
+        I: Iterator<Item = (request::PrefixHash, bool)>,
     {
         if let Some(sight) = self.lock().sights.get_mut(&key) {
             sight.cache_position = position;
--- a/crates/entry/src/watch.rs
+++ b/crates/entry/src/watch.rs
@@ -5,7 +5,7 @@
 use base::id;
 use conf::{inventory, snapshot};
 use gossip::{digest, handle, watching};
-use sched::ask;
+use sched::request;
 use tokio::time;
 
 use crate::{chronicle, configure, roster};
@@ -115,8 +115,8 @@
 }
 
 impl CacheEventBody {
-    fn prefix(&self) -> ask::PrefixHash {
-        ask::PrefixHash {
+    fn prefix(&self) -> request::PrefixHash {
+        request::PrefixHash {
             hash: self.prefix_hash,
             tokens: self.tokens,
         }
--- a/crates/sched/benches/policy/entry.rs
+++ b/crates/sched/benches/policy/entry.rs
@@ -4,7 +4,7 @@
 
 use base::{class::TrafficClass, id, prefix};
 use rand::{SeedableRng as _, rngs};
-use sched::{ask, core, explain::Decision, settings, share, view};
+use sched::{core, explain::Decision, request, settings, share, view};
 use stand::engine::{
     EngineProfile,
     feeds::{CacheEvent, CacheEventKind},
@@ -92,8 +92,8 @@
     organisations: Vec<id::OrganisationKey>,
     vms: Vec<id::VmKey>,
     model: id::ModelKey,
-    tickets: slotmap::SecondaryMap<ask::TicketKey, usize>,
-    requests: std::collections::HashMap<usize, ask::TicketKey>,
+    tickets: slotmap::SecondaryMap<request::TicketKey, usize>,
+    requests: std::collections::HashMap<usize, request::TicketKey>,
     decisions: Vec<Decision>,
     profile: EngineProfile,
 }
@@ -147,7 +147,7 @@
 impl Entry for CoreEntry {
     fn submit(&mut self, request: usize, arrival: &mix::Arrival, retry: Retry, now: f64) {
         let organisation = self.organisations[arrival.organisation];
-        let mut ask = ask::Ask::new(
+        let mut generation = request::GenerationRequest::new(
             organisation,
             arrival.class,
             self.model,
@@ -159,11 +159,11 @@
             TrafficClass::Normal => Some(NORMAL_DEADLINE),
             TrafficClass::Deferrable => None,
         };
-        ask.deadline = patience.map(|patience| self.at(arrival.at + patience));
-        ask.buffered = arrival.buffered;
-        ask.retry = retry.tries > 0;
+        generation.deadline = patience.map(|patience| self.at(arrival.at + patience));
+        generation.buffered = arrival.buffered;
+        generation.retry = retry.tries > 0;
         if let Some(engine) = retry.avoid {
-            ask.avoid.push(self.servers[engine]);
+            generation.avoid.push(self.servers[engine]);
         }
         let prompt = engine::prompt(request, arrival);
         let chain = prefix::chain(
@@ -172,8 +172,8 @@
             &prompt,
             self.profile.block_tokens,
         );
-        ask.prefix = ask::PrefixChain::sample(&chain, self.profile.block_tokens);
-        let ticket = self.core.submit(ask, self.at(now));
+        generation.prefix = request::PrefixChain::sample(&chain, self.profile.block_tokens);
+        let ticket = self.core.submit(generation, self.at(now));
         self.tickets.insert(ticket, request);
         self.requests.insert(request, ticket);
     }
@@ -243,7 +243,7 @@
     fn failed(&mut self, request: usize, now: f64) {
         let at = self.at(now);
         if let Some(ticket) = self.requests.remove(&request) {
-            self.core.failed(ticket, ask::FailureKind::Broken, at);
+            self.core.failed(ticket, request::FailureKind::Broken, at);
         }
     }
 
@@ -268,7 +268,7 @@
     }
 
     fn prefix(&mut self, engine: usize, event: &CacheEvent, at: f64) {
-        let prefix = ask::PrefixHash {
+        let prefix = request::PrefixHash {
             hash: event.prefix_hash,
             tokens: event.tokens,
         };
--- a/crates/sched/src/affinity.rs
+++ b/crates/sched/src/affinity.rs
@@ -7,7 +7,7 @@
 use base::id;
 use tokio::time;
 
-use crate::ask;
+use crate::request;
 
 /// Servers remembered of one prefix.
 const WAYS: usize = 4;
@@ -182,7 +182,7 @@
 
     /// Which servers are believed to hold a prefix of the prompt.
     #[must_use]
-    pub fn beliefs(&self, prefix: &ask::PrefixChain, now: time::Instant) -> BeliefList {
+    pub fn beliefs(&self, prefix: &request::PrefixChain, now: time::Instant) -> BeliefList {
         let mut list = BeliefList::default();
         if self.slots.is_empty() {
             return list;
--- a/crates/sched/src/core.rs
+++ b/crates/sched/src/core.rs
@@ -10,9 +10,10 @@
 
 use crate::{
     affinity,
-    ask::{self, TicketKey},
     explain::{Decision, RefusalReason, WaitCause},
-    fleet, length, limit, organisation, queue, risk, settings, share, ticket, view,
+    fleet, length, limit, organisation, queue,
+    request::{self, TicketKey},
+    risk, settings, share, ticket, view,
 };
 
 /// Tokens after which a running generation's memory is worked out anew.
@@ -172,14 +173,14 @@
     pub fn prefix_reported(
         &mut self,
         server: id::ServerKey,
-        prefix: ask::PrefixHash,
+        prefix: request::PrefixHash,
         cached: bool,
         at: time::Instant,
     ) {
         let Some(view) = self.servers.get(server) else {
             return;
         };
-        let counts = ask::is_sampled(prefix.tokens, view.spec.block_tokens);
+        let counts = request::is_sampled(prefix.tokens, view.spec.block_tokens);
         if self.settings.prefix_half_life.is_zero() || !counts {
             return;
         }
@@ -242,19 +243,19 @@
     }
 
     /// A generation wants a place. The answer comes from [`Self::poll`].
-    pub fn submit(&mut self, ask: ask::Ask, now: time::Instant) -> TicketKey {
+    pub fn submit(&mut self, request: request::GenerationRequest, now: time::Instant) -> TicketKey {
         let source = length::LengthSource {
-            organisation: ask.organisation,
-            model: ask.model,
-            class: ask.class,
+            organisation: request.organisation,
+            model: request.model,
+            class: request.class,
         };
         let histogram = self.lengths.find(source);
         let expected = self
             .lengths
-            .curve(source, histogram, ask.max_tokens)
+            .curve(source, histogram, request.max_tokens)
             .rest(0.0);
         let state = ticket::TicketState {
-            ask,
+            request,
             histogram,
             submitted_at: now,
             blocked_at: None,
@@ -272,7 +273,7 @@
                     retry_after,
                 });
             }
-            None => self.enqueue(ticket, ask.retry, now),
+            None => self.enqueue(ticket, request.retry, now),
         }
         ticket
     }
@@ -334,7 +335,7 @@
         };
         let (source, runs) = (state.source(), state.run.is_some());
         if source.class == class::TrafficClass::Urgent {
-            let tokens = state.ask.prompt_tokens + produced;
+            let tokens = state.request.prompt_tokens + produced;
             if let Some(fleet) = self.models.get_mut(source.model) {
                 fleet.headroom.learn(tokens as f32);
             }
@@ -348,7 +349,7 @@
     }
 
     /// It failed where it ran; the ticket is gone.
-    pub fn failed(&mut self, ticket: TicketKey, failure: ask::FailureKind, now: time::Instant) {
+    pub fn failed(&mut self, ticket: TicketKey, failure: request::FailureKind, now: time::Instant) {
         let Some(state) = self.tickets.get(ticket) else {
             return;
         };
@@ -369,15 +370,17 @@
         if let Some(run) = state.run {
             return self.release(ticket, run.produced, now);
         }
-        let ask = state.ask;
-        if let Some(fleet) = self.models.get_mut(ask.model)
-            && fleet.queue(ask.class).remove(ask.organisation, ticket)
+        let request = state.request;
+        if let Some(fleet) = self.models.get_mut(request.model)
+            && fleet
+                .queue(request.class)
+                .remove(request.organisation, ticket)
         {
             self.waiting -= 1;
         }
         self.tickets.remove(ticket);
         self.organisations
-            .change(ask.organisation, now, |account, _| {
+            .change(request.organisation, now, |account, _| {
                 account.waiting = account.waiting.saturating_sub(1);
             });
     }
@@ -419,7 +422,7 @@
     pub fn class_loads(&self, now: time::Instant) -> [ClassLoad; class::TrafficClass::ALL.len()] {
         let mut loads = [ClassLoad::default(); class::TrafficClass::ALL.len()];
         for ticket in self.tickets.values() {
-            let load = &mut loads[ticket.ask.class.index()];
+            let load = &mut loads[ticket.request.class.index()];
             if ticket.run.is_some() {
                 load.running += 1;
             } else {
@@ -468,9 +471,9 @@
         let Some(run) = state.run else { return };
         let curve = self
             .lengths
-            .curve(state.source(), state.histogram, state.ask.max_tokens);
-        let context = (state.ask.prompt_tokens + run.produced) as f32;
-        let deferrable = state.ask.class == class::TrafficClass::Deferrable;
+            .curve(state.source(), state.histogram, state.request.max_tokens);
+        let context = (state.request.prompt_tokens + run.produced) as f32;
+        let deferrable = state.request.class == class::TrafficClass::Deferrable;
         if let Some(server) = self.servers.get_mut(run.server) {
             let load =
                 risk::MemoryLoad::of(&curve, context + server.rounding(), run.produced as f32);
@@ -485,18 +488,21 @@
     /// Puts a ticket that does not run into its queue.
     fn enqueue(&mut self, ticket: TicketKey, in_front: bool, now: time::Instant) {
         let state = &self.tickets[ticket];
-        let (ask, cost) = (state.ask, state.cost());
-        let weight = self.organisations.weight(ask.organisation);
+        let (request, cost) = (state.request, state.cost());
+        let weight = self.organisations.weight(request.organisation);
         let queued = queue::QueuedTicket { ticket, cost };
-        self.fleet(ask.model)
-            .queue(ask.class)
-            .push(ask.organisation, weight, queued, in_front);
+        self.fleet(request.model).queue(request.class).push(
+            request.organisation,
+            weight,
+            queued,
+            in_front,
+        );
         self.waiting += 1;
-        if let Some(deadline) = ask.deadline {
+        if let Some(deadline) = request.deadline {
             self.deadlines.push(cmp::Reverse((deadline, ticket)));
         }
         self.organisations
-            .change(ask.organisation, now, |account, _| {
+            .change(request.organisation, now, |account, _| {
                 if in_front {
                     account.waiting += 1;
                 } else {
@@ -516,10 +522,13 @@
             return;
         };
         let Some(run) = state.run.take() else { return };
-        let (ask, excess) = (state.ask, f64::from(produced) - f64::from(state.expected));
-        let urgent = ask.class == class::TrafficClass::Urgent;
+        let (request, excess) = (
+            state.request,
+            f64::from(produced) - f64::from(state.expected),
+        );
+        let urgent = request.class == class::TrafficClass::Urgent;
         if let Some(server) = self.servers.get_mut(run.server) {
-            let deferrable = ask.class == class::TrafficClass::Deferrable;
+            let deferrable = request.class == class::TrafficClass::Deferrable;
             server.end(&run, deferrable, now);
             if let Some(&moved) = server.tickets.get(run.place)
                 && let Some(moved) = self
@@ -530,14 +539,16 @@
                 moved.place = run.place;
             }
         }
-        if let Some(fleet) = self.models.get_mut(ask.model) {
-            fleet.queue(ask.class).correct(ask.organisation, excess);
+        if let Some(fleet) = self.models.get_mut(request.model) {
+            fleet
+                .queue(request.class)
+                .correct(request.organisation, excess);
             if urgent {
                 fleet.headroom.change(-1.0, now);
             }
         }
         self.organisations
-            .change(ask.organisation, now, |account, _| account.end(excess));
+            .change(request.organisation, now, |account, _| account.end(excess));
     }
 
     pub(crate) fn fleet(&mut self, model: id::ModelKey) -> &mut fleet::ModelFleet {
@@ -555,21 +566,21 @@
         now: time::Instant,
     ) -> Option<(RefusalReason, Option<time::Duration>)> {
         let state = &self.tickets[ticket];
-        let (ask, expected) = (state.ask, f64::from(state.expected));
-        let limited = !ask.retry && self.organisations.limited(ask.organisation);
+        let (request, expected) = (state.request, f64::from(state.expected));
+        let limited = !request.retry && self.organisations.limited(request.organisation);
         if limited {
             let refusal = self
                 .organisations
-                .change(ask.organisation, now, |account, plan| {
+                .change(request.organisation, now, |account, plan| {
                     account.asked(expected);
                     account.refusal(plan)
                 });
             if let Some((kind, delay)) = refusal
-                && ask.class != class::TrafficClass::Deferrable
+                && request.class != class::TrafficClass::Deferrable
             {
                 return Some((kind.reason(), Some(delay)));
             }
         }
-        self.hopeless(&ask, now)
+        self.hopeless(&request, now)
     }
 }
--- a/crates/sched/src/dispatch.rs
+++ b/crates/sched/src/dispatch.rs
@@ -6,11 +6,13 @@
 use tokio::time;
 
 use crate::{
-    ask::TicketKey,
+    admission,
     core::DispatchCore,
     explain::{self, Decision, WaitCause},
     fleet::HeldServer,
-    queue, risk, room, route, ticket, victim, view,
+    queue,
+    request::TicketKey,
+    risk, route, ticket, victim, view,
 };
 
 /// Horizons at which a victim is looked for: memory that runs out later may yet come free.
@@ -62,8 +64,8 @@
                 continue;
             }
             let state = &self.tickets[ticket];
-            let (ask, wait) = (state.ask, state.wait);
-            let predicted = self.predicted_wait(&ask);
+            let (request, wait) = (state.request, state.wait);
+            let predicted = self.predicted_wait(&request);
             self.withdrawn(ticket, now);
             let reason = match wait {
                 WaitCause::Limit => explain::RefusalReason::Concurrency,
@@ -158,7 +160,7 @@
         let count = self.models[model].queue(class).fronts(&mut fronts);
         let due = self.deferrable_due(model);
         for (place, front) in fronts[..count].iter().enumerate() {
-            let organisation = self.tickets[front.ticket].ask.organisation;
+            let organisation = self.tickets[front.ticket].request.organisation;
             if !self.organisations.may_start(organisation, now) {
                 self.tickets[front.ticket].wait = WaitCause::Limit;
                 self.models[model].queue(class).park(organisation);
@@ -192,13 +194,13 @@
     fn hold(&mut self, ticket: TicketKey, now: time::Instant) {
         let state = &mut self.tickets[ticket];
         let since = *state.blocked_at.get_or_insert(now);
-        let ask = state.ask;
+        let request = state.request;
         let waited = now.saturating_duration_since(since) >= self.settings.hold_after;
-        let fleet = &mut self.models[ask.model];
+        let fleet = &mut self.models[request.model];
         let taken = fleet
             .held
             .is_some_and(|held| self.tickets.contains_key(held.ticket));
-        if !waited || taken || ask.class == class::TrafficClass::Urgent {
+        if !waited || taken || request.class == class::TrafficClass::Urgent {
             return;
         }
         let servers = &self.servers;
@@ -223,8 +225,8 @@
         now: time::Instant,
     ) -> Result<(route::RouteChoice, risk::MemoryLoad, f32), WaitCause> {
         let state = &self.tickets[ticket];
-        let (ask, submitted_at) = (state.ask, state.submitted_at);
-        let fleet = &self.models[ask.model];
+        let (request, submitted_at) = (state.request, state.submitted_at);
+        let fleet = &self.models[request.model];
         let first = fleet.near.first().or(fleet.far.first());
         let rounding = first
             .and_then(|key| self.servers.get(*key))
@@ -232,22 +234,22 @@
         let histogram = self.lengths.find(state.source());
         let curve = self
             .lengths
-            .curve(state.source(), histogram, ask.max_tokens);
-        let load = risk::MemoryLoad::of(&curve, ask.prompt_tokens as f32 + rounding, 0.0);
-        let terms = self.terms(&ask, fleet);
+            .curve(state.source(), histogram, request.max_tokens);
+        let load = risk::MemoryLoad::of(&curve, request.prompt_tokens as f32 + rounding, 0.0);
+        let terms = self.terms(&request, fleet);
         let held = fleet
             .held
             .filter(|held| held.ticket != ticket)
             .map(|held| held.server);
-        let urgent = ask.class == class::TrafficClass::Urgent;
+        let urgent = request.class == class::TrafficClass::Urgent;
         let query = route::RouteQuery {
-            ask: &ask,
+            request: &request,
             load: &load,
             terms: &terms,
             held: held.filter(|_| !urgent),
             prefill_rate: self.prefill_rate,
         };
-        let beliefs = self.affinity.beliefs(&ask.prefix, now);
+        let beliefs = self.affinity.beliefs(&request.prefix, now);
         let context = route::RouteContext {
             servers: &self.servers,
             beliefs: &beliefs,
@@ -276,10 +278,14 @@
         Ok((choice, load, chance))
     }
 
-    /// Bounds on the admission of `ask`.
-    fn terms(&self, ask: &crate::ask::Ask, fleet: &crate::fleet::ModelFleet) -> room::RoomTerms {
-        let deviations = risk::deviations(self.settings.overflow_chance(ask.class));
-        let urgent = ask.class == class::TrafficClass::Urgent;
+    /// Bounds on the admission of `request`.
+    fn terms(
+        &self,
+        request: &crate::request::GenerationRequest,
+        fleet: &crate::fleet::ModelFleet,
+    ) -> admission::RoomTerms {
+        let deviations = risk::deviations(self.settings.overflow_chance(request.class));
+        let urgent = request.class == class::TrafficClass::Urgent;
         let (mut slots, mut tokens) = (0.0, 0.0);
         if !urgent {
             let demand = fleet.headroom.demand() + fleet.shares.others_urgent();
@@ -289,7 +295,7 @@
             slots = (fleet.headroom.idle() + spread) / engines;
             tokens = slots * fleet.headroom.tokens();
         }
-        room::RoomTerms {
+        admission::RoomTerms {
             deviations,
             slot_doubt: self.settings.slot_doubt,
             reserved_tokens: tokens,
@@ -308,9 +314,9 @@
     ) -> Decision {
         self.waiting -= 1;
         let state = &mut self.tickets[ticket];
-        let (ask, expected) = (state.ask, f64::from(state.expected));
-        let urgent = ask.class == class::TrafficClass::Urgent;
-        let deferrable = ask.class == class::TrafficClass::Deferrable;
+        let (request, expected) = (state.request, f64::from(state.expected));
+        let urgent = request.class == class::TrafficClass::Urgent;
+        let deferrable = request.class == class::TrafficClass::Deferrable;
         let server = &mut self.servers[choice.server];
         let place = server.start(ticket, load, choice.prefill, deferrable, now);
         state.run = Some(ticket::RunState {
@@ -335,7 +341,7 @@
             cached_tokens: choice.cached,
             report_age: server.report_age(now).unwrap_or_default(),
         };
-        let fleet = &mut self.models[ask.model];
+        let fleet = &mut self.models[request.model];
         if fleet.held.is_some_and(|held| held.ticket == ticket) {
             fleet.held = None;
         }
@@ -343,13 +349,15 @@
             fleet.headroom.change(1.0, now);
         }
         if !self.settings.prefix_half_life.is_zero() {
-            for prefix in ask.prefix.hashes() {
+            for prefix in request.prefix.hashes() {
                 self.affinity.note(prefix.hash, choice.server, now);
             }
         }
         self.organisations
-            .change(ask.organisation, now, |account, _| account.start(expected));
-        let (server, priority) = (choice.server, view::ServerView::priority(ask.class));
+            .change(request.organisation, now, |account, _| {
+                account.start(expected)
+            });
+        let (server, priority) = (choice.server, view::ServerView::priority(request.class));
         Decision::Dispatch {
             ticket,
             server,
--- a/crates/sched/src/driver.rs
+++ b/crates/sched/src/driver.rs
@@ -6,14 +6,14 @@
 use tokio::{sync as async_sync, time};
 
 use crate::{
-    ask::{self, TicketKey},
     core,
     explain::{self, Decision},
+    request::{self, TicketKey},
 };
 
 /// A request that got no place. Nothing of it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RefusedAsk {
+pub struct RefusedRequest {
     /// Why.
     pub reason: explain::RefusalReason,
     /// When asking again makes sense; absent when it does not.
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct TicketSlot {
     /// Taken by the decision that ends the wait.
-    answer: Option<async_sync::oneshot::Sender<Result<GrantedPlace, RefusedAsk>>>,
+    answer: Option<async_sync::oneshot::Sender<Result<GrantedPlace, RefusedRequest>>>,
     /// Tells the holder to stop the generation.
     preempt: async_sync::watch::Sender<Option<explain::PreemptReason>>,
 }
@@ -77,7 +77,7 @@
             } => {
                 self.answer(
                     ticket,
-                    Err(RefusedAsk {
+                    Err(RefusedRequest {
                         reason,
                         retry_after,
                     }),
@@ -93,7 +93,7 @@
     }
 
     /// A holder that is gone has a guard that withdraws the ticket, so a failed send is no loss.
-    fn answer(&mut self, ticket: TicketKey, answer: Result<GrantedPlace, RefusedAsk>) {
+    fn answer(&mut self, ticket: TicketKey, answer: Result<GrantedPlace, RefusedRequest>) {
         let sender = self
             .slots
             .get_mut(ticket)
@@ -186,14 +186,17 @@
     ///
     /// # Errors
     ///
-    /// [`RefusedAsk`] when it gets none; nothing of it ran.
-    pub async fn admit(&self, ask: ask::Ask) -> Result<Grant, RefusedAsk> {
+    /// [`RefusedRequest`] when it gets none; nothing of it ran.
+    pub async fn admit(
+        &self,
+        request: request::GenerationRequest,
+    ) -> Result<Grant, RefusedRequest> {
         let (answer, answered) = async_sync::oneshot::channel();
         let (preempt, preempted) = async_sync::watch::channel(None);
         let ticket = {
             let now = time::Instant::now();
             let mut state = self.shared.lock();
-            let ticket = state.core.submit(ask, now);
+            let ticket = state.core.submit(request, now);
             let slot = TicketSlot {
                 answer: Some(answer),
                 preempt,
@@ -222,9 +225,9 @@
 impl TicketGuard {
     async fn wait(
         mut self,
-        answered: async_sync::oneshot::Receiver<Result<GrantedPlace, RefusedAsk>>,
+        answered: async_sync::oneshot::Receiver<Result<GrantedPlace, RefusedRequest>>,
         preempted: async_sync::watch::Receiver<Option<explain::PreemptReason>>,
-    ) -> Result<Grant, RefusedAsk> {
+    ) -> Result<Grant, RefusedRequest> {
         // The sender lives in the ticket's slot until it answers, so it is never just dropped.
         match answered.await.expect("a waiting ticket keeps its sender") {
             Ok(place) => Ok(Grant {
@@ -322,7 +325,7 @@
     }
 
     /// Ends it: the generation failed on its server.
-    pub fn failed(mut self, failure: ask::FailureKind) {
+    pub fn failed(mut self, failure: request::FailureKind) {
         self.guard.held = false;
         let ticket = self.guard.ticket;
         let shared = &self.guard.shared;
@@ -334,8 +337,8 @@
     ///
     /// # Errors
     ///
-    /// [`RefusedAsk`] when it gets none.
-    pub async fn requeue(self) -> Result<Self, RefusedAsk> {
+    /// [`RefusedRequest`] when it gets none.
+    pub async fn requeue(self) -> Result<Self, RefusedRequest> {
         let (answer, answered) = async_sync::oneshot::channel();
         let (preempt, preempted) = async_sync::watch::channel(None);
         let ticket = self.guard.ticket;
--- a/crates/sched/src/explain.rs
+++ b/crates/sched/src/explain.rs
@@ -5,7 +5,7 @@
 
 use base::{id, refusal};
 
-use crate::ask;
+use crate::request;
 
 /// What outweighed the other candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -183,7 +183,7 @@
     /// Start it on `server`.
     Dispatch {
         /// What to start.
-        ticket: ask::TicketKey,
+        ticket: request::TicketKey,
         /// Where.
         server: id::ServerKey,
         /// Engine priority: 0 urgent, 1 normal, 2 deferrable.
@@ -194,7 +194,7 @@
     /// Refuse it; the ticket is gone.
     Refuse {
         /// What to refuse.
-        ticket: ask::TicketKey,
+        ticket: request::TicketKey,
         /// Why.
         reason: RefusalReason,
         /// When asking again makes sense; absent when it does not.
@@ -203,7 +203,7 @@
     /// Cancel it on its server, then call [`crate::core::DispatchCore::requeued`].
     Preempt {
         /// What to stop.
-        ticket: ask::TicketKey,
+        ticket: request::TicketKey,
         /// Where it runs.
         server: id::ServerKey,
         /// Why it and why now.
--- a/crates/sched/src/fleet.rs
+++ b/crates/sched/src/fleet.rs
@@ -3,7 +3,7 @@
 use base::{class, id};
 use tokio::time;
 
-use crate::{ask::TicketKey, headroom, length, queue, share, view};
+use crate::{headroom, length, queue, request::TicketKey, share, view};
 
 /// Time over which demand is averaged.
 const DEMAND_SPAN: time::Duration = time::Duration::from_secs(8);
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -3,8 +3,8 @@
 //! [`core::DispatchCore`] decides without I/O, clock or random source of its own;
 //! [`driver::Driver`] runs it on the runtime's clock for the request plane.
 
+pub mod admission;
 pub mod affinity;
-pub mod ask;
 pub mod core;
 mod dispatch;
 pub mod driver;
@@ -13,14 +13,14 @@
 pub mod headroom;
 pub mod length;
 pub mod limit;
+mod maintenance;
 pub mod organisation;
 pub mod queue;
+pub mod request;
 pub mod risk;
-pub mod room;
 pub mod route;
 pub mod settings;
 pub mod share;
 pub mod ticket;
-mod upkeep;
 pub mod victim;
 pub mod view;
--- a/crates/sched/src/upkeep.rs
+++ b/crates/sched/src/maintenance.rs
@@ -5,10 +5,9 @@
 use tokio::time;
 
 use crate::{
-    ask,
     core::DispatchCore,
     explain::RefusalReason,
-    fleet, route, share,
+    fleet, request, route, share,
     view::{self, LoadSum},
 };
 
@@ -140,31 +139,34 @@
         }
     }
 
-    /// Why there is no use in letting `ask` wait, with when to come back.
+    /// Why there is no use in letting `request` wait, with when to come back.
     pub(crate) fn hopeless(
         &mut self,
-        ask: &ask::Ask,
+        request: &request::GenerationRequest,
         now: time::Instant,
     ) -> Option<(RefusalReason, Option<time::Duration>)> {
-        let largest = self.largest_engine(ask.model);
-        if largest.is_some_and(|tokens| ask.prompt_tokens as f32 >= tokens) {
+        let largest = self.largest_engine(request.model);
+        if largest.is_some_and(|tokens| request.prompt_tokens as f32 >= tokens) {
             return Some((RefusalReason::TooLarge, None));
         }
-        if ask.class == class::TrafficClass::Deferrable {
+        if request.class == class::TrafficClass::Deferrable {
             return None;
         }
         if largest.is_none() {
             return Some((RefusalReason::NoServer, Some(time::Duration::from_secs(1))));
         }
-        let wait = self.predicted_wait(ask);
+        let wait = self.predicted_wait(request);
         let queued = self
             .models
-            .get(ask.model)
-            .map_or(0, |fleet| fleet.queues[ask.class.index()].len());
-        if queued >= self.settings.queue_limit[ask.class.index()] {
+            .get(request.model)
+            .map_or(0, |fleet| fleet.queues[request.class.index()].len());
+        if queued >= self.settings.queue_limit[request.class.index()] {
             return Some((RefusalReason::QueueFull, Some(Self::come_back(wait, 0.0))));
         }
-        let left = ask.deadline?.saturating_duration_since(now).as_secs_f64();
+        let left = request
+            .deadline?
+            .saturating_duration_since(now)
+            .as_secs_f64();
         let wait = wait?;
         let late = wait > left * self.settings.early_refusal;
         late.then(|| {
@@ -175,13 +177,13 @@
         })
     }
 
-    /// Predicted wait of one more request like `ask`, in seconds, from its place in the fair
+    /// Predicted wait of one more request like `request`, in seconds, from its place in the fair
     /// order and the rate at which the queue is served.
-    pub(crate) fn predicted_wait(&self, ask: &ask::Ask) -> Option<f64> {
-        let fleet = self.models.get(ask.model)?;
-        let class = ask.class.index();
-        let weight = self.organisations.weight(ask.organisation);
-        let ahead = fleet.queues[class].ahead(ask.organisation, weight);
+    pub(crate) fn predicted_wait(&self, request: &request::GenerationRequest) -> Option<f64> {
+        let fleet = self.models.get(request.model)?;
+        let class = request.class.index();
+        let weight = self.organisations.weight(request.organisation);
+        let ahead = fleet.queues[class].ahead(request.organisation, weight);
         if ahead <= 0.0 {
             return None;
         }
--- a/crates/sched/src/queue.rs
+++ b/crates/sched/src/queue.rs
@@ -10,7 +10,7 @@
 
 use base::id;
 
-use crate::ask::TicketKey;
+use crate::request::TicketKey;
 
 /// One organisation's part of a queue.
 #[derive(Clone, Debug, Default)]
--- a/crates/sched/src/ask.rs
+++ b/crates/sched/src/request.rs
@@ -89,7 +89,7 @@
 
 /// One generation that wants a place on a model engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct GenerationRequest {
     /// Who asks.
     pub organisation: id::OrganisationKey,
     /// How long it may wait.
@@ -114,7 +114,7 @@
     pub retry: bool,
 }
 
-impl Ask {
+impl GenerationRequest {
     /// A first try with no prefix, nothing to avoid and no deadline.
     #[must_use]
     pub fn new(
--- a/crates/sched/src/route.rs
+++ b/crates/sched/src/route.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, RngExt as _};
 use tokio::time;
 
-use crate::{affinity, ask, explain, risk, room, settings, share, view};
+use crate::{admission, affinity, explain, request, risk, settings, share, view};
 
 /// Most candidates compared in one decision.
 pub const MOST_CANDIDATES: usize = 64;
@@ -35,11 +35,11 @@
 #[derive(Debug)]
 pub struct RouteQuery<'a> {
     /// What is to be placed.
-    pub ask: &'a ask::Ask,
+    pub request: &'a request::GenerationRequest,
     /// What it would add to a server's memory.
     pub load: &'a risk::MemoryLoad,
     /// Bounds on each server.
-    pub terms: &'a room::RoomTerms,
+    pub terms: &'a admission::RoomTerms,
     /// Kept for another request; not to be chosen.
     pub held: Option<id::ServerKey>,
     /// Learnt rate at which engines take in prompts, in tokens a second.
@@ -141,7 +141,7 @@
         let mut count = 0;
         let mut cause = explain::WaitCause::Server;
         for &key in candidates.iter().take(MOST_CANDIDATES) {
-            if avoiding && query.ask.avoid.contains(key) {
+            if avoiding && query.request.avoid.contains(key) {
                 continue;
             }
             match self.score(key, query) {
@@ -168,8 +168,8 @@
         }
         let default = 1.0 / self.settings.entries.max(1) as f32;
         let share = self.shares.share(key).unwrap_or(default);
-        let part = room::RoomShare::of(share, server, self.settings.reuse);
-        let state = room::assess(server, query.load, query.terms, part, self.now);
+        let part = admission::RoomShare::of(share, server, self.settings.reuse);
+        let state = admission::assess(server, query.load, query.terms, part, self.now);
         if let Some(lack) = state.lack
             && (query.terms.shared || server.unstarted >= self.settings.urgent_beyond)
         {
@@ -201,7 +201,7 @@
     }
 
     fn first_token(&self, server: &view::ServerView, query: &RouteQuery<'_>, cached: f32) -> f32 {
-        let rest = (query.ask.prompt_tokens as f32 - cached).max(1.0);
+        let rest = (query.request.prompt_tokens as f32 - cached).max(1.0);
         let queued = server.report.map_or(0, |report| report.waiting) as f32;
         let steps = 1.0 + queued;
         server
@@ -239,7 +239,7 @@
         } else {
             explain::ChoiceCause::Soonest
         };
-        let rest = query.ask.prompt_tokens as f32 - chosen.prefix.expected;
+        let rest = query.request.prompt_tokens as f32 - chosen.prefix.expected;
         RouteChoice {
             server: chosen.server,
             cause,
--- a/crates/sched/src/ticket.rs
+++ b/crates/sched/src/ticket.rs
@@ -3,7 +3,7 @@
 use base::id;
 use tokio::time;
 
-use crate::{ask, explain, length, risk};
+use crate::{explain, length, request, risk};
 
 /// Tokens of prompt that cost as much as one generated token.
 const PROMPT_TOKENS_PER_COST: f64 = 10.0;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct TicketState {
     /// What was asked.
-    pub ask: ask::Ask,
+    pub request: request::GenerationRequest,
     /// The organisation's histogram; may be stale.
     pub histogram: length::HistogramKey,
     /// When it was submitted.
@@ -56,16 +56,16 @@
     /// What serving it is reckoned to cost, in generated tokens.
     #[must_use]
     pub fn cost(&self) -> f64 {
-        f64::from(self.ask.prompt_tokens) / PROMPT_TOKENS_PER_COST + f64::from(self.expected)
+        f64::from(self.request.prompt_tokens) / PROMPT_TOKENS_PER_COST + f64::from(self.expected)
     }
 
     /// Whose lengths to go by.
     #[must_use]
     pub fn source(&self) -> length::LengthSource {
         length::LengthSource {
-            organisation: self.ask.organisation,
-            model: self.ask.model,
-            class: self.ask.class,
+            organisation: self.request.organisation,
+            model: self.request.model,
+            class: self.request.class,
         }
     }
 
@@ -73,6 +73,6 @@
     #[must_use]
     pub fn restartable(&self) -> bool {
         let silent = self.run.is_some_and(|run| run.produced == 0);
-        self.ask.buffered || silent
+        self.request.buffered || silent
     }
 }
--- a/crates/sched/src/victim.rs
+++ b/crates/sched/src/victim.rs
@@ -4,7 +4,7 @@
 //! only where it loses less: the most deferrable, and among those the one that loses the fewest
 //! tokens, and only what may be started again.
 
-use crate::{ask::TicketKey, ticket};
+use crate::{request::TicketKey, ticket};
 
 /// What stopping `state` would lose, in order of preference; absent when it may not be stopped.
 fn loss(state: &ticket::TicketState) -> Option<(usize, u32)> {
@@ -12,7 +12,7 @@
     if run.stopping || !state.restartable() {
         return None;
     }
-    let deferral = 2 - state.ask.class.index();
+    let deferral = 2 - state.request.class.index();
     Some((deferral, run.produced + run.prefill as u32 / 8))
 }
 
--- a/crates/sched/src/view.rs
+++ b/crates/sched/src/view.rs
@@ -9,7 +9,7 @@
 use base::{class, id};
 use tokio::time;
 
-use crate::{ask::TicketKey, length, risk, ticket};
+use crate::{length, request::TicketKey, risk, ticket};
 
 /// Where a server or an entry VM stands. The numbers are the caller's; equal means same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/sched/tests/driver.rs
+++ b/crates/sched/tests/driver.rs
@@ -2,7 +2,7 @@
 
 use base::{class, id};
 use rand::{SeedableRng as _, rngs};
-use sched::{ask, core, driver, explain, settings, view};
+use sched::{core, driver, explain, request, settings, view};
 use tokio::time;
 
 struct Fixture {
@@ -38,19 +38,19 @@
         }
     }
 
-    fn ask(&self) -> ask::Ask {
+    fn request(&self) -> request::GenerationRequest {
         let class = class::TrafficClass::Normal;
-        ask::Ask::new(self.organisation, class, self.model, 100, 100)
+        request::GenerationRequest::new(self.organisation, class, self.model, 100, 100)
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_dropped_grant_frees_its_place() {
     let fixture = Fixture::new(1);
-    let grant = fixture.driver.admit(fixture.ask()).await.unwrap();
+    let grant = fixture.driver.admit(fixture.request()).await.unwrap();
     let waiting = tokio::spawn({
-        let (driver, ask) = (fixture.driver.clone(), fixture.ask());
-        async move { driver.admit(ask).await.map(|grant| grant.server()) }
+        let (driver, request) = (fixture.driver.clone(), fixture.request());
+        async move { driver.admit(request).await.map(|grant| grant.server()) }
     });
     time::sleep(time::Duration::from_secs(1)).await;
     assert!(!waiting.is_finished());
@@ -62,8 +62,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_dropped_wait_takes_no_place() {
     let fixture = Fixture::new(1);
-    let grant = fixture.driver.admit(fixture.ask()).await.unwrap();
-    let second = fixture.driver.admit(fixture.ask());
+    let grant = fixture.driver.admit(fixture.request()).await.unwrap();
+    let second = fixture.driver.admit(fixture.request());
     assert!(
         time::timeout(time::Duration::from_secs(1), second)
             .await
@@ -72,7 +72,7 @@
     grant.finished(10);
     let third = time::timeout(
         time::Duration::from_secs(1),
-        fixture.driver.admit(fixture.ask()),
+        fixture.driver.admit(fixture.request()),
     );
     assert!(third.await.unwrap().is_ok());
 }
@@ -80,17 +80,17 @@
 #[tokio::test(start_paused = true)]
 async fn a_passed_deadline_is_refused_and_not_run() {
     let fixture = Fixture::new(1);
-    let grant = fixture.driver.admit(fixture.ask()).await.unwrap();
+    let grant = fixture.driver.admit(fixture.request()).await.unwrap();
     tokio::spawn(async move {
         loop {
             time::sleep(time::Duration::from_millis(100)).await;
             grant.progress(1);
         }
     });
-    let mut ask = fixture.ask();
+    let mut request = fixture.request();
     let started = time::Instant::now();
-    ask.deadline = Some(started + time::Duration::from_secs(2));
-    let refused = fixture.driver.admit(ask).await.unwrap_err();
+    request.deadline = Some(started + time::Duration::from_secs(2));
+    let refused = fixture.driver.admit(request).await.unwrap_err();
     assert_eq!(refused.reason, explain::RefusalReason::Deadline);
     assert!(refused.retry_after.is_some());
     assert!(started.elapsed() <= time::Duration::from_millis(2_100));
