--- a/crates/entry/src/adapt/schedule.rs
+++ b/crates/entry/src/adapt/schedule.rs
@@ -227,8 +227,8 @@
     fn reason(&self) -> port::PlaceReason {
         match self {
             Self::Engine(grant) => port::PlaceReason {
-                candidates: u32::from(grant.why().candidates),
-                text: grant.why().to_string(),
+                candidates: u32::from(grant.reason().candidates),
+                text: grant.reason().to_string(),
             },
             Self::Service(_) => port::PlaceReason {
                 candidates: 0,
--- a/crates/entry/src/roster.rs
+++ b/crates/entry/src/roster.rs
@@ -50,8 +50,8 @@
 }
 
 impl RosterState {
-    fn place(&mut self, region: &str, failure_domain: &str) -> view::ServerPlace {
-        view::ServerPlace {
+    fn place(&mut self, region: &str, failure_domain: &str) -> view::ServerLocation {
+        view::ServerLocation {
             region: self.regions.number(region),
             failure_domain: self.domains.number(failure_domain),
         }
@@ -81,7 +81,7 @@
         let models = names.iter().map(|name| self.model_key(name)).collect();
         view::EngineSpec {
             identity: rendezvous::score("engine", &server.name),
-            place,
+            location: place,
             models,
             total_blocks: engine.kv_blocks,
             block_tokens: engine.block_tokens,
--- a/crates/entry/src/sight.rs
+++ b/crates/entry/src/sight.rs
@@ -22,7 +22,7 @@
 /// The decision core's settings by the rules in force.
 pub(crate) fn policy_settings(
     snapshot: &snapshot::ConfigSnapshot,
-    place: view::ServerPlace,
+    place: view::ServerLocation,
     own: &OwnPlace,
 ) -> settings::PolicySettings {
     let admission = &snapshot.rules().admission;
@@ -35,7 +35,7 @@
         .filter(|(_, vm)| vm.region == own.region)
         .count();
     settings::PolicySettings {
-        place,
+        location: place,
         identity: roster::vm_identity(&own.vm),
         entries: u32::try_from(peers.max(1)).unwrap_or(u32::MAX),
         overflow_chance,
--- a/crates/sched/benches/policy/entry.rs
+++ b/crates/sched/benches/policy/entry.rs
@@ -114,7 +114,7 @@
         for &server in &servers {
             let spec = view::EngineSpec {
                 identity: mixed(slotmap::Key::data(&server).as_ffi()),
-                place: view::ServerPlace::default(),
+                location: view::ServerLocation::default(),
                 models: vec![model],
                 total_blocks: profile.total_blocks,
                 block_tokens: profile.block_tokens,
--- a/crates/sched/src/dispatch.rs
+++ b/crates/sched/src/dispatch.rs
@@ -331,7 +331,7 @@
             prefill: choice.prefill,
             stopping: false,
         });
-        let why = explain::DispatchReason {
+        let reason = explain::DispatchReason {
             cause: choice.cause,
             wait: state.wait,
             waited: now.saturating_duration_since(state.submitted_at),
@@ -362,7 +362,7 @@
             ticket,
             server,
             priority,
-            why,
+            reason,
         }
     }
 
@@ -395,14 +395,14 @@
                 run.stopping = true;
             }
             let overflow_permille = (chance * 1_000.0) as u16;
-            let why = explain::PreemptReason {
+            let reason = explain::PreemptReason {
                 overflow_permille,
                 lost_tokens,
             };
             decisions.push(Decision::Preempt {
                 ticket,
                 server: key,
-                why,
+                reason,
             });
         }
     }
--- a/crates/sched/src/driver.rs
+++ b/crates/sched/src/driver.rs
@@ -25,7 +25,7 @@
 struct GrantedPlace {
     server: id::ServerKey,
     priority: u8,
-    why: explain::DispatchReason,
+    reason: explain::DispatchReason,
 }
 
 /// The two ends that a ticket's holder listens to.
@@ -61,12 +61,12 @@
                 ticket,
                 server,
                 priority,
-                why,
+                reason,
             } => {
                 let place = GrantedPlace {
                     server,
                     priority,
-                    why,
+                    reason,
                 };
                 self.answer(ticket, Ok(place));
             }
@@ -84,9 +84,9 @@
                 );
                 self.slots.remove(ticket);
             }
-            Decision::Preempt { ticket, why, .. } => {
+            Decision::Preempt { ticket, reason, .. } => {
                 if let Some(slot) = self.slots.get(ticket) {
-                    slot.preempt.send_replace(Some(why));
+                    slot.preempt.send_replace(Some(reason));
                 }
             }
         }
@@ -276,8 +276,8 @@
 
     /// Why there, and why not earlier.
     #[must_use]
-    pub fn why(&self) -> &explain::DispatchReason {
-        &self.place.why
+    pub fn reason(&self) -> &explain::DispatchReason {
+        &self.place.reason
     }
 
     /// Tells the core that `count` further tokens arrived, the first included.
--- a/crates/sched/src/explain.rs
+++ b/crates/sched/src/explain.rs
@@ -189,7 +189,7 @@
         /// Engine priority: 0 urgent, 1 normal, 2 deferrable.
         priority: u8,
         /// Why there, and why not earlier.
-        why: DispatchReason,
+        reason: DispatchReason,
     },
     /// Refuse it; the ticket is gone.
     Refuse {
@@ -207,6 +207,6 @@
         /// Where it runs.
         server: id::ServerKey,
         /// Why it and why now.
-        why: PreemptReason,
+        reason: PreemptReason,
     },
 }
--- a/crates/sched/src/fleet.rs
+++ b/crates/sched/src/fleet.rs
@@ -202,6 +202,6 @@
 
 /// Whether `place` lies in the own region.
 #[must_use]
-pub fn near(own: view::ServerPlace, place: view::ServerPlace) -> bool {
-    own.region == place.region
+pub fn near(own: view::ServerLocation, location: view::ServerLocation) -> bool {
+    own.region == location.region
 }
--- a/crates/sched/src/maintenance.rs
+++ b/crates/sched/src/maintenance.rs
@@ -74,11 +74,12 @@
 
     /// Ranks the engines of every model anew; for changes of the fleet only.
     pub(crate) fn rank_all(&mut self) {
-        let (own, settings) = (self.settings.place, &self.settings);
+        let (own, settings) = (self.settings.location, &self.settings);
         for (model, fleet) in &mut self.models {
             let engines = |near: bool| {
                 let serves = self.servers.iter().filter(move |(_, view)| {
-                    view.spec.models.contains(&model) && fleet::near(own, view.spec.place) == near
+                    view.spec.models.contains(&model)
+                        && fleet::near(own, view.spec.location) == near
                 });
                 serves.map(|(key, _)| key)
             };
@@ -117,7 +118,7 @@
             fleet.ring.clear();
             let (mut running, mut deferrable) = (0.0, 0.0);
             for (server, view) in &self.servers {
-                let near = fleet::near(self.settings.place, view.spec.place);
+                let near = fleet::near(self.settings.location, view.spec.location);
                 if near && view.spec.models.contains(&model) {
                     running += view.own.memory.mean[0];
                     deferrable += view.own_deferrable.memory.mean[0];
--- a/crates/sched/src/route.rs
+++ b/crates/sched/src/route.rs
@@ -190,7 +190,7 @@
     }
 
     fn distance(&self, server: &view::ServerView) -> f32 {
-        let (own, its) = (self.settings.place, server.spec.place);
+        let (own, its) = (self.settings.location, server.spec.location);
         if own.region != its.region {
             self.settings.region_penalty.as_secs_f32()
         } else if own.failure_domain != its.failure_domain {
--- a/crates/sched/src/settings.rs
+++ b/crates/sched/src/settings.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct PolicySettings {
     /// Where this entry VM stands.
-    pub place: view::ServerPlace,
+    pub location: view::ServerLocation,
     /// Hash of this VM's name: different for each VM, and the same number that others are told.
     pub identity: u64,
     /// Entry VMs that send work to the same engines, this one included; at least 1. Counts only
@@ -73,7 +73,7 @@
 impl Default for PolicySettings {
     fn default() -> Self {
         Self {
-            place: view::ServerPlace::default(),
+            location: view::ServerLocation::default(),
             identity: 0,
             entries: 1,
             organisation_entries: 1,
--- a/crates/sched/src/view.rs
+++ b/crates/sched/src/view.rs
@@ -13,7 +13,7 @@
 
 /// Where a server or an entry VM stands. The numbers are the caller's; equal means same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ServerPlace {
+pub struct ServerLocation {
     /// Number of its region.
     pub region: u16,
     /// Number of its failure domain.
@@ -26,7 +26,7 @@
     /// Hash of its name: equal in every process, different for each engine.
     pub identity: u64,
     /// Where it stands.
-    pub place: ServerPlace,
+    pub location: ServerLocation,
     /// Models that it serves now.
     pub models: Vec<id::ModelKey>,
     /// KV cache blocks that it has.
--- a/crates/sched/tests/driver.rs
+++ b/crates/sched/tests/driver.rs
@@ -19,7 +19,7 @@
         let (model, organisation) = (models.insert(()), organisations.insert(()));
         let spec = view::EngineSpec {
             identity: 1,
-            place: view::ServerPlace::default(),
+            location: view::ServerLocation::default(),
             models: vec![model],
             total_blocks: 1_000,
             block_tokens: 16,
