--- a/crates/sched/benches/policy/ablation.rs
+++ b/crates/sched/benches/policy/ablation.rs
@@ -20,8 +20,8 @@
         ("near40", with(|s| s.near_best = Duration::from_millis(40))),
         ("head2", with(|s| s.headroom_deviations = 2.0)),
         ("head4", with(|s| s.headroom_deviations = 4.0)),
-        ("doubt0", with(|s| s.slot_doubt = 0.0)),
-        ("beyond1", with(|s| s.urgent_beyond = 1)),
-        ("beyond4", with(|s| s.urgent_beyond = 4)),
+        ("doubt0", with(|s| s.slot_uncertainty = 0.0)),
+        ("beyond1", with(|s| s.urgent_overcommit = 1)),
+        ("beyond4", with(|s| s.urgent_overcommit = 4)),
     ]
 }
--- a/crates/sched/src/affinity.rs
+++ b/crates/sched/src/affinity.rs
@@ -10,13 +10,13 @@
 use crate::request;
 
 /// Servers remembered of one prefix.
-const WAYS: usize = 4;
+const MAX_SERVERS_PER_PREFIX: usize = 4;
 
 /// Sets of the table; a power of two.
 const SETS: usize = 4_096;
 
 /// Slots of a set, each a prefix on one server.
-const SLOTS: usize = 8;
+const SLOTS_PER_SET: usize = 8;
 
 /// One prefix on one server.
 #[derive(Clone, Copy, Debug)]
@@ -30,60 +30,60 @@
 /// Bounded table of prefixes and the servers that hold them.
 #[derive(Clone, Debug)]
 pub struct AffinityTable {
-    /// `SETS * SLOTS` of them once anything was noted, none before.
+    /// `SETS * SLOTS_PER_SET` of them once anything was noted, none before.
     slots: Vec<Option<AffinitySlot>>,
     /// Belief in an entry halves with this age.
     half_life: time::Duration,
     /// Cached tokens found over those believed in, decayed; from 0 to 1.
-    trust: f32,
+    hit_ratio: f32,
 }
 
 /// A believed cache hit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PrefixBelief {
+pub struct PrefixEstimate {
     /// Tokens of the longest prefix believed to be there.
     pub tokens: u32,
     /// Expected tokens: the former by the chance that it still is there.
     pub expected: f32,
 }
 
-/// Servers believed to hold some prefix of one prompt, at most `MOST_BELIEFS` of them.
+/// Servers believed to hold some prefix of one prompt, at most `MAX_ESTIMATES` of them.
 #[derive(Clone, Copy, Debug)]
-pub struct BeliefList {
-    beliefs: [(id::ServerKey, PrefixBelief); MOST_BELIEFS],
+pub struct EstimateList {
+    estimates: [(id::ServerKey, PrefixEstimate); MAX_ESTIMATES],
     len: usize,
 }
 
-/// Servers that one [`BeliefList`] holds.
-const MOST_BELIEFS: usize = 16;
+/// Servers that one [`EstimateList`] holds.
+const MAX_ESTIMATES: usize = 16;
 
-impl Default for BeliefList {
+impl Default for EstimateList {
     fn default() -> Self {
-        let none = (id::ServerKey::default(), PrefixBelief::default());
+        let none = (id::ServerKey::default(), PrefixEstimate::default());
         Self {
-            beliefs: [none; MOST_BELIEFS],
+            estimates: [none; MAX_ESTIMATES],
             len: 0,
         }
     }
 }
 
-impl BeliefList {
+impl EstimateList {
     /// What is believed of `server`.
     #[must_use]
-    pub fn of(&self, server: id::ServerKey) -> PrefixBelief {
-        let mut held = self.beliefs[..self.len].iter();
-        let found = held.find(|(key, _)| *key == server);
-        found.map_or_else(PrefixBelief::default, |(_, belief)| *belief)
+    pub fn of(&self, server: id::ServerKey) -> PrefixEstimate {
+        let mut matches = self.estimates[..self.len].iter();
+        let found = matches.find(|(key, _)| *key == server);
+        found.map_or_else(PrefixEstimate::default, |(_, estimate)| *estimate)
     }
 
-    fn raise(&mut self, server: id::ServerKey, belief: PrefixBelief) {
-        let mut held = self.beliefs[..self.len].iter_mut();
-        if let Some((_, old)) = held.find(|(key, _)| *key == server) {
-            if belief.expected > old.expected {
-                *old = belief;
+    fn raise(&mut self, server: id::ServerKey, estimate: PrefixEstimate) {
+        let mut matches = self.estimates[..self.len].iter_mut();
+        if let Some((_, old)) = matches.find(|(key, _)| *key == server) {
+            if estimate.expected > old.expected {
+                *old = estimate;
             }
-        } else if self.len < MOST_BELIEFS {
-            self.beliefs[self.len] = (server, belief);
+        } else if self.len < MAX_ESTIMATES {
+            self.estimates[self.len] = (server, estimate);
             self.len += 1;
         }
     }
@@ -96,11 +96,11 @@
         Self {
             slots: Vec::new(),
             half_life,
-            trust: 0.8,
+            hit_ratio: 0.8,
         }
     }
 
-    /// Changes the age with which belief halves.
+    /// Changes the age with which estimate halves.
     pub fn set_half_life(&mut self, half_life: time::Duration) {
         self.half_life = half_life;
     }
@@ -108,26 +108,26 @@
     fn set(hash: u64) -> usize {
         // The hash may be of any quality: spread it.
         let spread = hash.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
-        (spread as usize % SETS) * SLOTS
+        (spread as usize % SETS) * SLOTS_PER_SET
     }
 
     /// Notes that `server` holds the prefix `hash`, as of `seen_at`.
-    pub fn note(&mut self, hash: u64, server: id::ServerKey, seen_at: time::Instant) {
+    pub fn insert(&mut self, hash: u64, server: id::ServerKey, seen_at: time::Instant) {
         if self.slots.is_empty() {
-            self.slots = vec![None; SETS * SLOTS];
+            self.slots = vec![None; SETS * SLOTS_PER_SET];
         }
         let set = Self::set(hash);
-        let slots = &mut self.slots[set..set + SLOTS];
-        let held = |slot: &Option<AffinitySlot>| {
+        let slots = &mut self.slots[set..set + SLOTS_PER_SET];
+        let matches = |slot: &Option<AffinitySlot>| {
             slot.is_some_and(|slot| slot.hash == hash && slot.server == server)
         };
-        let place = slots
+        let index = slots
             .iter()
-            .position(held)
+            .position(matches)
             .unwrap_or_else(|| Self::oldest(slots, hash));
-        let newer = slots[place].is_none_or(|slot| slot.seen_at <= seen_at);
-        if newer || !held(&slots[place]) {
-            slots[place] = Some(AffinitySlot {
+        let newer = slots[index].is_none_or(|slot| slot.seen_at <= seen_at);
+        if newer || !matches(&slots[index]) {
+            slots[index] = Some(AffinitySlot {
                 hash,
                 server,
                 seen_at,
@@ -135,34 +135,34 @@
         }
     }
 
-    /// The slot to give up: the oldest of the same prefix when that has its [`WAYS`], else the
+    /// The slot to give up: the oldest of the same prefix when that has its [`MAX_SERVERS_PER_PREFIX`], else the
     /// oldest of the set.
     fn oldest(slots: &[Option<AffinitySlot>], hash: u64) -> usize {
         let same = |slot: &Option<AffinitySlot>| slot.is_some_and(|slot| slot.hash == hash);
-        let full = slots.iter().filter(|slot| same(slot)).count() >= WAYS;
-        let places = (0..slots.len()).filter(|&place| !full || same(&slots[place]));
-        places
-            .min_by_key(|&place| slots[place].map(|slot| slot.seen_at))
+        let full = slots.iter().filter(|slot| same(slot)).count() >= MAX_SERVERS_PER_PREFIX;
+        let indices = (0..slots.len()).filter(|&index| !full || same(&slots[index]));
+        indices
+            .min_by_key(|&index| slots[index].map(|slot| slot.seen_at))
             .unwrap_or(0)
     }
 
     /// Notes that `server` dropped the prefix `hash` at `evicted_at`; a later note stands.
-    pub fn forget(&mut self, hash: u64, server: id::ServerKey, evicted_at: time::Instant) {
+    pub fn remove(&mut self, hash: u64, server: id::ServerKey, evicted_at: time::Instant) {
         if self.slots.is_empty() {
             return;
         }
         let set = Self::set(hash);
-        for slot in &mut self.slots[set..set + SLOTS] {
-            let gone = slot.is_some_and(|slot| {
+        for slot in &mut self.slots[set..set + SLOTS_PER_SET] {
+            let evicted = slot.is_some_and(|slot| {
                 slot.hash == hash && slot.server == server && slot.seen_at <= evicted_at
             });
-            if gone {
+            if evicted {
                 *slot = None;
             }
         }
     }
 
-    /// Forgets all that `server` held: it restarted.
+    /// Forgets all that `server` matches: it restarted.
     pub fn clear(&mut self, server: id::ServerKey) {
         for slot in &mut self.slots {
             if slot.is_some_and(|slot| slot.server == server) {
@@ -172,34 +172,34 @@
     }
 
     /// Learns from a generation that was believed to find `believed` tokens and found `found`.
-    pub fn learn(&mut self, believed: u32, found: u32) {
+    pub fn record_hit(&mut self, predicted: u32, found: u32) {
         const WEIGHT: f32 = 0.05;
-        if believed > 0 {
-            let part = (found as f32 / believed as f32).min(1.0);
-            self.trust += WEIGHT * (part - self.trust);
+        if predicted > 0 {
+            let ratio = (found as f32 / predicted as f32).min(1.0);
+            self.hit_ratio += WEIGHT * (ratio - self.hit_ratio);
         }
     }
 
     /// Which servers are believed to hold a prefix of the prompt.
     #[must_use]
-    pub fn beliefs(&self, prefix: &request::PrefixChain, now: time::Instant) -> BeliefList {
-        let mut list = BeliefList::default();
+    pub fn estimates(&self, prefix: &request::PrefixChain, now: time::Instant) -> EstimateList {
+        let mut list = EstimateList::default();
         if self.slots.is_empty() {
             return list;
         }
         for wanted in prefix.hashes() {
             let set = Self::set(wanted.hash);
-            for slot in self.slots[set..set + SLOTS].iter().flatten() {
+            for slot in self.slots[set..set + SLOTS_PER_SET].iter().flatten() {
                 if slot.hash != wanted.hash {
                     continue;
                 }
                 let age = now.saturating_duration_since(slot.seen_at).as_secs_f32();
-                let chance = self.trust * (-age / self.half_life.as_secs_f32()).exp2();
-                let belief = PrefixBelief {
+                let chance = self.hit_ratio * (-age / self.half_life.as_secs_f32()).exp2();
+                let estimate = PrefixEstimate {
                     tokens: wanted.tokens,
                     expected: chance * wanted.tokens as f32,
                 };
-                list.raise(slot.server, belief);
+                list.raise(slot.server, estimate);
             }
         }
         list
--- a/crates/sched/src/core.rs
+++ b/crates/sched/src/core.rs
@@ -17,10 +17,10 @@
 };
 
 /// Tokens after which a running generation's memory is worked out anew.
-const RELOAD_TOKENS: u32 = 16;
+const LOAD_REFRESH_TOKENS: u32 = 16;
 
 /// What one first token moves the learnt rate of prefill by.
-const PREFILL_WEIGHT: f32 = 0.05;
+const PREFILL_RATE_WEIGHT: f32 = 0.05;
 
 /// Decides where and when each generation runs.
 ///
@@ -39,11 +39,11 @@
     pub(crate) prefill_rate: f32,
     /// Deadlines of waiting tickets, earliest first; tickets that no longer wait are skipped.
     pub(crate) deadlines: collections::BinaryHeap<cmp::Reverse<(time::Instant, TicketKey)>>,
-    /// Decided at submission, told by the next poll.
+    /// Decided at submission, refused by the next poll.
     pub(crate) refusals: Vec<Decision>,
     /// Servers with a report since victims were last looked for.
     pub(crate) reported: Vec<id::ServerKey>,
-    pub(crate) upkept_at: Option<time::Instant>,
+    pub(crate) maintained_at: Option<time::Instant>,
     pub(crate) swept_at: Option<time::Instant>,
     /// Whether deadlines, rooms or queues may have changed since the last poll.
     pub(crate) waiting: usize,
@@ -76,7 +76,7 @@
             deadlines: collections::BinaryHeap::new(),
             refusals: Vec::new(),
             reported: Vec::new(),
-            upkept_at: None,
+            maintained_at: None,
             swept_at: None,
             waiting: 0,
             settings,
@@ -89,7 +89,7 @@
             .set_entries(settings.organisation_entries);
         self.affinity.set_half_life(settings.prefix_half_life);
         self.settings = settings;
-        self.rank_all();
+        self.rank_candidates();
     }
 
     /// A server came into being, or its inventory entry or models changed.
@@ -108,14 +108,14 @@
             self.servers
                 .insert(server, view::ServerView::new(spec, now));
         }
-        self.rank_all();
+        self.rank_candidates();
     }
 
     /// A server is gone. What ran there is still to be ended by its holders.
     pub fn server_removed(&mut self, server: id::ServerKey) {
         self.servers.remove(server);
         self.affinity.clear(server);
-        self.rank_all();
+        self.rank_candidates();
     }
 
     /// A server is leaving: it gets no new work; what runs there goes on.
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Another entry VM told of its work for a model.
+    /// Another entry VM refused of its work for a model.
     pub fn entry_reported(
         &mut self,
         vm: id::VmKey,
@@ -148,7 +148,7 @@
         digest: share::EntryDigest,
         taken_at: time::Instant,
     ) {
-        self.fleet(model).shares.take(vm, digest, taken_at);
+        self.fleet(model).shares.record(vm, digest, taken_at);
     }
 
     /// Another entry VM is gone.
@@ -180,14 +180,14 @@
         let Some(view) = self.servers.get(server) else {
             return;
         };
-        let counts = request::is_sampled(prefix.tokens, view.spec.block_tokens);
-        if self.settings.prefix_half_life.is_zero() || !counts {
+        let sampled = request::is_sampled(prefix.tokens, view.spec.block_tokens);
+        if self.settings.prefix_half_life.is_zero() || !sampled {
             return;
         }
         if cached {
-            self.affinity.note(prefix.hash, server, at);
+            self.affinity.insert(prefix.hash, server, at);
         } else {
-            self.affinity.forget(prefix.hash, server, at);
+            self.affinity.remove(prefix.hash, server, at);
         }
     }
 
@@ -205,7 +205,7 @@
         self.organisations.remove(organisation);
     }
 
-    /// Another of an organisation's entry VMs told what it is asked for.
+    /// Another of an organisation's entry VMs refused what it is asked for.
     pub fn demand_reported(
         &mut self,
         organisation: id::OrganisationKey,
@@ -215,9 +215,10 @@
         now: time::Instant,
     ) {
         if self.organisations.limited(organisation) {
-            self.organisations.change(organisation, now, |account, _| {
-                account.take(vm, demand, taken_at);
-            });
+            self.organisations
+                .with_account(organisation, now, |account, _| {
+                    account.record_peer(vm, demand, taken_at);
+                });
         }
     }
 
@@ -239,7 +240,7 @@
             return None;
         }
         self.organisations
-            .change(organisation, now, |account, plan| account.refusal(plan))
+            .with_account(organisation, now, |account, plan| account.refusal(plan))
     }
 
     /// A generation wants a place. The answer comes from [`Self::poll`].
@@ -253,7 +254,7 @@
         let expected = self
             .lengths
             .curve(source, histogram, request.max_tokens)
-            .rest(0.0);
+            .expected_remaining(0.0);
         let state = ticket::TicketState {
             request,
             histogram,
@@ -291,21 +292,23 @@
         let Some(run) = &mut state.run else { return };
         let first = run.produced == 0;
         run.produced += count;
-        let gap = now.saturating_duration_since(run.heard_at).as_secs_f32();
-        run.heard_at = now;
-        let (run, place) = (*run, run.server);
-        if let Some(server) = self.servers.get_mut(place) {
+        let interval = now
+            .saturating_duration_since(run.last_token_at)
+            .as_secs_f32();
+        run.last_token_at = now;
+        let (run, server) = (*run, run.server);
+        if let Some(server) = self.servers.get_mut(server) {
             if first {
                 server.first_token(run.prefill, now);
             } else {
-                server.stepped(gap / count.max(1) as f32, now);
+                server.record_step(interval / count.max(1) as f32, now);
             }
         }
         if first {
-            self.learn_prefill(&run, gap);
+            self.update_prefill_rate(&run, interval);
         }
-        if run.produced - run.loaded_at >= RELOAD_TOKENS {
-            self.reload(ticket);
+        if run.produced - run.load_produced >= LOAD_REFRESH_TOKENS {
+            self.refresh_load(ticket);
         }
     }
 
@@ -313,21 +316,21 @@
     pub fn alive(&mut self, ticket: TicketKey, now: time::Instant) {
         let run = self.tickets.get(ticket).and_then(|state| state.run);
         if let Some(server) = run.and_then(|run| self.servers.get_mut(run.server)) {
-            server.heard_at = now;
+            server.active_at = now;
         }
     }
 
-    /// An engine told at a generation's end how many of its prompt's tokens were cached.
+    /// An engine refused at a generation's end how many of its prompt's tokens were cached.
     pub fn cached(&mut self, ticket: TicketKey, tokens: u32) {
         if let Some(run) = self.tickets.get(ticket).and_then(|state| state.run) {
-            self.affinity.learn(run.believed, tokens);
+            self.affinity.record_hit(run.predicted_cached, tokens);
         }
     }
 
     /// It ended by itself, with `produced` tokens in all.
     ///
     /// The end of a generation may cross the order to stop it: then the ticket waits again by the
-    /// time its end is told, and leaves its queue. Were it only forgotten, its queue would still
+    /// time its end is refused, and leaves its queue. Were it only forgotten, its queue would still
     /// name it.
     pub fn finished(&mut self, ticket: TicketKey, produced: u32, now: time::Instant) {
         let Some(state) = self.tickets.get(ticket) else {
@@ -342,7 +345,7 @@
         }
         self.lengths.learn(source, produced);
         if runs {
-            self.release(ticket, produced, now);
+            self.close(ticket, produced, now);
         } else {
             self.withdrawn(ticket, now);
         }
@@ -359,7 +362,7 @@
         if let Some(server) = self.servers.get_mut(run.server) {
             server.fail(failure.weight(), now);
         }
-        self.release(ticket, run.produced, now);
+        self.close(ticket, run.produced, now);
     }
 
     /// Its caller gave it up; the ticket is gone.
@@ -368,7 +371,7 @@
             return;
         };
         if let Some(run) = state.run {
-            return self.release(ticket, run.produced, now);
+            return self.close(ticket, run.produced, now);
         }
         let request = state.request;
         if let Some(fleet) = self.models.get_mut(request.model)
@@ -380,7 +383,7 @@
         }
         self.tickets.remove(ticket);
         self.organisations
-            .change(request.organisation, now, |account, _| {
+            .with_account(request.organisation, now, |account, _| {
                 account.waiting = account.waiting.saturating_sub(1);
             });
     }
@@ -393,7 +396,7 @@
             .and_then(|state| state.run)
             .map(|run| run.produced);
         if let Some(produced) = produced {
-            self.vacate(ticket, produced, now);
+            self.release_server(ticket, produced, now);
             self.enqueue(ticket, true, now);
         }
     }
@@ -401,13 +404,13 @@
     /// When [`Self::poll`] is due if nothing else happens; absent when nothing waits.
     #[must_use]
     pub fn next_wake(&self, now: time::Instant) -> Option<time::Instant> {
-        let told = !self.refusals.is_empty();
-        let interval = if told {
+        let refused = !self.refusals.is_empty();
+        let interval = if refused {
             time::Duration::ZERO
         } else {
             self.settings.poll_interval
         };
-        let due = told || self.waiting > 0 || !self.reported.is_empty();
+        let due = refused || self.waiting > 0 || !self.reported.is_empty();
         due.then(|| now + interval)
     }
 
@@ -453,7 +456,7 @@
         state.run.is_none().then_some(state.wait)
     }
 
-    fn learn_prefill(&mut self, run: &ticket::RunState, delay: f32) {
+    fn update_prefill_rate(&mut self, run: &ticket::RunState, delay: f32) {
         let Some(server) = self.servers.get(run.server) else {
             return;
         };
@@ -461,12 +464,12 @@
         // Where others' work was in the way, or the prompt is small, the delay tells little.
         if run.prefill >= 128.0 && time > 1e-3 {
             let rate = (run.prefill / time).clamp(200.0, 200_000.0);
-            self.prefill_rate += PREFILL_WEIGHT * (rate - self.prefill_rate);
+            self.prefill_rate += PREFILL_RATE_WEIGHT * (rate - self.prefill_rate);
         }
     }
 
     /// Works out anew what a running generation holds and will hold.
-    fn reload(&mut self, ticket: TicketKey) {
+    fn refresh_load(&mut self, ticket: TicketKey) {
         let state = &self.tickets[ticket];
         let Some(run) = state.run else { return };
         let curve = self
@@ -475,12 +478,15 @@
         let context = (state.request.prompt_tokens + run.produced) as f32;
         let deferrable = state.request.class == class::TrafficClass::Deferrable;
         if let Some(server) = self.servers.get_mut(run.server) {
-            let load =
-                risk::MemoryLoad::of(&curve, context + server.rounding(), run.produced as f32);
-            server.reload(&run.load, &load, run.started_at, deferrable);
+            let load = risk::MemoryLoad::of_generation(
+                &curve,
+                context + server.rounding(),
+                run.produced as f32,
+            );
+            server.refresh_load(&run.load, &load, run.started_at, deferrable);
             if let Some(run) = &mut self.tickets[ticket].run {
                 run.load = load;
-                run.loaded_at = run.produced;
+                run.load_produced = run.produced;
             }
         }
     }
@@ -502,7 +508,7 @@
             self.deadlines.push(cmp::Reverse((deadline, ticket)));
         }
         self.organisations
-            .change(request.organisation, now, |account, _| {
+            .with_account(request.organisation, now, |account, _| {
                 if in_front {
                     account.waiting += 1;
                 } else {
@@ -511,13 +517,13 @@
             });
     }
 
-    fn release(&mut self, ticket: TicketKey, produced: u32, now: time::Instant) {
-        self.vacate(ticket, produced, now);
+    fn close(&mut self, ticket: TicketKey, produced: u32, now: time::Instant) {
+        self.release_server(ticket, produced, now);
         self.tickets.remove(ticket);
     }
 
     /// Takes a running ticket off its server, after `produced` tokens.
-    fn vacate(&mut self, ticket: TicketKey, produced: u32, now: time::Instant) {
+    fn release_server(&mut self, ticket: TicketKey, produced: u32, now: time::Instant) {
         let Some(state) = self.tickets.get_mut(ticket) else {
             return;
         };
@@ -530,13 +536,13 @@
         if let Some(server) = self.servers.get_mut(run.server) {
             let deferrable = request.class == class::TrafficClass::Deferrable;
             server.end(&run, deferrable, now);
-            if let Some(&moved) = server.tickets.get(run.place)
+            if let Some(&moved) = server.tickets.get(run.index)
                 && let Some(moved) = self
                     .tickets
                     .get_mut(moved)
                     .and_then(|state| state.run.as_mut())
             {
-                moved.place = run.place;
+                moved.index = run.index;
             }
         }
         if let Some(fleet) = self.models.get_mut(request.model) {
@@ -548,13 +554,13 @@
             }
         }
         self.organisations
-            .change(request.organisation, now, |account, _| account.end(excess));
+            .with_account(request.organisation, now, |account, _| account.end(excess));
     }
 
     pub(crate) fn fleet(&mut self, model: id::ModelKey) -> &mut fleet::ModelFleet {
         if !self.models.contains_key(model) {
-            let rest = self.lengths.rest(model);
-            self.models.insert(model, fleet::ModelFleet::new(rest));
+            let residual = self.lengths.residual(model);
+            self.models.insert(model, fleet::ModelFleet::new(residual));
         }
         &mut self.models[model]
     }
@@ -569,18 +575,18 @@
         let (request, expected) = (state.request, f64::from(state.expected));
         let limited = !request.retry && self.organisations.limited(request.organisation);
         if limited {
-            let refusal = self
-                .organisations
-                .change(request.organisation, now, |account, plan| {
-                    account.asked(expected);
-                    account.refusal(plan)
-                });
+            let refusal =
+                self.organisations
+                    .with_account(request.organisation, now, |account, plan| {
+                        account.record_request(expected);
+                        account.refusal(plan)
+                    });
             if let Some((kind, delay)) = refusal
                 && request.class != class::TrafficClass::Deferrable
             {
                 return Some((kind.reason(), Some(delay)));
             }
         }
-        self.hopeless(&request, now)
+        self.early_refusal(&request, now)
     }
 }
--- a/crates/sched/src/dispatch.rs
+++ b/crates/sched/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Serving the queues: who is next, whether there is room, and where.
+//! Serving the queues: who is next, whether there is free, and where.
 
 use std::cmp;
 
@@ -9,23 +9,23 @@
     admission,
     core::DispatchCore,
     explain::{self, Decision, WaitCause},
-    fleet::HeldServer,
+    fleet::ServerReservation,
     queue,
     request::TicketKey,
     risk, route, ticket, victim, view,
 };
 
 /// Horizons at which a victim is looked for: memory that runs out later may yet come free.
-const VICTIM_HORIZONS: usize = 2;
+const PREEMPTION_HORIZONS: usize = 2;
 
 /// What became of the front of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServeOutcome {
-    /// One was dispatched, with this cost in whole tokens.
+    /// One was dispatched, with this cost in total tokens.
     Served(u64),
     /// One was set aside or dropped; look again.
     Skipped,
-    /// None of the first few finds room.
+    /// None of the first few finds free.
     Blocked,
     /// Nothing waits.
     Empty,
@@ -34,7 +34,7 @@
 impl DispatchCore {
     /// Appends what is to be done now.
     pub fn poll(&mut self, now: time::Instant, decisions: &mut Vec<Decision>) {
-        self.upkeep(now);
+        self.maintain(now);
         decisions.append(&mut self.refusals);
         self.expire(now, decisions);
         self.find_victims(now, decisions);
@@ -72,7 +72,7 @@
                 WaitCause::Server => explain::RefusalReason::NoServer,
                 _ => explain::RefusalReason::Deadline,
             };
-            let retry_after = Some(Self::come_back(predicted, 0.0));
+            let retry_after = Some(Self::retry_after(predicted, 0.0));
             decisions.push(Decision::Refuse {
                 ticket,
                 reason,
@@ -110,7 +110,7 @@
                 class = second;
             }
             match outcome {
-                ServeOutcome::Served(cost) => self.settle_credit(model, class, cost as f64),
+                ServeOutcome::Served(cost) => self.update_credit(model, class, cost as f64),
                 ServeOutcome::Skipped => {}
                 ServeOutcome::Blocked | ServeOutcome::Empty => return,
             }
@@ -124,7 +124,7 @@
         front.is_some_and(|front| fleet.credit >= front.cost)
     }
 
-    fn settle_credit(&mut self, model: id::ModelKey, class: class::TrafficClass, cost: f64) {
+    fn update_credit(&mut self, model: id::ModelKey, class: class::TrafficClass, cost: f64) {
         let floor = self.settings.deferrable_floor;
         let fleet = &mut self.models[model];
         let queue = &fleet.queues[class::TrafficClass::Deferrable.index()];
@@ -156,19 +156,19 @@
         now: time::Instant,
         decisions: &mut Vec<Decision>,
     ) -> ServeOutcome {
-        let mut fronts = [queue::QueuedTicket::default(); queue::MOST_FRONTS];
+        let mut fronts = [queue::QueuedTicket::default(); queue::MAX_FRONTS];
         let count = self.models[model].queue(class).fronts(&mut fronts);
         let due = self.deferrable_due(model);
-        for (place, front) in fronts[..count].iter().enumerate() {
+        for (index, front) in fronts[..count].iter().enumerate() {
             let organisation = self.tickets[front.ticket].request.organisation;
             if !self.organisations.may_start(organisation, now) {
                 self.tickets[front.ticket].wait = WaitCause::Limit;
                 self.models[model].queue(class).park(organisation);
                 return ServeOutcome::Skipped;
             }
-            match self.place(front.ticket, now) {
+            match self.find_server(front.ticket, now) {
                 Ok((choice, load, chance)) => {
-                    self.models[model].queue(class).take(organisation);
+                    self.models[model].queue(class).pop(organisation);
                     self.models[model].drains[class.index()].serve(front.cost);
                     decisions.push(self.start(front.ticket, &choice, &load, chance, now));
                     return ServeOutcome::Served(front.cost as u64);
@@ -176,8 +176,8 @@
                 Err(wait) => {
                     let state = &mut self.tickets[front.ticket];
                     state.wait = wait;
-                    if place == 0 && (class != class::TrafficClass::Deferrable || due) {
-                        self.hold(front.ticket, now);
+                    if index == 0 && (class != class::TrafficClass::Deferrable || due) {
+                        self.reserve_server(front.ticket, now);
                     }
                 }
             }
@@ -189,17 +189,17 @@
         }
     }
 
-    /// Keeps an engine for a front that found no room for long: else smaller requests behind it
-    /// would take each bit of room that comes free, and it would never be served.
-    fn hold(&mut self, ticket: TicketKey, now: time::Instant) {
+    /// Keeps an engine for a front that found no free for long: else smaller requests behind it
+    /// would take each bit of free that comes free, and it would never be served.
+    fn reserve_server(&mut self, ticket: TicketKey, now: time::Instant) {
         let state = &mut self.tickets[ticket];
         let since = *state.blocked_at.get_or_insert(now);
         let request = state.request;
-        let waited = now.saturating_duration_since(since) >= self.settings.hold_after;
+        let waited = now.saturating_duration_since(since) >= self.settings.reserve_after;
         let fleet = &mut self.models[request.model];
         let taken = fleet
-            .held
-            .is_some_and(|held| self.tickets.contains_key(held.ticket));
+            .reservation
+            .is_some_and(|reserved| self.tickets.contains_key(reserved.ticket));
         if !waited || taken || request.class == class::TrafficClass::Urgent {
             return;
         }
@@ -208,18 +208,18 @@
             let server = servers
                 .get(*key)
                 .filter(|server| route::healthy(server, now))?;
-            Some(server.whole(now).mean[2] / server.capacity())
+            Some(server.total_memory(now).mean[2] / server.capacity())
         };
         let emptiest = fleet
-            .near
+            .local
             .iter()
             .filter_map(|key| fullness(key).map(|full| (full, *key)))
             .min_by(|left, right| left.0.total_cmp(&right.0));
-        fleet.held = emptiest.map(|(_, server)| HeldServer { ticket, server });
+        fleet.reservation = emptiest.map(|(_, server)| ServerReservation { ticket, server });
     }
 
     /// Where a waiting ticket may go now, what it adds there, and the chance of running out.
-    fn place(
+    fn find_server(
         &mut self,
         ticket: TicketKey,
         now: time::Instant,
@@ -227,7 +227,7 @@
         let state = &self.tickets[ticket];
         let (request, submitted_at) = (state.request, state.submitted_at);
         let fleet = &self.models[request.model];
-        let first = fleet.near.first().or(fleet.far.first());
+        let first = fleet.local.first().or(fleet.remote.first());
         let rounding = first
             .and_then(|key| self.servers.get(*key))
             .map_or(0.0, |server| server.rounding());
@@ -235,34 +235,35 @@
         let curve = self
             .lengths
             .curve(state.source(), histogram, request.max_tokens);
-        let load = risk::MemoryLoad::of(&curve, request.prompt_tokens as f32 + rounding, 0.0);
-        let terms = self.terms(&request, fleet);
-        let held = fleet
-            .held
-            .filter(|held| held.ticket != ticket)
-            .map(|held| held.server);
+        let load =
+            risk::MemoryLoad::of_generation(&curve, request.prompt_tokens as f32 + rounding, 0.0);
+        let bounds = self.admission_bounds(&request, fleet);
+        let reserved = fleet
+            .reservation
+            .filter(|reserved| reserved.ticket != ticket)
+            .map(|reserved| reserved.server);
         let urgent = request.class == class::TrafficClass::Urgent;
         let query = route::RouteQuery {
             request: &request,
             load: &load,
-            terms: &terms,
-            held: held.filter(|_| !urgent),
+            bounds: &bounds,
+            reserved: reserved.filter(|_| !urgent),
             prefill_rate: self.prefill_rate,
         };
-        let beliefs = self.affinity.beliefs(&request.prefix, now);
+        let estimates = self.affinity.estimates(&request.prefix, now);
         let context = route::RouteContext {
             servers: &self.servers,
-            beliefs: &beliefs,
+            estimates: &estimates,
             shares: &fleet.shares,
             settings: &self.settings,
             now,
         };
-        let mut found = context.choose(&fleet.near, &query, &mut self.rng);
+        let mut found = context.choose(&fleet.local, &query, &mut self.rng);
         let waited = now.saturating_duration_since(submitted_at);
-        let spills = urgent || waited >= self.settings.spill_after;
-        if found.is_err() && spills && !fleet.far.is_empty() {
-            let spilt = context.choose(&fleet.far, &query, &mut self.rng);
-            found = spilt
+        let may_spill = urgent || waited >= self.settings.spill_after;
+        if found.is_err() && may_spill && !fleet.remote.is_empty() {
+            let remote = context.choose(&fleet.remote, &query, &mut self.rng);
+            found = remote
                 .map(|choice| route::RouteChoice {
                     cause: explain::ChoiceCause::RegionSpill,
                     ..choice
@@ -271,19 +272,19 @@
         }
         let choice = found?;
         let server = &self.servers[choice.server];
-        let mut whole = server.whole(now);
-        whole.add(&load);
-        let chance = risk::overflow_chance(&whole, server.capacity());
+        let mut total = server.total_memory(now);
+        total.add(&load);
+        let chance = risk::overflow_chance(&total, server.capacity());
         self.tickets[ticket].histogram = histogram;
         Ok((choice, load, chance))
     }
 
     /// Bounds on the admission of `request`.
-    fn terms(
+    fn admission_bounds(
         &self,
         request: &crate::request::GenerationRequest,
         fleet: &crate::fleet::ModelFleet,
-    ) -> admission::RoomTerms {
+    ) -> admission::AdmissionBounds {
         let deviations = risk::deviations(self.settings.overflow_chance(request.class));
         let urgent = request.class == class::TrafficClass::Urgent;
         let (mut slots, mut tokens) = (0.0, 0.0);
@@ -295,12 +296,12 @@
             slots = (fleet.headroom.idle() + spread) / engines;
             tokens = slots * fleet.headroom.tokens();
         }
-        admission::RoomTerms {
+        admission::AdmissionBounds {
             deviations,
-            slot_doubt: self.settings.slot_doubt,
+            slot_uncertainty: self.settings.slot_uncertainty,
             reserved_tokens: tokens,
             reserved_slots: slots,
-            shared: self.settings.share_room && !urgent,
+            shared: self.settings.enforce_share && !urgent,
         }
     }
 
@@ -318,16 +319,16 @@
         let urgent = request.class == class::TrafficClass::Urgent;
         let deferrable = request.class == class::TrafficClass::Deferrable;
         let server = &mut self.servers[choice.server];
-        let place = server.start(ticket, load, choice.prefill, deferrable, now);
+        let index = server.start(ticket, load, choice.prefill, deferrable, now);
         state.run = Some(ticket::RunState {
             server: choice.server,
-            place,
+            index,
             started_at: now,
             load: *load,
             produced: 0,
-            loaded_at: 0,
-            heard_at: now,
-            believed: choice.cached,
+            load_produced: 0,
+            last_token_at: now,
+            predicted_cached: choice.cached,
             prefill: choice.prefill,
             stopping: false,
         });
@@ -342,19 +343,22 @@
             report_age: server.report_age(now).unwrap_or_default(),
         };
         let fleet = &mut self.models[request.model];
-        if fleet.held.is_some_and(|held| held.ticket == ticket) {
-            fleet.held = None;
+        if fleet
+            .reservation
+            .is_some_and(|reserved| reserved.ticket == ticket)
+        {
+            fleet.reservation = None;
         }
         if urgent {
             fleet.headroom.change(1.0, now);
         }
         if !self.settings.prefix_half_life.is_zero() {
             for prefix in request.prefix.hashes() {
-                self.affinity.note(prefix.hash, choice.server, now);
+                self.affinity.insert(prefix.hash, choice.server, now);
             }
         }
         self.organisations
-            .change(request.organisation, now, |account, _| {
+            .with_account(request.organisation, now, |account, _| {
                 account.start(expected)
             });
         let (server, priority) = (choice.server, view::ServerView::priority(request.class));
@@ -372,13 +376,13 @@
             let Some(server) = self.servers.get(key) else {
                 continue;
             };
-            let whole = server.whole(now);
+            let total = server.total_memory(now);
             let capacity = server.capacity();
             let mut chance = 0.0f32;
-            for place in 0..VICTIM_HORIZONS {
-                let deviation = whole.variance[place].sqrt().max(1.0);
-                let room = capacity - whole.mean[place];
-                chance = chance.max(risk::tail_chance(room / deviation));
+            for index in 0..PREEMPTION_HORIZONS {
+                let deviation = total.variance[index].sqrt().max(1.0);
+                let free = capacity - total.mean[index];
+                chance = chance.max(risk::tail_chance(free / deviation));
             }
             if chance < self.settings.victim_chance {
                 continue;
--- a/crates/sched/src/driver.rs
+++ b/crates/sched/src/driver.rs
@@ -11,7 +11,7 @@
     request::{self, TicketKey},
 };
 
-/// A request that got no place. Nothing of it ran.
+/// A request that got no granted. Nothing of it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RefusedRequest {
     /// Why.
@@ -22,7 +22,7 @@
 
 /// Where a generation is to be started.
 #[derive(Clone, Copy, Debug)]
-struct GrantedPlace {
+struct GrantedServer {
     server: id::ServerKey,
     priority: u8,
     reason: explain::DispatchReason,
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct TicketSlot {
     /// Taken by the decision that ends the wait.
-    answer: Option<async_sync::oneshot::Sender<Result<GrantedPlace, RefusedRequest>>>,
+    answer: Option<async_sync::oneshot::Sender<Result<GrantedServer, RefusedRequest>>>,
     /// Tells the holder to stop the generation.
     preempt: async_sync::watch::Sender<Option<explain::PreemptReason>>,
 }
@@ -63,12 +63,12 @@
                 priority,
                 reason,
             } => {
-                let place = GrantedPlace {
+                let granted = GrantedServer {
                     server,
                     priority,
                     reason,
                 };
-                self.answer(ticket, Ok(place));
+                self.answer(ticket, Ok(granted));
             }
             Decision::Refuse {
                 ticket,
@@ -93,7 +93,7 @@
     }
 
     /// A holder that is gone has a guard that withdraws the ticket, so a failed send is no loss.
-    fn answer(&mut self, ticket: TicketKey, answer: Result<GrantedPlace, RefusedRequest>) {
+    fn answer(&mut self, ticket: TicketKey, answer: Result<GrantedServer, RefusedRequest>) {
         let sender = self
             .slots
             .get_mut(ticket)
@@ -108,7 +108,7 @@
 struct SharedDriver {
     state: sync::Mutex<DriverState>,
     /// Wakes the loop of [`Driver::run`] when something began to wait.
-    woken: async_sync::Notify,
+    wake: async_sync::Notify,
 }
 
 impl SharedDriver {
@@ -125,7 +125,7 @@
         let result = change(&mut state.core, now);
         state.poll(now);
         drop(state);
-        self.woken.notify_one();
+        self.wake.notify_one();
         result
     }
 
@@ -153,7 +153,7 @@
         Self {
             shared: sync::Arc::new(SharedDriver {
                 state: sync::Mutex::new(state),
-                woken: async_sync::Notify::new(),
+                wake: async_sync::Notify::new(),
             }),
         }
     }
@@ -167,22 +167,22 @@
     pub async fn run(self) {
         loop {
             let now = time::Instant::now();
-            let wake = {
+            let wake_at = {
                 let mut state = self.shared.lock();
                 state.poll(now);
                 state.core.next_wake(now)
             };
-            let woken = self.shared.woken.notified();
-            match wake {
-                Some(wake) => {
-                    let _ = time::timeout_at(wake, woken).await;
+            let notified = self.shared.wake.notified();
+            match wake_at {
+                Some(wake_at) => {
+                    let _ = time::timeout_at(wake_at, notified).await;
                 }
-                None => woken.await,
+                None => notified.await,
             }
         }
     }
 
-    /// Waits for a place. Dropping the future withdraws the request.
+    /// Waits for a granted. Dropping the future withdraws the request.
     ///
     /// # Errors
     ///
@@ -207,7 +207,7 @@
         let guard = TicketGuard {
             shared: self.shared.clone(),
             ticket,
-            held: true,
+            armed: true,
         };
         self.shared.change(|_, _| ());
         guard.wait(answered, preempted).await
@@ -219,24 +219,24 @@
 struct TicketGuard {
     shared: sync::Arc<SharedDriver>,
     ticket: TicketKey,
-    held: bool,
+    armed: bool,
 }
 
 impl TicketGuard {
     async fn wait(
         mut self,
-        answered: async_sync::oneshot::Receiver<Result<GrantedPlace, RefusedRequest>>,
+        answered: async_sync::oneshot::Receiver<Result<GrantedServer, RefusedRequest>>,
         preempted: async_sync::watch::Receiver<Option<explain::PreemptReason>>,
     ) -> Result<Grant, RefusedRequest> {
         // The sender lives in the ticket's slot until it answers, so it is never just dropped.
         match answered.await.expect("a waiting ticket keeps its sender") {
-            Ok(place) => Ok(Grant {
+            Ok(granted) => Ok(Grant {
                 guard: self,
-                place,
+                granted,
                 preempted,
             }),
             Err(refused) => {
-                self.held = false;
+                self.armed = false;
                 Err(refused)
             }
         }
@@ -245,7 +245,7 @@
 
 impl Drop for TicketGuard {
     fn drop(&mut self) {
-        if self.held {
+        if self.armed {
             let ticket = self.ticket;
             self.shared
                 .end(ticket, |core, now| core.withdrawn(ticket, now));
@@ -253,11 +253,11 @@
     }
 }
 
-/// A place on a server, held until it is ended or dropped.
+/// A granted on a server, armed until it is ended or dropped.
 #[derive(Debug)]
 pub struct Grant {
     guard: TicketGuard,
-    place: GrantedPlace,
+    granted: GrantedServer,
     preempted: async_sync::watch::Receiver<Option<explain::PreemptReason>>,
 }
 
@@ -265,19 +265,19 @@
     /// Where to start the generation.
     #[must_use]
     pub fn server(&self) -> id::ServerKey {
-        self.place.server
+        self.granted.server
     }
 
     /// Engine priority to start it with.
     #[must_use]
     pub fn priority(&self) -> u8 {
-        self.place.priority
+        self.granted.priority
     }
 
     /// Why there, and why not earlier.
     #[must_use]
     pub fn reason(&self) -> &explain::DispatchReason {
-        &self.place.reason
+        &self.granted.reason
     }
 
     /// Tells the core that `count` further tokens arrived, the first included.
@@ -318,7 +318,7 @@
 
     /// Ends it: the generation finished with `produced` tokens in all.
     pub fn finished(mut self, produced: u32) {
-        self.guard.held = false;
+        self.guard.armed = false;
         let ticket = self.guard.ticket;
         let shared = &self.guard.shared;
         shared.end(ticket, |core, now| core.finished(ticket, produced, now));
@@ -326,13 +326,13 @@
 
     /// Ends it: the generation failed on its server.
     pub fn failed(mut self, failure: request::FailureKind) {
-        self.guard.held = false;
+        self.guard.armed = false;
         let ticket = self.guard.ticket;
         let shared = &self.guard.shared;
         shared.end(ticket, |core, now| core.failed(ticket, failure, now));
     }
 
-    /// Gives the place back and waits for another, ahead of its organisation's others. Only
+    /// Gives the granted back and waits for another, ahead of its organisation's others. Only
     /// after the generation is known to be stopped on its server.
     ///
     /// # Errors
--- a/crates/sched/src/fleet.rs
+++ b/crates/sched/src/fleet.rs
@@ -6,13 +6,13 @@
 use crate::{headroom, length, queue, request::TicketKey, share, view};
 
 /// Time over which demand is averaged.
-const DEMAND_SPAN: time::Duration = time::Duration::from_secs(8);
+const DEMAND_WINDOW: time::Duration = time::Duration::from_secs(8);
 
 /// Time with a backlog over which the rate of service is averaged.
-const DRAIN_SPAN: time::Duration = time::Duration::from_secs(10);
+const DRAIN_WINDOW: time::Duration = time::Duration::from_secs(10);
 
 /// Time with a backlog before the rate is taken to be known.
-const DRAIN_KNOWN: f64 = 2.0;
+const MIN_DRAIN_BUSY_S: f64 = 2.0;
 
 /// Rate at which a queue is served while something waits in it.
 ///
@@ -20,12 +20,12 @@
 /// was asked for, and a wait predicted from that would refuse what could be served at once.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainMeter {
-    /// Cost served, in generated tokens, faded over [`DRAIN_SPAN`] of busy time.
+    /// Cost served, in generated tokens, faded over [`DRAIN_WINDOW`] of busy time.
     served: f64,
     /// Busy time in seconds, faded likewise.
     busy: f64,
     /// Since when the queue has not been empty; absent while it is.
-    busy_from: Option<time::Instant>,
+    busy_since: Option<time::Instant>,
 }
 
 impl DrainMeter {
@@ -33,24 +33,24 @@
         Self {
             served: 0.0,
             busy: 0.0,
-            busy_from: None,
+            busy_since: None,
         }
     }
 
     /// Carries the meter forward to `now`; `waits` tells whether the queue is not empty.
     pub fn advance(&mut self, waits: bool, now: time::Instant) {
-        if let Some(then) = self.busy_from {
+        if let Some(then) = self.busy_since {
             let age = now.saturating_duration_since(then).as_secs_f64();
-            let keep = (-age / DRAIN_SPAN.as_secs_f64()).exp();
+            let keep = (-age / DRAIN_WINDOW.as_secs_f64()).exp();
             self.served *= keep;
             self.busy = self.busy.mul_add(keep, age);
         }
-        self.busy_from = waits.then_some(now);
+        self.busy_since = waits.then_some(now);
     }
 
     /// Something of `cost` was served after it had waited.
     pub fn serve(&mut self, cost: f64) {
-        if self.busy_from.is_some() {
+        if self.busy_since.is_some() {
             self.served += cost;
         }
     }
@@ -59,13 +59,13 @@
     #[must_use]
     pub fn wait(&self, ahead: f64) -> Option<f64> {
         let rate = self.served / self.busy.max(f64::EPSILON);
-        (self.busy >= DRAIN_KNOWN).then(|| ahead / rate.max(1.0))
+        (self.busy >= MIN_DRAIN_BUSY_S).then(|| ahead / rate.max(1.0))
     }
 }
 
 /// A server that is kept for a request that found no room for long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldServer {
+pub struct ServerReservation {
     /// Who it is kept for.
     pub ticket: TicketKey,
     /// The server.
@@ -76,9 +76,9 @@
 #[derive(Clone, Debug)]
 pub struct ModelFleet {
     /// Candidate engines in the own region.
-    pub near: Vec<id::ServerKey>,
+    pub local: Vec<id::ServerKey>,
     /// Candidate engines in other regions.
-    pub far: Vec<id::ServerKey>,
+    pub remote: Vec<id::ServerKey>,
     /// Engines in the own region that take new work, candidates or not, in ascending order of
     /// identity.
     pub ring: Vec<share::RingEngine>,
@@ -100,18 +100,18 @@
     /// Tokens that deferrable work is owed, against what normal work was given.
     pub credit: f64,
     /// Kept for a request of the normal or the deferrable queue.
-    pub held: Option<HeldServer>,
+    pub reservation: Option<ServerReservation>,
     /// What is known of others' generations; refreshed now and then.
-    pub rest: length::RestCurve,
+    pub residual: length::ResidualCurve,
 }
 
 impl ModelFleet {
     /// A model without engines.
     #[must_use]
-    pub fn new(rest: length::RestCurve) -> Self {
+    pub fn new(residual: length::ResidualCurve) -> Self {
         Self {
-            near: Vec::new(),
-            far: Vec::new(),
+            local: Vec::new(),
+            remote: Vec::new(),
             ring: Vec::new(),
             shares: share::ShareTable::default(),
             headroom: headroom::HeadroomMeter::default(),
@@ -121,8 +121,8 @@
             queues: Default::default(),
             drains: [DrainMeter::new(); 3],
             credit: 0.0,
-            held: None,
-            rest,
+            reservation: None,
+            residual,
         }
     }
 
@@ -140,14 +140,14 @@
 
     /// Moves the averaged demands by `age` towards what runs, `firm` and deferrable, and waits.
     pub fn measure_demand(&mut self, firm: f32, deferrable: f32, age: time::Duration) {
-        let [urgent, normal, late] = &self.queues;
+        let [urgent, normal, deferrable_queue] = &self.queues;
         let firm_waiting = (urgent.backlog() + normal.backlog()) as f32;
-        let late_waiting = late.backlog() as f32;
-        self.waiting = firm_waiting + late_waiting;
-        let keep = (-age.as_secs_f32() / DEMAND_SPAN.as_secs_f32()).exp();
+        let deferrable_waiting = deferrable_queue.backlog() as f32;
+        self.waiting = firm_waiting + deferrable_waiting;
+        let keep = (-age.as_secs_f32() / DEMAND_WINDOW.as_secs_f32()).exp();
         let firm = firm + firm_waiting;
         self.firm = keep.mul_add(self.firm - firm, firm);
-        let deferrable = deferrable + late_waiting;
+        let deferrable = deferrable + deferrable_waiting;
         self.deferrable = keep.mul_add(self.deferrable - deferrable, deferrable);
     }
 
@@ -159,8 +159,8 @@
         }
         if let Some(first) = self.shares.first_covered(&self.ring) {
             let order = self.ring.iter().cycle().skip(first).take(candidates);
-            self.near.clear();
-            self.near.extend(order.map(|engine| engine.server));
+            self.local.clear();
+            self.local.extend(order.map(|engine| engine.server));
         }
     }
 
@@ -186,7 +186,7 @@
     count: usize,
 ) -> Vec<id::ServerKey> {
     let mut ranking: Vec<(u64, id::ServerKey)> = engines
-        .map(|key| (mix(seed ^ slotmap::Key::data(&key).as_ffi()), key))
+        .map(|key| (splitmix64(seed ^ slotmap::Key::data(&key).as_ffi()), key))
         .collect();
     ranking.sort_unstable();
     ranking.truncate(count);
@@ -194,7 +194,7 @@
 }
 
 /// Finalizer of a 64-bit hash (splitmix64).
-fn mix(value: u64) -> u64 {
+fn splitmix64(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
@@ -202,6 +202,6 @@
 
 /// Whether `place` lies in the own region.
 #[must_use]
-pub fn near(own: view::ServerLocation, location: view::ServerLocation) -> bool {
+pub fn same_region(own: view::ServerLocation, location: view::ServerLocation) -> bool {
     own.region == location.region
 }
--- a/crates/sched/src/headroom.rs
+++ b/crates/sched/src/headroom.rs
@@ -3,10 +3,10 @@
 use tokio::time;
 
 /// Time over which the slow mean is taken: what urgent work usually needs.
-const SLOW: time::Duration = time::Duration::from_secs(60);
+const SLOW_WINDOW: time::Duration = time::Duration::from_secs(60);
 
 /// Time over which the fast mean is taken: what it needs in a burst.
-const FAST: time::Duration = time::Duration::from_secs(2);
+const FAST_WINDOW: time::Duration = time::Duration::from_secs(2);
 
 /// Measures the urgent generations that this VM has at once.
 #[derive(Clone, Debug)]
@@ -42,9 +42,9 @@
     pub fn advance(&mut self, now: time::Instant) {
         if let Some(then) = self.measured_at {
             let age = now.saturating_duration_since(then).as_secs_f32();
-            for (mean, span) in [(&mut self.slow, SLOW), (&mut self.fast, FAST)] {
-                let keep = (-age / span.as_secs_f32()).exp();
-                *mean = keep.mul_add(*mean - self.running, self.running);
+            for (mean, window) in [(&mut self.slow, SLOW_WINDOW), (&mut self.fast, FAST_WINDOW)] {
+                let decay = (-age / window.as_secs_f32()).exp();
+                *mean = decay.mul_add(*mean - self.running, self.running);
             }
         }
         self.measured_at = Some(now);
--- a/crates/sched/src/length.rs
+++ b/crates/sched/src/length.rs
@@ -17,24 +17,24 @@
 const FIRST_EDGE: f32 = 4.0;
 
 /// Lengths after which an older one counts half in the histogram of an organisation.
-const HALF_LIFE_FINE: f32 = 200.0;
+const FINE_HALF_LIFE: f32 = 200.0;
 
 /// The same for a class of a model over all organisations.
-const HALF_LIFE_COARSE: f32 = 2_000.0;
+const COARSE_HALF_LIFE: f32 = 2_000.0;
 
 /// Lengths that the next coarser histogram counts for.
-const COARSE_WEIGHT: f32 = 12.0;
+const PRIOR_WEIGHT: f32 = 12.0;
 
 /// Longest output reckoned with where a generation's own limit is unknown.
-const UNKNOWN_MAX_TOKENS: f32 = 8_192.0;
+const DEFAULT_MAX_TOKENS: f32 = 8_192.0;
 
 /// Place of `tokens` on the axis of buckets; the fraction tells how far into its bucket.
-fn position(tokens: f32) -> f32 {
+fn bucket_position(tokens: f32) -> f32 {
     if tokens < FIRST_EDGE {
         tokens.max(0.0) / FIRST_EDGE
     } else {
-        let place = 2.0f32.mul_add((tokens / FIRST_EDGE).log2(), 1.0);
-        place.min(BUCKETS as f32)
+        let position = 2.0f32.mul_add((tokens / FIRST_EDGE).log2(), 1.0);
+        position.min(BUCKETS as f32)
     }
 }
 
@@ -50,8 +50,8 @@
 /// Decayed lengths, kept as the weight of those longer than each bucket edge.
 #[derive(Clone, Debug)]
 pub struct LengthHistogram {
-    /// Weight of lengths beyond edge `i`; descends, and the first is the whole weight.
-    beyond: [f32; BUCKETS + 1],
+    /// Weight of lengths survival edge `i`; descends, and the first is the all weight.
+    weight_above_edge: [f32; BUCKETS + 1],
     /// What one further length multiplies the older ones with.
     decay: f32,
 }
@@ -59,32 +59,35 @@
 impl LengthHistogram {
     fn new(half_life: f32) -> Self {
         Self {
-            beyond: [0.0; BUCKETS + 1],
+            weight_above_edge: [0.0; BUCKETS + 1],
             decay: (-1.0 / half_life).exp2(),
         }
     }
 
     /// Adds one length.
     pub fn add(&mut self, tokens: u32) {
-        let place = position(tokens as f32);
-        for (edge, weight) in self.beyond.iter_mut().enumerate() {
+        let position = bucket_position(tokens as f32);
+        for (edge, weight) in self.weight_above_edge.iter_mut().enumerate() {
             *weight *= self.decay;
             // Spread over its bucket, so that the survival function has no steps.
-            *weight += (place + 1.0 - edge as f32).clamp(0.0, 1.0);
+            *weight += (position + 1.0 - edge as f32).clamp(0.0, 1.0);
         }
     }
 
     /// Weight of all lengths.
     #[must_use]
     pub fn weight(&self) -> f32 {
-        self.beyond[0]
+        self.weight_above_edge[0]
     }
 
-    /// Weight of the lengths beyond `place`.
-    fn weight_beyond(&self, place: f32) -> f32 {
-        let edge = (place as usize).min(BUCKETS - 1);
-        let fraction = (place - edge as f32).min(1.0);
-        let (near, far) = (self.beyond[edge], self.beyond[edge + 1]);
+    /// Weight of the lengths survival `position`.
+    fn weight_above(&self, position: f32) -> f32 {
+        let edge = (position as usize).min(BUCKETS - 1);
+        let fraction = (position - edge as f32).min(1.0);
+        let (near, far) = (
+            self.weight_above_edge[edge],
+            self.weight_above_edge[edge + 1],
+        );
         fraction.mul_add(far - near, near)
     }
 }
@@ -105,7 +108,7 @@
     pub class: class::TrafficClass,
 }
 
-/// Survival function of one generation's whole length.
+/// Survival function of one generation's all length.
 #[derive(Clone, Copy, Debug)]
 pub struct LengthCurve<'a> {
     fine: Option<&'a LengthHistogram>,
@@ -113,35 +116,35 @@
     /// The most that the generation may produce.
     max_tokens: f32,
     /// Place of `max_tokens`; the prior is uniform up to it on the axis of buckets.
-    max_place: f32,
+    max_position: f32,
 }
 
 impl LengthCurve<'_> {
-    /// Chance of a length beyond `tokens`.
+    /// Chance of a length survival `tokens`.
     #[must_use]
-    pub fn beyond(&self, tokens: f32) -> f32 {
+    pub fn survival(&self, tokens: f32) -> f32 {
         if tokens >= self.max_tokens {
             return 0.0;
         }
-        let place = position(tokens);
-        let prior = 1.0 - place / self.max_place;
-        let coarse = Self::blend(self.coarse, place, prior);
-        Self::blend(self.fine, place, coarse)
+        let position = bucket_position(tokens);
+        let prior = 1.0 - position / self.max_position;
+        let coarse = Self::blend(self.coarse, position, prior);
+        Self::blend(self.fine, position, coarse)
     }
 
     /// Expected further tokens of a generation that has come to `produced`.
     #[must_use]
-    pub fn rest(&self, produced: f32) -> f32 {
-        let alive = self.beyond(produced);
+    pub fn expected_remaining(&self, produced: f32) -> f32 {
+        let alive = self.survival(produced);
         if alive <= f32::EPSILON {
             return 1.0;
         }
         let mut sum = 0.0;
         let (mut from, mut chance) = (produced, alive);
-        let first = position(produced) as usize + 1;
+        let first = bucket_position(produced) as usize + 1;
         for edge in first..=BUCKETS {
             let to = edge_tokens(edge).min(self.max_tokens);
-            let next = self.beyond(to);
+            let next = self.survival(to);
             sum += (to - from) * (chance + next) / 2.0;
             (from, chance) = (to, next);
             if next <= 1e-4 * alive {
@@ -151,10 +154,10 @@
         (sum / alive).max(1.0)
     }
 
-    fn blend(histogram: Option<&LengthHistogram>, place: f32, coarser: f32) -> f32 {
+    fn blend(histogram: Option<&LengthHistogram>, position: f32, coarser: f32) -> f32 {
         histogram.map_or(coarser, |histogram| {
-            let weight = histogram.weight_beyond(place) + COARSE_WEIGHT * coarser;
-            weight / (histogram.weight() + COARSE_WEIGHT)
+            let weight = histogram.weight_above(position) + PRIOR_WEIGHT * coarser;
+            weight / (histogram.weight() + PRIOR_WEIGHT)
         })
     }
 }
@@ -173,25 +176,25 @@
 struct CoarseEntry {
     classes: [LengthHistogram; 3],
     /// All classes together.
-    whole: LengthHistogram,
+    all: LengthHistogram,
 }
 
 impl Default for CoarseEntry {
     fn default() -> Self {
-        let histogram = LengthHistogram::new(HALF_LIFE_COARSE);
+        let histogram = LengthHistogram::new(COARSE_HALF_LIFE);
         Self {
             classes: std::array::from_fn(|_| histogram.clone()),
-            whole: histogram,
+            all: histogram,
         }
     }
 }
 
 /// What is known of a generation met at a random moment, not at its start.
 #[derive(Clone, Copy, Debug)]
-pub struct RestCurve {
+pub struct ResidualCurve {
     /// Chance that it still runs at each horizon.
     pub alive: risk::HorizonRow,
-    /// Expected whole length of an output, in tokens.
+    /// Expected all length of an output, in tokens.
     pub mean_length: f32,
 }
 
@@ -223,14 +226,14 @@
         }
     }
 
-    /// Learns one whole length.
+    /// Learns one all length.
     pub fn learn(&mut self, source: LengthSource, tokens: u32) {
         if !self.coarse.contains_key(source.model) {
             self.coarse.insert(source.model, CoarseEntry::default());
         }
         let coarse = &mut self.coarse[source.model];
         coarse.classes[source.class.index()].add(tokens);
-        coarse.whole.add(tokens);
+        coarse.all.add(tokens);
         let key = match self.index.get(&source) {
             Some(key) => *key,
             None => self.insert(source),
@@ -255,7 +258,7 @@
             fine: self.fine.get(key).map(|entry| &entry.histogram),
             coarse: coarse.map(|entry| &entry.classes[source.class.index()]),
             max_tokens,
-            max_place: position(max_tokens).max(f32::EPSILON),
+            max_position: bucket_position(max_tokens).max(f32::EPSILON),
         }
     }
 
@@ -263,19 +266,19 @@
     ///
     /// A long output is met more often than a short one, in proportion to its length.
     #[must_use]
-    pub fn rest(&self, model: id::ModelKey) -> RestCurve {
+    pub fn residual(&self, model: id::ModelKey) -> ResidualCurve {
         let curve = LengthCurve {
             fine: None,
-            coarse: self.coarse.get(model).map(|entry| &entry.whole),
-            max_tokens: UNKNOWN_MAX_TOKENS,
-            max_place: position(UNKNOWN_MAX_TOKENS),
+            coarse: self.coarse.get(model).map(|entry| &entry.all),
+            max_tokens: DEFAULT_MAX_TOKENS,
+            max_position: bucket_position(DEFAULT_MAX_TOKENS),
         };
-        let mean_length = curve.rest(0.0);
+        let mean_length = curve.expected_remaining(0.0);
         let alive = risk::HORIZONS.map(|distance| {
-            let rest = curve.rest(distance) * curve.beyond(distance);
-            (rest / mean_length).min(1.0)
+            let remaining = curve.expected_remaining(distance) * curve.survival(distance);
+            (remaining / mean_length).min(1.0)
         });
-        RestCurve { alive, mean_length }
+        ResidualCurve { alive, mean_length }
     }
 
     /// Number of organisations' histograms.
@@ -293,7 +296,7 @@
     fn insert(&mut self, source: LengthSource) -> HistogramKey {
         let entry = FineEntry {
             source,
-            histogram: LengthHistogram::new(HALF_LIFE_FINE),
+            histogram: LengthHistogram::new(FINE_HALF_LIFE),
             recent: true,
         };
         let key = self.fine.insert(entry);
@@ -301,9 +304,9 @@
         if self.ring.len() < self.capacity {
             self.ring.push(key);
         } else {
-            let place = self.place_to_drop();
-            let dropped = std::mem::replace(&mut self.ring[place], key);
-            if let Some(entry) = self.fine.remove(dropped) {
+            let index = self.index_to_evict();
+            let evicted = std::mem::replace(&mut self.ring[index], key);
+            if let Some(entry) = self.fine.remove(evicted) {
                 self.index.remove(&entry.source);
             }
         }
@@ -311,13 +314,13 @@
     }
 
     /// Second chance: the first in the ring that was not used since the hand last passed.
-    fn place_to_drop(&mut self) -> usize {
+    fn index_to_evict(&mut self) -> usize {
         loop {
-            let place = self.hand;
+            let index = self.hand;
             self.hand = (self.hand + 1) % self.ring.len();
-            let entry = &mut self.fine[self.ring[place]];
+            let entry = &mut self.fine[self.ring[index]];
             if !std::mem::take(&mut entry.recent) {
-                return place;
+                return index;
             }
         }
     }
--- a/crates/sched/src/limit.rs
+++ b/crates/sched/src/limit.rs
@@ -3,8 +3,8 @@
 //! Each VM enforces a fraction of the limit: its own recent demand over that of all, by the
 //! digests that the VMs exchange. The fraction rises slowly and falls at once. Were it to rise at
 //! once, a demand that moves from one VM to another would be served at both until their digests
-//! cross; rising by at most `1 / RAMP` a second, it is served too much by at most the digests'
-//! age over `RAMP`, for each VM that gains.
+//! cross; rising by at most `1 / FRACTION_RAMP` a second, it is served too much by at most the digests'
+//! age over `FRACTION_RAMP`, for each VM that gains.
 
 use base::id;
 use tokio::time;
@@ -12,22 +12,22 @@
 use crate::{explain, settings};
 
 /// Time that a fraction takes from nothing to the whole.
-const RAMP: time::Duration = time::Duration::from_secs(8);
+const FRACTION_RAMP: time::Duration = time::Duration::from_secs(8);
 
 /// Seconds of a rate that may be used at once.
 const BURST_SECONDS: f64 = 1.0;
 
 /// Time over which demand is averaged.
-const DEMAND_SPAN: time::Duration = time::Duration::from_secs(5);
+const DEMAND_WINDOW: time::Duration = time::Duration::from_secs(5);
 
 /// A peer's demand older than this counts as none.
-const STALE: time::Duration = time::Duration::from_secs(15);
+const DEMAND_TIMEOUT: time::Duration = time::Duration::from_secs(15);
 
 /// Peers remembered of one organisation.
-const PEERS: usize = 4;
+const MAX_PEERS: usize = 4;
 
 /// Demand that each VM is taken to have at least, as a part of the limit.
-const FLOOR: f64 = 0.05;
+const MIN_DEMAND_FRACTION: f64 = 0.05;
 
 /// What an organisation asks of one entry VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -41,7 +41,7 @@
 }
 
 impl LimitDemand {
-    fn rows(self) -> [f64; 3] {
+    fn to_array(self) -> [f64; 3] {
         [
             self.requests_per_second,
             self.tokens_per_second,
@@ -91,7 +91,7 @@
     /// Tokens that may be generated now; negative when a generation went on longer than reckoned.
     tokens: f64,
     demand: LimitDemand,
-    peers: [Option<PeerDemand>; PEERS],
+    peers: [Option<PeerDemand>; MAX_PEERS],
     /// Generations that run.
     pub running: u32,
     /// Generations that wait.
@@ -110,7 +110,7 @@
             requests: depth(plan.requests_per_second).max(1.0),
             tokens: depth(plan.tokens_per_second),
             demand: LimitDemand::default(),
-            peers: [None; PEERS],
+            peers: [None; MAX_PEERS],
             running: 0,
             waiting: 0,
             advanced_at: now,
@@ -126,9 +126,9 @@
             return;
         }
         self.advanced_at = now;
-        let keep = (-age / DEMAND_SPAN.as_secs_f64()).exp() as f32;
-        self.demand.requests_per_second *= keep;
-        self.demand.tokens_per_second *= keep;
+        let decay = (-age / DEMAND_WINDOW.as_secs_f64()).exp() as f32;
+        self.demand.requests_per_second *= decay;
+        self.demand.tokens_per_second *= decay;
         self.demand.generations = (self.running + self.waiting) as f32;
         self.divide(plan, entries, age, now);
         if let Some(rate) = plan.requests_per_second {
@@ -154,24 +154,24 @@
             plan.tokens_per_second,
             plan.concurrent_generations.map(f64::from),
         ];
-        let own = self.demand.rows();
+        let own = self.demand.to_array();
         let mut others = [0.0; 3];
         let mut known = 0;
         for peer in self.peers.iter().flatten() {
-            if now.saturating_duration_since(peer.taken_at) < STALE {
+            if now.saturating_duration_since(peer.taken_at) < DEMAND_TIMEOUT {
                 known += 1;
-                for (sum, part) in others.iter_mut().zip(peer.demand.rows()) {
+                for (sum, part) in others.iter_mut().zip(peer.demand.to_array()) {
                     *sum += part;
                 }
             }
         }
         let entries = f64::from(entries.max(known + 1));
-        let rise = age / RAMP.as_secs_f64();
-        for (place, limit) in limits.into_iter().enumerate() {
+        let rise = age / FRACTION_RAMP.as_secs_f64();
+        for (index, limit) in limits.into_iter().enumerate() {
             let Some(limit) = limit else { continue };
-            let floor = FLOOR * limit;
-            let wanted = (own[place] + floor) / (own[place] + others[place] + floor * entries);
-            self.fractions[place] = wanted.min(self.fractions[place] + rise);
+            let floor = MIN_DEMAND_FRACTION * limit;
+            let wanted = (own[index] + floor) / (own[index] + others[index] + floor * entries);
+            self.fractions[index] = wanted.min(self.fractions[index] + rise);
         }
     }
 
@@ -190,11 +190,11 @@
             let delay = missing(self.requests, 1.0, rate * self.fractions[0]);
             return Some((LimitKind::Requests, delay));
         }
-        self.lacks_tokens(plan)
+        self.token_delay(plan)
             .map(|delay| (LimitKind::Tokens, delay))
     }
 
-    fn lacks_tokens(&self, plan: &settings::OrganisationPlan) -> Option<time::Duration> {
+    fn token_delay(&self, plan: &settings::OrganisationPlan) -> Option<time::Duration> {
         let rate = plan.tokens_per_second? * self.fractions[1];
         let seconds = (1.0 - self.tokens) / rate.max(1e-3);
         (self.tokens <= 0.0).then(|| time::Duration::from_secs_f64(seconds.clamp(0.001, 3_600.0)))
@@ -206,13 +206,13 @@
         let slots = plan
             .concurrent_generations
             .map(|limit| (f64::from(limit) * self.fractions[2]).round().max(1.0));
-        let crowded = slots.is_some_and(|slots| f64::from(self.running) >= slots);
-        !crowded && self.lacks_tokens(plan).is_none()
+        let slots_full = slots.is_some_and(|slots| f64::from(self.running) >= slots);
+        !slots_full && self.token_delay(plan).is_none()
     }
 
     /// A request came, whether it is then refused or not.
-    pub fn asked(&mut self, expected_tokens: f64) {
-        let rate = DEMAND_SPAN.as_secs_f64().recip();
+    pub fn record_request(&mut self, expected_tokens: f64) {
+        let rate = DEMAND_WINDOW.as_secs_f64().recip();
         self.demand.requests_per_second += rate as f32;
         self.demand.tokens_per_second += (expected_tokens * rate) as f32;
     }
@@ -243,18 +243,18 @@
     }
 
     /// What another of the organisation's entry VMs told.
-    pub fn take(&mut self, vm: id::VmKey, demand: LimitDemand, taken_at: time::Instant) {
+    pub fn record_peer(&mut self, vm: id::VmKey, demand: LimitDemand, taken_at: time::Instant) {
         let same = |peer: &Option<PeerDemand>| peer.is_some_and(|peer| peer.vm == vm);
         let oldest = || {
             let ages = self.peers.iter().map(|peer| peer.map(|peer| peer.taken_at));
             ages.enumerate()
                 .min_by_key(|(_, age)| *age)
-                .map_or(0, |(place, _)| place)
+                .map_or(0, |(index, _)| index)
         };
-        let place = self.peers.iter().position(same).unwrap_or_else(oldest);
-        let newer = self.peers[place].is_none_or(|peer| peer.taken_at < taken_at);
+        let index = self.peers.iter().position(same).unwrap_or_else(oldest);
+        let newer = self.peers[index].is_none_or(|peer| peer.taken_at < taken_at);
         if newer {
-            self.peers[place] = Some(PeerDemand {
+            self.peers[index] = Some(PeerDemand {
                 vm,
                 demand,
                 taken_at,
@@ -265,7 +265,7 @@
     /// Whether nothing would be lost by forgetting the account.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        let quiet = self.demand.requests_per_second < 0.01;
-        self.running == 0 && self.waiting == 0 && quiet
+        let no_recent_requests = self.demand.requests_per_second < 0.01;
+        self.running == 0 && self.waiting == 0 && no_recent_requests
     }
 }
--- a/crates/sched/src/maintenance.rs
+++ b/crates/sched/src/maintenance.rs
@@ -12,36 +12,36 @@
 };
 
 /// Shares, rest curves and headroom are worked out anew this often.
-const UPKEEP: time::Duration = time::Duration::from_millis(200);
+const MAINTENANCE_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// Accounts of idle organisations are dropped this often.
-const SWEEP: time::Duration = time::Duration::from_secs(10);
+const SWEEP_INTERVAL: time::Duration = time::Duration::from_secs(10);
 
 /// Bounds of what a refused caller is told to wait.
-const RETRY_AFTER: std::ops::RangeInclusive<f64> = 0.05..=60.0;
+const RETRY_AFTER_SECONDS: std::ops::RangeInclusive<f64> = 0.05..=60.0;
 
 impl DispatchCore {
     /// A load report arrived; one older than the newest is ignored.
     pub fn server_reported(&mut self, server: id::ServerKey, report: view::LoadReport) {
-        let Some(held) = self.servers.get(server) else {
+        let Some(view) = self.servers.get(server) else {
             return;
         };
-        if held
+        if view
             .report
-            .is_some_and(|held| held.taken_at >= report.taken_at)
+            .is_some_and(|view| view.taken_at >= report.taken_at)
         {
             return;
         }
-        let (then, started) = self.own_loads(held, report.taken_at);
-        let model = held.spec.models.first().copied().unwrap_or_default();
-        let rest = match self.models.get(model) {
-            Some(fleet) => fleet.rest,
-            None => self.lengths.rest(model),
+        let (then, started) = self.own_loads(view, report.taken_at);
+        let model = view.spec.models.first().copied().unwrap_or_default();
+        let residual = match self.models.get(model) {
+            Some(fleet) => fleet.residual,
+            None => self.lengths.residual(model),
         };
         let draw = self.rng.random();
-        if let Some(held) = self.servers.get_mut(server) {
-            held.take_report(report, then, started, &rest);
-            held.draw = draw;
+        if let Some(view) = self.servers.get_mut(server) {
+            view.take_report(report, then, started, &residual);
+            view.draw = draw;
         }
         if !self.reported.contains(&server) {
             self.reported.push(server);
@@ -57,13 +57,13 @@
             };
             let Some(run) = state.run else { continue };
             if run.started_at > taken_at {
-                since.join(&run.load);
+                since.add_generation(&run.load);
                 continue;
             }
-            then.join(&run.load);
+            then.add_generation(&run.load);
             // Take out the tokens that came after the report was taken.
             let after = run
-                .heard_at
+                .last_token_at
                 .saturating_duration_since(taken_at)
                 .as_secs_f32();
             let tokens = (after / server.step.max(1e-3)).min(run.produced as f32);
@@ -73,32 +73,33 @@
     }
 
     /// Ranks the engines of every model anew; for changes of the fleet only.
-    pub(crate) fn rank_all(&mut self) {
+    pub(crate) fn rank_candidates(&mut self) {
         let (own, settings) = (self.settings.location, &self.settings);
         for (model, fleet) in &mut self.models {
-            let engines = |near: bool| {
+            let engines = |local: bool| {
                 let serves = self.servers.iter().filter(move |(_, view)| {
                     view.spec.models.contains(&model)
-                        && fleet::near(own, view.spec.location) == near
+                        && fleet::same_region(own, view.spec.location) == local
                 });
                 serves.map(|(key, _)| key)
             };
-            fleet.near = fleet::candidates(engines(true), settings.identity, settings.candidates);
-            fleet.far = fleet::candidates(engines(false), settings.identity, settings.candidates);
+            fleet.local = fleet::candidates(engines(true), settings.identity, settings.candidates);
+            fleet.remote =
+                fleet::candidates(engines(false), settings.identity, settings.candidates);
         }
-        self.upkept_at = None;
+        self.maintained_at = None;
     }
 
     /// Brings up to date what need not be exact at each decision.
-    pub(crate) fn upkeep(&mut self, now: time::Instant) {
+    pub(crate) fn maintain(&mut self, now: time::Instant) {
         let age =
             |then: Option<time::Instant>| then.map(|then| now.saturating_duration_since(then));
-        let upkept = age(self.upkept_at);
-        if upkept.is_none_or(|age| age >= UPKEEP) {
-            self.upkept_at = Some(now);
-            self.refresh_shares(upkept.unwrap_or_default(), now);
+        let elapsed = age(self.maintained_at);
+        if elapsed.is_none_or(|age| age >= MAINTENANCE_INTERVAL) {
+            self.maintained_at = Some(now);
+            self.refresh_shares(elapsed.unwrap_or_default(), now);
         }
-        if age(self.swept_at).is_none_or(|age| age >= SWEEP) {
+        if age(self.swept_at).is_none_or(|age| age >= SWEEP_INTERVAL) {
             self.swept_at = Some(now);
             self.organisations.sweep(now);
         }
@@ -108,18 +109,18 @@
         let weight = self.organisations.busy_weight() as f32;
         let rule = share::ShareRule {
             floor: self.settings.deferrable_floor as f32,
-            common: self.settings.common_part,
-            spare: self.settings.spare_demand,
+            common_fraction: self.settings.common_fraction,
+            demand_factor: self.settings.demand_factor,
         };
         for (model, fleet) in &mut self.models {
-            fleet.rest = self.lengths.rest(model);
+            fleet.residual = self.lengths.residual(model);
             fleet.advance_drains(now);
             fleet.headroom.advance(now);
             fleet.ring.clear();
             let (mut running, mut deferrable) = (0.0, 0.0);
             for (server, view) in &self.servers {
-                let near = fleet::near(self.settings.location, view.spec.location);
-                if near && view.spec.models.contains(&model) {
+                let local = fleet::same_region(self.settings.location, view.spec.location);
+                if local && view.spec.models.contains(&model) {
                     running += view.own.memory.mean[0];
                     deferrable += view.own_deferrable.memory.mean[0];
                     if route::healthy(view, now) {
@@ -141,7 +142,7 @@
     }
 
     /// Why there is no use in letting `request` wait, with when to come back.
-    pub(crate) fn hopeless(
+    pub(crate) fn early_refusal(
         &mut self,
         request: &request::GenerationRequest,
         now: time::Instant,
@@ -162,18 +163,18 @@
             .get(request.model)
             .map_or(0, |fleet| fleet.queues[request.class.index()].len());
         if queued >= self.settings.queue_limit[request.class.index()] {
-            return Some((RefusalReason::QueueFull, Some(Self::come_back(wait, 0.0))));
+            return Some((RefusalReason::QueueFull, Some(Self::retry_after(wait, 0.0))));
         }
         let left = request
             .deadline?
             .saturating_duration_since(now)
             .as_secs_f64();
         let wait = wait?;
-        let late = wait > left * self.settings.early_refusal;
+        let late = wait > left * self.settings.early_refusal_factor;
         late.then(|| {
             (
                 RefusalReason::Deadline,
-                Some(Self::come_back(Some(wait), left)),
+                Some(Self::retry_after(Some(wait), left)),
             )
         })
     }
@@ -193,16 +194,16 @@
 
     /// When a refused caller may come back: when what is ahead of it has shrunk to what can be
     /// served in half of the time that it has.
-    pub(crate) fn come_back(wait: Option<f64>, left: f64) -> time::Duration {
+    pub(crate) fn retry_after(wait: Option<f64>, left: f64) -> time::Duration {
         let seconds = wait.unwrap_or(1.0) - left / 2.0;
-        let seconds = seconds.clamp(*RETRY_AFTER.start(), *RETRY_AFTER.end());
+        let seconds = seconds.clamp(*RETRY_AFTER_SECONDS.start(), *RETRY_AFTER_SECONDS.end());
         time::Duration::from_secs_f64(seconds)
     }
 
     /// Tokens of memory of the largest engine that serves `model`.
     fn largest_engine(&self, model: id::ModelKey) -> Option<f32> {
         let fleet = self.models.get(model)?;
-        let engines = fleet.near.iter().chain(&fleet.far);
+        let engines = fleet.local.iter().chain(&fleet.remote);
         let sizes = engines
             .filter_map(|key| self.servers.get(*key))
             .map(view::ServerView::capacity);
--- a/crates/sched/src/organisation.rs
+++ b/crates/sched/src/organisation.rs
@@ -9,14 +9,14 @@
 #[derive(Clone, Copy, Debug)]
 struct OrganisationSlot {
     weight: f32,
-    /// Place of its limits in `plans`, or [`NOWHERE`] when it has none.
+    /// Place of its limits in `plans`, or [`NO_INDEX`] when it has none.
     plan: u32,
-    /// Place of its account, or [`NOWHERE`] while it is idle.
+    /// Place of its account, or [`NO_INDEX`] while it is idle.
     account: u32,
 }
 
 /// No place.
-const NOWHERE: u32 = u32::MAX;
+const NO_INDEX: u32 = u32::MAX;
 
 /// An active organisation.
 #[derive(Clone, Debug)]
@@ -68,12 +68,12 @@
             }
             slot.weight = weight;
             self.plans.try_remove(slot.plan as usize);
-            slot.plan = NOWHERE;
+            slot.plan = NO_INDEX;
         } else {
             let slot = OrganisationSlot {
                 weight,
-                plan: NOWHERE,
-                account: NOWHERE,
+                plan: NO_INDEX,
+                account: NO_INDEX,
             };
             self.slots.insert(organisation, slot);
         }
@@ -137,22 +137,22 @@
     #[must_use]
     pub fn limited(&self, organisation: id::OrganisationKey) -> bool {
         let slot = self.slots.get(organisation);
-        slot.is_some_and(|slot| slot.plan != NOWHERE)
+        slot.is_some_and(|slot| slot.plan != NO_INDEX)
     }
 
     /// Changes an organisation's account, which is made when there is none, as of `now`.
-    pub fn change<R>(
+    pub fn with_account<R>(
         &mut self,
         organisation: id::OrganisationKey,
         now: time::Instant,
-        change: impl FnOnce(&mut limit::LimitAccount, &settings::OrganisationPlan) -> R,
+        with_account: impl FnOnce(&mut limit::LimitAccount, &settings::OrganisationPlan) -> R,
     ) -> R {
         let plan = self.plan(organisation);
         if !self.slots.contains_key(organisation) {
             self.set(organisation, plan);
         }
         let slot = &mut self.slots[organisation];
-        if slot.account == NOWHERE {
+        if slot.account == NO_INDEX {
             let account = limit::LimitAccount::new(&plan, self.entries, now);
             let active = ActiveOrganisation {
                 organisation,
@@ -163,7 +163,7 @@
         let active = &mut self.active[slot.account as usize];
         let before = active.busy();
         active.account.advance(&plan, self.entries, now);
-        let result = change(&mut active.account, &plan);
+        let result = with_account(&mut active.account, &plan);
         match (before, active.busy()) {
             (false, true) => self.busy_weight += f64::from(slot.weight),
             (true, false) => self.busy_weight -= f64::from(slot.weight),
@@ -175,7 +175,7 @@
     /// Whether an organisation's waiting generation may start now.
     pub fn may_start(&mut self, organisation: id::OrganisationKey, now: time::Instant) -> bool {
         !self.limited(organisation)
-            || self.change(organisation, now, |account, plan| account.may_start(plan))
+            || self.with_account(organisation, now, |account, plan| account.may_start(plan))
     }
 
     /// Drops the accounts of organisations that went idle.
@@ -187,7 +187,7 @@
             let plan = plans.get(slot.plan as usize).copied().unwrap_or_default();
             active.account.advance(&plan, entries, now);
             if active.account.is_idle() {
-                slot.account = NOWHERE;
+                slot.account = NO_INDEX;
                 return false;
             }
             true
--- a/crates/sched/src/queue.rs
+++ b/crates/sched/src/queue.rs
@@ -40,11 +40,11 @@
     pub cost: f64,
 }
 
-/// Order in the heap: the lowest tag first, then the lowest place.
+/// Order in the heap: the lowest tag first, then the lowest key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct HeapEntry {
     tag: f64,
-    place: usize,
+    key: usize,
 }
 
 impl Eq for HeapEntry {}
@@ -52,7 +52,7 @@
 impl Ord for HeapEntry {
     fn cmp(&self, other: &Self) -> cmp::Ordering {
         let tags = other.tag.total_cmp(&self.tag);
-        tags.then_with(|| other.place.cmp(&self.place))
+        tags.then_with(|| other.key.cmp(&self.key))
     }
 }
 
@@ -63,16 +63,16 @@
 }
 
 /// Flows that are looked at beyond the first when that cannot be served.
-pub const MOST_FRONTS: usize = 4;
+pub const MAX_FRONTS: usize = 4;
 
 /// Empty flows that are kept for their tag before the first clearing.
-const IDLE_FLOWS: usize = 64;
+const INITIAL_IDLE_FLOW_LIMIT: usize = 64;
 
 /// Waiting tickets of one class and model, shared fairly among organisations.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
     flows: slab::Slab<QueueFlow>,
-    places: collections::HashMap<id::OrganisationKey, usize>,
+    keys: collections::HashMap<id::OrganisationKey, usize>,
     heap: collections::BinaryHeap<HeapEntry>,
     /// Places of the flows that are set aside.
     parked: Vec<usize>,
@@ -119,8 +119,8 @@
         queued: QueuedTicket,
         in_front: bool,
     ) {
-        let place = self.flow(organisation);
-        let flow = &mut self.flows[place];
+        let key = self.flow(organisation);
+        let flow = &mut self.flows[key];
         if in_front {
             flow.tickets.push_front(queued);
         } else {
@@ -135,7 +135,7 @@
             flow.tag = flow.tag.max(self.time);
             self.weight += flow.weight;
             self.idle -= 1;
-            self.requeue(place);
+            self.requeue(key);
         }
     }
 
@@ -143,21 +143,21 @@
     #[must_use]
     pub fn front(&self) -> Option<QueuedTicket> {
         let entry = self.heap.peek()?;
-        self.flows[entry.place].tickets.front().copied()
+        self.flows[entry.key].tickets.front().copied()
     }
 
     /// The tickets that are served next, one of each flow, at most `fronts.len()` of them.
     /// Returns how many there are.
     pub fn fronts(&mut self, fronts: &mut [QueuedTicket]) -> usize {
-        let mut entries = [HeapEntry { tag: 0.0, place: 0 }; MOST_FRONTS];
-        let wanted = fronts.len().min(MOST_FRONTS);
+        let mut entries = [HeapEntry { tag: 0.0, key: 0 }; MAX_FRONTS];
+        let limit = fronts.len().min(MAX_FRONTS);
         let mut count = 0;
-        while count < wanted {
+        while count < limit {
             let Some(entry) = self.heap.pop() else {
                 break;
             };
             entries[count] = entry;
-            fronts[count] = self.flows[entry.place].tickets[0];
+            fronts[count] = self.flows[entry.key].tickets[0];
             count += 1;
         }
         self.heap.extend(entries[..count].iter().copied());
@@ -165,38 +165,38 @@
     }
 
     /// Takes the front of the organisation's flow and charges it.
-    pub fn take(&mut self, organisation: id::OrganisationKey) -> Option<QueuedTicket> {
-        let place = *self.places.get(&organisation)?;
-        if !self.unqueue(place) {
+    pub fn pop(&mut self, organisation: id::OrganisationKey) -> Option<QueuedTicket> {
+        let key = *self.keys.get(&organisation)?;
+        if !self.remove_from_heap(key) {
             return None;
         }
-        let flow = &mut self.flows[place];
+        let flow = &mut self.flows[key];
         let queued = flow.tickets.pop_front()?;
         self.time = self.time.max(flow.tag);
         flow.tag += queued.cost / flow.weight;
-        self.forget(place, queued.cost);
-        self.requeue(place);
+        self.subtract_ticket(key, queued.cost);
+        self.requeue(key);
         Some(queued)
     }
 
     /// Sets aside a flow that may not be served now; [`Self::unpark`] brings it back.
     pub fn park(&mut self, organisation: id::OrganisationKey) {
-        if let Some(&place) = self.places.get(&organisation)
-            && self.unqueue(place)
+        if let Some(&key) = self.keys.get(&organisation)
+            && self.remove_from_heap(key)
         {
-            self.flows[place].parked = true;
-            self.parked.push(place);
+            self.flows[key].parked = true;
+            self.parked.push(key);
         }
     }
 
     /// Brings back the parked flows that `ready` allows.
     pub fn unpark(&mut self, mut ready: impl FnMut(id::OrganisationKey) -> bool) {
         let mut index = 0;
-        while let Some(&place) = self.parked.get(index) {
-            if ready(self.flows[place].organisation) {
+        while let Some(&key) = self.parked.get(index) {
+            if ready(self.flows[key].organisation) {
                 self.parked.swap_remove(index);
-                self.flows[place].parked = false;
-                self.requeue(place);
+                self.flows[key].parked = false;
+                self.requeue(key);
             } else {
                 index += 1;
             }
@@ -205,29 +205,29 @@
 
     /// Takes a ticket out of the middle; its organisation is charged nothing.
     pub fn remove(&mut self, organisation: id::OrganisationKey, ticket: TicketKey) -> bool {
-        let Some(&place) = self.places.get(&organisation) else {
+        let Some(&key) = self.keys.get(&organisation) else {
             return false;
         };
-        let flow = &mut self.flows[place];
+        let flow = &mut self.flows[key];
         let Some(index) = flow.tickets.iter().position(|held| held.ticket == ticket) else {
             return false;
         };
         let cost = flow.tickets.remove(index).map_or(0.0, |queued| queued.cost);
-        self.forget(place, cost);
-        if self.flows[place].tickets.is_empty() {
-            self.unqueue(place);
-            self.requeue(place);
+        self.subtract_ticket(key, cost);
+        if self.flows[key].tickets.is_empty() {
+            self.remove_from_heap(key);
+            self.requeue(key);
         }
         true
     }
 
     /// Charges an organisation `tokens` more than it was reckoned, or less when negative.
     ///
-    /// A flow in the heap keeps its place there until it is next served: the correction counts
+    /// A flow in the heap keeps its key there until it is next served: the correction counts
     /// from then on.
     pub fn correct(&mut self, organisation: id::OrganisationKey, tokens: f64) {
-        if let Some(&place) = self.places.get(&organisation) {
-            let flow = &mut self.flows[place];
+        if let Some(&key) = self.keys.get(&organisation) {
+            let flow = &mut self.flows[key];
             flow.tag += tokens / flow.weight;
         }
     }
@@ -235,10 +235,7 @@
     /// Expected tokens that are served before a ticket appended now.
     #[must_use]
     pub fn ahead(&self, organisation: id::OrganisationKey, weight: f64) -> f64 {
-        let flow = self
-            .places
-            .get(&organisation)
-            .map(|&place| &self.flows[place]);
+        let flow = self.keys.get(&organisation).map(|&key| &self.flows[key]);
         let own = flow.map_or(0.0, |flow| {
             // A tag ahead of the queue's time is tokens that others are given first.
             (flow.tag - self.time)
@@ -247,20 +244,20 @@
         });
         let weight = weight.max(1e-6);
         let active = flow.is_some_and(|flow| flow.active);
-        let whole = if active {
+        let total_weight = if active {
             self.weight
         } else {
             self.weight + weight
         };
-        (own * whole / weight).min(self.backlog)
+        (own * total_weight / weight).min(self.backlog)
     }
 
     fn flow(&mut self, organisation: id::OrganisationKey) -> usize {
-        if let Some(&place) = self.places.get(&organisation) {
-            return place;
+        if let Some(&key) = self.keys.get(&organisation) {
+            return key;
         }
-        if self.idle >= self.idle_limit.max(IDLE_FLOWS) {
-            self.clear_idle();
+        if self.idle >= self.idle_limit.max(INITIAL_IDLE_FLOW_LIMIT) {
+            self.evict_idle_flows();
         }
         let tickets = self.spare.pop().unwrap_or_default();
         let flow = QueueFlow {
@@ -269,34 +266,34 @@
             tickets,
             ..QueueFlow::default()
         };
-        let place = self.flows.insert(flow);
-        self.places.insert(organisation, place);
+        let key = self.flows.insert(flow);
+        self.keys.insert(organisation, key);
         self.idle += 1;
-        place
+        key
     }
 
-    fn forget(&mut self, place: usize, cost: f64) {
-        self.flows[place].backlog -= cost;
+    fn subtract_ticket(&mut self, key: usize, cost: f64) {
+        self.flows[key].backlog -= cost;
         self.backlog = (self.backlog - cost).max(0.0);
         self.len -= 1;
     }
 
     /// Takes a flow out of the heap; says whether it was there.
-    fn unqueue(&mut self, place: usize) -> bool {
-        if !self.flows[place].queued {
+    fn remove_from_heap(&mut self, key: usize) -> bool {
+        if !self.flows[key].queued {
             return false;
         }
-        self.flows[place].queued = false;
-        let mut passed = [HeapEntry { tag: 0.0, place: 0 }; MOST_FRONTS];
+        self.flows[key].queued = false;
+        let mut passed = [HeapEntry { tag: 0.0, key: 0 }; MAX_FRONTS];
         let mut count = 0;
         while let Some(entry) = self.heap.pop() {
-            if entry.place == place {
+            if entry.key == key {
                 break;
             }
-            if count == MOST_FRONTS {
+            if count == MAX_FRONTS {
                 // Far from the front, which only a withdrawal is: search the rest.
                 self.heap.push(entry);
-                self.heap.retain(|entry| entry.place != place);
+                self.heap.retain(|entry| entry.key != key);
                 break;
             }
             passed[count] = entry;
@@ -307,12 +304,12 @@
     }
 
     /// Puts a flow that is out of the heap back, or to rest when it is empty.
-    fn requeue(&mut self, place: usize) {
-        let flow = &mut self.flows[place];
+    fn requeue(&mut self, key: usize) {
+        let flow = &mut self.flows[key];
         if flow.tickets.is_empty() {
             flow.backlog = 0.0;
             if std::mem::take(&mut flow.parked) {
-                self.parked.retain(|parked| *parked != place);
+                self.parked.retain(|parked| *parked != key);
             }
             if std::mem::take(&mut flow.active) {
                 self.weight -= flow.weight;
@@ -320,10 +317,7 @@
             }
         } else if !flow.parked {
             flow.queued = true;
-            self.heap.push(HeapEntry {
-                tag: flow.tag,
-                place,
-            });
+            self.heap.push(HeapEntry { tag: flow.tag, key });
         }
         if self.len == 0 {
             (self.weight, self.backlog) = (0.0, 0.0);
@@ -331,13 +325,13 @@
     }
 
     /// Drops empty flows whose tag the queue's time has reached: nothing is known by them.
-    fn clear_idle(&mut self) {
-        let (time, places, spare) = (self.time, &mut self.places, &mut self.spare);
+    fn evict_idle_flows(&mut self) {
+        let (time, keys, spare) = (self.time, &mut self.keys, &mut self.spare);
         let before = self.flows.len();
         self.flows.retain(|_, flow| {
             let keep = flow.active || flow.tag > time;
             if !keep {
-                places.remove(&flow.organisation);
+                keys.remove(&flow.organisation);
                 spare.push(std::mem::take(&mut flow.tickets));
             }
             keep
--- a/crates/sched/src/risk.rs
+++ b/crates/sched/src/risk.rs
@@ -25,35 +25,35 @@
 impl MemoryLoad {
     /// What one generation adds that holds `context` tokens and has come to `produced`.
     #[must_use]
-    pub fn of(curve: &length::LengthCurve<'_>, context: f32, produced: f32) -> Self {
+    pub fn of_generation(curve: &length::LengthCurve<'_>, context: f32, produced: f32) -> Self {
         let mut load = Self::default();
-        let alive = curve.beyond(produced).max(1e-6);
-        for (place, distance) in HORIZONS.into_iter().enumerate() {
+        let alive = curve.survival(produced).max(1e-6);
+        for (index, distance) in HORIZONS.into_iter().enumerate() {
             let chance = if distance == 0.0 {
                 1.0
             } else {
-                (curve.beyond(produced + distance) / alive).min(1.0)
+                (curve.survival(produced + distance) / alive).min(1.0)
             };
             let size = context + distance;
-            load.mean[place] = chance * size;
-            load.variance[place] = chance * (1.0 - chance) * size * size;
+            load.mean[index] = chance * size;
+            load.variance[index] = chance * (1.0 - chance) * size * size;
         }
         load
     }
 
     /// Adds another load.
     pub fn add(&mut self, other: &Self) {
-        for place in 0..HORIZONS.len() {
-            self.mean[place] += other.mean[place];
-            self.variance[place] += other.variance[place];
+        for index in 0..HORIZONS.len() {
+            self.mean[index] += other.mean[index];
+            self.variance[index] += other.variance[index];
         }
     }
 
     /// Takes away a load that was added; rounding never leaves a negative rest.
     pub fn subtract(&mut self, other: &Self) {
-        for place in 0..HORIZONS.len() {
-            self.mean[place] = (self.mean[place] - other.mean[place]).max(0.0);
-            self.variance[place] = (self.variance[place] - other.variance[place]).max(0.0);
+        for index in 0..HORIZONS.len() {
+            self.mean[index] = (self.mean[index] - other.mean[index]).max(0.0);
+            self.variance[index] = (self.variance[index] - other.variance[index]).max(0.0);
         }
     }
 }
@@ -97,10 +97,10 @@
 #[must_use]
 pub fn overflow_chance(load: &MemoryLoad, capacity: f32) -> f32 {
     let mut worst = 0.0f32;
-    for place in 0..HORIZONS.len() {
-        let room = capacity - load.mean[place];
-        let deviation = load.variance[place].sqrt().max(1.0);
-        worst = worst.max(tail_chance(room / deviation));
+    for index in 0..HORIZONS.len() {
+        let free = capacity - load.mean[index];
+        let deviation = load.variance[index].sqrt().max(1.0);
+        worst = worst.max(tail_chance(free / deviation));
     }
     worst
 }
@@ -108,8 +108,8 @@
 /// Whether `load` stays within `capacity` at every horizon, by `deviations` of its spread.
 #[must_use]
 pub fn fits(load: &MemoryLoad, capacity: f32, deviations: f32) -> bool {
-    (0..HORIZONS.len()).all(|place| {
-        let needed = deviations.mul_add(load.variance[place].sqrt(), load.mean[place]);
+    (0..HORIZONS.len()).all(|index| {
+        let needed = deviations.mul_add(load.variance[index].sqrt(), load.mean[index]);
         needed <= capacity
     })
 }
--- a/crates/sched/src/route.rs
+++ b/crates/sched/src/route.rs
@@ -13,23 +13,23 @@
 use crate::{admission, affinity, explain, request, risk, settings, share, view};
 
 /// Most candidates compared in one decision.
-pub const MOST_CANDIDATES: usize = 64;
+pub const MAX_CANDIDATES: usize = 64;
 
 /// A server that shows nothing for this many steps is taken to be in trouble.
-const SILENT_STEPS: f32 = 25.0;
+const SILENCE_TIMEOUT_STEPS: f32 = 25.0;
 
 /// The same in seconds, at least.
-const SILENT_SECONDS: f32 = 0.75;
+const MIN_SILENCE_TIMEOUT_S: f32 = 0.75;
 
 /// Weight in the draw of an engine that is expected to be full.
-const LEAST_FREE: f32 = 0.1;
+const MIN_DRAW_WEIGHT: f32 = 0.1;
 
-/// Faded failures above this keep a server out; below it and above [`PROBED`] it gets one
+/// Faded failures above this keep a server out; below it and above [`PROBE_THRESHOLD`] it gets one
 /// generation at a time.
-const SHUNNED: f32 = 0.5;
+const EXCLUSION_THRESHOLD: f32 = 0.5;
 
 /// Faded failures below this count for nothing.
-const PROBED: f32 = 0.05;
+const PROBE_THRESHOLD: f32 = 0.05;
 
 /// What a choice is made for.
 #[derive(Debug)]
@@ -39,9 +39,9 @@
     /// What it would add to a server's memory.
     pub load: &'a risk::MemoryLoad,
     /// Bounds on each server.
-    pub terms: &'a admission::RoomTerms,
+    pub bounds: &'a admission::AdmissionBounds,
     /// Kept for another request; not to be chosen.
-    pub held: Option<id::ServerKey>,
+    pub reserved: Option<id::ServerKey>,
     /// Learnt rate at which engines take in prompts, in tokens a second.
     pub prefill_rate: f32,
 }
@@ -69,7 +69,7 @@
     score: f32,
     first_token: f32,
     free: f32,
-    prefix: affinity::PrefixBelief,
+    prefix: affinity::PrefixEstimate,
 }
 
 /// What choices are made by.
@@ -78,7 +78,7 @@
     /// All servers.
     pub servers: &'a slotmap::SecondaryMap<id::ServerKey, view::ServerView>,
     /// Where the prompt's prefixes are believed to be.
-    pub beliefs: &'a affinity::BeliefList,
+    pub estimates: &'a affinity::EstimateList,
     /// This VM's share of each server.
     pub shares: &'a share::ShareTable,
     /// Weights.
@@ -87,18 +87,20 @@
     pub now: time::Instant,
 }
 
-/// Whether a server may get new work at all, as far as its health goes.
+/// Whether a server may get new work at all, as far as server_location health goes.
 #[must_use]
 pub fn healthy(server: &view::ServerView, now: time::Instant) -> bool {
     if server.leaving || server.suspected {
         return false;
     }
     let failure = server.failure(now);
-    if failure > SHUNNED || (failure > PROBED && server.unstarted > 0) {
+    if failure > EXCLUSION_THRESHOLD || (failure > PROBE_THRESHOLD && server.unstarted > 0) {
         return false;
     }
-    let silence = now.saturating_duration_since(server.heard_at).as_secs_f32();
-    let silent = silence > SILENT_SECONDS.max(SILENT_STEPS * server.step);
+    let silence = now
+        .saturating_duration_since(server.active_at)
+        .as_secs_f32();
+    let silent = silence > MIN_SILENCE_TIMEOUT_S.max(SILENCE_TIMEOUT_STEPS * server.step);
     !(silent && server.own.running >= 1.0)
 }
 
@@ -119,9 +121,9 @@
             score: f32::INFINITY,
             first_token: 0.0,
             free: 0.0,
-            prefix: affinity::PrefixBelief::default(),
+            prefix: affinity::PrefixEstimate::default(),
         };
-        let mut scored = [none; MOST_CANDIDATES];
+        let mut scored = [none; MAX_CANDIDATES];
         let mut found = self.score_all(candidates, query, true, &mut scored);
         if matches!(found, Err(explain::WaitCause::Server)) {
             // Every server in health was tried before: better again than not at all.
@@ -135,13 +137,13 @@
         &self,
         candidates: &[id::ServerKey],
         query: &RouteQuery<'_>,
-        avoiding: bool,
-        scored: &mut [ScoredServer; MOST_CANDIDATES],
+        skip_avoided: bool,
+        scored: &mut [ScoredServer; MAX_CANDIDATES],
     ) -> Result<usize, explain::WaitCause> {
         let mut count = 0;
         let mut cause = explain::WaitCause::Server;
-        for &key in candidates.iter().take(MOST_CANDIDATES) {
-            if avoiding && query.request.avoid.contains(key) {
+        for &key in candidates.iter().take(MAX_CANDIDATES) {
+            if skip_avoided && query.request.avoid.contains(key) {
                 continue;
             }
             match self.score(key, query) {
@@ -160,7 +162,7 @@
         key: id::ServerKey,
         query: &RouteQuery<'_>,
     ) -> Result<ScoredServer, explain::WaitCause> {
-        let usable = query.held != Some(key);
+        let usable = query.reserved != Some(key);
         let server = self.servers.get(key).filter(|_| usable);
         let server = server.ok_or(explain::WaitCause::Server)?;
         if !healthy(server, self.now) {
@@ -168,18 +170,19 @@
         }
         let default = 1.0 / self.settings.entries.max(1) as f32;
         let share = self.shares.share(key).unwrap_or(default);
-        let part = admission::RoomShare::of(share, server, self.settings.reuse);
-        let state = admission::assess(server, query.load, query.terms, part, self.now);
-        if let Some(lack) = state.lack
-            && (query.terms.shared || server.unstarted >= self.settings.urgent_beyond)
+        let capacity_share =
+            admission::CapacityShare::of_server(share, server, self.settings.min_reuse);
+        let state = admission::assess(server, query.load, query.bounds, capacity_share, self.now);
+        if let Some(shortage) = state.shortage
+            && (query.bounds.shared || server.unstarted >= self.settings.urgent_overcommit)
         {
-            return Err(lack);
+            return Err(shortage);
         }
-        let prefix = self.beliefs.of(key);
+        let prefix = self.estimates.of(key);
         let first_token = self.first_token(server, query, prefix.expected);
         let score = first_token
             + self.settings.failure_weight.as_secs_f32() * server.failure(self.now)
-            + self.distance(server);
+            + self.distance_penalty(server);
         Ok(ScoredServer {
             server: key,
             score,
@@ -189,11 +192,11 @@
         })
     }
 
-    fn distance(&self, server: &view::ServerView) -> f32 {
-        let (own, its) = (self.settings.location, server.spec.location);
-        if own.region != its.region {
+    fn distance_penalty(&self, server: &view::ServerView) -> f32 {
+        let (own, server_location) = (self.settings.location, server.spec.location);
+        if own.region != server_location.region {
             self.settings.region_penalty.as_secs_f32()
-        } else if own.failure_domain != its.failure_domain {
+        } else if own.failure_domain != server_location.failure_domain {
             self.settings.domain_penalty.as_secs_f32()
         } else {
             0.0
@@ -222,7 +225,7 @@
         let bound = best + self.settings.near_best.as_secs_f32();
         let near = || scored.iter().filter(|server| server.score <= bound);
         let count = near().count();
-        let weight = |server: &ScoredServer| server.free.max(LEAST_FREE);
+        let weight = |server: &ScoredServer| server.free.max(MIN_DRAW_WEIGHT);
         let mut drawn = rng.random::<f32>() * near().map(weight).sum::<f32>();
         let passed = near().take_while(|server| {
             drawn -= weight(server);
--- a/crates/sched/src/settings.rs
+++ b/crates/sched/src/settings.rs
@@ -43,24 +43,24 @@
     /// Part of the tokens that deferrable work gets while normal work waits too.
     pub deferrable_floor: f64,
     /// A request that was next for this long and found no room has an engine kept for it.
-    pub hold_after: time::Duration,
+    pub reserve_after: time::Duration,
     /// Least part that a VM above its share may use again of what its ended generations gave back.
-    pub reuse: f32,
+    pub min_reuse: f32,
     /// Whether this VM takes only its share of the room that a report shows.
-    pub share_room: bool,
+    pub enforce_share: bool,
     /// Part of each engine's room that goes to whoever has work waiting, see [`crate::share`].
-    pub common_part: f32,
+    pub common_fraction: f32,
     /// What a VM may be due of the engines, as a multiple of its demand.
-    pub spare_demand: f32,
+    pub demand_factor: f32,
     /// Urgent generations without a first token that may be sent to one engine beyond its room.
-    pub urgent_beyond: u32,
+    pub urgent_overcommit: u32,
     /// Deviations of urgent demand that are kept free beside its mean.
     pub headroom_deviations: f32,
     /// Part of the doubt on how many generations others have that is kept free in the batch.
-    pub slot_doubt: f32,
+    pub slot_uncertainty: f32,
     /// A waiting request is refused at once when its predicted wait is this many times the time
     /// that it has.
-    pub early_refusal: f64,
+    pub early_refusal_factor: f64,
     /// A generation is stopped here when its engine's memory runs out with this chance, see
     /// [`crate::victim`]; above 1: never.
     pub victim_chance: f32,
@@ -89,15 +89,15 @@
             prefix_half_life: time::Duration::from_secs(60),
             prefill_rate: 4_000.0,
             deferrable_floor: 0.1,
-            hold_after: time::Duration::from_secs(1),
-            reuse: 0.25,
-            share_room: true,
-            common_part: 0.2,
-            spare_demand: 1.25,
-            urgent_beyond: 2,
+            reserve_after: time::Duration::from_secs(1),
+            min_reuse: 0.25,
+            enforce_share: true,
+            common_fraction: 0.2,
+            demand_factor: 1.25,
+            urgent_overcommit: 2,
             headroom_deviations: 3.0,
-            slot_doubt: 1.0,
-            early_refusal: 1.5,
+            slot_uncertainty: 1.0,
+            early_refusal_factor: 1.5,
             victim_chance: 0.5,
             victim_tokens: 32,
             histograms: 4_096,
--- a/crates/sched/src/share.rs
+++ b/crates/sched/src/share.rs
@@ -3,13 +3,13 @@
 //! Reports of engines are old, so several VMs that fill the same engine overfill it or leave it
 //! idle. Each engine is therefore mostly filled by one VM, or by two: all engines of a model lie
 //! on a ring in an order that every process knows, each as long as its memory, and the VMs that
-//! have work for the model lie on the same ring, each as long as what it is due. Where a VM's
-//! length covers an engine, that is its share of it. What a VM is due is the smaller of what it
-//! asks for and a fair part by the weights of its organisations, so an organisation that sends
+//! have work for the model lie on the same ring, each as long as what it is allotment. Where a VM's
+//! length covers an engine, that is its share of it. What a VM is allotment is the smaller of what it
+//! asks for and a fair portion by the weights of its organisations, so an organisation that sends
 //! ten times its share takes no other VM's engines.
 //!
 //! Every VM works this out from the digests that it has, without agreement. Digests differ in
-//! age, so neighbours on the ring may both claim the engine between them, or neither: a small part
+//! age, so neighbours on the ring may both claim the engine between them, or neither: a small portion
 //! of the room, and the next digests mend it.
 
 use base::id;
@@ -26,25 +26,25 @@
     pub firm: f32,
     /// The same for deferrable work.
     pub deferrable: f32,
-    /// The part of both that waits.
+    /// The portion of both that waits.
     pub waiting: f32,
     /// Urgent generations at once, see [`crate::headroom`].
     pub urgent: f32,
 }
 
 /// A digest older than this says nothing any more.
-const STALE: time::Duration = time::Duration::from_secs(20);
+const DIGEST_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 /// What the division of a ring follows.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareRule {
-    /// Part of the whole that deferrable work is owed.
+    /// Part of the total_weight that deferrable work is owed.
     pub floor: f32,
     /// Part of each engine's room that goes to whoever has work waiting, wherever on the ring.
-    pub common: f32,
-    /// What a VM may be due, as a multiple of its demand: above 1, else growth would wait for a
+    pub common_fraction: f32,
+    /// What a VM may be allotment, as a multiple of its demand: above 1, else growth would wait for a
     /// digest.
-    pub spare: f32,
+    pub demand_factor: f32,
 }
 
 /// An engine on the ring.
@@ -63,13 +63,13 @@
 struct RingEntry {
     identity: u64,
     weight: f32,
-    /// Most that it is due for its urgent and normal work.
+    /// Most that it is allotment for its urgent and normal work.
     firm: f32,
     /// The same for deferrable work.
     deferrable: f32,
-    /// What it may be due in the round of division under way.
-    wanted: f32,
-    due: f32,
+    /// What it may be allotment in the round of division under way.
+    demand: f32,
+    allotment: f32,
 }
 
 /// Digests of the other entry VMs for one model, and what follows from them.
@@ -82,14 +82,14 @@
     shares: slotmap::SecondaryMap<id::ServerKey, f32>,
     others_urgent: f32,
     /// Part that is not laid on the ring, see [`ShareRule`].
-    common: f32,
+    common_fraction: f32,
 }
 
 impl ShareTable {
     /// Another VM's digest arrived; one older than the newest of it is ignored.
-    pub fn take(&mut self, vm: id::VmKey, digest: EntryDigest, taken_at: time::Instant) {
-        let held = self.digests.get(vm);
-        if held.is_none_or(|(_, held_at)| *held_at < taken_at) {
+    pub fn record(&mut self, vm: id::VmKey, digest: EntryDigest, taken_at: time::Instant) {
+        let known = self.digests.get(vm);
+        if known.is_none_or(|(_, known_at)| *known_at < taken_at) {
             self.digests.insert(vm, (digest, taken_at));
         }
     }
@@ -109,7 +109,7 @@
         now: time::Instant,
     ) {
         self.digests
-            .retain(|_, (_, taken_at)| now.saturating_duration_since(*taken_at) < STALE);
+            .retain(|_, (_, taken_at)| now.saturating_duration_since(*taken_at) < DIGEST_TIMEOUT);
         self.shares.clear();
         self.entries.clear();
         self.others_urgent = self.digests.values().map(|(digest, _)| digest.urgent).sum();
@@ -127,34 +127,34 @@
             self.entries.push(RingEntry {
                 identity: digest.identity,
                 weight: digest.weight.max(0.1),
-                firm: rule.spare * digest.firm + 0.01 * capacity,
-                deferrable: rule.spare * digest.deferrable,
-                wanted: 0.0,
-                due: 0.0,
+                firm: rule.demand_factor * digest.firm + 0.01 * capacity,
+                deferrable: rule.demand_factor * digest.deferrable,
+                demand: 0.0,
+                allotment: 0.0,
             });
         }
         divide_all(&mut self.entries, capacity, rule.floor);
         let common = own.waiting / (waiting + own.waiting).max(1.0);
-        self.common = rule.common;
-        self.lay(own.identity, engines, common);
+        self.common_fraction = rule.common_fraction;
+        self.assign_shares(own.identity, engines, common);
     }
 
     /// Lays the VMs and the engines on the ring and notes what this VM covers.
-    fn lay(&mut self, own: u64, engines: &[RingEngine], common: f32) {
+    fn assign_shares(&mut self, own: u64, engines: &[RingEngine], common: f32) {
         self.entries.sort_unstable_by_key(|entry| entry.identity);
         let before = self
             .entries
             .iter()
             .take_while(|entry| entry.identity != own);
-        let from: f32 = before.map(|entry| entry.due).sum();
+        let from: f32 = before.map(|entry| entry.allotment).sum();
         let own = self.entries.iter().find(|entry| entry.identity == own);
-        let to = from + own.map_or(0.0, |entry| entry.due);
+        let to = from + own.map_or(0.0, |entry| entry.allotment);
         let mut start = 0.0;
         for engine in engines {
             let end = start + engine.capacity;
             let covered = (to.min(end) - from.max(start)).max(0.0);
             let own = covered / engine.capacity.max(1.0);
-            let share = (1.0 - self.common) * own + self.common * common;
+            let share = (1.0 - self.common_fraction) * own + self.common_fraction * common;
             self.shares.insert(engine.server, share);
             start = end;
         }
@@ -163,7 +163,7 @@
     /// Place in `engines` of the first engine that this VM covers.
     #[must_use]
     pub fn first_covered(&self, engines: &[RingEngine]) -> Option<usize> {
-        let own = self.common + f32::EPSILON;
+        let own = self.common_fraction + f32::EPSILON;
         engines
             .iter()
             .position(|engine| self.share(engine.server).is_some_and(|share| share > own))
@@ -183,21 +183,21 @@
 }
 
 /// Divides `capacity`: first to urgent and normal work, what is left to deferrable work, which is
-/// owed `floor` of the whole; then what nobody asks for to all by weight.
+/// owed `floor` of the total_weight; then what nobody asks for to all by weight.
 fn divide_all(entries: &mut [RingEntry], capacity: f32, floor: f32) {
     let deferrable: f32 = entries.iter().map(|entry| entry.deferrable).sum();
     let owed = deferrable.min(floor * capacity);
     for entry in entries.iter_mut() {
-        entry.wanted = entry.firm;
+        entry.demand = entry.firm;
     }
     let left = divide(entries, capacity - owed) + owed;
     for entry in entries.iter_mut() {
-        entry.wanted = entry.deferrable;
+        entry.demand = entry.deferrable;
     }
     let left = divide(entries, left);
-    let whole: f32 = entries.iter().map(|entry| entry.weight).sum();
+    let total_weight: f32 = entries.iter().map(|entry| entry.weight).sum();
     for entry in entries.iter_mut() {
-        entry.due += left * entry.weight / whole.max(f32::EPSILON);
+        entry.allotment += left * entry.weight / total_weight.max(f32::EPSILON);
     }
 }
 
@@ -205,16 +205,16 @@
 /// is left over.
 fn divide(entries: &mut [RingEntry], capacity: f32) -> f32 {
     entries.sort_unstable_by(|left, right| {
-        let levels = (left.wanted / left.weight, right.wanted / right.weight);
+        let levels = (left.demand / left.weight, right.demand / right.weight);
         levels.0.total_cmp(&levels.1)
     });
     let mut weight: f32 = entries.iter().map(|entry| entry.weight).sum();
     let mut left = capacity;
     for entry in entries.iter_mut() {
         let fair = left * entry.weight / weight.max(f32::EPSILON);
-        let part = entry.wanted.min(fair).max(0.0);
-        entry.due += part;
-        left -= part;
+        let portion = entry.demand.min(fair).max(0.0);
+        entry.allotment += portion;
+        left -= portion;
         weight -= entry.weight;
     }
     left.max(0.0)
--- a/crates/sched/src/ticket.rs
+++ b/crates/sched/src/ticket.rs
@@ -13,8 +13,8 @@
 pub struct RunState {
     /// Where it runs.
     pub server: id::ServerKey,
-    /// Its place in the server's list.
-    pub place: usize,
+    /// Its index in the server's list.
+    pub index: usize,
     /// When it was dispatched.
     pub started_at: time::Instant,
     /// What is summed for it in the server's view.
@@ -22,11 +22,11 @@
     /// Tokens that arrived.
     pub produced: u32,
     /// Tokens that had arrived when `load` was last worked out.
-    pub loaded_at: u32,
+    pub load_produced: u32,
     /// When the newest of them arrived.
-    pub heard_at: time::Instant,
-    /// Prompt tokens that were believed to be in the server's cache.
-    pub believed: u32,
+    pub last_token_at: time::Instant,
+    /// Prompt tokens that were predicted_cached to be in the server's cache.
+    pub predicted_cached: u32,
     /// Prompt tokens that were summed as still to be taken in.
     pub prefill: f32,
     /// Whether it was told to stop.
--- a/crates/sched/src/view.rs
+++ b/crates/sched/src/view.rs
@@ -1,7 +1,7 @@
 //! What this entry VM knows of each model engine: lagged reports, corrected by its own streams.
 //!
 //! A report tells how full the engine was when its watcher looked, half a second to some seconds
-//! ago. What this VM had there at that moment is taken out of it; the rest is what others have,
+//! ago. What this VM had there at that moment is taken out of it; the residual is what others have,
 //! and their part is unknown until the next report. Were each of nine entry VMs to fill the room
 //! that the same report shows, they would fill it nine times over. So each takes only its share
 //! of the room, and again what its own ended generations gave back since.
@@ -67,13 +67,13 @@
 
 impl LoadSum {
     /// Adds one generation.
-    pub fn join(&mut self, load: &risk::MemoryLoad) {
+    pub fn add_generation(&mut self, load: &risk::MemoryLoad) {
         self.running += 1.0;
         self.memory.add(load);
     }
 
     /// Takes one generation away.
-    pub fn leave(&mut self, load: &risk::MemoryLoad) {
+    pub fn remove_generation(&mut self, load: &risk::MemoryLoad) {
         self.running = (self.running - 1.0).max(0.0);
         self.memory.subtract(load);
         if self.running < 0.5 {
@@ -84,7 +84,7 @@
 
 /// One own generation that ended, kept until a report tells of a later moment.
 #[derive(Clone, Copy, Debug)]
-pub struct EndedLoad {
+pub struct EndedGeneration {
     /// When it ended.
     pub at: time::Instant,
     /// What it held.
@@ -92,13 +92,13 @@
 }
 
 /// Ended generations remembered of one server; more are summed as if still running.
-const ENDED_KEPT: usize = 128;
+const MAX_ENDED_LOADS: usize = 128;
 
 /// Failures fade to half with this time.
 const FAILURE_HALF_LIFE: time::Duration = time::Duration::from_secs(5);
 
 /// What one token's arrival moves the estimate of the step by.
-const STEP_WEIGHT: f32 = 0.03;
+const STEP_DURATION_WEIGHT: f32 = 0.03;
 
 /// One model engine as this entry VM sees it.
 #[derive(Clone, Debug)]
@@ -124,7 +124,7 @@
     /// The newest report.
     pub report: Option<LoadReport>,
     /// A number in 0..1, drawn with each report, by which shares of room are rounded: over all
-    /// entry VMs the mean is exact, though each takes whole generations.
+    /// entry VMs the mean is exact, though each takes total_memory generations.
     pub draw: f32,
     /// Seconds between two tokens of one generation; 0 while unknown.
     pub step: f32,
@@ -133,12 +133,12 @@
     /// Own generations without a first token.
     pub unstarted: u32,
     /// When the engine last showed a sign of life to an own generation.
-    pub heard_at: time::Instant,
+    pub active_at: time::Instant,
     /// Variance that one second adds to others' memory, in tokens squared.
-    churn: f32,
+    memory_churn: f32,
     /// Generations of others that end, and as many that begin, in one second.
     turnover: f32,
-    ended_log: std::collections::VecDeque<EndedLoad>,
+    ended_log: std::collections::VecDeque<EndedGeneration>,
     failure: f32,
     failure_at: time::Instant,
 }
@@ -162,8 +162,8 @@
             step: 0.0,
             prefill: 0.0,
             unstarted: 0,
-            heard_at: now,
-            churn: 0.0,
+            active_at: now,
+            memory_churn: 0.0,
             turnover: 0.0,
             ended_log: std::collections::VecDeque::new(),
             failure: 0.0,
@@ -187,7 +187,7 @@
         Some(now.saturating_duration_since(report.taken_at))
     }
 
-    /// What rounding a generation's memory up to whole blocks adds, in tokens, in the mean.
+    /// What rounding a generation's memory up to total_memory blocks adds, in tokens, in the mean.
     #[must_use]
     pub fn rounding(&self) -> f32 {
         self.spec.block_tokens as f32 / 2.0
@@ -198,7 +198,7 @@
             .is_none_or(|report| started_at > report.taken_at)
     }
 
-    /// An own generation starts there. Returns its place in `tickets`.
+    /// An own generation starts there. Returns its index in `tickets`.
     pub fn start(
         &mut self,
         ticket: TicketKey,
@@ -208,12 +208,12 @@
         now: time::Instant,
     ) -> usize {
         if self.own.running < 0.5 {
-            self.heard_at = now;
+            self.active_at = now;
         }
-        self.own.join(load);
-        self.started.join(load);
+        self.own.add_generation(load);
+        self.started.add_generation(load);
         if deferrable {
-            self.own_deferrable.join(load);
+            self.own_deferrable.add_generation(load);
         }
         self.prefill += prefill;
         self.unstarted += 1;
@@ -223,13 +223,13 @@
 
     /// An own generation's first token came.
     pub fn first_token(&mut self, prefill: f32, now: time::Instant) {
-        self.heard_at = now;
+        self.active_at = now;
         self.failure = 0.0;
-        self.settle(prefill);
+        self.end_prefill(prefill);
     }
 
     /// A generation no longer waits for its first token.
-    fn settle(&mut self, prefill: f32) {
+    fn end_prefill(&mut self, prefill: f32) {
         self.unstarted = self.unstarted.saturating_sub(1);
         self.prefill = (self.prefill - prefill).max(0.0);
         if self.unstarted == 0 {
@@ -238,7 +238,7 @@
     }
 
     /// An own generation's memory was worked out anew.
-    pub fn reload(
+    pub fn refresh_load(
         &mut self,
         old: &risk::MemoryLoad,
         new: &risk::MemoryLoad,
@@ -257,26 +257,26 @@
         }
     }
 
-    /// An own generation ended there. The ticket that takes its place in `tickets` has moved.
+    /// An own generation ended there. The ticket that takes its index in `tickets` has moved.
     pub fn end(&mut self, run: &ticket::RunState, deferrable: bool, now: time::Instant) {
-        self.tickets.swap_remove(run.place);
-        self.own.leave(&run.load);
+        self.tickets.swap_remove(run.index);
+        self.own.remove_generation(&run.load);
         if deferrable {
-            self.own_deferrable.leave(&run.load);
+            self.own_deferrable.remove_generation(&run.load);
         }
         if run.produced == 0 {
-            self.settle(run.prefill);
+            self.end_prefill(run.prefill);
         }
         if self.started_since_report(run.started_at) {
-            self.started.leave(&run.load);
+            self.started.remove_generation(&run.load);
             return;
         }
-        self.ended.join(&run.load);
-        if self.ended_log.len() == ENDED_KEPT {
+        self.ended.add_generation(&run.load);
+        if self.ended_log.len() == MAX_ENDED_LOADS {
             self.ended_log.pop_front();
         }
         let load = run.load;
-        self.ended_log.push_back(EndedLoad { at: now, load });
+        self.ended_log.push_back(EndedGeneration { at: now, load });
     }
 
     /// The engine restarted: others' generations, its leaving and its failures are gone.
@@ -286,21 +286,21 @@
         self.others = LoadSum::default();
         self.report = None;
         self.step = 0.0;
-        self.heard_at = now;
+        self.active_at = now;
         self.failure = 0.0;
         self.ended_log.clear();
         self.ended = LoadSum::default();
         self.started = self.own;
     }
 
-    /// Takes in a newer report. `own_then` is what this VM had there when it was taken, as far
+    /// Takes in a newer report. `own_at_report` is what this VM had there when it was taken, as far
     /// as it still runs; `started` what it has started there since.
     pub fn take_report(
         &mut self,
         report: LoadReport,
-        own_then: LoadSum,
+        own_at_report: LoadSum,
         started: LoadSum,
-        rest: &length::RestCurve,
+        residual: &length::ResidualCurve,
     ) {
         self.leaving |= report.leaving;
         while self
@@ -312,43 +312,43 @@
         }
         self.ended = LoadSum::default();
         for ended in &self.ended_log {
-            self.ended.join(&ended.load);
+            self.ended.add_generation(&ended.load);
         }
         let block_tokens = self.spec.block_tokens as f32;
         let used = report.total_blocks.saturating_sub(report.free_blocks) as f32 * block_tokens;
         let running = (report.running + report.waiting) as f32;
-        let own_running = own_then.running + self.ended.running;
-        let own_used = own_then.memory.mean[0] + self.ended.memory.mean[0];
+        let own_running = own_at_report.running + self.ended.running;
+        let own_used = own_at_report.memory.mean[0] + self.ended.memory.mean[0];
         let waiting = report.waiting as f32 * own_used / own_running.max(1.0);
-        self.set_others(running - own_running, used + waiting - own_used, rest);
+        self.set_others(running - own_running, used + waiting - own_used, residual);
         self.started = started;
         self.report = Some(report);
     }
 
-    fn set_others(&mut self, running: f32, used: f32, rest: &length::RestCurve) {
+    fn set_others(&mut self, running: f32, used: f32, residual: &length::ResidualCurve) {
         let running = running.max(0.0);
         let used = used.max(0.0);
         let each = used / running.max(1.0);
         self.others.running = running;
-        for (place, distance) in risk::HORIZONS.into_iter().enumerate() {
-            let (alive, size) = (rest.alive[place], each + distance);
+        for (index, distance) in risk::HORIZONS.into_iter().enumerate() {
+            let (alive, size) = (residual.alive[index], each + distance);
             // Sizes differ about as much as they are large, hence the factor of 2.
             let spread = if distance == 0.0 {
                 0.0
             } else {
                 alive * (2.0 - alive)
             };
-            self.others.memory.mean[place] = if distance == 0.0 {
+            self.others.memory.mean[index] = if distance == 0.0 {
                 used
             } else {
                 running * alive * size
             };
-            self.others.memory.variance[place] = running * spread * size * size;
+            self.others.memory.variance[index] = running * spread * size * size;
         }
         // Each ends once in its mean length, and about as many begin.
         let step = if self.step > 0.0 { self.step } else { 0.03 };
-        let turnover = running / (rest.mean_length * step).max(step);
-        self.churn = 2.0 * turnover * each * each;
+        let turnover = running / (residual.mean_length * step).max(step);
+        self.memory_churn = 2.0 * turnover * each * each;
         self.turnover = turnover;
     }
 
@@ -361,24 +361,24 @@
 
     /// Memory of all generations there, own and others', with the doubt that age brings.
     #[must_use]
-    pub fn whole(&self, now: time::Instant) -> risk::MemoryLoad {
+    pub fn total_memory(&self, now: time::Instant) -> risk::MemoryLoad {
         let mut load = self.own.memory;
         load.add(&self.others.memory);
         let age = self.report_age(now).unwrap_or_default().as_secs_f32();
         for variance in &mut load.variance {
-            *variance += self.churn * age;
+            *variance += self.memory_churn * age;
         }
         load
     }
 
-    /// A token came `gap` after the one before it.
-    pub fn stepped(&mut self, gap: f32, now: time::Instant) {
-        self.heard_at = now;
+    /// A token came `interval` after the one before it.
+    pub fn record_step(&mut self, interval: f32, now: time::Instant) {
+        self.active_at = now;
         self.step = if self.step == 0.0 {
-            gap
+            interval
         } else {
-            // A preempted stream's gap is not a step: bound what one can do.
-            STEP_WEIGHT.mul_add(gap.min(4.0 * self.step) - self.step, self.step)
+            // A preempted stream's interval is not a step: bound what one can do.
+            STEP_DURATION_WEIGHT.mul_add(interval.min(4.0 * self.step) - self.step, self.step)
         };
     }
 
