--- a/crates/sched/src/admission.rs
+++ b/crates/sched/src/admission.rs
@@ -1,38 +1,41 @@
-//! Whether one more generation may go to an engine: its memory, its batch, this VM's share of
-//! what is left, and what is kept for urgent work.
+//! Decides whether an engine may take one more generation, by its memory, its batch, this VM's
+//! share of the free capacity and the capacity reserved for urgent work.
 
 use tokio::time;
 
 use crate::{explain, risk, view};
 
-/// What bounds an admission.
+/// Bounds on an admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionBounds {
-    /// Deviations of the memory's spread that must fit; from the class's bound.
+    /// Number of standard deviations of the predicted memory that must fit, from the class's
+    /// overflow chance.
     pub deviations: f32,
-    /// Part of the uncertainty on others' places in the batch that is kept free.
+    /// Fraction of the uncertainty about other VMs' batch slots that is kept free.
     pub slot_uncertainty: f32,
-    /// Tokens of memory kept for urgent work.
+    /// Tokens of memory reserved for urgent work.
     pub reserved_tokens: f32,
-    /// Places in the batch kept for urgent work.
+    /// Batch slots reserved for urgent work.
     pub reserved_slots: f32,
-    /// Whether the share binds; it does not for urgent work, which is short and cannot wait for
-    /// the next report.
+    /// Whether this VM's share limits the admission. It does not for urgent work, which is short
+    /// and cannot wait for the next report.
     pub shared: bool,
 }
 
-/// What this VM may take of one engine between two reports.
+/// Part of one engine's capacity that this VM may take between two reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityShare {
-    /// Its share of the free that a report shows, from 0 to 1.
+    /// This VM's share of the capacity that a report shows as free, from 0 to 1.
     pub fraction: f32,
-    /// Part that it may use again of what its own ended generations gave back, from 0 to 1.
+    /// Fraction of the capacity freed by this VM's ended generations that it may use again, from 0
+    /// to 1.
     pub reuse: f32,
 }
 
 impl CapacityShare {
-    /// The bounds of a VM with `share`: what it holds beyond that it gives back bit by bit, since
-    /// it may use again only the share of what comes free there that it is due, at min_reuse `min_reuse`.
+    /// Returns the share of a VM that is due `fraction` of `server`. A VM that holds more than its
+    /// share returns the excess gradually, because it may use again only its due fraction of the
+    /// capacity that it frees there, but at least `min_reuse`.
     #[must_use]
     pub fn of_server(fraction: f32, server: &view::ServerView, min_reuse: f32) -> Self {
         let own = server.own.memory.mean[0].max(1.0);
@@ -41,16 +44,16 @@
     }
 }
 
-/// What an engine has free for.
+/// Free capacity of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FreeCapacity {
-    /// Further generations of the same size that are expected to fit now, whatever the uncertainty.
+    /// Expected number of further generations of the same size that fit now, ignoring uncertainty.
     pub free: f32,
-    /// What is short for one more, within bounds; absent when there is free.
+    /// Resource that is short for one more generation within the bounds, or `None` if it fits.
     pub shortage: Option<explain::WaitCause>,
 }
 
-/// What the server has free for, generation by generation like `extra`.
+/// Computes the free capacity of `server` for generations of the size of `extra`.
 #[must_use]
 pub fn assess(
     server: &view::ServerView,
@@ -77,7 +80,7 @@
     }
     let batch_size = running + 1.0;
     let uncertainty = bounds.deviations * server.running_spread(now) * bounds.slot_uncertainty;
-    // Alone on an engine anything may run that fits it at all.
+    // An idle engine may take any generation that fits it at all.
     let alone = running < 0.5;
     let shortage = if batch_size > slots {
         Some(explain::WaitCause::Batch)
@@ -95,8 +98,8 @@
     FreeCapacity { free, shortage }
 }
 
-/// Whether `extra` is beyond this VM's share: between two reports it takes of each engine only its
-/// share of the free, beside what its own ended generations gave back.
+/// Whether `extra` exceeds this VM's share. Between two reports the VM takes only its share of each
+/// engine's free capacity, plus what its own ended generations freed.
 fn exceeds_share(
     server: &view::ServerView,
     extra: &risk::MemoryLoad,
--- a/crates/sched/src/affinity.rs
+++ b/crates/sched/src/affinity.rs
@@ -1,60 +1,61 @@
-//! Which server is believed to hold which prefix in its cache.
+//! Prediction of which servers have which prompt prefixes in their cache.
 //!
-//! Engines tell late and with gaps what they stored and evicted. What this process itself sent
-//! somewhere is known at once. Belief fades with age; how much it is worth at all is learnt from
-//! the cached tokens that engines report at the end of a generation.
+//! Engines report stored and evicted prefixes with delay and gaps, while the prefixes that this
+//! process itself sent to a server are known at once. The estimate decays with age. Its overall
+//! reliability is learnt from the cached tokens that engines report at the end of a generation.
 
 use base::id;
 use tokio::time;
 
 use crate::request;
 
-/// Servers remembered of one prefix.
+/// Maximum number of servers tracked per prefix.
 const MAX_SERVERS_PER_PREFIX: usize = 4;
 
-/// Sets of the table; a power of two.
+/// Number of sets in the table; a power of two.
 const SETS: usize = 4_096;
 
-/// Slots of a set, each a prefix on one server.
+/// Slots per set; each holds one prefix on one server.
 const SLOTS_PER_SET: usize = 8;
 
-/// One prefix on one server.
+/// Record that a server holds a prefix.
 #[derive(Clone, Copy, Debug)]
 struct AffinitySlot {
     hash: u64,
     server: id::ServerKey,
-    /// Null `server`: nothing.
+    /// Time of the latest evidence that the server holds the prefix.
     seen_at: time::Instant,
 }
 
-/// Bounded table of prefixes and the servers that hold them.
+/// Bounded set-associative table of prefixes and the servers that hold them.
 #[derive(Clone, Debug)]
 pub struct AffinityTable {
-    /// `SETS * SLOTS_PER_SET` of them once anything was noted, none before.
+    /// Empty until the first insertion, then `SETS * SLOTS_PER_SET` slots.
     slots: Vec<Option<AffinitySlot>>,
-    /// Belief in an entry halves with this age.
+    /// Age at which the estimate of an entry has halved.
     half_life: time::Duration,
-    /// Cached tokens found over those believed in, decayed; from 0 to 1.
+    /// Decayed ratio of cached tokens found to cached tokens predicted, from 0 to 1.
     hit_ratio: f32,
 }
 
-/// A believed cache hit.
+/// Predicted cache hit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PrefixEstimate {
-    /// Tokens of the longest prefix believed to be there.
+    /// Length of the longest prefix predicted to be cached, in tokens.
     pub tokens: u32,
-    /// Expected tokens: the former by the chance that it still is there.
+    /// Expected number of cached tokens: `tokens` times the probability that the prefix is still
+    /// cached.
     pub expected: f32,
 }
 
-/// Servers believed to hold some prefix of one prompt, at most `MAX_ESTIMATES` of them.
+/// Servers predicted to hold a prefix of one prompt; at most `MAX_ESTIMATES`.
 #[derive(Clone, Copy, Debug)]
 pub struct EstimateList {
     estimates: [(id::ServerKey, PrefixEstimate); MAX_ESTIMATES],
     len: usize,
 }
 
-/// Servers that one [`EstimateList`] holds.
+/// Maximum number of servers in one [`EstimateList`].
 const MAX_ESTIMATES: usize = 16;
 
 impl Default for EstimateList {
@@ -68,7 +69,7 @@
 }
 
 impl EstimateList {
-    /// What is believed of `server`.
+    /// Returns the estimate for `server`.
     #[must_use]
     pub fn of(&self, server: id::ServerKey) -> PrefixEstimate {
         let mut matches = self.estimates[..self.len].iter();
@@ -90,7 +91,7 @@
 }
 
 impl AffinityTable {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(half_life: time::Duration) -> Self {
         Self {
@@ -100,18 +101,18 @@
         }
     }
 
-    /// Changes the age with which estimate halves.
+    /// Sets the age at which the estimate of an entry has halved.
     pub fn set_half_life(&mut self, half_life: time::Duration) {
         self.half_life = half_life;
     }
 
     fn set(hash: u64) -> usize {
-        // The hash may be of any quality: spread it.
+        // Callers may use hashes of low quality, so mix the bits.
         let spread = hash.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         (spread as usize % SETS) * SLOTS_PER_SET
     }
 
-    /// Notes that `server` holds the prefix `hash`, as of `seen_at`.
+    /// Records that `server` held the prefix `hash` at `seen_at`.
     pub fn insert(&mut self, hash: u64, server: id::ServerKey, seen_at: time::Instant) {
         if self.slots.is_empty() {
             self.slots = vec![None; SETS * SLOTS_PER_SET];
@@ -135,8 +136,8 @@
         }
     }
 
-    /// The slot to give up: the oldest of the same prefix when that has its [`MAX_SERVERS_PER_PREFIX`], else the
-    /// oldest of the set.
+    /// Returns the slot to replace: the oldest slot of the same prefix if it already has
+    /// [`MAX_SERVERS_PER_PREFIX`] servers, otherwise the oldest slot of the set.
     fn oldest(slots: &[Option<AffinitySlot>], hash: u64) -> usize {
         let same = |slot: &Option<AffinitySlot>| slot.is_some_and(|slot| slot.hash == hash);
         let full = slots.iter().filter(|slot| same(slot)).count() >= MAX_SERVERS_PER_PREFIX;
@@ -146,7 +147,7 @@
             .unwrap_or(0)
     }
 
-    /// Notes that `server` dropped the prefix `hash` at `evicted_at`; a later note stands.
+    /// Removes the entry for `hash` on `server`, unless it is newer than `evicted_at`.
     pub fn remove(&mut self, hash: u64, server: id::ServerKey, evicted_at: time::Instant) {
         if self.slots.is_empty() {
             return;
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Forgets all that `server` matches: it restarted.
+    /// Removes all entries of `server`, which has restarted.
     pub fn clear(&mut self, server: id::ServerKey) {
         for slot in &mut self.slots {
             if slot.is_some_and(|slot| slot.server == server) {
@@ -171,7 +172,8 @@
         }
     }
 
-    /// Learns from a generation that was believed to find `believed` tokens and found `found`.
+    /// Updates the hit ratio with a generation for which `predicted` cached tokens were predicted
+    /// and `found` were reported.
     pub fn record_hit(&mut self, predicted: u32, found: u32) {
         const WEIGHT: f32 = 0.05;
         if predicted > 0 {
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Which servers are believed to hold a prefix of the prompt.
+    /// Returns the servers predicted to hold a prefix of the prompt.
     #[must_use]
     pub fn estimates(&self, prefix: &request::PrefixChain, now: time::Instant) -> EstimateList {
         let mut list = EstimateList::default();
--- a/crates/sched/src/core.rs
+++ b/crates/sched/src/core.rs
@@ -1,6 +1,7 @@
-//! The decision core: events in, decisions out, no I/O.
+//! Scheduling decisions without I/O: the core takes events and returns decisions.
 //!
-//! This file takes events; `dispatch` decides, `upkeep` keeps derived state up to date.
+//! This module holds the state and the event handlers. `dispatch` makes the decisions and
+//! `maintenance` refreshes derived state.
 
 use std::{cmp, collections};
 
@@ -16,16 +17,17 @@
     risk, settings, share, ticket, view,
 };
 
-/// Tokens after which a running generation's memory is worked out anew.
+/// Number of produced tokens after which the memory prediction of a running generation is
+/// recomputed.
 const LOAD_REFRESH_TOKENS: u32 = 16;
 
-/// What one first token moves the learnt rate of prefill by.
+/// Weight of one measured first-token delay in the moving average of the prefill rate.
 const PREFILL_RATE_WEIGHT: f32 = 0.05;
 
-/// Decides where and when each generation runs.
+/// Decides when each generation starts and on which server.
 ///
-/// Every call takes the current time; nothing happens between calls. The caller owns the arenas
-/// that organisation, server, model and VM keys come from.
+/// Every method takes the current time, and state changes only inside calls. The caller owns the
+/// arenas of the organisation, server, model and VM keys.
 #[derive(Debug)]
 pub struct DispatchCore {
     pub(crate) settings: settings::PolicySettings,
@@ -37,31 +39,32 @@
     pub(crate) lengths: length::LengthTable,
     pub(crate) affinity: affinity::AffinityTable,
     pub(crate) prefill_rate: f32,
-    /// Deadlines of waiting tickets, earliest first; tickets that no longer wait are skipped.
+    /// Deadlines of waiting tickets, earliest first. Entries of tickets that no longer wait are
+    /// skipped.
     pub(crate) deadlines: collections::BinaryHeap<cmp::Reverse<(time::Instant, TicketKey)>>,
-    /// Decided at submission, refused by the next poll.
+    /// Refusals decided by [`Self::submit`] and returned by the next [`Self::poll`].
     pub(crate) refusals: Vec<Decision>,
-    /// Servers with a report since victims were last looked for.
+    /// Servers that sent a load report since the last search for generations to preempt.
     pub(crate) reported: Vec<id::ServerKey>,
     pub(crate) maintained_at: Option<time::Instant>,
     pub(crate) swept_at: Option<time::Instant>,
-    /// Whether deadlines, rooms or queues may have changed since the last poll.
+    /// Number of waiting tickets in all queues.
     pub(crate) waiting: usize,
 }
 
-/// What waits and runs of one class.
+/// Number of waiting and running requests of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassLoad {
-    /// Requests that wait for a place.
+    /// Requests waiting in a queue.
     pub waiting: u32,
-    /// Requests that run.
+    /// Requests running on a server.
     pub running: u32,
-    /// Longest that one of the waiting has waited.
+    /// Wait time of the request that has waited the longest.
     pub oldest: time::Duration,
 }
 
 impl DispatchCore {
-    /// A core that knows no server and no organisation.
+    /// Creates a core without servers and organisations.
     #[must_use]
     pub fn new(settings: settings::PolicySettings, rng: rngs::StdRng) -> Self {
         Self {
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Replaces the settings; what runs keeps running.
+    /// Replaces the settings. Running generations are not affected.
     pub fn settings_changed(&mut self, settings: settings::PolicySettings) {
         self.organisations
             .set_entries(settings.organisation_entries);
@@ -92,7 +95,7 @@
         self.rank_candidates();
     }
 
-    /// A server came into being, or its inventory entry or models changed.
+    /// Handles a new server, or a change of a server's inventory entry or models.
     pub fn server_added(
         &mut self,
         server: id::ServerKey,
@@ -111,28 +114,31 @@
         self.rank_candidates();
     }
 
-    /// A server is gone. What ran there is still to be ended by its holders.
+    /// Handles the removal of a server. The holders of the tickets that ran there still have to end
+    /// them.
     pub fn server_removed(&mut self, server: id::ServerKey) {
         self.servers.remove(server);
         self.affinity.clear(server);
         self.rank_candidates();
     }
 
-    /// A server is leaving: it gets no new work; what runs there goes on.
+    /// Handles a server that is leaving: it gets no new work, and generations running there
+    /// continue.
     pub fn server_leaving(&mut self, server: id::ServerKey) {
         if let Some(view) = self.servers.get_mut(server) {
             view.leaving = true;
         }
     }
 
-    /// Membership suspects a server of having failed, or no longer does.
+    /// Handles a change of the membership's suspicion that a server has failed.
     pub fn server_suspected(&mut self, server: id::ServerKey, suspected: bool) {
         if let Some(view) = self.servers.get_mut(server) {
             view.suspected = suspected;
         }
     }
 
-    /// A server restarted: nothing that was known of its memory, cache or leaving holds.
+    /// Handles a restart of a server, which invalidates what was known of its memory, its cache and
+    /// whether it is leaving.
     pub fn server_restarted(&mut self, server: id::ServerKey, now: time::Instant) {
         self.affinity.clear(server);
         if let Some(view) = self.servers.get_mut(server) {
@@ -140,7 +146,7 @@
         }
     }
 
-    /// Another entry VM refused of its work for a model.
+    /// Handles a digest of another entry VM's work for a model.
     pub fn entry_reported(
         &mut self,
         vm: id::VmKey,
@@ -151,15 +157,15 @@
         self.fleet(model).shares.record(vm, digest, taken_at);
     }
 
-    /// Another entry VM is gone.
+    /// Handles the departure of another entry VM.
     pub fn entry_removed(&mut self, vm: id::VmKey) {
         for (_, fleet) in &mut self.models {
             fleet.shares.remove(vm);
         }
     }
 
-    /// What to tell the other entry VMs of this one's work, about once a second: one digest for
-    /// each model, also while there is no work for it.
+    /// Returns one digest of this VM's work for each model, to be sent to the other entry VMs about
+    /// once a second, also for models without work.
     pub fn entry_digests(&self) -> impl Iterator<Item = (id::ModelKey, share::EntryDigest)> + '_ {
         let weight = self.organisations.busy_weight() as f32;
         let identity = self.settings.identity;
@@ -168,8 +174,8 @@
             .map(move |(model, fleet)| (model, fleet.digest(identity, weight)))
     }
 
-    /// An engine stored (`cached`) or evicted a prefix, as of `at`. Only the lengths at which
-    /// prompts are compared are kept.
+    /// Handles an engine's report that it stored (`cached`) or evicted a prefix at `at`. Prefixes
+    /// of other lengths than those at which prompts are compared are ignored.
     pub fn prefix_reported(
         &mut self,
         server: id::ServerKey,
@@ -191,7 +197,7 @@
         }
     }
 
-    /// An organisation came into being, or its plan changed.
+    /// Handles a new organisation or a change of its plan.
     pub fn organisation_set(
         &mut self,
         organisation: id::OrganisationKey,
@@ -200,12 +206,12 @@
         self.organisations.set(organisation, plan);
     }
 
-    /// An organisation is gone.
+    /// Handles the removal of an organisation.
     pub fn organisation_removed(&mut self, organisation: id::OrganisationKey) {
         self.organisations.remove(organisation);
     }
 
-    /// Another of an organisation's entry VMs refused what it is asked for.
+    /// Handles the demand for an organisation that another of its entry VMs reported.
     pub fn demand_reported(
         &mut self,
         organisation: id::OrganisationKey,
@@ -222,15 +228,17 @@
         }
     }
 
-    /// What to tell an organisation's other entry VMs, about once a second.
+    /// Returns the demand of each limited organisation, to be sent to its other entry VMs about
+    /// once a second.
     pub fn demands(&self) -> impl Iterator<Item = (id::OrganisationKey, limit::LimitDemand)> + '_ {
         self.organisations.demands()
     }
 
-    /// The organisation's limit that would hold back one more request, with the time to wait.
+    /// Returns the organisation's limit that would delay one more request, and the time until that
+    /// request would be within the limit.
     ///
-    /// To be asked before deferrable work is accepted: [`Self::submit`] lets that wait for its
-    /// limit, since it may no longer be refused.
+    /// Callers check this before they accept deferrable work. [`Self::submit`] queues deferrable
+    /// work that is over its limit, because accepted work may no longer be refused.
     pub fn over_limit(
         &mut self,
         organisation: id::OrganisationKey,
@@ -243,7 +251,7 @@
             .with_account(organisation, now, |account, plan| account.refusal(plan))
     }
 
-    /// A generation wants a place. The answer comes from [`Self::poll`].
+    /// Submits a generation. The decision comes from [`Self::poll`].
     pub fn submit(&mut self, request: request::GenerationRequest, now: time::Instant) -> TicketKey {
         let source = length::LengthSource {
             organisation: request.organisation,
@@ -279,12 +287,12 @@
         ticket
     }
 
-    /// Its first token arrived.
+    /// Handles the first token of a generation.
     pub fn first_token(&mut self, ticket: TicketKey, now: time::Instant) {
         self.tokens(ticket, 1, now);
     }
 
-    /// `count` further tokens arrived, the first included.
+    /// Handles the arrival of `count` further tokens; the first token counts too.
     pub fn tokens(&mut self, ticket: TicketKey, count: u32, now: time::Instant) {
         let Some(state) = self.tickets.get_mut(ticket) else {
             return;
@@ -312,7 +320,7 @@
         }
     }
 
-    /// The engine showed that the generation lives, without a token.
+    /// Handles a sign of life from the engine for a generation, without a token.
     pub fn alive(&mut self, ticket: TicketKey, now: time::Instant) {
         let run = self.tickets.get(ticket).and_then(|state| state.run);
         if let Some(server) = run.and_then(|run| self.servers.get_mut(run.server)) {
@@ -320,18 +328,18 @@
         }
     }
 
-    /// An engine refused at a generation's end how many of its prompt's tokens were cached.
+    /// Handles the number of cached prompt tokens that an engine reports at the end of a
+    /// generation.
     pub fn cached(&mut self, ticket: TicketKey, tokens: u32) {
         if let Some(run) = self.tickets.get(ticket).and_then(|state| state.run) {
             self.affinity.record_hit(run.predicted_cached, tokens);
         }
     }
 
-    /// It ended by itself, with `produced` tokens in all.
+    /// Ends the ticket of a generation that completed with `produced` tokens in total.
     ///
-    /// The end of a generation may cross the order to stop it: then the ticket waits again by the
-    /// time its end is refused, and leaves its queue. Were it only forgotten, its queue would still
-    /// name it.
+    /// The completion may cross the request to stop the generation. The ticket is then waiting
+    /// again and has to be removed from its queue too, or the queue would keep a dangling entry.
     pub fn finished(&mut self, ticket: TicketKey, produced: u32, now: time::Instant) {
         let Some(state) = self.tickets.get(ticket) else {
             return;
@@ -351,7 +359,7 @@
         }
     }
 
-    /// It failed where it ran; the ticket is gone.
+    /// Ends the ticket of a generation that failed on its server.
     pub fn failed(&mut self, ticket: TicketKey, failure: request::FailureKind, now: time::Instant) {
         let Some(state) = self.tickets.get(ticket) else {
             return;
@@ -365,7 +373,7 @@
         self.close(ticket, run.produced, now);
     }
 
-    /// Its caller gave it up; the ticket is gone.
+    /// Ends the ticket of a request that its caller withdrew.
     pub fn withdrawn(&mut self, ticket: TicketKey, now: time::Instant) {
         let Some(state) = self.tickets.get(ticket) else {
             return;
@@ -388,7 +396,7 @@
             });
     }
 
-    /// A stopped generation waits again, ahead of its organisation's others.
+    /// Queues a stopped generation again, ahead of its organisation's other requests.
     pub fn requeued(&mut self, ticket: TicketKey, now: time::Instant) {
         let produced = self
             .tickets
@@ -401,7 +409,8 @@
         }
     }
 
-    /// When [`Self::poll`] is due if nothing else happens; absent when nothing waits.
+    /// Returns when [`Self::poll`] is due if no other event occurs, or `None` if nothing is
+    /// pending.
     #[must_use]
     pub fn next_wake(&self, now: time::Instant) -> Option<time::Instant> {
         let refused = !self.refusals.is_empty();
@@ -414,13 +423,14 @@
         due.then(|| now + interval)
     }
 
-    /// Requests that wait for a place.
+    /// Returns the number of requests waiting in a queue.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// What waits and runs of each class; looks at every ticket, so not for each decision.
+    /// Returns the load of each class. Iterates over all tickets, so it is too slow to call for
+    /// each decision.
     #[must_use]
     pub fn class_loads(&self, now: time::Instant) -> [ClassLoad; class::TrafficClass::ALL.len()] {
         let mut loads = [ClassLoad::default(); class::TrafficClass::ALL.len()];
@@ -437,19 +447,19 @@
         loads
     }
 
-    /// Requests that wait, with those that run.
+    /// Returns the number of waiting and running requests.
     #[must_use]
     pub fn tickets(&self) -> usize {
         self.tickets.len()
     }
 
-    /// What is known of a server.
+    /// Returns the state of a server.
     #[must_use]
     pub fn server(&self, server: id::ServerKey) -> Option<&view::ServerView> {
         self.servers.get(server)
     }
 
-    /// What a waiting request last waited for.
+    /// Returns what a waiting request last waited for.
     #[must_use]
     pub fn wait_cause(&self, ticket: TicketKey) -> Option<WaitCause> {
         let state = self.tickets.get(ticket)?;
@@ -461,14 +471,14 @@
             return;
         };
         let time = delay - server.step;
-        // Where others' work was in the way, or the prompt is small, the delay tells little.
+        // The delay says little about the rate if other work came first or the prompt is small.
         if run.prefill >= 128.0 && time > 1e-3 {
             let rate = (run.prefill / time).clamp(200.0, 200_000.0);
             self.prefill_rate += PREFILL_RATE_WEIGHT * (rate - self.prefill_rate);
         }
     }
 
-    /// Works out anew what a running generation holds and will hold.
+    /// Recomputes the current and future memory of a running generation.
     fn refresh_load(&mut self, ticket: TicketKey) {
         let state = &self.tickets[ticket];
         let Some(run) = state.run else { return };
@@ -491,7 +501,7 @@
         }
     }
 
-    /// Puts a ticket that does not run into its queue.
+    /// Puts a ticket that is not running into its queue.
     fn enqueue(&mut self, ticket: TicketKey, in_front: bool, now: time::Instant) {
         let state = &self.tickets[ticket];
         let (request, cost) = (state.request, state.cost());
@@ -522,7 +532,7 @@
         self.tickets.remove(ticket);
     }
 
-    /// Takes a running ticket off its server, after `produced` tokens.
+    /// Removes a running ticket from its server after `produced` tokens.
     fn release_server(&mut self, ticket: TicketKey, produced: u32, now: time::Instant) {
         let Some(state) = self.tickets.get_mut(ticket) else {
             return;
@@ -565,7 +575,7 @@
         &mut self.models[model]
     }
 
-    /// Why `ticket` is refused at its submission, with when to come back.
+    /// Returns the reason to refuse `ticket` at submission, if there is one, and the retry delay.
     fn refusal(
         &mut self,
         ticket: TicketKey,
--- a/crates/sched/src/dispatch.rs
+++ b/crates/sched/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Serving the queues: who is next, whether there is free, and where.
+//! Serves the queues: selects the next request, checks free capacity and chooses a server.
 
 use std::cmp;
 
@@ -15,24 +15,25 @@
     risk, route, ticket, victim, view,
 };
 
-/// Horizons at which a victim is looked for: memory that runs out later may yet come free.
+/// Number of memory horizons checked for preemption. Memory that would run out at a later horizon
+/// may still be freed before.
 const PREEMPTION_HORIZONS: usize = 2;
 
-/// What became of the front of a queue.
+/// Result of serving a queue once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServeOutcome {
-    /// One was dispatched, with this cost in total tokens.
+    /// A request was dispatched; the value is its cost in whole tokens.
     Served(u64),
-    /// One was set aside or dropped; look again.
+    /// A flow was parked; the queue has to be served again.
     Skipped,
-    /// None of the first few finds free.
+    /// No server has capacity for any of the requests considered.
     Blocked,
-    /// Nothing waits.
+    /// The queue is empty.
     Empty,
 }
 
 impl DispatchCore {
-    /// Appends what is to be done now.
+    /// Appends the decisions that are due now to `decisions`.
     pub fn poll(&mut self, now: time::Instant, decisions: &mut Vec<Decision>) {
         self.maintain(now);
         decisions.append(&mut self.refusals);
@@ -41,7 +42,8 @@
         if self.waiting == 0 {
             return;
         }
-        // Indexed by raw key list would allocate; a model that nothing waits for costs one test.
+        // Collecting the keys would allocate on each poll; checking a model without waiting
+        // requests is cheap.
         let mut next = self.models.keys().next();
         while let Some(model) = next {
             self.serve_model(model, now, decisions);
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Refuses what waited beyond its deadline.
+    /// Refuses waiting requests whose deadline has passed.
     fn expire(&mut self, now: time::Instant, decisions: &mut Vec<Decision>) {
         while let Some(&cmp::Reverse((deadline, ticket))) = self.deadlines.peek() {
             let waits = self
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Whether deferrable work is owed its part before more normal work is served.
+    /// Whether deferrable work has earned enough credit to be served before normal work.
     fn deferrable_due(&self, model: id::ModelKey) -> bool {
         let fleet = &self.models[model];
         let front = fleet.queues[class::TrafficClass::Deferrable.index()].front();
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Serves one of the first few of a queue.
+    /// Serves one request among the first few of a queue.
     fn serve(
         &mut self,
         model: id::ModelKey,
@@ -189,8 +191,9 @@
         }
     }
 
-    /// Keeps an engine for a front that found no free for long: else smaller requests behind it
-    /// would take each bit of free that comes free, and it would never be served.
+    /// Reserves an engine for the request at the front of a queue if it has been blocked for
+    /// `reserve_after`. Otherwise smaller requests behind it would take all capacity that becomes
+    /// free, and it would starve.
     fn reserve_server(&mut self, ticket: TicketKey, now: time::Instant) {
         let state = &mut self.tickets[ticket];
         let since = *state.blocked_at.get_or_insert(now);
@@ -218,7 +221,8 @@
         fleet.reservation = emptiest.map(|(_, server)| ServerReservation { ticket, server });
     }
 
-    /// Where a waiting ticket may go now, what it adds there, and the chance of running out.
+    /// Chooses a server for a waiting ticket. Returns the choice, the memory load that the ticket
+    /// adds there and the chance that the server then runs out of memory.
     fn find_server(
         &mut self,
         ticket: TicketKey,
@@ -279,7 +283,7 @@
         Ok((choice, load, chance))
     }
 
-    /// Bounds on the admission of `request`.
+    /// Computes the bounds on the admission of `request`.
     fn admission_bounds(
         &self,
         request: &crate::request::GenerationRequest,
@@ -291,7 +295,8 @@
         if !urgent {
             let demand = fleet.headroom.demand() + fleet.shares.others_urgent();
             let spread = self.settings.headroom_deviations * demand.sqrt();
-            // What urgent work uses now is in the loads already; own demand that is idle is not.
+            // Running urgent work is already part of the loads, so only the idle part of this VM's
+            // own demand is reserved.
             let engines = fleet.ring.len().max(1) as f32;
             slots = (fleet.headroom.idle() + spread) / engines;
             tokens = slots * fleet.headroom.tokens();
@@ -370,7 +375,8 @@
         }
     }
 
-    /// Stops something on servers that were reported to run out of memory.
+    /// Preempts a generation on each server whose latest report shows that it is about to run out
+    /// of memory.
     fn find_victims(&mut self, now: time::Instant, decisions: &mut Vec<Decision>) {
         while let Some(key) = self.reported.pop() {
             let Some(server) = self.servers.get(key) else {
--- a/crates/sched/src/fleet.rs
+++ b/crates/sched/src/fleet.rs
@@ -1,30 +1,31 @@
-//! What the core keeps of each model: its engines and its queues.
+//! State of each model: its engines and its queues.
 
 use base::{class, id};
 use tokio::time;
 
 use crate::{headroom, length, queue, request::TicketKey, share, view};
 
-/// Time over which demand is averaged.
+/// Time constant of the moving average of demand.
 const DEMAND_WINDOW: time::Duration = time::Duration::from_secs(8);
 
-/// Time with a backlog over which the rate of service is averaged.
+/// Time constant of the drain rate, in time with a backlog.
 const DRAIN_WINDOW: time::Duration = time::Duration::from_secs(10);
 
-/// Time with a backlog before the rate is taken to be known.
+/// Seconds with a backlog after which the drain rate counts as known.
 const MIN_DRAIN_BUSY_S: f64 = 2.0;
 
-/// Rate at which a queue is served while something waits in it.
+/// Rate at which a queue is served while it has a backlog.
 ///
-/// Only that time counts: of a queue that is mostly empty, what was served a second tells what
-/// was asked for, and a wait predicted from that would refuse what could be served at once.
+/// Time without a backlog does not count. If a queue is mostly empty, the rate over all time
+/// measures the demand, and a wait predicted from it would refuse requests that could be served at
+/// once.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainMeter {
-    /// Cost served, in generated tokens, faded over [`DRAIN_WINDOW`] of busy time.
+    /// Cost served, in generated tokens, decayed over [`DRAIN_WINDOW`] of busy time.
     served: f64,
-    /// Busy time in seconds, faded likewise.
+    /// Busy time in seconds, decayed in the same way.
     busy: f64,
-    /// Since when the queue has not been empty; absent while it is.
+    /// Start of the busy time that is not yet counted; `None` while the queue is empty.
     busy_since: Option<time::Instant>,
 }
 
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Carries the meter forward to `now`; `waits` tells whether the queue is not empty.
+    /// Advances the meter to `now`. `waits` is true if the queue is not empty.
     pub fn advance(&mut self, waits: bool, now: time::Instant) {
         if let Some(then) = self.busy_since {
             let age = now.saturating_duration_since(then).as_secs_f64();
@@ -48,14 +49,14 @@
         self.busy_since = waits.then_some(now);
     }
 
-    /// Something of `cost` was served after it had waited.
+    /// Counts the service of a request of `cost` that had waited.
     pub fn serve(&mut self, cost: f64) {
         if self.busy_since.is_some() {
             self.served += cost;
         }
     }
 
-    /// Seconds until `ahead` is served; absent while too little was seen to tell.
+    /// Returns the seconds until `ahead` is served, or `None` while the rate is unknown.
     #[must_use]
     pub fn wait(&self, ahead: f64) -> Option<f64> {
         let rate = self.served / self.busy.max(f64::EPSILON);
@@ -63,50 +64,48 @@
     }
 }
 
-/// A server that is kept for a request that found no room for long.
+/// Reservation of a server for a request that has been blocked for long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerReservation {
-    /// Who it is kept for.
+    /// Ticket that the server is reserved for.
     pub ticket: TicketKey,
-    /// The server.
+    /// Reserved server.
     pub server: id::ServerKey,
 }
 
-/// One model.
+/// Engines, queues and demand of one model.
 #[derive(Clone, Debug)]
 pub struct ModelFleet {
-    /// Candidate engines in the own region.
+    /// Candidate engines in this VM's region.
     pub local: Vec<id::ServerKey>,
     /// Candidate engines in other regions.
     pub remote: Vec<id::ServerKey>,
-    /// Engines in the own region that take new work, candidates or not, in ascending order of
-    /// identity.
+    /// Healthy engines in this VM's region, candidates or not, in ascending order of identity.
     pub ring: Vec<share::RingEngine>,
-    /// This VM's share of each of them.
+    /// This VM's share of each engine in `ring`.
     pub shares: share::ShareTable,
-    /// How many urgent generations there are at once.
+    /// Meter of concurrent urgent generations.
     pub headroom: headroom::HeadroomMeter,
-    /// Engine memory that own urgent and normal work asks for, in tokens, averaged over some
-    /// seconds.
+    /// Engine memory needed by this VM's urgent and normal work, in tokens, as a moving average.
     pub firm: f32,
-    /// The same for deferrable work.
+    /// Engine memory needed by this VM's deferrable work, in tokens, as a moving average.
     pub deferrable: f32,
-    /// What waits, as of now.
+    /// Current backlog of all queues, in tokens.
     pub waiting: f32,
     /// Waiting requests by class.
     pub queues: [queue::FairQueue; 3],
-    /// How fast each queue is served.
+    /// Drain rate of each queue.
     pub drains: [DrainMeter; 3],
-    /// Tokens that deferrable work is owed, against what normal work was given.
+    /// Credit of deferrable work in tokens, earned while normal work is served.
     pub credit: f64,
-    /// Kept for a request of the normal or the deferrable queue.
+    /// Server reserved for a request of the normal or the deferrable queue.
     pub reservation: Option<ServerReservation>,
-    /// What is known of others' generations; refreshed now and then.
+    /// Predicted remaining life of other VMs' generations; refreshed periodically.
     pub residual: length::ResidualCurve,
 }
 
 impl ModelFleet {
-    /// A model without engines.
+    /// Creates a model without engines.
     #[must_use]
     pub fn new(residual: length::ResidualCurve) -> Self {
         Self {
@@ -126,19 +125,20 @@
         }
     }
 
-    /// The queue of `class`.
+    /// Returns the queue of `class`.
     pub fn queue(&mut self, class: class::TrafficClass) -> &mut queue::FairQueue {
         &mut self.queues[class.index()]
     }
 
-    /// Carries the meters of service forward.
+    /// Advances the drain meters to `now`.
     pub fn advance_drains(&mut self, now: time::Instant) {
         for (drain, queue) in self.drains.iter_mut().zip(&self.queues) {
             drain.advance(!queue.is_empty(), now);
         }
     }
 
-    /// Moves the averaged demands by `age` towards what runs, `firm` and deferrable, and waits.
+    /// Updates the averaged demands after `age`, from the memory of running `firm` and deferrable
+    /// work and from the backlogs.
     pub fn measure_demand(&mut self, firm: f32, deferrable: f32, age: time::Duration) {
         let [urgent, normal, deferrable_queue] = &self.queues;
         let firm_waiting = (urgent.backlog() + normal.backlog()) as f32;
@@ -151,8 +151,8 @@
         self.deferrable = keep.mul_add(self.deferrable - deferrable, deferrable);
     }
 
-    /// Where there are more engines than candidates, takes those that this VM covers on the ring
-    /// and the next after them.
+    /// If there are more engines than candidates, makes the engines that this VM covers on the ring
+    /// and the ones following them the candidates.
     pub fn follow_shares(&mut self, candidates: usize) {
         if self.ring.len() <= candidates {
             return;
@@ -164,7 +164,7 @@
         }
     }
 
-    /// What the other entry VMs are told.
+    /// Returns the digest to send to the other entry VMs.
     #[must_use]
     pub fn digest(&self, identity: u64, weight: f32) -> share::EntryDigest {
         share::EntryDigest {
@@ -178,8 +178,8 @@
     }
 }
 
-/// Chooses the candidates among `engines`: the `count` that rank highest for this VM, so that
-/// the subset is stable when engines come and go and differs between VMs.
+/// Returns the `count` engines that rank highest for this VM. The subset is stable when engines are
+/// added or removed, and differs between VMs.
 pub fn candidates(
     engines: impl Iterator<Item = id::ServerKey>,
     seed: u64,
@@ -193,14 +193,14 @@
     ranking.into_iter().map(|(_, key)| key).collect()
 }
 
-/// Finalizer of a 64-bit hash (splitmix64).
+/// Finalizer of the splitmix64 hash.
 fn splitmix64(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
 }
 
-/// Whether `place` lies in the own region.
+/// Returns whether `location` is in the region of `own`.
 #[must_use]
 pub fn same_region(own: view::ServerLocation, location: view::ServerLocation) -> bool {
     own.region == location.region
--- a/crates/sched/src/headroom.rs
+++ b/crates/sched/src/headroom.rs
@@ -1,19 +1,19 @@
-//! Room kept free for urgent work, from how much of it there has been.
+//! Capacity reserved for urgent work, derived from recent urgent demand.
 
 use tokio::time;
 
-/// Time over which the slow mean is taken: what urgent work usually needs.
+/// Time constant of the slow mean, which tracks the usual urgent demand.
 const SLOW_WINDOW: time::Duration = time::Duration::from_secs(60);
 
-/// Time over which the fast mean is taken: what it needs in a burst.
+/// Time constant of the fast mean, which tracks bursts of urgent demand.
 const FAST_WINDOW: time::Duration = time::Duration::from_secs(2);
 
-/// Measures the urgent generations that this VM has at once.
+/// Measures the number of concurrent urgent generations at this VM.
 #[derive(Clone, Debug)]
 pub struct HeadroomMeter {
     slow: f32,
     fast: f32,
-    /// Tokens that one of them holds at its end.
+    /// Mean number of tokens that an urgent generation holds at its end.
     tokens: f32,
     running: f32,
     measured_at: Option<time::Instant>,
@@ -32,13 +32,13 @@
 }
 
 impl HeadroomMeter {
-    /// An urgent generation begins or ends, at `change` of +1 or -1.
+    /// Counts the start (`change` +1) or the end (-1) of an urgent generation.
     pub fn change(&mut self, change: f32, now: time::Instant) {
         self.advance(now);
         self.running = (self.running + change).max(0.0);
     }
 
-    /// Carries the means forward to `now`.
+    /// Advances the means to `now`.
     pub fn advance(&mut self, now: time::Instant) {
         if let Some(then) = self.measured_at {
             let age = now.saturating_duration_since(then).as_secs_f32();
@@ -50,7 +50,7 @@
         self.measured_at = Some(now);
     }
 
-    /// Learns the size of one that ended.
+    /// Adds the final size of an urgent generation to the mean size.
     pub fn learn(&mut self, tokens: f32) {
         const WEIGHT: f32 = 0.02;
         if self.tokens == 0.0 {
@@ -60,19 +60,19 @@
         }
     }
 
-    /// Urgent generations at once, as a mean that rises fast and falls slowly.
+    /// Returns the mean number of concurrent urgent generations; it rises fast and falls slowly.
     #[must_use]
     pub fn demand(&self) -> f32 {
         self.slow.max(self.fast)
     }
 
-    /// Demand that nothing runs for at this moment.
+    /// Returns the part of the demand that is not running at this moment.
     #[must_use]
     pub fn idle(&self) -> f32 {
         (self.demand() - self.running).max(0.0)
     }
 
-    /// Tokens that one of them holds.
+    /// Returns the mean number of tokens that an urgent generation holds.
     #[must_use]
     pub fn tokens(&self) -> f32 {
         self.tokens
--- a/crates/sched/src/length.rs
+++ b/crates/sched/src/length.rs
@@ -1,8 +1,9 @@
-//! How long outputs turn out to be: decayed histograms, finest first.
+//! Prediction of output lengths from decayed histograms.
 //!
-//! The length of an output is unknown when it starts. What is known is how long those of the same
-//! organisation, class and model were, and how far this one has come. A thin histogram is filled
-//! up from the next coarser one, so that a new organisation begins with what its class does.
+//! The output length is unknown when a generation starts. Known are the lengths of earlier outputs
+//! of the same organisation, class and model, and how many tokens this one has produced. A
+//! histogram with few samples is blended with the next coarser one, so that a new organisation
+//! starts from the distribution of its class.
 
 use std::collections;
 
@@ -10,25 +11,27 @@
 
 use crate::risk;
 
-/// Buckets of one histogram: two an octave from 4 tokens to 65,536, and one below.
+/// Number of histogram buckets: two per octave from 4 tokens to 65,536, and one below.
 const BUCKETS: usize = 30;
 
-/// Upper end of the first bucket, in tokens.
+/// Upper edge of the first bucket, in tokens.
 const FIRST_EDGE: f32 = 4.0;
 
-/// Lengths after which an older one counts half in the histogram of an organisation.
+/// Half-life of a sample in an organisation's histogram, in number of later samples.
 const FINE_HALF_LIFE: f32 = 200.0;
 
-/// The same for a class of a model over all organisations.
+/// Half-life of a sample in the histogram of a class over all organisations, in number of later
+/// samples.
 const COARSE_HALF_LIFE: f32 = 2_000.0;
 
-/// Lengths that the next coarser histogram counts for.
+/// Weight of the next coarser histogram as a prior, in samples.
 const PRIOR_WEIGHT: f32 = 12.0;
 
-/// Longest output reckoned with where a generation's own limit is unknown.
+/// Maximum output length assumed where a generation's own limit is unknown.
 const DEFAULT_MAX_TOKENS: f32 = 8_192.0;
 
-/// Place of `tokens` on the axis of buckets; the fraction tells how far into its bucket.
+/// Returns the position of `tokens` on the bucket axis; the fraction is the position within the
+/// bucket.
 fn bucket_position(tokens: f32) -> f32 {
     if tokens < FIRST_EDGE {
         tokens.max(0.0) / FIRST_EDGE
@@ -38,7 +41,7 @@
     }
 }
 
-/// Tokens at bucket edge `edge`.
+/// Returns the number of tokens at bucket edge `edge`.
 fn edge_tokens(edge: usize) -> f32 {
     if edge == 0 {
         0.0
@@ -47,12 +50,13 @@
     }
 }
 
-/// Decayed lengths, kept as the weight of those longer than each bucket edge.
+/// Decayed histogram of lengths, stored as the weight of the samples above each bucket edge.
 #[derive(Clone, Debug)]
 pub struct LengthHistogram {
-    /// Weight of lengths survival edge `i`; descends, and the first is the all weight.
+    /// Weight of the lengths above edge `i`, in descending order; the first entry is the total
+    /// weight.
     weight_above_edge: [f32; BUCKETS + 1],
-    /// What one further length multiplies the older ones with.
+    /// Factor applied to older samples when a sample is added.
     decay: f32,
 }
 
@@ -64,23 +68,23 @@
         }
     }
 
-    /// Adds one length.
+    /// Adds a sample.
     pub fn add(&mut self, tokens: u32) {
         let position = bucket_position(tokens as f32);
         for (edge, weight) in self.weight_above_edge.iter_mut().enumerate() {
             *weight *= self.decay;
-            // Spread over its bucket, so that the survival function has no steps.
+            // Spread the sample over its bucket so that the survival function has no steps.
             *weight += (position + 1.0 - edge as f32).clamp(0.0, 1.0);
         }
     }
 
-    /// Weight of all lengths.
+    /// Returns the total weight of all samples.
     #[must_use]
     pub fn weight(&self) -> f32 {
         self.weight_above_edge[0]
     }
 
-    /// Weight of the lengths survival `position`.
+    /// Returns the weight of the samples above `position`.
     fn weight_above(&self, position: f32) -> f32 {
         let edge = (position as usize).min(BUCKETS - 1);
         let fraction = (position - edge as f32).min(1.0);
@@ -93,34 +97,34 @@
 }
 
 slotmap::new_key_type! {
-    /// Key of an organisation's histogram; a stale one falls back to its class's.
+    /// Key of an organisation's histogram. A stale key falls back to the histogram of the class.
     pub struct HistogramKey;
 }
 
-/// Whose lengths to go by.
+/// Selects the histograms that predict a generation's length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LengthSource {
-    /// The organisation.
+    /// Organisation of the request.
     pub organisation: id::OrganisationKey,
-    /// The model.
+    /// Model of the request.
     pub model: id::ModelKey,
-    /// The class.
+    /// Traffic class of the request.
     pub class: class::TrafficClass,
 }
 
-/// Survival function of one generation's all length.
+/// Survival function of one generation's total length.
 #[derive(Clone, Copy, Debug)]
 pub struct LengthCurve<'a> {
     fine: Option<&'a LengthHistogram>,
     coarse: Option<&'a LengthHistogram>,
-    /// The most that the generation may produce.
+    /// Maximum number of tokens that the generation may produce.
     max_tokens: f32,
-    /// Place of `max_tokens`; the prior is uniform up to it on the axis of buckets.
+    /// Position of `max_tokens`. The prior is uniform on the bucket axis up to it.
     max_position: f32,
 }
 
 impl LengthCurve<'_> {
-    /// Chance of a length survival `tokens`.
+    /// Returns the probability that the length exceeds `tokens`.
     #[must_use]
     pub fn survival(&self, tokens: f32) -> f32 {
         if tokens >= self.max_tokens {
@@ -132,7 +136,7 @@
         Self::blend(self.fine, position, coarse)
     }
 
-    /// Expected further tokens of a generation that has come to `produced`.
+    /// Returns the expected further tokens of a generation that has produced `produced`.
     #[must_use]
     pub fn expected_remaining(&self, produced: f32) -> f32 {
         let alive = self.survival(produced);
@@ -162,12 +166,12 @@
     }
 }
 
-/// One organisation's histogram with what finds it.
+/// Histogram of one organisation and its key in the index.
 #[derive(Clone, Debug)]
 struct FineEntry {
     source: LengthSource,
     histogram: LengthHistogram,
-    /// Cleared by the hand that looks for one to drop; set by use.
+    /// Reference bit of the clock algorithm: set on use, cleared when the clock hand passes.
     recent: bool,
 }
 
@@ -175,7 +179,7 @@
 #[derive(Clone, Debug)]
 struct CoarseEntry {
     classes: [LengthHistogram; 3],
-    /// All classes together.
+    /// Histogram of all classes together.
     all: LengthHistogram,
 }
 
@@ -189,31 +193,32 @@
     }
 }
 
-/// What is known of a generation met at a random moment, not at its start.
+/// Predicted remaining life of a generation that is observed at a random time instead of at its
+/// start.
 #[derive(Clone, Copy, Debug)]
 pub struct ResidualCurve {
-    /// Chance that it still runs at each horizon.
+    /// Probability that it still runs at each horizon.
     pub alive: risk::HorizonRow,
-    /// Expected all length of an output, in tokens.
+    /// Expected total length of an output, in tokens.
     pub mean_length: f32,
 }
 
-/// All histograms of this process, bounded in number.
+/// All histograms of this process. Their number is bounded.
 #[derive(Clone, Debug)]
 pub struct LengthTable {
     coarse: slotmap::SecondaryMap<id::ModelKey, CoarseEntry>,
     fine: slotmap::SlotMap<HistogramKey, FineEntry>,
-    /// Holds exactly the keys of `fine`.
+    /// Contains exactly the keys of `fine`.
     index: collections::HashMap<LengthSource, HistogramKey>,
-    /// Keys of `fine` in a ring; the hand goes round it.
+    /// Keys of `fine` in the order in which the clock hand passes them.
     ring: Vec<HistogramKey>,
     hand: usize,
-    /// Never more organisations' histograms than this.
+    /// Maximum number of organisations' histograms.
     capacity: usize,
 }
 
 impl LengthTable {
-    /// A table of at most `capacity` organisations' histograms.
+    /// Creates a table of at most `capacity` organisations' histograms.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -226,7 +231,7 @@
         }
     }
 
-    /// Learns one all length.
+    /// Adds the total length of a completed output.
     pub fn learn(&mut self, source: LengthSource, tokens: u32) {
         if !self.coarse.contains_key(source.model) {
             self.coarse.insert(source.model, CoarseEntry::default());
@@ -243,13 +248,13 @@
         entry.recent = true;
     }
 
-    /// The key of the organisation's histogram; null while there is none.
+    /// Returns the key of the organisation's histogram, or the null key if there is none.
     #[must_use]
     pub fn find(&self, source: LengthSource) -> HistogramKey {
         self.index.get(&source).copied().unwrap_or_default()
     }
 
-    /// The curve that fits best.
+    /// Returns the length curve from the most specific histograms available.
     #[must_use]
     pub fn curve(&self, source: LengthSource, key: HistogramKey, max: u32) -> LengthCurve<'_> {
         let max_tokens = max.max(1) as f32;
@@ -262,9 +267,11 @@
         }
     }
 
-    /// What is known of a running generation of `model` of whose start and class nothing is.
+    /// Returns the prediction for a running generation of `model` whose start and class are
+    /// unknown.
     ///
-    /// A long output is met more often than a short one, in proportion to its length.
+    /// The chance of observing an output while it runs is proportional to its length, so long
+    /// outputs weigh more than short ones.
     #[must_use]
     pub fn residual(&self, model: id::ModelKey) -> ResidualCurve {
         let curve = LengthCurve {
@@ -281,13 +288,13 @@
         ResidualCurve { alive, mean_length }
     }
 
-    /// Number of organisations' histograms.
+    /// Returns the number of organisations' histograms.
     #[must_use]
     pub fn len(&self) -> usize {
         self.fine.len()
     }
 
-    /// Whether nothing was learnt.
+    /// Returns whether no sample was added.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.coarse.is_empty()
@@ -313,7 +320,7 @@
         key
     }
 
-    /// Second chance: the first in the ring that was not used since the hand last passed.
+    /// Clock algorithm: returns the first entry that was not used since the hand last passed it.
     fn index_to_evict(&mut self) -> usize {
         loop {
             let index = self.hand;
--- a/crates/sched/src/limit.rs
+++ b/crates/sched/src/limit.rs
@@ -1,42 +1,42 @@
-//! Limits of an organisation over all its entry VMs, without agreement between them.
+//! Limits of an organisation across all its entry VMs, without coordination between them.
 //!
-//! Each VM enforces a fraction of the limit: its own recent demand over that of all, by the
-//! digests that the VMs exchange. The fraction rises slowly and falls at once. Were it to rise at
-//! once, a demand that moves from one VM to another would be served at both until their digests
-//! cross; rising by at most `1 / FRACTION_RAMP` a second, it is served too much by at most the digests'
-//! age over `FRACTION_RAMP`, for each VM that gains.
+//! Each VM enforces a fraction of the limit: its own recent demand divided by the total demand
+//! known from the digests that the VMs exchange. The fraction rises slowly and falls at once. If it
+//! rose at once, demand that moves from one VM to another would be served at both until they
+//! received each other's digests. With a rise of at most `1 / FRACTION_RAMP` per second, the excess
+//! is at most the digests' age over `FRACTION_RAMP` for each VM whose fraction grows.
 
 use base::id;
 use tokio::time;
 
 use crate::{explain, settings};
 
-/// Time that a fraction takes from nothing to the whole.
+/// Time in which a fraction may rise from 0 to 1.
 const FRACTION_RAMP: time::Duration = time::Duration::from_secs(8);
 
-/// Seconds of a rate that may be used at once.
+/// Burst allowance, in seconds of the rate.
 const BURST_SECONDS: f64 = 1.0;
 
-/// Time over which demand is averaged.
+/// Time constant of the moving average of demand.
 const DEMAND_WINDOW: time::Duration = time::Duration::from_secs(5);
 
-/// A peer's demand older than this counts as none.
+/// Age at which a peer's demand is no longer counted.
 const DEMAND_TIMEOUT: time::Duration = time::Duration::from_secs(15);
 
-/// Peers remembered of one organisation.
+/// Maximum number of peers tracked per organisation.
 const MAX_PEERS: usize = 4;
 
-/// Demand that each VM is taken to have at least, as a part of the limit.
+/// Minimum demand assumed for each VM, as a fraction of the limit.
 const MIN_DEMAND_FRACTION: f64 = 0.05;
 
-/// What an organisation asks of one entry VM.
+/// Demand of an organisation at one entry VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitDemand {
-    /// Requests a second, refused ones included.
+    /// Requests per second, including refused ones.
     pub requests_per_second: f32,
-    /// Generated tokens a second that it would use.
+    /// Generated tokens per second that the requests would use.
     pub tokens_per_second: f32,
-    /// Generations that run or wait.
+    /// Running and waiting generations.
     pub generations: f32,
 }
 
@@ -51,19 +51,19 @@
     }
 }
 
-/// Which limit holds a request back.
+/// Limit that delays a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitKind {
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Generated tokens a second.
+    /// Generated tokens per second.
     Tokens,
-    /// Generations at once.
+    /// Concurrent generations.
     Generations,
 }
 
 impl LimitKind {
-    /// What a caller is told.
+    /// Returns the refusal reason for callers.
     #[must_use]
     pub const fn reason(self) -> explain::RefusalReason {
         match self {
@@ -81,26 +81,26 @@
     taken_at: time::Instant,
 }
 
-/// One active organisation's use of its limits at this VM.
+/// Use of its limits by one active organisation at this VM.
 #[derive(Clone, Debug)]
 pub struct LimitAccount {
-    /// Fraction of each limit that this VM enforces, by [`LimitKind`].
+    /// Fraction of each limit that this VM enforces, indexed by [`LimitKind`].
     fractions: [f64; 3],
-    /// Requests that may come now; negative when deferrable work was taken beyond them.
+    /// Token bucket of requests; negative when deferrable work was accepted beyond it.
     requests: f64,
-    /// Tokens that may be generated now; negative when a generation went on longer than reckoned.
+    /// Token bucket of generated tokens; negative when a generation was longer than expected.
     tokens: f64,
     demand: LimitDemand,
     peers: [Option<PeerDemand>; MAX_PEERS],
-    /// Generations that run.
+    /// Number of running generations.
     pub running: u32,
-    /// Generations that wait.
+    /// Number of waiting generations.
     pub waiting: u32,
     advanced_at: time::Instant,
 }
 
 impl LimitAccount {
-    /// An account of an organisation that was idle, at one of its `entries` VMs.
+    /// Creates the account of a previously idle organisation at one of its `entries` VMs.
     #[must_use]
     pub fn new(plan: &settings::OrganisationPlan, entries: u32, now: time::Instant) -> Self {
         let fraction = 1.0 / f64::from(entries.max(1));
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Carries buckets, demand and fractions forward to `now`.
+    /// Advances the token buckets, the demand and the fractions to `now`.
     pub fn advance(&mut self, plan: &settings::OrganisationPlan, entries: u32, now: time::Instant) {
         let age = now
             .saturating_duration_since(self.advanced_at)
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Which limit holds back one more request, and for how long.
+    /// Returns the limit that one more request would exceed, and the delay until it no longer
+    /// would.
     #[must_use]
     pub fn refusal(
         &self,
@@ -200,7 +201,7 @@
         (self.tokens <= 0.0).then(|| time::Duration::from_secs_f64(seconds.clamp(0.001, 3_600.0)))
     }
 
-    /// Whether a waiting generation may start now.
+    /// Returns whether a waiting generation may start now.
     #[must_use]
     pub fn may_start(&self, plan: &settings::OrganisationPlan) -> bool {
         let slots = plan
@@ -210,39 +211,39 @@
         !slots_full && self.token_delay(plan).is_none()
     }
 
-    /// A request came, whether it is then refused or not.
+    /// Records the demand of a request, whether or not it is then refused.
     pub fn record_request(&mut self, expected_tokens: f64) {
         let rate = DEMAND_WINDOW.as_secs_f64().recip();
         self.demand.requests_per_second += rate as f32;
         self.demand.tokens_per_second += (expected_tokens * rate) as f32;
     }
 
-    /// A request is taken.
+    /// Counts an accepted request.
     pub fn accept(&mut self) {
         self.requests -= 1.0;
         self.waiting += 1;
     }
 
-    /// A generation starts that is reckoned to bring `tokens`.
+    /// Counts the start of a generation that is expected to produce `tokens`.
     pub fn start(&mut self, tokens: f64) {
         self.tokens -= tokens;
         self.running += 1;
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// A generation ended that brought `excess` tokens more than it was reckoned to.
+    /// Counts the end of a generation that produced `excess` more tokens than expected.
     pub fn end(&mut self, excess: f64) {
         self.tokens -= excess;
         self.running = self.running.saturating_sub(1);
     }
 
-    /// What the organisation's other entry VMs are told.
+    /// Returns the demand to report to the organisation's other entry VMs.
     #[must_use]
     pub fn demand(&self) -> LimitDemand {
         self.demand
     }
 
-    /// What another of the organisation's entry VMs told.
+    /// Records the demand reported by another of the organisation's entry VMs.
     pub fn record_peer(&mut self, vm: id::VmKey, demand: LimitDemand, taken_at: time::Instant) {
         let same = |peer: &Option<PeerDemand>| peer.is_some_and(|peer| peer.vm == vm);
         let oldest = || {
@@ -262,7 +263,7 @@
         }
     }
 
-    /// Whether nothing would be lost by forgetting the account.
+    /// Returns whether the account can be dropped without losing information.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let no_recent_requests = self.demand.requests_per_second < 0.01;
--- a/crates/sched/src/queue.rs
+++ b/crates/sched/src/queue.rs
@@ -1,10 +1,11 @@
-//! Queues in which work waits here, not in an engine: weighted fair share in tokens among
-//! organisations, by start-time fair queueing.
+//! Weighted fair queues: waiting requests are held here instead of in an engine, and tokens are
+//! shared among organisations by start-time fair queueing.
 //!
-//! Each organisation's flow has a tag, in tokens over weight. The flow with the lowest tag is
-//! served next; serving it raises its tag by what it was given. A flow that was idle starts at
-//! the queue's own time, so idling saves up nothing. A flow that empties keeps its tag while that
-//! lies ahead of the queue's time: else an organisation could clear its debt by pausing.
+//! Each organisation has a flow with a tag in tokens per weight. The flow with the lowest tag is
+//! served next, which raises its tag by the cost over its weight. A flow that was idle starts at
+//! the queue's virtual time, so it earns no credit while idle. A flow that becomes empty keeps a
+//! tag that is ahead of the virtual time; otherwise an organisation could clear its debt by
+//! pausing.
 
 use std::{cmp, collections};
 
@@ -12,35 +13,35 @@
 
 use crate::request::TicketKey;
 
-/// One organisation's part of a queue.
+/// The flow of one organisation.
 #[derive(Clone, Debug, Default)]
 struct QueueFlow {
     organisation: id::OrganisationKey,
     weight: f64,
-    /// Tokens over weight at which it is due.
+    /// Virtual time at which the flow is due, in tokens over weight.
     tag: f64,
-    /// In order of service.
+    /// Tickets in the order of service.
     tickets: collections::VecDeque<QueuedTicket>,
     /// Sum of `cost` over `tickets`.
     backlog: f64,
-    /// Whether it has tickets.
+    /// Whether the flow has tickets.
     active: bool,
-    /// Whether the heap holds it: it is active and not parked.
+    /// Whether the heap contains the flow: it is active and not parked.
     queued: bool,
-    /// Whether it is set aside until a limit allows more.
+    /// Whether the flow is parked until a limit permits more work.
     parked: bool,
 }
 
-/// One waiting ticket with what serving it is reckoned to cost.
+/// A waiting ticket and its estimated cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QueuedTicket {
-    /// The ticket.
+    /// Key of the ticket.
     pub ticket: TicketKey,
-    /// Expected tokens.
+    /// Expected cost in tokens.
     pub cost: f64,
 }
 
-/// Order in the heap: the lowest tag first, then the lowest key.
+/// Entry of the heap, ordered by lowest tag, then by lowest key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct HeapEntry {
     tag: f64,
@@ -62,10 +63,11 @@
     }
 }
 
-/// Flows that are looked at beyond the first when that cannot be served.
+/// Maximum number of flows considered at once, so that a flow that cannot be served does not block
+/// the others.
 pub const MAX_FRONTS: usize = 4;
 
-/// Empty flows that are kept for their tag before the first clearing.
+/// Minimum number of empty flows kept for their tags before idle flows are evicted.
 const INITIAL_IDLE_FLOW_LIMIT: usize = 64;
 
 /// Waiting tickets of one class and model, shared fairly among organisations.
@@ -74,44 +76,45 @@
     flows: slab::Slab<QueueFlow>,
     keys: collections::HashMap<id::OrganisationKey, usize>,
     heap: collections::BinaryHeap<HeapEntry>,
-    /// Places of the flows that are set aside.
+    /// Keys of the parked flows.
     parked: Vec<usize>,
-    /// Tag of the flow served last; never falls.
+    /// Virtual time: the tag of the flow served last; never decreases.
     time: f64,
-    /// Sum over flows of their tickets.
+    /// Number of tickets in all flows.
     len: usize,
-    /// Sum over flows of their backlog.
+    /// Sum of the backlogs of all flows.
     backlog: f64,
     /// Sum of the weights of flows with tickets.
     weight: f64,
     /// Number of flows without tickets.
     idle: usize,
-    /// Number of them at which they are next cleared; twice what the last clearing left.
+    /// Number of idle flows at which they are next evicted: twice the number left by the last
+    /// eviction.
     idle_limit: usize,
-    /// Emptied deques, kept for their memory.
+    /// Empty deques, kept to reuse their memory.
     spare: Vec<collections::VecDeque<QueuedTicket>>,
 }
 
 impl FairQueue {
-    /// Waiting tickets.
+    /// Returns the number of waiting tickets.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no ticket is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Expected tokens of all that waits.
+    /// Returns the expected tokens of all waiting tickets.
     #[must_use]
     pub fn backlog(&self) -> f64 {
         self.backlog
     }
 
-    /// Appends a ticket to its organisation's flow, or puts it in front of that.
+    /// Adds a ticket at the back of its organisation's flow, or at the front if `in_front`.
     pub fn push(
         &mut self,
         organisation: id::OrganisationKey,
@@ -139,15 +142,15 @@
         }
     }
 
-    /// The ticket that is served next.
+    /// Returns the ticket that is served next.
     #[must_use]
     pub fn front(&self) -> Option<QueuedTicket> {
         let entry = self.heap.peek()?;
         self.flows[entry.key].tickets.front().copied()
     }
 
-    /// The tickets that are served next, one of each flow, at most `fronts.len()` of them.
-    /// Returns how many there are.
+    /// Writes the tickets that are served next to `fronts`, one of each flow, and returns their
+    /// number.
     pub fn fronts(&mut self, fronts: &mut [QueuedTicket]) -> usize {
         let mut entries = [HeapEntry { tag: 0.0, key: 0 }; MAX_FRONTS];
         let limit = fronts.len().min(MAX_FRONTS);
@@ -164,7 +167,7 @@
         count
     }
 
-    /// Takes the front of the organisation's flow and charges it.
+    /// Removes the first ticket of the organisation's flow and charges the flow for it.
     pub fn pop(&mut self, organisation: id::OrganisationKey) -> Option<QueuedTicket> {
         let key = *self.keys.get(&organisation)?;
         if !self.remove_from_heap(key) {
@@ -179,7 +182,7 @@
         Some(queued)
     }
 
-    /// Sets aside a flow that may not be served now; [`Self::unpark`] brings it back.
+    /// Parks a flow that may not be served now, until [`Self::unpark`] returns it to the heap.
     pub fn park(&mut self, organisation: id::OrganisationKey) {
         if let Some(&key) = self.keys.get(&organisation)
             && self.remove_from_heap(key)
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Brings back the parked flows that `ready` allows.
+    /// Returns the parked flows for which `ready` is true to the heap.
     pub fn unpark(&mut self, mut ready: impl FnMut(id::OrganisationKey) -> bool) {
         let mut index = 0;
         while let Some(&key) = self.parked.get(index) {
@@ -203,7 +206,8 @@
         }
     }
 
-    /// Takes a ticket out of the middle; its organisation is charged nothing.
+    /// Removes a ticket from any position of its flow without charging the organisation. Returns
+    /// whether the ticket was found.
     pub fn remove(&mut self, organisation: id::OrganisationKey, ticket: TicketKey) -> bool {
         let Some(&key) = self.keys.get(&organisation) else {
             return false;
@@ -221,10 +225,10 @@
         true
     }
 
-    /// Charges an organisation `tokens` more than it was reckoned, or less when negative.
+    /// Charges an organisation `tokens` more than the estimate, or less if negative.
     ///
-    /// A flow in the heap keeps its key there until it is next served: the correction counts
-    /// from then on.
+    /// A flow that is in the heap keeps its position there until it is next served; the correction
+    /// takes effect afterwards.
     pub fn correct(&mut self, organisation: id::OrganisationKey, tokens: f64) {
         if let Some(&key) = self.keys.get(&organisation) {
             let flow = &mut self.flows[key];
@@ -232,12 +236,12 @@
         }
     }
 
-    /// Expected tokens that are served before a ticket appended now.
+    /// Returns the expected tokens that are served before a ticket appended now.
     #[must_use]
     pub fn ahead(&self, organisation: id::OrganisationKey, weight: f64) -> f64 {
         let flow = self.keys.get(&organisation).map(|&key| &self.flows[key]);
         let own = flow.map_or(0.0, |flow| {
-            // A tag ahead of the queue's time is tokens that others are given first.
+            // While the tag is ahead of the virtual time, other flows are served first.
             (flow.tag - self.time)
                 .max(0.0)
                 .mul_add(flow.weight, flow.backlog)
@@ -278,7 +282,7 @@
         self.len -= 1;
     }
 
-    /// Takes a flow out of the heap; says whether it was there.
+    /// Removes a flow from the heap. Returns whether it was there.
     fn remove_from_heap(&mut self, key: usize) -> bool {
         if !self.flows[key].queued {
             return false;
@@ -291,7 +295,8 @@
                 break;
             }
             if count == MAX_FRONTS {
-                // Far from the front, which only a withdrawal is: search the rest.
+                // Only a withdrawal removes a flow this far from the front, so a linear search is
+                // acceptable.
                 self.heap.push(entry);
                 self.heap.retain(|entry| entry.key != key);
                 break;
@@ -303,7 +308,7 @@
         true
     }
 
-    /// Puts a flow that is out of the heap back, or to rest when it is empty.
+    /// Returns a flow to the heap, or marks it idle if it is empty.
     fn requeue(&mut self, key: usize) {
         let flow = &mut self.flows[key];
         if flow.tickets.is_empty() {
@@ -324,7 +329,8 @@
         }
     }
 
-    /// Drops empty flows whose tag the queue's time has reached: nothing is known by them.
+    /// Drops empty flows whose tag is not ahead of the virtual time. Recreating such a flow gives
+    /// the same tag.
     fn evict_idle_flows(&mut self) {
         let (time, keys, spare) = (self.time, &mut self.keys, &mut self.spare);
         let before = self.flows.len();
--- a/crates/sched/src/risk.rs
+++ b/crates/sched/src/risk.rs
@@ -1,29 +1,29 @@
-//! Memory at risk: how full an engine will be, as mean and variance at a few distances ahead.
+//! Prediction of engine memory: mean and variance at several horizons.
 //!
-//! A generation that holds `c` tokens now and still runs after `d` further steps holds `c + d`
-//! then; one that has ended holds nothing. The chance that it still runs comes from its length
-//! curve, given how far it has come. Summing the final sizes instead would count as if all
-//! reached their end at once, and would leave a third of the memory unused.
+//! A generation that holds `c` tokens now and still runs after `d` further steps then holds `c + d`
+//! tokens; a generation that has ended holds none. The chance that it still runs comes from its
+//! length curve, given the tokens produced so far. Adding up the final sizes instead would assume
+//! that all generations end at the same time, and would leave a third of the memory unused.
 
 use crate::length;
 
-/// Distances ahead at which memory is looked at, in tokens of each generation.
+/// Prediction horizons, in further tokens per generation.
 pub const HORIZONS: [f32; 5] = [0.0, 64.0, 256.0, 1_024.0, 3_072.0];
 
-/// One value at each of [`HORIZONS`].
+/// One value per horizon in [`HORIZONS`].
 pub type HorizonRow = [f32; HORIZONS.len()];
 
 /// Expected memory in tokens and its variance, at each horizon.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MemoryLoad {
-    /// Expected tokens held.
+    /// Expected number of tokens held.
     pub mean: HorizonRow,
-    /// Variance of that.
+    /// Variance of the number of tokens held.
     pub variance: HorizonRow,
 }
 
 impl MemoryLoad {
-    /// What one generation adds that holds `context` tokens and has come to `produced`.
+    /// Returns the load of one generation that holds `context` tokens and has produced `produced`.
     #[must_use]
     pub fn of_generation(curve: &length::LengthCurve<'_>, context: f32, produced: f32) -> Self {
         let mut load = Self::default();
@@ -41,7 +41,6 @@
         load
     }
 
-    /// Adds another load.
     pub fn add(&mut self, other: &Self) {
         for index in 0..HORIZONS.len() {
             self.mean[index] += other.mean[index];
@@ -49,7 +48,7 @@
         }
     }
 
-    /// Takes away a load that was added; rounding never leaves a negative rest.
+    /// Subtracts a load that was added before. Rounding errors never make the result negative.
     pub fn subtract(&mut self, other: &Self) {
         for index in 0..HORIZONS.len() {
             self.mean[index] = (self.mean[index] - other.mean[index]).max(0.0);
@@ -58,7 +57,8 @@
     }
 }
 
-/// Deviations from the mean that are exceeded with `chance`, for a normal distribution.
+/// Returns the number of standard deviations above the mean that a normal distribution exceeds with
+/// probability `chance`.
 ///
 /// Rational approximation of the inverse normal tail, exact to 0.0005 (Abramowitz and Stegun,
 /// 26.2.23).
@@ -78,7 +78,7 @@
     if chance <= 0.5 { value } else { -value }
 }
 
-/// Chance that a normal distribution exceeds its mean by `deviations`.
+/// Returns the probability that a normal distribution exceeds its mean by `deviations`.
 #[must_use]
 pub fn tail_chance(deviations: f32) -> f32 {
     let distance = deviations.abs();
@@ -93,7 +93,7 @@
     if deviations >= 0.0 { tail } else { 1.0 - tail }
 }
 
-/// Chance that `load` exceeds `capacity` tokens at some horizon.
+/// Returns the highest probability over all horizons that `load` exceeds `capacity` tokens.
 #[must_use]
 pub fn overflow_chance(load: &MemoryLoad, capacity: f32) -> f32 {
     let mut worst = 0.0f32;
@@ -105,7 +105,8 @@
     worst
 }
 
-/// Whether `load` stays within `capacity` at every horizon, by `deviations` of its spread.
+/// Returns whether `load` stays within `capacity` at every horizon, with a margin of `deviations`
+/// standard deviations.
 #[must_use]
 pub fn fits(load: &MemoryLoad, capacity: f32, deviations: f32) -> bool {
     (0..HORIZONS.len()).all(|index| {
--- a/crates/sched/src/route.rs
+++ b/crates/sched/src/route.rs
@@ -1,10 +1,10 @@
-//! Choice of a server among candidates: predicted time to first token with cached prefixes, and
-//! recent failures; among the near-best at random, in proportion to the room that each is
-//! expected to have.
+//! Choice of a server among the candidates, by predicted time to first token (taking cached
+//! prefixes into account) and recent failures. Among the servers with nearly the best score, one is
+//! drawn at random, weighted by expected free capacity.
 //!
-//! Many entry VMs read the same lagged report. Were each to choose the engine with the most room,
-//! all would send their urgent work there until the next report, and overfill it. Drawn in
-//! proportion to the room, what all of them send together meets the room that there is.
+//! Many entry VMs read the same delayed report. If each chose the engine with the most free
+//! capacity, all would send their urgent work there until the next report and overfill it. With a
+//! weighted draw, the combined load of all VMs matches the capacity available.
 
 use base::id;
 use rand::{Rng, RngExt as _};
@@ -12,54 +12,54 @@
 
 use crate::{admission, affinity, explain, request, risk, settings, share, view};
 
-/// Most candidates compared in one decision.
+/// Maximum number of candidates compared in one decision.
 pub const MAX_CANDIDATES: usize = 64;
 
-/// A server that shows nothing for this many steps is taken to be in trouble.
+/// Number of step durations without any sign of life after which a server counts as unhealthy.
 const SILENCE_TIMEOUT_STEPS: f32 = 25.0;
 
-/// The same in seconds, at least.
+/// Lower bound of the silence timeout, in seconds.
 const MIN_SILENCE_TIMEOUT_S: f32 = 0.75;
 
 /// Weight in the draw of an engine that is expected to be full.
 const MIN_DRAW_WEIGHT: f32 = 0.1;
 
-/// Faded failures above this keep a server out; below it and above [`PROBE_THRESHOLD`] it gets one
-/// generation at a time.
+/// Decayed failure score above which a server is excluded. Between [`PROBE_THRESHOLD`] and this
+/// score it gets one generation at a time.
 const EXCLUSION_THRESHOLD: f32 = 0.5;
 
-/// Faded failures below this count for nothing.
+/// Decayed failure score below which failures do not affect health.
 const PROBE_THRESHOLD: f32 = 0.05;
 
-/// What a choice is made for.
+/// Request for a server.
 #[derive(Debug)]
 pub struct RouteQuery<'a> {
-    /// What is to be placed.
+    /// Generation to place.
     pub request: &'a request::GenerationRequest,
-    /// What it would add to a server's memory.
+    /// Memory load that the generation would add to a server.
     pub load: &'a risk::MemoryLoad,
-    /// Bounds on each server.
+    /// Bounds on the admission to each server.
     pub bounds: &'a admission::AdmissionBounds,
-    /// Kept for another request; not to be chosen.
+    /// Server that is reserved for another request and must not be chosen.
     pub reserved: Option<id::ServerKey>,
-    /// Learnt rate at which engines take in prompts, in tokens a second.
+    /// Learnt rate of prefill, in prompt tokens per second.
     pub prefill_rate: f32,
 }
 
-/// A chosen server.
+/// Result of a choice.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteChoice {
-    /// Where to.
+    /// Chosen server.
     pub server: id::ServerKey,
-    /// What decided.
+    /// Reason for the choice.
     pub cause: explain::ChoiceCause,
-    /// Servers that had room.
+    /// Number of servers with free capacity.
     pub candidates: u16,
     /// Predicted time to first token, in seconds.
     pub first_token: f32,
-    /// Tokens believed to be cached there.
+    /// Prompt tokens predicted to be in the server's cache.
     pub cached: u32,
-    /// Prompt tokens that it has to take in.
+    /// Expected number of prompt tokens that the server has to prefill.
     pub prefill: f32,
 }
 
@@ -72,22 +72,22 @@
     prefix: affinity::PrefixEstimate,
 }
 
-/// What choices are made by.
+/// Inputs that are the same for all choices of one decision.
 #[derive(Debug)]
 pub struct RouteContext<'a> {
-    /// All servers.
+    /// All known servers.
     pub servers: &'a slotmap::SecondaryMap<id::ServerKey, view::ServerView>,
-    /// Where the prompt's prefixes are believed to be.
+    /// Predicted cache hits for the prompt.
     pub estimates: &'a affinity::EstimateList,
     /// This VM's share of each server.
     pub shares: &'a share::ShareTable,
-    /// Weights.
+    /// Policy settings.
     pub settings: &'a settings::PolicySettings,
-    /// The time of the decision.
+    /// Time of the decision.
     pub now: time::Instant,
 }
 
-/// Whether a server may get new work at all, as far as server_location health goes.
+/// Returns whether a server's health permits new work.
 #[must_use]
 pub fn healthy(server: &view::ServerView, now: time::Instant) -> bool {
     if server.leaving || server.suspected {
@@ -105,11 +105,11 @@
 }
 
 impl RouteContext<'_> {
-    /// The choice among `candidates`.
+    /// Chooses a server among `candidates`.
     ///
     /// # Errors
     ///
-    /// What the request has to wait for.
+    /// Returns what the request has to wait for if no candidate can take it.
     pub fn choose<R: Rng + ?Sized>(
         &self,
         candidates: &[id::ServerKey],
@@ -126,7 +126,8 @@
         let mut scored = [none; MAX_CANDIDATES];
         let mut found = self.score_all(candidates, query, true, &mut scored);
         if matches!(found, Err(explain::WaitCause::Server)) {
-            // Every server in health was tried before: better again than not at all.
+            // All healthy servers were tried before. Retrying one of them is better than not
+            // running.
             found = self.score_all(candidates, query, false, &mut scored);
         }
         let count = found?;
--- a/crates/sched/src/share.rs
+++ b/crates/sched/src/share.rs
@@ -1,92 +1,95 @@
-//! This VM's share of the engines that it sends work to beside other entry VMs.
+//! Share of each engine that this VM may use where several entry VMs send work to the same engines.
 //!
-//! Reports of engines are old, so several VMs that fill the same engine overfill it or leave it
-//! idle. Each engine is therefore mostly filled by one VM, or by two: all engines of a model lie
-//! on a ring in an order that every process knows, each as long as its memory, and the VMs that
-//! have work for the model lie on the same ring, each as long as what it is allotment. Where a VM's
-//! length covers an engine, that is its share of it. What a VM is allotment is the smaller of what it
-//! asks for and a fair portion by the weights of its organisations, so an organisation that sends
-//! ten times its share takes no other VM's engines.
+//! Load reports are delayed, so several VMs that fill the same engine would overfill it or leave it
+//! idle. Each engine is therefore mostly filled by one or two VMs. All engines of a model lie on a
+//! ring, ordered the same way in every process, and each covers a length equal to its memory. The
+//! VMs with work for the model lie on the same ring, and each covers a length equal to its
+//! allotment. The part of an engine that a VM's length covers is the VM's share of it. The
+//! allotment is the smaller of the VM's demand and its fair share by the weights of its
+//! organisations, so an organisation that sends ten times its share does not take engines from
+//! other VMs.
 //!
-//! Every VM works this out from the digests that it has, without agreement. Digests differ in
-//! age, so neighbours on the ring may both claim the engine between them, or neither: a small portion
-//! of the room, and the next digests mend it.
+//! Every VM computes this from the digests it has, without coordination. Digests differ in age, so
+//! neighbours on the ring may both claim the engine at their boundary, or neither may. This affects
+//! only a small part of the capacity and is corrected by the next digests.
 
 use base::id;
 use tokio::time;
 
-/// What one entry VM tells the others of its work for one model, in gossip, about once a second.
+/// Summary of one entry VM's work for one model, sent to the other entry VMs by gossip about once a
+/// second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EntryDigest {
-    /// Tells the VM's place on the ring; equal in every process, different for each VM.
+    /// Position of the VM on the ring: the same number in every process, and different for each VM.
     pub identity: u64,
-    /// Sum of the weights of the organisations with work there.
+    /// Sum of the weights of the organisations with work at the VM.
     pub weight: f32,
-    /// Engine memory that its running and waiting urgent and normal work asks for, in tokens.
+    /// Engine memory needed by running and waiting urgent and normal work, in tokens.
     pub firm: f32,
-    /// The same for deferrable work.
+    /// Engine memory needed by running and waiting deferrable work, in tokens.
     pub deferrable: f32,
-    /// The portion of both that waits.
+    /// Waiting part of `firm` and `deferrable` together.
     pub waiting: f32,
-    /// Urgent generations at once, see [`crate::headroom`].
+    /// Number of concurrent urgent generations, see [`crate::headroom`].
     pub urgent: f32,
 }
 
-/// A digest older than this says nothing any more.
+/// Age at which a digest is discarded.
 const DIGEST_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-/// What the division of a ring follows.
+/// Parameters of the division of a ring.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareRule {
-    /// Part of the total_weight that deferrable work is owed.
+    /// Fraction of the total capacity guaranteed to deferrable work.
     pub floor: f32,
-    /// Part of each engine's room that goes to whoever has work waiting, wherever on the ring.
+    /// Fraction of each engine's capacity that goes to the VMs with waiting work, regardless of
+    /// their position on the ring.
     pub common_fraction: f32,
-    /// What a VM may be allotment, as a multiple of its demand: above 1, else growth would wait for a
-    /// digest.
+    /// Maximum allotment of a VM as a multiple of its demand. It is above 1 so that growing demand
+    /// need not wait for the next digest.
     pub demand_factor: f32,
 }
 
-/// An engine on the ring.
+/// Engine on the ring.
 #[derive(Clone, Copy, Debug)]
 pub struct RingEngine {
-    /// The engine.
+    /// Key of the engine.
     pub server: id::ServerKey,
-    /// Tells its place; equal in every process.
+    /// Position on the ring: the same number in every process.
     pub identity: u64,
-    /// Its length: its memory, in tokens.
+    /// Length on the ring: the engine's memory in tokens.
     pub capacity: f32,
 }
 
-/// A VM on the ring.
+/// Entry VM on the ring.
 #[derive(Clone, Copy, Debug)]
 struct RingEntry {
     identity: u64,
     weight: f32,
-    /// Most that it is allotment for its urgent and normal work.
+    /// Maximum allotment for urgent and normal work.
     firm: f32,
-    /// The same for deferrable work.
+    /// Maximum allotment for deferrable work.
     deferrable: f32,
-    /// What it may be allotment in the round of division under way.
+    /// Maximum additional allotment in the current round of the division.
     demand: f32,
     allotment: f32,
 }
 
-/// Digests of the other entry VMs for one model, and what follows from them.
+/// Digests of the other entry VMs for one model, and the shares computed from them.
 #[derive(Clone, Debug, Default)]
 pub struct ShareTable {
     digests: slotmap::SecondaryMap<id::VmKey, (EntryDigest, time::Instant)>,
-    /// Ranked by identity; kept for its memory.
+    /// Entries in ascending order of identity; kept to reuse the memory.
     entries: Vec<RingEntry>,
     /// Share of each engine; empty while no digest is known.
     shares: slotmap::SecondaryMap<id::ServerKey, f32>,
     others_urgent: f32,
-    /// Part that is not laid on the ring, see [`ShareRule`].
+    /// Fraction that is not distributed on the ring, see [`ShareRule::common_fraction`].
     common_fraction: f32,
 }
 
 impl ShareTable {
-    /// Another VM's digest arrived; one older than the newest of it is ignored.
+    /// Records another VM's digest, unless a newer one from that VM is known.
     pub fn record(&mut self, vm: id::VmKey, digest: EntryDigest, taken_at: time::Instant) {
         let known = self.digests.get(vm);
         if known.is_none_or(|(_, known_at)| *known_at < taken_at) {
@@ -94,13 +97,13 @@
         }
     }
 
-    /// Another VM is gone.
+    /// Removes a VM that has departed.
     pub fn remove(&mut self, vm: id::VmKey) {
         self.digests.remove(vm);
     }
 
-    /// Works out the shares anew; called now and then, not for each decision. `engines` are in
-    /// ascending order of identity;
+    /// Recomputes the shares. Called periodically rather than for each decision. `engines` are in
+    /// ascending order of identity.
     pub fn refresh(
         &mut self,
         own: &EntryDigest,
@@ -139,7 +142,7 @@
         self.assign_shares(own.identity, engines, common);
     }
 
-    /// Lays the VMs and the engines on the ring and notes what this VM covers.
+    /// Places the VMs and the engines on the ring and records this VM's share of each engine.
     fn assign_shares(&mut self, own: u64, engines: &[RingEngine], common: f32) {
         self.entries.sort_unstable_by_key(|entry| entry.identity);
         let before = self
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Place in `engines` of the first engine that this VM covers.
+    /// Returns the index in `engines` of the first engine that this VM covers.
     #[must_use]
     pub fn first_covered(&self, engines: &[RingEngine]) -> Option<usize> {
         let own = self.common_fraction + f32::EPSILON;
@@ -169,21 +172,21 @@
             .position(|engine| self.share(engine.server).is_some_and(|share| share > own))
     }
 
-    /// This VM's share of the room on `server`; absent while nothing is known of other VMs.
+    /// Returns this VM's share of the capacity of `server`, or `None` while no other VM is known.
     #[must_use]
     pub fn share(&self, server: id::ServerKey) -> Option<f32> {
         self.shares.get(server).copied()
     }
 
-    /// Urgent generations at once at the other VMs.
+    /// Returns the number of concurrent urgent generations at the other VMs.
     #[must_use]
     pub fn others_urgent(&self) -> f32 {
         self.others_urgent
     }
 }
 
-/// Divides `capacity`: first to urgent and normal work, what is left to deferrable work, which is
-/// owed `floor` of the total_weight; then what nobody asks for to all by weight.
+/// Divides `capacity`: first among urgent and normal work, then what is left among deferrable work,
+/// which is guaranteed `floor` of the total. The unused remainder is divided by weight.
 fn divide_all(entries: &mut [RingEntry], capacity: f32, floor: f32) {
     let deferrable: f32 = entries.iter().map(|entry| entry.deferrable).sum();
     let owed = deferrable.min(floor * capacity);
@@ -201,8 +204,8 @@
     }
 }
 
-/// Divides `capacity` by weight, nobody more than it wants while others want more. Returns what
-/// is left over.
+/// Divides `capacity` by weighted max-min fairness: no entry gets more than its demand while others
+/// want more. Returns what is left over.
 fn divide(entries: &mut [RingEntry], capacity: f32) -> f32 {
     entries.sort_unstable_by(|left, right| {
         let levels = (left.demand / left.weight, right.demand / right.weight);
--- a/crates/sched/src/view.rs
+++ b/crates/sched/src/view.rs
@@ -1,78 +1,78 @@
-//! What this entry VM knows of each model engine: lagged reports, corrected by its own streams.
+//! State of each model engine as seen by this entry VM: delayed load reports, corrected by the
+//! generations that this VM runs there.
 //!
-//! A report tells how full the engine was when its watcher looked, half a second to some seconds
-//! ago. What this VM had there at that moment is taken out of it; the residual is what others have,
-//! and their part is unknown until the next report. Were each of nine entry VMs to fill the room
-//! that the same report shows, they would fill it nine times over. So each takes only its share
-//! of the room, and again what its own ended generations gave back since.
+//! A report shows the load of an engine half a second to some seconds ago. The part of this VM at
+//! that time is subtracted; the remainder belongs to other VMs and stays unknown until the next
+//! report. If each of nine entry VMs filled the free capacity shown by the same report, they would
+//! fill it nine times over. Each VM therefore takes only its share of the free capacity, plus what
+//! its own ended generations have freed since.
 
 use base::{class, id};
 use tokio::time;
 
 use crate::{length, request::TicketKey, risk, ticket};
 
-/// Where a server or an entry VM stands. The numbers are the caller's; equal means same.
+/// Location of a server or an entry VM. The caller assigns the numbers; equal numbers mean the same
+/// region or failure domain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerLocation {
-    /// Number of its region.
+    /// Number of the region.
     pub region: u16,
-    /// Number of its failure domain.
+    /// Number of the failure domain.
     pub failure_domain: u16,
 }
 
-/// What the inventory says of a model engine.
+/// Inventory data of a model engine.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
-    /// Hash of its name: equal in every process, different for each engine.
+    /// Hash of the engine's name: the same in every process, and different for each engine.
     pub identity: u64,
-    /// Where it stands.
+    /// Location of the engine.
     pub location: ServerLocation,
-    /// Models that it serves now.
+    /// Models that the engine serves now.
     pub models: Vec<id::ModelKey>,
-    /// KV cache blocks that it has.
+    /// Total number of KV cache blocks.
     pub total_blocks: u32,
-    /// Tokens in one block.
+    /// Tokens per KV cache block.
     pub block_tokens: u32,
-    /// Generations that it runs at once at the most.
+    /// Maximum number of concurrent generations.
     pub max_batch: u32,
 }
 
-/// One load report of an engine, as its watcher took it.
+/// Load report of an engine, as polled by its watcher.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadReport {
-    /// Instant on this VM's clock that the load is as of: arrival less its age.
+    /// Time of the measurement on this VM's clock: arrival time minus age.
     pub taken_at: time::Instant,
-    /// KV cache blocks that it has.
+    /// Total number of KV cache blocks.
     pub total_blocks: u32,
-    /// Blocks that no generation holds.
+    /// KV cache blocks that no generation holds.
     pub free_blocks: u32,
-    /// Generations in its batch.
+    /// Generations in the engine's batch.
     pub running: u32,
-    /// Generations in its own queue.
+    /// Generations in the engine's own queue.
     pub waiting: u32,
-    /// Preemptions since it started.
+    /// Preemptions since the engine started.
     pub preemptions: u64,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving.
     pub leaving: bool,
 }
 
-/// Generations and the memory that they hold and will hold.
+/// Number of generations and the memory that they hold now and later.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadSum {
-    /// Generations.
+    /// Number of generations.
     pub running: f32,
-    /// Their memory, in tokens.
+    /// Memory of the generations, in tokens.
     pub memory: risk::MemoryLoad,
 }
 
 impl LoadSum {
-    /// Adds one generation.
     pub fn add_generation(&mut self, load: &risk::MemoryLoad) {
         self.running += 1.0;
         self.memory.add(load);
     }
 
-    /// Takes one generation away.
     pub fn remove_generation(&mut self, load: &risk::MemoryLoad) {
         self.running = (self.running - 1.0).max(0.0);
         self.memory.subtract(load);
@@ -82,61 +82,61 @@
     }
 }
 
-/// One own generation that ended, kept until a report tells of a later moment.
+/// Generation of this VM that ended, kept until a report was taken after its end.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedGeneration {
-    /// When it ended.
+    /// Time of its end.
     pub at: time::Instant,
-    /// What it held.
+    /// Memory that it held.
     pub load: risk::MemoryLoad,
 }
 
-/// Ended generations remembered of one server; more are summed as if still running.
+/// Maximum number of ended generations tracked per server. Older ones count as if still running.
 const MAX_ENDED_LOADS: usize = 128;
 
-/// Failures fade to half with this time.
+/// Half-life of the failure score.
 const FAILURE_HALF_LIFE: time::Duration = time::Duration::from_secs(5);
 
-/// What one token's arrival moves the estimate of the step by.
+/// Weight of one token interval in the moving average of the step duration.
 const STEP_DURATION_WEIGHT: f32 = 0.03;
 
-/// One model engine as this entry VM sees it.
+/// Model engine as seen by this entry VM.
 #[derive(Clone, Debug)]
 pub struct ServerView {
-    /// What the inventory says of it.
+    /// Inventory data of the engine.
     pub spec: EngineSpec,
-    /// Once true, stays true for this life of the server.
+    /// Whether the engine is leaving; stays true for this incarnation of the server.
     pub leaving: bool,
-    /// Whether membership suspects it.
+    /// Whether membership suspects the server of having failed.
     pub suspected: bool,
-    /// Own generations, running or just started.
+    /// This VM's generations, running or just started.
     pub own: LoadSum,
-    /// Own deferrable ones among them.
+    /// Deferrable generations among `own`.
     pub own_deferrable: LoadSum,
-    /// Others' generations as of the newest report.
+    /// Other VMs' generations as of the latest report.
     pub others: LoadSum,
-    /// Own ones that were started since the newest report was taken.
+    /// Generations in `own` that were started after the latest report was taken.
     pub started: LoadSum,
-    /// Own ones that ended since then.
+    /// This VM's generations that ended after the latest report was taken.
     pub ended: LoadSum,
-    /// Own tickets, in no order.
+    /// Tickets of this VM's generations, in no particular order.
     pub tickets: Vec<TicketKey>,
-    /// The newest report.
+    /// Latest load report.
     pub report: Option<LoadReport>,
-    /// A number in 0..1, drawn with each report, by which shares of room are rounded: over all
-    /// entry VMs the mean is exact, though each takes total_memory generations.
+    /// Random number in 0..1, drawn anew with each report, that rounds shares of capacity to whole
+    /// generations. The shares are exact in the mean over all entry VMs.
     pub draw: f32,
-    /// Seconds between two tokens of one generation; 0 while unknown.
+    /// Mean seconds between two tokens of one generation; 0 while unknown.
     pub step: f32,
-    /// Prompt tokens sent there that have not brought a first token yet.
+    /// Prompt tokens sent to the engine for generations that have no first token yet.
     pub prefill: f32,
-    /// Own generations without a first token.
+    /// Number of this VM's generations without a first token.
     pub unstarted: u32,
-    /// When the engine last showed a sign of life to an own generation.
+    /// Time of the engine's latest sign of life to a generation of this VM.
     pub active_at: time::Instant,
-    /// Variance that one second adds to others' memory, in tokens squared.
+    /// Variance added to other VMs' memory per second, in tokens squared.
     memory_churn: f32,
-    /// Generations of others that end, and as many that begin, in one second.
+    /// Number of other VMs' generations that end per second, and of those that start.
     turnover: f32,
     ended_log: std::collections::VecDeque<EndedGeneration>,
     failure: f32,
@@ -144,7 +144,7 @@
 }
 
 impl ServerView {
-    /// A server of which nothing but its inventory entry is known.
+    /// Creates a server of which only its inventory data is known.
     #[must_use]
     pub fn new(spec: EngineSpec, now: time::Instant) -> Self {
         Self {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Tokens that its memory holds.
+    /// Returns the size of the engine's memory in tokens.
     #[must_use]
     pub fn capacity(&self) -> f32 {
         let blocks = self
@@ -180,14 +180,15 @@
         (blocks * self.spec.block_tokens) as f32
     }
 
-    /// Age of the newest report.
+    /// Returns the age of the latest report.
     #[must_use]
     pub fn report_age(&self, now: time::Instant) -> Option<time::Duration> {
         let report = self.report?;
         Some(now.saturating_duration_since(report.taken_at))
     }
 
-    /// What rounding a generation's memory up to total_memory blocks adds, in tokens, in the mean.
+    /// Returns the mean number of tokens added by rounding a generation's memory up to whole
+    /// blocks.
     #[must_use]
     pub fn rounding(&self) -> f32 {
         self.spec.block_tokens as f32 / 2.0
@@ -198,7 +199,7 @@
             .is_none_or(|report| started_at > report.taken_at)
     }
 
-    /// An own generation starts there. Returns its index in `tickets`.
+    /// Counts the start of a generation of this VM. Returns its index in `tickets`.
     pub fn start(
         &mut self,
         ticket: TicketKey,
@@ -221,14 +222,14 @@
         self.tickets.len() - 1
     }
 
-    /// An own generation's first token came.
+    /// Handles the first token of a generation of this VM.
     pub fn first_token(&mut self, prefill: f32, now: time::Instant) {
         self.active_at = now;
         self.failure = 0.0;
         self.end_prefill(prefill);
     }
 
-    /// A generation no longer waits for its first token.
+    /// Stops counting a generation as waiting for its first token.
     fn end_prefill(&mut self, prefill: f32) {
         self.unstarted = self.unstarted.saturating_sub(1);
         self.prefill = (self.prefill - prefill).max(0.0);
@@ -237,7 +238,7 @@
         }
     }
 
-    /// An own generation's memory was worked out anew.
+    /// Replaces the predicted memory of a generation of this VM.
     pub fn refresh_load(
         &mut self,
         old: &risk::MemoryLoad,
@@ -257,7 +258,8 @@
         }
     }
 
-    /// An own generation ended there. The ticket that takes its index in `tickets` has moved.
+    /// Counts the end of a generation of this VM. The last ticket in `tickets` moves to the index
+    /// of the ended one.
     pub fn end(&mut self, run: &ticket::RunState, deferrable: bool, now: time::Instant) {
         self.tickets.swap_remove(run.index);
         self.own.remove_generation(&run.load);
@@ -279,7 +281,8 @@
         self.ended_log.push_back(EndedGeneration { at: now, load });
     }
 
-    /// The engine restarted: others' generations, its leaving and its failures are gone.
+    /// Resets other VMs' generations, the leaving state and the failures after a restart of the
+    /// engine.
     pub fn restart(&mut self, now: time::Instant) {
         self.leaving = false;
         self.suspected = false;
@@ -293,8 +296,8 @@
         self.started = self.own;
     }
 
-    /// Takes in a newer report. `own_at_report` is what this VM had there when it was taken, as far
-    /// as it still runs; `started` what it has started there since.
+    /// Applies a newer report. `own_at_report` is the load of this VM's still running generations
+    /// when the report was taken; `started` is the load of those started since.
     pub fn take_report(
         &mut self,
         report: LoadReport,
@@ -332,7 +335,7 @@
         self.others.running = running;
         for (index, distance) in risk::HORIZONS.into_iter().enumerate() {
             let (alive, size) = (residual.alive[index], each + distance);
-            // Sizes differ about as much as they are large, hence the factor of 2.
+            // The standard deviation of the sizes is about their mean, hence the factor of 2.
             let spread = if distance == 0.0 {
                 0.0
             } else {
@@ -345,21 +348,23 @@
             };
             self.others.memory.variance[index] = running * spread * size * size;
         }
-        // Each ends once in its mean length, and about as many begin.
+        // Each generation ends once per mean length, and about as many start.
         let step = if self.step > 0.0 { self.step } else { 0.03 };
         let turnover = running / (residual.mean_length * step).max(step);
         self.memory_churn = 2.0 * turnover * each * each;
         self.turnover = turnover;
     }
 
-    /// Deviation of the number of generations there, from the age of what is known of others'.
+    /// Returns the standard deviation of the number of generations, from the age of the latest
+    /// report.
     #[must_use]
     pub fn running_spread(&self, now: time::Instant) -> f32 {
         let age = self.report_age(now).unwrap_or_default().as_secs_f32();
         (2.0 * self.turnover * age).sqrt()
     }
 
-    /// Memory of all generations there, own and others', with the doubt that age brings.
+    /// Returns the memory of all generations, including the uncertainty caused by the age of the
+    /// report.
     #[must_use]
     pub fn total_memory(&self, now: time::Instant) -> risk::MemoryLoad {
         let mut load = self.own.memory;
@@ -371,24 +376,25 @@
         load
     }
 
-    /// A token came `interval` after the one before it.
+    /// Records the `interval` between two tokens of a generation.
     pub fn record_step(&mut self, interval: f32, now: time::Instant) {
         self.active_at = now;
         self.step = if self.step == 0.0 {
             interval
         } else {
-            // A preempted stream's interval is not a step: bound what one can do.
+            // The interval during a preemption is not a step, so the effect of a single interval is
+            // bounded.
             STEP_DURATION_WEIGHT.mul_add(interval.min(4.0 * self.step) - self.step, self.step)
         };
     }
 
-    /// A generation or call failed there.
+    /// Adds a failed generation or call to the failure score.
     pub fn fail(&mut self, weight: f32, now: time::Instant) {
         self.failure = self.failure(now) + weight;
         self.failure_at = now;
     }
 
-    /// Recent failures, faded by age.
+    /// Returns the failure score, decayed by age.
     #[must_use]
     pub fn failure(&self, now: time::Instant) -> f32 {
         if self.failure == 0.0 {
@@ -398,7 +404,7 @@
         self.failure * (-age / FAILURE_HALF_LIFE.as_secs_f32()).exp2()
     }
 
-    /// Engine priority of a class.
+    /// Returns the engine priority of a class.
     #[must_use]
     pub const fn priority(class: class::TrafficClass) -> u8 {
         class.index() as u8
