--- a/crates/sched/src/core.rs
+++ b/crates/sched/src/core.rs
@@ -268,7 +268,7 @@
             histogram,
             submitted_at: now,
             blocked_at: None,
-            wait: WaitCause::None,
+            wait_cause: WaitCause::None,
             expected,
             run: None,
         };
@@ -463,7 +463,7 @@
     #[must_use]
     pub fn wait_cause(&self, ticket: TicketKey) -> Option<WaitCause> {
         let state = self.tickets.get(ticket)?;
-        state.run.is_none().then_some(state.wait)
+        state.run.is_none().then_some(state.wait_cause)
     }
 
     fn update_prefill_rate(&mut self, run: &ticket::RunState, delay: f32) {
--- a/crates/sched/src/dispatch.rs
+++ b/crates/sched/src/dispatch.rs
@@ -66,7 +66,7 @@
                 continue;
             }
             let state = &self.tickets[ticket];
-            let (request, wait) = (state.request, state.wait);
+            let (request, wait) = (state.request, state.wait_cause);
             let predicted = self.predicted_wait(&request);
             self.withdrawn(ticket, now);
             let reason = match wait {
@@ -164,7 +164,7 @@
         for (index, front) in fronts[..count].iter().enumerate() {
             let organisation = self.tickets[front.ticket].request.organisation;
             if !self.organisations.may_start(organisation, now) {
-                self.tickets[front.ticket].wait = WaitCause::Limit;
+                self.tickets[front.ticket].wait_cause = WaitCause::Limit;
                 self.models[model].queue(class).park(organisation);
                 return ServeOutcome::Skipped;
             }
@@ -177,7 +177,7 @@
                 }
                 Err(wait) => {
                     let state = &mut self.tickets[front.ticket];
-                    state.wait = wait;
+                    state.wait_cause = wait;
                     if index == 0 && (class != class::TrafficClass::Deferrable || due) {
                         self.reserve_server(front.ticket, now);
                     }
@@ -339,7 +339,7 @@
         });
         let reason = explain::DispatchReason {
             cause: choice.cause,
-            wait: state.wait,
+            wait_cause: state.wait_cause,
             waited: now.saturating_duration_since(state.submitted_at),
             candidates: choice.candidates,
             overflow_permille: (chance * 1_000.0) as u16,
--- a/crates/sched/src/driver.rs
+++ b/crates/sched/src/driver.rs
@@ -11,16 +11,16 @@
     request::{self, TicketKey},
 };
 
-/// A request that got no granted. Nothing of it ran.
+/// Refusal of a request. A refused request has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RefusedRequest {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: explain::RefusalReason,
-    /// When asking again makes sense; absent when it does not.
+    /// Delay before a retry; `None` if a retry cannot succeed.
     pub retry_after: Option<std::time::Duration>,
 }
 
-/// Where a generation is to be started.
+/// Server on which to start a generation.
 #[derive(Clone, Copy, Debug)]
 struct GrantedServer {
     server: id::ServerKey,
@@ -28,10 +28,10 @@
     reason: explain::DispatchReason,
 }
 
-/// The two ends that a ticket's holder listens to.
+/// Channels to the holder of a ticket.
 #[derive(Debug)]
 struct TicketSlot {
-    /// Taken by the decision that ends the wait.
+    /// Sends the decision that ends the wait; taken when used.
     answer: Option<async_sync::oneshot::Sender<Result<GrantedServer, RefusedRequest>>>,
     /// Tells the holder to stop the generation.
     preempt: async_sync::watch::Sender<Option<explain::PreemptReason>>,
@@ -41,7 +41,7 @@
 struct DriverState {
     core: core::DispatchCore,
     slots: slotmap::SecondaryMap<TicketKey, TicketSlot>,
-    /// Empty between calls; kept for its capacity.
+    /// Empty between calls; kept to reuse its memory.
     decisions: Vec<Decision>,
 }
 
@@ -92,7 +92,8 @@
         }
     }
 
-    /// A holder that is gone has a guard that withdraws the ticket, so a failed send is no loss.
+    /// Sends the decision to the ticket's holder. A failed send is harmless: the guard of a dropped
+    /// holder withdraws the ticket.
     fn answer(&mut self, ticket: TicketKey, answer: Result<GrantedServer, RefusedRequest>) {
         let sender = self
             .slots
@@ -107,12 +108,13 @@
 #[derive(Debug)]
 struct SharedDriver {
     state: sync::Mutex<DriverState>,
-    /// Wakes the loop of [`Driver::run`] when something began to wait.
+    /// Wakes the loop of [`Driver::run`] after a change of the core.
     wake: async_sync::Notify,
 }
 
 impl SharedDriver {
-    /// The state stays usable after a panic elsewhere: each call leaves it whole.
+    /// Ignores poisoning: each call leaves the state consistent, so it can be used after a panic
+    /// elsewhere.
     fn lock(&self) -> sync::MutexGuard<'_, DriverState> {
         self.state
             .lock()
@@ -135,14 +137,14 @@
     }
 }
 
-/// Handle to one decision core; clones share it.
+/// Handle to one decision core. Clones share the core.
 #[derive(Clone, Debug)]
 pub struct Driver {
     shared: sync::Arc<SharedDriver>,
 }
 
 impl Driver {
-    /// A driver of `core`. Spawn [`Self::run`] beside it.
+    /// Creates a driver of `core`. The caller spawns [`Self::run`].
     #[must_use]
     pub fn new(core: core::DispatchCore) -> Self {
         let state = DriverState {
@@ -158,12 +160,13 @@
         }
     }
 
-    /// Feeds the core from outside (servers, reports, organisations), then acts on what follows.
+    /// Applies a change from outside (servers, reports, organisations), then polls the core and
+    /// delivers its decisions.
     pub fn change<R>(&self, change: impl FnOnce(&mut core::DispatchCore, time::Instant) -> R) -> R {
         self.shared.change(change)
     }
 
-    /// Polls the core whenever it is due; never ends.
+    /// Polls the core whenever it is due. Never returns.
     pub async fn run(self) {
         loop {
             let now = time::Instant::now();
@@ -182,11 +185,11 @@
         }
     }
 
-    /// Waits for a granted. Dropping the future withdraws the request.
+    /// Waits until a server is granted. Dropping the future withdraws the request.
     ///
     /// # Errors
     ///
-    /// [`RefusedRequest`] when it gets none; nothing of it ran.
+    /// Returns [`RefusedRequest`] if the request is refused.
     pub async fn admit(
         &self,
         request: request::GenerationRequest,
@@ -214,7 +217,7 @@
     }
 }
 
-/// Withdraws a ticket when its holder goes away without ending it.
+/// Withdraws the ticket when it is dropped while armed.
 #[derive(Debug)]
 struct TicketGuard {
     shared: sync::Arc<SharedDriver>,
@@ -228,7 +231,7 @@
         answered: async_sync::oneshot::Receiver<Result<GrantedServer, RefusedRequest>>,
         preempted: async_sync::watch::Receiver<Option<explain::PreemptReason>>,
     ) -> Result<Grant, RefusedRequest> {
-        // The sender lives in the ticket's slot until it answers, so it is never just dropped.
+        // The sender stays in the ticket's slot until it is used, so it is never dropped unused.
         match answered.await.expect("a waiting ticket keeps its sender") {
             Ok(granted) => Ok(Grant {
                 guard: self,
@@ -253,7 +256,7 @@
     }
 }
 
-/// A granted on a server, armed until it is ended or dropped.
+/// Slot on a server, held until the grant is ended or dropped.
 #[derive(Debug)]
 pub struct Grant {
     guard: TicketGuard,
@@ -262,25 +265,25 @@
 }
 
 impl Grant {
-    /// Where to start the generation.
+    /// Returns the server on which to start the generation.
     #[must_use]
     pub fn server(&self) -> id::ServerKey {
         self.granted.server
     }
 
-    /// Engine priority to start it with.
+    /// Returns the engine priority of the generation.
     #[must_use]
     pub fn priority(&self) -> u8 {
         self.granted.priority
     }
 
-    /// Why there, and why not earlier.
+    /// Returns the reason for the choice of the server and for the wait before it.
     #[must_use]
     pub fn reason(&self) -> &explain::DispatchReason {
         &self.granted.reason
     }
 
-    /// Tells the core that `count` further tokens arrived, the first included.
+    /// Reports the arrival of `count` further tokens; the first token counts too.
     pub fn progress(&self, count: u32) {
         let now = time::Instant::now();
         self.guard
@@ -290,13 +293,13 @@
             .tokens(self.guard.ticket, count, now);
     }
 
-    /// Tells the core that the engine showed a sign of life without a token, such as a ping.
+    /// Reports a sign of life from the engine without a token, such as a ping.
     pub fn alive(&self) {
         let now = time::Instant::now();
         self.guard.shared.lock().core.alive(self.guard.ticket, now);
     }
 
-    /// Tells the core how many of the prompt's tokens the engine found in its cache.
+    /// Reports how many of the prompt's tokens the engine found in its cache.
     pub fn cached(&self, tokens: u32) {
         self.guard
             .shared
@@ -305,8 +308,8 @@
             .cached(self.guard.ticket, tokens);
     }
 
-    /// Completes when the generation is to be stopped and started again later: cancel it on its
-    /// server, then call [`Self::requeue`].
+    /// Completes when the generation is to be stopped and restarted later. The caller then cancels
+    /// it on its server and calls [`Self::requeue`].
     pub async fn preempted(&mut self) -> explain::PreemptReason {
         let waited = self.preempted.wait_for(Option::is_some).await;
         let reason = waited.ok().and_then(|reason| *reason);
@@ -316,7 +319,7 @@
         }
     }
 
-    /// Ends it: the generation finished with `produced` tokens in all.
+    /// Ends the grant of a generation that completed with `produced` tokens in total.
     pub fn finished(mut self, produced: u32) {
         self.guard.armed = false;
         let ticket = self.guard.ticket;
@@ -324,7 +327,7 @@
         shared.end(ticket, |core, now| core.finished(ticket, produced, now));
     }
 
-    /// Ends it: the generation failed on its server.
+    /// Ends the grant of a generation that failed on its server.
     pub fn failed(mut self, failure: request::FailureKind) {
         self.guard.armed = false;
         let ticket = self.guard.ticket;
@@ -332,12 +335,12 @@
         shared.end(ticket, |core, now| core.failed(ticket, failure, now));
     }
 
-    /// Gives the granted back and waits for another, ahead of its organisation's others. Only
-    /// after the generation is known to be stopped on its server.
+    /// Returns the slot and waits for another one, ahead of the organisation's other requests. To
+    /// be called only after the generation is known to have stopped on its server.
     ///
     /// # Errors
     ///
-    /// [`RefusedRequest`] when it gets none.
+    /// Returns [`RefusedRequest`] if the request is refused.
     pub async fn requeue(self) -> Result<Self, RefusedRequest> {
         let (answer, answered) = async_sync::oneshot::channel();
         let (preempt, preempted) = async_sync::watch::channel(None);
--- a/crates/sched/src/explain.rs
+++ b/crates/sched/src/explain.rs
@@ -1,5 +1,5 @@
-//! Why a request went where it went, waited or was refused: compact typed reasons for the time
-//! line and `pollenctl explain`.
+//! Decisions and the reasons for them: compact typed reasons for dispatch, waiting and refusal,
+//! shown in the timeline and by `pollenctl explain`.
 
 use std::{fmt, time};
 
@@ -7,61 +7,61 @@
 
 use crate::request;
 
-/// What outweighed the other candidates.
+/// Main reason why a server was chosen over the other candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChoiceCause {
-    /// It was the only candidate.
+    /// The server was the only candidate.
     Only,
     /// Its predicted time to first token was the shortest.
     Soonest,
-    /// It holds a prefix of the prompt.
+    /// The server holds a prefix of the prompt.
     Prefix,
-    /// Drawn at random among the near-best.
+    /// The server was drawn at random among those with nearly the best score.
     Drawn,
-    /// Nothing in the own failure domain had room.
+    /// No server in the VM's own failure domain had free capacity.
     DomainSpill,
-    /// Nothing in the own region had room.
+    /// No server in the VM's own region had free capacity.
     RegionSpill,
 }
 
-/// What a waiting request waits for. When servers lack different things, the greatest is told:
-/// the one that comes nearest to having room.
+/// Resource that a waiting request waits for. If servers lack different resources, the greatest
+/// value is reported: that of the server closest to having capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WaitCause {
-    /// It did not wait.
+    /// The request did not wait.
     None,
-    /// No server that serves the model is in health, or an earlier try went to each.
+    /// All servers of the model are unhealthy or were used by an earlier attempt.
     Server,
     /// The engines' batches are full.
     Batch,
-    /// Engine memory: admitting it would pass its class's bound on running out.
+    /// Admission would exceed the class's bound on the chance of running out of engine memory.
     Memory,
-    /// Room was kept for urgent work.
+    /// The free capacity is reserved for urgent work.
     Headroom,
-    /// There is room, but this entry VM has taken its share of it until the next report.
+    /// There is free capacity, but this entry VM has used up its share of it until the next report.
     Share,
-    /// Its organisation had reached a limit.
+    /// The organisation has reached a limit.
     Limit,
 }
 
-/// Why a request went to its server.
+/// Reason for dispatching a request to its server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchReason {
-    /// What decided.
+    /// Reason for the choice of the server.
     pub cause: ChoiceCause,
-    /// What it last waited for.
-    pub wait: WaitCause,
-    /// Time from its submission to this decision.
+    /// What the request last waited for.
+    pub wait_cause: WaitCause,
+    /// Time from submission to dispatch.
     pub waited: time::Duration,
-    /// Servers that were compared.
+    /// Number of servers compared.
     pub candidates: u16,
-    /// Chance that the server runs out of memory with it, in thousandths.
+    /// Probability that the server runs out of memory with this request, in thousandths.
     pub overflow_permille: u16,
     /// Predicted time to first token.
     pub first_token: time::Duration,
-    /// Tokens of its prompt believed to be in the server's cache.
+    /// Prompt tokens predicted to be in the server's cache.
     pub cached_tokens: u32,
-    /// Age of the report that the choice rests on.
+    /// Age of the load report that the choice is based on.
     pub report_age: time::Duration,
 }
 
@@ -98,7 +98,7 @@
             formatter,
             "{}; {} ({} ms); overflow chance {} permille, {} tokens cached, report {} ms old",
             self.cause,
-            self.wait,
+            self.wait_cause,
             self.waited.as_millis(),
             self.overflow_permille,
             self.cached_tokens,
@@ -107,27 +107,27 @@
     }
 }
 
-/// Why a request was refused. Nothing of it ran.
+/// Reason for refusing a request. A refused request has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// Its deadline passed, or cannot be met.
+    /// The deadline has passed or cannot be met.
     Deadline,
-    /// Its organisation is over its requests a second.
+    /// The organisation exceeds its requests per second.
     RequestRate,
-    /// Its organisation is over its generated tokens a second.
+    /// The organisation exceeds its generated tokens per second.
     TokenRate,
-    /// Its organisation has its limit of generations at once.
+    /// The organisation has reached its limit of concurrent generations.
     Concurrency,
-    /// The queue of its class is full.
+    /// The queue of the request's class is full.
     QueueFull,
     /// No server serves the model.
     NoServer,
-    /// It is larger than any engine's memory.
+    /// The request is larger than any engine's memory.
     TooLarge,
 }
 
 impl RefusalReason {
-    /// The code that its caller is told.
+    /// Returns the refusal code sent to the caller.
     #[must_use]
     pub const fn code(self) -> refusal::RefusalCode {
         match self {
@@ -146,67 +146,70 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Deadline => {
-                "no engine can start this before its deadline; ask again after the time given"
+                "no engine can start this request before its deadline; retry after the given time"
             }
             Self::RequestRate => {
-                "the organisation is over its requests a second; slow down or raise the limit"
+                "the organisation exceeds its requests per second; slow down or raise the limit"
             }
             Self::TokenRate => {
-                "the organisation is over its tokens a second; slow down or raise the limit"
+                "the organisation exceeds its tokens per second; slow down or raise the limit"
             }
             Self::Concurrency => {
-                "the organisation runs as many generations as it may; wait for one to end or \
-                 raise the limit"
+                "the organisation has reached its limit of concurrent generations; wait for one to \
+                 end or raise the limit"
             }
-            Self::QueueFull => "too much work of this class waits; ask again after the time given",
-            Self::NoServer => "no engine serves this model now; ask again, or add an engine for it",
+            Self::QueueFull => {
+                "the queue of this traffic class is full; retry after the given time"
+            }
+            Self::NoServer => "no engine serves this model now; retry, or add an engine for it",
             Self::TooLarge => {
-                "prompt and output together are larger than any engine's memory; shorten the \
+                "prompt and output together exceed the memory of every engine; shorten the \
                  prompt or lower max_tokens"
             }
         })
     }
 }
 
-/// Why a running generation is stopped to be started again later.
+/// Reason for stopping a running generation, which is restarted later.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PreemptReason {
-    /// Chance that the server runs out of memory if nothing is stopped, in thousandths.
+    /// Probability that the server runs out of memory without the preemption, in thousandths.
     pub overflow_permille: u16,
-    /// Tokens that are lost with it.
+    /// Number of generated tokens that are lost.
     pub lost_tokens: u32,
 }
 
-/// What the core wants done.
+/// Action that the core requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// Start it on `server`.
+    /// Starts a generation on `server`.
     Dispatch {
-        /// What to start.
+        /// Ticket of the generation.
         ticket: request::TicketKey,
-        /// Where.
+        /// Server to use.
         server: id::ServerKey,
         /// Engine priority: 0 urgent, 1 normal, 2 deferrable.
         priority: u8,
-        /// Why there, and why not earlier.
+        /// Reason for the choice of the server and for the wait before it.
         reason: DispatchReason,
     },
-    /// Refuse it; the ticket is gone.
+    /// Refuses a request. Its ticket has been removed.
     Refuse {
-        /// What to refuse.
+        /// Ticket of the request.
         ticket: request::TicketKey,
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// When asking again makes sense; absent when it does not.
+        /// Delay before a retry; `None` if a retry cannot succeed.
         retry_after: Option<time::Duration>,
     },
-    /// Cancel it on its server, then call [`crate::core::DispatchCore::requeued`].
+    /// Cancels a generation on its server; afterwards the caller calls
+    /// [`crate::core::DispatchCore::requeued`].
     Preempt {
-        /// What to stop.
+        /// Ticket of the generation.
         ticket: request::TicketKey,
-        /// Where it runs.
+        /// Server that runs the generation.
         server: id::ServerKey,
-        /// Why it and why now.
+        /// Reason for the preemption.
         reason: PreemptReason,
     },
 }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,6 +1,7 @@
-//! Decisions under load: admission by memory at risk, fair queues, routing, limits and steering.
+//! Request scheduling: memory-aware admission, fair queues, routing to servers and limits of
+//! organisations.
 //!
-//! [`core::DispatchCore`] decides without I/O, clock or random source of its own;
+//! [`core::DispatchCore`] decides without I/O and without a clock or random source of its own;
 //! [`driver::Driver`] runs it on the runtime's clock for the request plane.
 
 pub mod admission;
--- a/crates/sched/src/maintenance.rs
+++ b/crates/sched/src/maintenance.rs
@@ -1,4 +1,5 @@
-//! Derived state of the core: candidate subsets, shares, reports, refusals by predicted wait.
+//! Derived state of the core: candidate subsets, shares, load reports and refusals by predicted
+//! wait.
 
 use base::{class, id};
 use rand::RngExt as _;
@@ -11,24 +12,25 @@
     view::{self, LoadSum},
 };
 
-/// Shares, rest curves and headroom are worked out anew this often.
+/// Interval at which shares, residual curves and headroom are recomputed.
 const MAINTENANCE_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
-/// Accounts of idle organisations are dropped this often.
+/// Interval at which the accounts of idle organisations are dropped.
 const SWEEP_INTERVAL: time::Duration = time::Duration::from_secs(10);
 
-/// Bounds of what a refused caller is told to wait.
+/// Bounds of the retry delay returned with a refusal, in seconds.
 const RETRY_AFTER_SECONDS: std::ops::RangeInclusive<f64> = 0.05..=60.0;
 
 impl DispatchCore {
-    /// A load report arrived; one older than the newest is ignored.
+    /// Handles a load report of a server. Reports that are not newer than the latest one are
+    /// ignored.
     pub fn server_reported(&mut self, server: id::ServerKey, report: view::LoadReport) {
         let Some(view) = self.servers.get(server) else {
             return;
         };
         if view
             .report
-            .is_some_and(|view| view.taken_at >= report.taken_at)
+            .is_some_and(|latest| latest.taken_at >= report.taken_at)
         {
             return;
         }
@@ -48,7 +50,8 @@
         }
     }
 
-    /// Own generations on a server at `taken_at` as they were then, and those started since.
+    /// Returns the load of this VM's generations on a server as of `taken_at`, and the load of
+    /// those started later.
     fn own_loads(&self, server: &view::ServerView, taken_at: time::Instant) -> (LoadSum, LoadSum) {
         let (mut then, mut since) = (LoadSum::default(), LoadSum::default());
         for ticket in &server.tickets {
@@ -61,7 +64,7 @@
                 continue;
             }
             then.add_generation(&run.load);
-            // Take out the tokens that came after the report was taken.
+            // Subtract the tokens that arrived after the report was taken.
             let after = run
                 .last_token_at
                 .saturating_duration_since(taken_at)
@@ -72,7 +75,7 @@
         (then, since)
     }
 
-    /// Ranks the engines of every model anew; for changes of the fleet only.
+    /// Recomputes the candidates of every model. Called only when servers or settings change.
     pub(crate) fn rank_candidates(&mut self) {
         let (own, settings) = (self.settings.location, &self.settings);
         for (model, fleet) in &mut self.models {
@@ -90,7 +93,7 @@
         self.maintained_at = None;
     }
 
-    /// Brings up to date what need not be exact at each decision.
+    /// Refreshes derived state that need not be exact for each decision.
     pub(crate) fn maintain(&mut self, now: time::Instant) {
         let age =
             |then: Option<time::Instant>| then.map(|then| now.saturating_duration_since(then));
@@ -141,7 +144,8 @@
         }
     }
 
-    /// Why there is no use in letting `request` wait, with when to come back.
+    /// Returns the reason to refuse `request` instead of queueing it, if there is one, and the
+    /// retry delay.
     pub(crate) fn early_refusal(
         &mut self,
         request: &request::GenerationRequest,
@@ -179,8 +183,8 @@
         })
     }
 
-    /// Predicted wait of one more request like `request`, in seconds, from its place in the fair
-    /// order and the rate at which the queue is served.
+    /// Returns the predicted wait of one more request like `request` in seconds, from its position
+    /// in the fair order and the drain rate of the queue.
     pub(crate) fn predicted_wait(&self, request: &request::GenerationRequest) -> Option<f64> {
         let fleet = self.models.get(request.model)?;
         let class = request.class.index();
@@ -192,15 +196,15 @@
         fleet.drains[class].wait(ahead)
     }
 
-    /// When a refused caller may come back: when what is ahead of it has shrunk to what can be
-    /// served in half of the time that it has.
+    /// Returns the retry delay of a refused request: the time until the work ahead of it can be
+    /// served in half of the time `left` to its deadline.
     pub(crate) fn retry_after(wait: Option<f64>, left: f64) -> time::Duration {
         let seconds = wait.unwrap_or(1.0) - left / 2.0;
         let seconds = seconds.clamp(*RETRY_AFTER_SECONDS.start(), *RETRY_AFTER_SECONDS.end());
         time::Duration::from_secs_f64(seconds)
     }
 
-    /// Tokens of memory of the largest engine that serves `model`.
+    /// Returns the memory of the largest engine that serves `model`, in tokens.
     fn largest_engine(&self, model: id::ModelKey) -> Option<f32> {
         let fleet = self.models.get(model)?;
         let engines = fleet.local.iter().chain(&fleet.remote);
--- a/crates/sched/src/organisation.rs
+++ b/crates/sched/src/organisation.rs
@@ -1,44 +1,45 @@
-//! Organisations: a small slot for each that is known, more for those with work.
+//! Table of organisations: a small slot for each known one, and an account for those with recent
+//! work.
 
 use base::id;
 use tokio::time;
 
 use crate::{limit, settings};
 
-/// What is kept of each organisation, idle or not: 16 bytes beside the arena's own 4.
+/// Data kept for each organisation, idle or not: 16 bytes in addition to the arena's own 4.
 #[derive(Clone, Copy, Debug)]
 struct OrganisationSlot {
     weight: f32,
-    /// Place of its limits in `plans`, or [`NO_INDEX`] when it has none.
+    /// Index of its limits in `plans`, or [`NO_INDEX`] if it has none.
     plan: u32,
-    /// Place of its account, or [`NO_INDEX`] while it is idle.
+    /// Index of its account in `active`, or [`NO_INDEX`] while it is idle.
     account: u32,
 }
 
-/// No place.
+/// Marks an absent index.
 const NO_INDEX: u32 = u32::MAX;
 
-/// An active organisation.
+/// Organisation that has an account.
 #[derive(Clone, Debug)]
 struct ActiveOrganisation {
     organisation: id::OrganisationKey,
     account: limit::LimitAccount,
 }
 
-/// All organisations that this VM knows.
+/// All organisations known to this VM.
 #[derive(Clone, Debug, Default)]
 pub struct OrganisationTable {
     slots: slotmap::SecondaryMap<id::OrganisationKey, OrganisationSlot>,
     plans: slab::Slab<settings::OrganisationPlan>,
     active: slab::Slab<ActiveOrganisation>,
-    /// Sum of the weights of organisations that have running or waiting work.
+    /// Sum of the weights of organisations with running or waiting work.
     busy_weight: f64,
-    /// Entry VMs that one organisation's callers are told.
+    /// Number of entry VMs that the callers of one organisation use.
     entries: u32,
 }
 
 impl OrganisationTable {
-    /// A table without organisations, each of which is served by `entries` VMs.
+    /// Creates an empty table for organisations that are each served by `entries` VMs.
     #[must_use]
     pub fn new(entries: u32) -> Self {
         Self {
@@ -47,12 +48,12 @@
         }
     }
 
-    /// Changes the number of VMs that serve one organisation.
+    /// Sets the number of VMs that serve each organisation.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries;
     }
 
-    /// Sets an organisation's plan.
+    /// Sets an organisation's plan; adds the organisation if it is unknown.
     pub fn set(&mut self, organisation: id::OrganisationKey, plan: settings::OrganisationPlan) {
         let unlimited = plan.requests_per_second.is_none()
             && plan.tokens_per_second.is_none()
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Forgets an organisation.
+    /// Removes an organisation.
     pub fn remove(&mut self, organisation: id::OrganisationKey) {
         if let Some(slot) = self.slots.remove(organisation) {
             self.plans.try_remove(slot.plan as usize);
@@ -94,38 +95,38 @@
         }
     }
 
-    /// Number of organisations known.
+    /// Returns the number of known organisations.
     #[must_use]
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether none is known.
+    /// Returns whether no organisation is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Number of organisations with an account.
+    /// Returns the number of organisations with an account.
     #[must_use]
     pub fn active(&self) -> usize {
         self.active.len()
     }
 
-    /// Sum of the weights of organisations that have running or waiting work.
+    /// Returns the sum of the weights of organisations with running or waiting work.
     #[must_use]
     pub fn busy_weight(&self) -> f64 {
         self.busy_weight
     }
 
-    /// An organisation's weight; 1 when it is not known.
+    /// Returns an organisation's weight, or 1 if the organisation is unknown.
     #[must_use]
     pub fn weight(&self, organisation: id::OrganisationKey) -> f64 {
         let slot = self.slots.get(organisation);
         slot.map_or(1.0, |slot| f64::from(slot.weight))
     }
 
-    /// An organisation's plan.
+    /// Returns an organisation's plan.
     #[must_use]
     pub fn plan(&self, organisation: id::OrganisationKey) -> settings::OrganisationPlan {
         let slot = self.slots.get(organisation);
@@ -133,14 +134,15 @@
         plan.copied().unwrap_or_default()
     }
 
-    /// Whether an organisation has any limit.
+    /// Returns whether an organisation has any limit.
     #[must_use]
     pub fn limited(&self, organisation: id::OrganisationKey) -> bool {
         let slot = self.slots.get(organisation);
         slot.is_some_and(|slot| slot.plan != NO_INDEX)
     }
 
-    /// Changes an organisation's account, which is made when there is none, as of `now`.
+    /// Runs `change` on an organisation's account, advanced to `now`. Creates the account if there
+    /// is none.
     pub fn with_account<R>(
         &mut self,
         organisation: id::OrganisationKey,
@@ -172,13 +174,13 @@
         result
     }
 
-    /// Whether an organisation's waiting generation may start now.
+    /// Returns whether a waiting generation of the organisation may start now.
     pub fn may_start(&mut self, organisation: id::OrganisationKey, now: time::Instant) -> bool {
         !self.limited(organisation)
             || self.with_account(organisation, now, |account, plan| account.may_start(plan))
     }
 
-    /// Drops the accounts of organisations that went idle.
+    /// Drops the accounts of idle organisations.
     pub fn sweep(&mut self, now: time::Instant) {
         let (slots, plans, entries) = (&mut self.slots, &self.plans, self.entries);
         self.active.retain(|_, active| {
@@ -194,7 +196,7 @@
         });
     }
 
-    /// What the other entry VMs are told of each active organisation that has a limit.
+    /// Returns the demand of each active organisation that has a limit, to send to other entry VMs.
     pub fn demands(&self) -> impl Iterator<Item = (id::OrganisationKey, limit::LimitDemand)> + '_ {
         self.active
             .iter()
--- a/crates/sched/src/request.rs
+++ b/crates/sched/src/request.rs
@@ -1,27 +1,27 @@
-//! What the request plane asks for: a place for one generation.
+//! Requests to schedule a generation, as submitted by the request plane.
 
 use base::{class, id};
 use tokio::time;
 
 slotmap::new_key_type! {
-    /// Key of one admitted or waiting generation in a [`crate::core::DispatchCore`].
+    /// Key of a waiting or running generation in a [`crate::core::DispatchCore`].
     pub struct TicketKey;
 }
 
-/// One prefix of a prompt, as engines name it in their cache events.
+/// Prefix of a prompt, identified as in the engines' cache events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrefixHash {
     /// Hash of the prefix.
     pub hash: u64,
-    /// Tokens that it covers.
+    /// Length of the prefix in tokens.
     pub tokens: u32,
 }
 
-/// Lengths at which prompts are compared, in blocks. All prompts are sampled at the same lengths,
-/// else two that share a preamble would not be seen to.
+/// Prefix lengths at which prompts are compared, in blocks. All prompts are sampled at the same
+/// lengths; otherwise a preamble shared by two prompts would go unnoticed.
 const PREFIX_BLOCKS: [u32; 8] = [4, 8, 16, 24, 32, 48, 64, 128];
 
-/// Whether a prefix of `tokens` is of a length at which prompts are compared.
+/// Returns whether prompts are compared at prefixes of `tokens`.
 #[must_use]
 pub fn is_sampled(tokens: u32, block_tokens: u32) -> bool {
     let block_tokens = block_tokens.max(1);
@@ -31,14 +31,15 @@
 /// Prefixes of one prompt at a few fixed lengths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrefixChain {
-    /// In ascending order of tokens; only the first `len` count.
+    /// Prefixes in ascending order of tokens; only the first `len` are valid.
     hashes: [PrefixHash; PREFIX_BLOCKS.len()],
-    /// Never more than the array holds.
+    /// Number of valid prefixes; at most the length of the array.
     len: u8,
 }
 
 impl PrefixChain {
-    /// Samples `chain`, the hash of each full block as `base::prefix::chain` gives it.
+    /// Samples `chain`, which holds the hash up to each full block as computed by
+    /// `base::prefix::chain`.
     #[must_use]
     pub fn sample(chain: &[u64], block_tokens: u32) -> Self {
         let mut sample = Self::default();
@@ -52,27 +53,27 @@
         sample
     }
 
-    /// The prefixes, in ascending order of tokens.
+    /// Returns the prefixes in ascending order of tokens.
     #[must_use]
     pub fn hashes(&self) -> &[PrefixHash] {
         &self.hashes[..usize::from(self.len)]
     }
 }
 
-/// Servers kept in one [`AvoidList`].
+/// Maximum number of servers in one [`AvoidList`].
 pub const AVOID_DEPTH: usize = 4;
 
-/// Servers that a further try must not go to; the newest [`AVOID_DEPTH`] count.
+/// Servers that a further attempt must not use. Holds the latest [`AVOID_DEPTH`] servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AvoidList {
-    /// A null key is an empty place.
+    /// Ring of servers; a null key marks an empty slot.
     servers: [id::ServerKey; AVOID_DEPTH],
-    /// Place of the next one.
+    /// Index of the slot written next.
     next: u8,
 }
 
 impl AvoidList {
-    /// Adds `server`, in place of the oldest when full.
+    /// Adds `server`, replacing the oldest one if the list is full.
     pub fn push(&mut self, server: id::ServerKey) {
         if !self.contains(server) {
             self.servers[usize::from(self.next)] = server;
@@ -80,42 +81,43 @@
         }
     }
 
-    /// Whether `server` is to be avoided.
+    /// Returns whether `server` is to be avoided.
     #[must_use]
     pub fn contains(&self, server: id::ServerKey) -> bool {
         !slotmap::Key::is_null(&server) && self.servers.contains(&server)
     }
 }
 
-/// One generation that wants a place on a model engine.
+/// Request to run one generation on a model engine.
 #[derive(Clone, Copy, Debug)]
 pub struct GenerationRequest {
-    /// Who asks.
+    /// Organisation of the caller.
     pub organisation: id::OrganisationKey,
-    /// How long it may wait.
+    /// Traffic class, which determines how long the request may wait.
     pub class: class::TrafficClass,
-    /// The model that it needs.
+    /// Requested model.
     pub model: id::ModelKey,
-    /// Tokens of its prompt, or an estimate.
+    /// Number of prompt tokens, or an estimate.
     pub prompt_tokens: u32,
-    /// Most tokens that it may produce.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
-    /// Prefixes of its prompt.
+    /// Prefixes of the prompt.
     pub prefix: PrefixChain,
-    /// Servers that earlier tries went to.
+    /// Servers used by earlier attempts.
     pub avoid: AvoidList,
-    /// Refused when it has not been dispatched by then; deferrable work has none.
+    /// Time at which the request is refused if it has not been dispatched; deferrable work has
+    /// none.
     pub deadline: Option<time::Instant>,
-    /// Whether its answer is held here until whole, so that it may be restarted after its first
-    /// token too.
+    /// Whether the response is buffered until it is complete, so that the generation may be
+    /// restarted even after its first token.
     pub buffered: bool,
-    /// Whether it is a further try: it goes ahead of its organisation's first tries and is not
-    /// charged to a limit again.
+    /// Whether this is a further attempt. It goes ahead of its organisation's first attempts and is
+    /// not charged to a limit again.
     pub retry: bool,
 }
 
 impl GenerationRequest {
-    /// A first try with no prefix, nothing to avoid and no deadline.
+    /// Creates a first attempt without prefixes, servers to avoid and deadline.
     #[must_use]
     pub fn new(
         organisation: id::OrganisationKey,
@@ -139,21 +141,21 @@
     }
 }
 
-/// How a generation or a server failed.
+/// Kind of failure of a generation or a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
     /// The connection was refused or broke.
     Broken,
-    /// Nothing came for too long.
+    /// No data arrived before the timeout.
     Silent,
-    /// The engine refused it: it was full or leaving.
+    /// The engine rejected the request because it was full or leaving.
     Rejected,
-    /// The engine ended it with an error of its own.
+    /// The engine ended the generation with an error of its own.
     Errored,
 }
 
 impl FailureKind {
-    /// What it says against the server: 1 keeps new work away for some seconds.
+    /// Returns the weight in the server's failure score; 1 keeps new work away for some seconds.
     #[must_use]
     pub const fn weight(self) -> f32 {
         match self {
--- a/crates/sched/src/risk.rs
+++ b/crates/sched/src/risk.rs
@@ -41,6 +41,7 @@
         load
     }
 
+    /// Adds another load.
     pub fn add(&mut self, other: &Self) {
         for index in 0..HORIZONS.len() {
             self.mean[index] += other.mean[index];
--- a/crates/sched/src/settings.rs
+++ b/crates/sched/src/settings.rs
@@ -1,72 +1,79 @@
-//! Weights and thresholds of the policy.
+//! Settings of the scheduling policy.
 
 use base::class;
 use tokio::time;
 
 use crate::view;
 
-/// Everything that tunes the decisions. Defaults are what the policy bench supports.
+/// Parameters of the scheduling decisions.
 #[derive(Clone, Debug)]
 pub struct PolicySettings {
-    /// Where this entry VM stands.
+    /// Location of this entry VM.
     pub location: view::ServerLocation,
-    /// Hash of this VM's name: different for each VM, and the same number that others are told.
+    /// Hash of this VM's name: different for each VM, and the number that this VM announces to
+    /// others.
     pub identity: u64,
-    /// Entry VMs that send work to the same engines, this one included; at least 1. Counts only
-    /// until digests of the others arrive.
+    /// Number of entry VMs that send work to the same engines, including this one; at least 1. Used
+    /// only until digests of the others arrive.
     pub entries: u32,
-    /// Entry VMs that one organisation's callers are told; its limits are divided among them.
+    /// Number of entry VMs that the callers of one organisation use. The organisation's limits are
+    /// divided among them.
     pub organisation_entries: u32,
-    /// Chance of running out of engine memory that admission accepts, by class.
+    /// Accepted probability of running out of engine memory, by class.
     pub overflow_chance: [f64; 3],
-    /// Requests that may wait by class; more are refused.
+    /// Maximum number of waiting requests, by class. Further requests are refused.
     pub queue_limit: [usize; 3],
-    /// Longest time between two polls while something waits.
+    /// Maximum time between two polls while requests wait.
     pub poll_interval: time::Duration,
-    /// Engines of one model in the own region that are compared, and as many elsewhere.
+    /// Maximum number of engines per model compared in this VM's region, and in all others
+    /// together.
     pub candidates: usize,
-    /// Engines whose score lies within this of the best are drawn from in proportion to their
-    /// room.
+    /// Difference to the best score within which engines are drawn at random, weighted by their
+    /// free capacity.
     pub near_best: time::Duration,
-    /// What one recent failure counts in a score, as time to first token.
+    /// Score penalty of one recent failure, as time to first token.
     pub failure_weight: time::Duration,
-    /// What another failure domain counts in a score.
+    /// Score penalty of another failure domain.
     pub domain_penalty: time::Duration,
-    /// What another region counts in a score: at least the way there and back.
+    /// Score penalty of another region: at least the round-trip time.
     pub region_penalty: time::Duration,
-    /// Time that normal and deferrable work waits for its own region before it spills.
+    /// Time that normal and deferrable work waits for this VM's region before it may use another.
     pub spill_after: time::Duration,
-    /// Belief in a cached prefix halves with this age; zero: prefixes count for nothing.
+    /// Age at which the estimate of a cached prefix has halved. Zero disables prefix affinity.
     pub prefix_half_life: time::Duration,
-    /// Prompt tokens that an engine takes in a second, before anything is learnt.
+    /// Initial estimate of an engine's prefill rate, in prompt tokens per second.
     pub prefill_rate: f32,
-    /// Part of the tokens that deferrable work gets while normal work waits too.
+    /// Fraction of the tokens guaranteed to deferrable work while normal work waits.
     pub deferrable_floor: f64,
-    /// A request that was next for this long and found no room has an engine kept for it.
+    /// Time that a request at the front of its queue is blocked before an engine is reserved for
+    /// it.
     pub reserve_after: time::Duration,
-    /// Least part that a VM above its share may use again of what its ended generations gave back.
+    /// Minimum fraction of the capacity freed by its ended generations that a VM above its share
+    /// may use again.
     pub min_reuse: f32,
-    /// Whether this VM takes only its share of the room that a report shows.
+    /// Whether this VM limits itself to its share of the free capacity shown in a report.
     pub enforce_share: bool,
-    /// Part of each engine's room that goes to whoever has work waiting, see [`crate::share`].
+    /// Fraction of each engine's capacity that goes to VMs with waiting work, see [`crate::share`].
     pub common_fraction: f32,
-    /// What a VM may be due of the engines, as a multiple of its demand.
+    /// Maximum allotment of a VM as a multiple of its demand.
     pub demand_factor: f32,
-    /// Urgent generations without a first token that may be sent to one engine beyond its room.
+    /// Maximum number of urgent generations without a first token that may be sent to one engine
+    /// beyond its free capacity.
     pub urgent_overcommit: u32,
-    /// Deviations of urgent demand that are kept free beside its mean.
+    /// Standard deviations of urgent demand reserved in addition to its mean.
     pub headroom_deviations: f32,
-    /// Part of the doubt on how many generations others have that is kept free in the batch.
+    /// Fraction of the uncertainty about the number of other VMs' generations that is kept free in
+    /// the batch.
     pub slot_uncertainty: f32,
-    /// A waiting request is refused at once when its predicted wait is this many times the time
-    /// that it has.
+    /// Ratio of predicted wait to the time left before the deadline above which a request is
+    /// refused at once.
     pub early_refusal_factor: f64,
-    /// A generation is stopped here when its engine's memory runs out with this chance, see
-    /// [`crate::victim`]; above 1: never.
+    /// Probability of running out of engine memory at which a generation is preempted, see
+    /// [`crate::victim`]. A value above 1 disables preemption.
     pub victim_chance: f32,
-    /// Most tokens that stopping one may lose.
+    /// Maximum number of tokens that a preemption may lose.
     pub victim_tokens: u32,
-    /// Organisations' length histograms that are kept.
+    /// Maximum number of organisations' length histograms kept.
     pub histograms: usize,
 }
 
@@ -106,23 +113,23 @@
 }
 
 impl PolicySettings {
-    /// The accepted chance of running out of memory for `class`.
+    /// Returns the accepted probability of running out of memory for `class`.
     #[must_use]
     pub fn overflow_chance(&self, class: class::TrafficClass) -> f64 {
         self.overflow_chance[class.index()]
     }
 }
 
-/// Limits and weight of one organisation, over all entry VMs together.
+/// Limits and weight of one organisation, across all entry VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OrganisationPlan {
     /// Weight in the fair share of tokens; above 0.
     pub weight: f64,
-    /// Requests a second.
+    /// Limit of requests per second.
     pub requests_per_second: Option<f64>,
-    /// Generated tokens a second.
+    /// Limit of generated tokens per second.
     pub tokens_per_second: Option<f64>,
-    /// Generations at once.
+    /// Limit of concurrent generations.
     pub concurrent_generations: Option<u32>,
 }
 
--- a/crates/sched/src/ticket.rs
+++ b/crates/sched/src/ticket.rs
@@ -1,65 +1,65 @@
-//! What the core knows of one request from its submission to its end.
+//! State of one request from its submission to its end.
 
 use base::id;
 use tokio::time;
 
 use crate::{explain, length, request, risk};
 
-/// Tokens of prompt that cost as much as one generated token.
+/// Number of prompt tokens that cost as much as one generated token.
 const PROMPT_TOKENS_PER_COST: f64 = 10.0;
 
-/// A generation on a server.
+/// State of a generation running on a server.
 #[derive(Clone, Copy, Debug)]
 pub struct RunState {
-    /// Where it runs.
+    /// Server that runs the generation.
     pub server: id::ServerKey,
-    /// Its index in the server's list.
+    /// Index of the ticket in the server's `tickets`.
     pub index: usize,
-    /// When it was dispatched.
+    /// Time of the dispatch.
     pub started_at: time::Instant,
-    /// What is summed for it in the server's view.
+    /// Memory load counted for the generation in the server's view.
     pub load: risk::MemoryLoad,
-    /// Tokens that arrived.
+    /// Number of tokens received.
     pub produced: u32,
-    /// Tokens that had arrived when `load` was last worked out.
+    /// Value of `produced` when `load` was last computed.
     pub load_produced: u32,
-    /// When the newest of them arrived.
+    /// Arrival time of the latest token; until the first token, the time of the dispatch.
     pub last_token_at: time::Instant,
-    /// Prompt tokens that were predicted_cached to be in the server's cache.
+    /// Prompt tokens predicted to be in the server's cache.
     pub predicted_cached: u32,
-    /// Prompt tokens that were summed as still to be taken in.
+    /// Prompt tokens counted as still to be prefilled.
     pub prefill: f32,
-    /// Whether it was told to stop.
+    /// Whether its preemption has been requested.
     pub stopping: bool,
 }
 
-/// One request.
+/// State of one request.
 #[derive(Clone, Debug)]
 pub struct TicketState {
-    /// What was asked.
+    /// Submitted request.
     pub request: request::GenerationRequest,
-    /// The organisation's histogram; may be stale.
+    /// Key of the organisation's histogram; may be stale.
     pub histogram: length::HistogramKey,
-    /// When it was submitted.
+    /// Time of the submission.
     pub submitted_at: time::Instant,
-    /// When it first was the next to be served and found no room.
+    /// Time at which the request was first at the front of its queue and no server had capacity.
     pub blocked_at: Option<time::Instant>,
-    /// What it last waited for.
-    pub wait: explain::WaitCause,
-    /// Output tokens that it is expected to bring.
+    /// What the request last waited for.
+    pub wait_cause: explain::WaitCause,
+    /// Expected number of output tokens.
     pub expected: f32,
-    /// Where it runs; absent while it waits.
+    /// State on its server; `None` while the request waits.
     pub run: Option<RunState>,
 }
 
 impl TicketState {
-    /// What serving it is reckoned to cost, in generated tokens.
+    /// Returns the estimated cost of the request in generated tokens.
     #[must_use]
     pub fn cost(&self) -> f64 {
         f64::from(self.request.prompt_tokens) / PROMPT_TOKENS_PER_COST + f64::from(self.expected)
     }
 
-    /// Whose lengths to go by.
+    /// Returns the source of length predictions for the request.
     #[must_use]
     pub fn source(&self) -> length::LengthSource {
         length::LengthSource {
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Whether it may be stopped and started again: no token of it has left for its caller.
+    /// Returns whether the generation may be stopped and restarted: its caller has received none of
+    /// its tokens.
     #[must_use]
     pub fn restartable(&self) -> bool {
         let silent = self.run.is_some_and(|run| run.produced == 0);
--- a/crates/sched/src/victim.rs
+++ b/crates/sched/src/victim.rs
@@ -1,12 +1,13 @@
-//! Choice of what to stop when an engine's memory will run out all the same.
+//! Choice of the generation to preempt when an engine is about to run out of memory.
 //!
-//! The engine would stop something by itself, by its own order. Stopping here first is better
-//! only where it loses less: the most deferrable, and among those the one that loses the fewest
-//! tokens, and only what may be started again.
+//! The engine would preempt a generation by its own order. Preempting one here first is better only
+//! where it loses less, so only restartable generations are considered: the most deferrable class
+//! first, and within it the generation that loses the fewest tokens.
 
 use crate::{request::TicketKey, ticket};
 
-/// What stopping `state` would lose, in order of preference; absent when it may not be stopped.
+/// Returns the preemption cost of `state` in order of preference, or `None` if it must not be
+/// preempted.
 fn loss(state: &ticket::TicketState) -> Option<(usize, u32)> {
     let run = state.run?;
     if run.stopping || !state.restartable() {
@@ -16,7 +17,7 @@
     Some((deferral, run.produced + run.prefill as u32 / 8))
 }
 
-/// The ticket to stop among `tickets`, with the tokens that are lost.
+/// Returns the ticket to preempt among `tickets` and the number of tokens lost.
 pub fn choose<'a>(
     tickets: impl Iterator<Item = (TicketKey, &'a ticket::TicketState)>,
 ) -> Option<(TicketKey, u32)> {
--- a/crates/sched/src/view.rs
+++ b/crates/sched/src/view.rs
@@ -68,11 +68,13 @@
 }
 
 impl LoadSum {
+    /// Adds one generation.
     pub fn add_generation(&mut self, load: &risk::MemoryLoad) {
         self.running += 1.0;
         self.memory.add(load);
     }
 
+    /// Removes one generation.
     pub fn remove_generation(&mut self, load: &risk::MemoryLoad) {
         self.running = (self.running - 1.0).max(0.0);
         self.memory.subtract(load);
