--- a/crates/sched/src/affinity.rs
+++ b/crates/sched/src/affinity.rs
@@ -71,15 +71,15 @@
 impl EstimateList {
     /// Returns the estimate for `server`.
     #[must_use]
-    pub fn of(&self, server: id::ServerKey) -> PrefixEstimate {
-        let mut matches = self.estimates[..self.len].iter();
-        let found = matches.find(|(key, _)| *key == server);
+    pub fn get(&self, server: id::ServerKey) -> PrefixEstimate {
+        let mut entries = self.estimates[..self.len].iter();
+        let found = entries.find(|(key, _)| *key == server);
         found.map_or_else(PrefixEstimate::default, |(_, estimate)| *estimate)
     }
 
     fn raise(&mut self, server: id::ServerKey, estimate: PrefixEstimate) {
-        let mut matches = self.estimates[..self.len].iter_mut();
-        if let Some((_, old)) = matches.find(|(key, _)| *key == server) {
+        let mut entries = self.estimates[..self.len].iter_mut();
+        if let Some((_, old)) = entries.find(|(key, _)| *key == server) {
             if estimate.expected > old.expected {
                 *old = estimate;
             }
--- a/crates/sched/src/fleet.rs
+++ b/crates/sched/src/fleet.rs
@@ -42,9 +42,9 @@
     pub fn advance(&mut self, waits: bool, now: time::Instant) {
         if let Some(then) = self.busy_since {
             let age = now.saturating_duration_since(then).as_secs_f64();
-            let keep = (-age / DRAIN_WINDOW.as_secs_f64()).exp();
-            self.served *= keep;
-            self.busy = self.busy.mul_add(keep, age);
+            let decay = (-age / DRAIN_WINDOW.as_secs_f64()).exp();
+            self.served *= decay;
+            self.busy = self.busy.mul_add(decay, age);
         }
         self.busy_since = waits.then_some(now);
     }
@@ -144,11 +144,11 @@
         let firm_waiting = (urgent.backlog() + normal.backlog()) as f32;
         let deferrable_waiting = deferrable_queue.backlog() as f32;
         self.waiting = firm_waiting + deferrable_waiting;
-        let keep = (-age.as_secs_f32() / DEMAND_WINDOW.as_secs_f32()).exp();
+        let decay = (-age.as_secs_f32() / DEMAND_WINDOW.as_secs_f32()).exp();
         let firm = firm + firm_waiting;
-        self.firm = keep.mul_add(self.firm - firm, firm);
+        self.firm = decay.mul_add(self.firm - firm, firm);
         let deferrable = deferrable + deferrable_waiting;
-        self.deferrable = keep.mul_add(self.deferrable - deferrable, deferrable);
+        self.deferrable = decay.mul_add(self.deferrable - deferrable, deferrable);
     }
 
     /// If there are more engines than candidates, makes the engines that this VM covers on the ring
--- a/crates/sched/src/limit.rs
+++ b/crates/sched/src/limit.rs
@@ -160,8 +160,8 @@
         for peer in self.peers.iter().flatten() {
             if now.saturating_duration_since(peer.taken_at) < DEMAND_TIMEOUT {
                 known += 1;
-                for (sum, part) in others.iter_mut().zip(peer.demand.to_array()) {
-                    *sum += part;
+                for (sum, value) in others.iter_mut().zip(peer.demand.to_array()) {
+                    *sum += value;
                 }
             }
         }
@@ -170,8 +170,8 @@
         for (index, limit) in limits.into_iter().enumerate() {
             let Some(limit) = limit else { continue };
             let floor = MIN_DEMAND_FRACTION * limit;
-            let wanted = (own[index] + floor) / (own[index] + others[index] + floor * entries);
-            self.fractions[index] = wanted.min(self.fractions[index] + rise);
+            let target = (own[index] + floor) / (own[index] + others[index] + floor * entries);
+            self.fractions[index] = target.min(self.fractions[index] + rise);
         }
     }
 
--- a/crates/sched/src/route.rs
+++ b/crates/sched/src/route.rs
@@ -179,7 +179,7 @@
         {
             return Err(shortage);
         }
-        let prefix = self.estimates.of(key);
+        let prefix = self.estimates.get(key);
         let first_token = self.first_token(server, query, prefix.expected);
         let score = first_token
             + self.settings.failure_weight.as_secs_f32() * server.failure(self.now)
@@ -205,12 +205,12 @@
     }
 
     fn first_token(&self, server: &view::ServerView, query: &RouteQuery<'_>, cached: f32) -> f32 {
-        let rest = (query.request.prompt_tokens as f32 - cached).max(1.0);
+        let uncached = (query.request.prompt_tokens as f32 - cached).max(1.0);
         let queued = server.report.map_or(0, |report| report.waiting) as f32;
         let steps = 1.0 + queued;
         server
             .step
-            .mul_add(steps, (server.prefill + rest) / query.prefill_rate)
+            .mul_add(steps, (server.prefill + uncached) / query.prefill_rate)
     }
 
     fn draw<R: Rng + ?Sized>(
@@ -243,14 +243,14 @@
         } else {
             explain::ChoiceCause::Soonest
         };
-        let rest = query.request.prompt_tokens as f32 - chosen.prefix.expected;
+        let uncached = query.request.prompt_tokens as f32 - chosen.prefix.expected;
         RouteChoice {
             server: chosen.server,
             cause,
             candidates: scored.len() as u16,
             first_token: chosen.first_token,
             cached: chosen.prefix.tokens,
-            prefill: rest.max(1.0),
+            prefill: uncached.max(1.0),
         }
     }
 }
--- a/crates/sched/src/view.rs
+++ b/crates/sched/src/view.rs
@@ -94,7 +94,7 @@
 }
 
 /// Maximum number of ended generations tracked per server. Older ones count as if still running.
-const MAX_ENDED_LOADS: usize = 128;
+const MAX_ENDED_GENERATIONS: usize = 128;
 
 /// Half-life of the failure score.
 const FAILURE_HALF_LIFE: time::Duration = time::Duration::from_secs(5);
@@ -276,7 +276,7 @@
             return;
         }
         self.ended.add_generation(&run.load);
-        if self.ended_log.len() == MAX_ENDED_LOADS {
+        if self.ended_log.len() == MAX_ENDED_GENERATIONS {
             self.ended_log.pop_front();
         }
         let load = run.load;
--- a/crates/sched/tests/driver.rs
+++ b/crates/sched/tests/driver.rs
@@ -1,4 +1,4 @@
-//! The driver on the paused clock.
+//! Tests of the driver on a paused clock.
 
 use base::{class, id};
 use rand::{SeedableRng as _, rngs};
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dropped_grant_frees_its_place() {
+async fn dropped_grant_frees_its_slot() {
     let fixture = Fixture::new(1);
     let grant = fixture.driver.admit(fixture.request()).await.unwrap();
     let waiting = tokio::spawn({
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dropped_wait_takes_no_place() {
+async fn dropped_waiting_request_takes_no_slot() {
     let fixture = Fixture::new(1);
     let grant = fixture.driver.admit(fixture.request()).await.unwrap();
     let second = fixture.driver.admit(fixture.request());
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_passed_deadline_is_refused_and_not_run() {
+async fn request_past_its_deadline_is_refused() {
     let fixture = Fixture::new(1);
     let grant = fixture.driver.admit(fixture.request()).await.unwrap();
     tokio::spawn(async move {
