--- a/crates/sched/benches/policy/ablation.rs
+++ b/crates/sched/benches/policy/ablation.rs
@@ -1,11 +1,11 @@
-//! The policy with one part changed at a time.
+//! Variants of the policy, each with one setting changed.
 
 use sched::settings::PolicySettings;
 use tokio::time::Duration;
 
 use crate::Policy;
 
-/// The policy as it is, then each variant.
+/// Returns the default policy, followed by its variants.
 pub fn variants() -> Vec<(&'static str, Policy)> {
     let with = |change: fn(&mut PolicySettings)| {
         let mut settings = PolicySettings::default();
--- a/crates/sched/benches/policy/baseline.rs
+++ b/crates/sched/benches/policy/baseline.rs
@@ -1,4 +1,5 @@
-//! What the policy is measured against: round robin, fewest outstanding, our own first version.
+//! Baselines for the policy: round robin, fewest outstanding requests, and a simple queueing
+//! policy.
 
 use std::collections;
 
@@ -13,13 +14,14 @@
 /// Sends each request to an engine at once.
 pub struct DirectEntry {
     engines: usize,
-    /// By fewest own outstanding requests; else in turn.
+    /// Whether to choose the engine with the fewest outstanding requests of this VM instead of
+    /// round robin.
     fewest: bool,
     /// Whether the class is passed on as the engine's priority.
     priorities: bool,
     next: usize,
     outstanding: Vec<u32>,
-    places: collections::HashMap<usize, usize>,
+    assignments: collections::HashMap<usize, usize>,
     arrived: Vec<(usize, TrafficClass, Retry)>,
     rng: rngs::StdRng,
 }
@@ -32,7 +34,7 @@
             priorities,
             next: seed as usize % engines,
             outstanding: vec![0; engines],
-            places: collections::HashMap::new(),
+            assignments: collections::HashMap::new(),
             arrived: Vec::new(),
             rng: rngs::StdRng::seed_from_u64(seed),
         }
@@ -54,7 +56,7 @@
     }
 
     fn leave(&mut self, request: usize) {
-        if let Some(engine) = self.places.remove(&request) {
+        if let Some(engine) = self.assignments.remove(&request) {
             self.outstanding[engine] -= 1;
         }
     }
@@ -69,7 +71,7 @@
         for (request, class, retry) in std::mem::take(&mut self.arrived) {
             let engine = self.choose(retry);
             self.outstanding[engine] += 1;
-            self.places.insert(request, engine);
+            self.assignments.insert(request, engine);
             let priority = if self.priorities {
                 class.index() as u8
             } else {
@@ -102,11 +104,12 @@
     fn report(&mut self, _engine: usize, _report: Report) {}
 }
 
-/// Our first version: queues by class, first come first served, the engine with the fewest own
-/// generations, at most the engine's batch over the number of entry VMs in flight.
+/// The scheduler's first version: one first-come-first-served queue per class, and the engine with
+/// the fewest generations of this VM. At most the engine's batch divided by the number of entry VMs
+/// is in flight per engine.
 pub struct FirstEntry {
     queues: [collections::VecDeque<(usize, Retry)>; 3],
-    most: u32,
+    max_in_flight: u32,
     direct: DirectEntry,
 }
 
@@ -114,7 +117,7 @@
     pub fn new(engines: usize, max_batch: usize, entries: usize, seed: u64) -> Self {
         Self {
             queues: Default::default(),
-            most: max_batch.div_ceil(entries) as u32,
+            max_in_flight: max_batch.div_ceil(entries) as u32,
             direct: DirectEntry::new(engines, true, true, seed),
         }
     }
@@ -129,12 +132,12 @@
         for priority in 0..3 {
             while let Some(&(request, retry)) = self.queues[priority].front() {
                 let engine = self.direct.choose(retry);
-                if self.direct.outstanding[engine] >= self.most {
+                if self.direct.outstanding[engine] >= self.max_in_flight {
                     break;
                 }
                 self.queues[priority].pop_front();
                 self.direct.outstanding[engine] += 1;
-                self.direct.places.insert(request, engine);
+                self.direct.assignments.insert(request, engine);
                 let priority = priority as u8;
                 actions.push(Action::Start {
                     request,
--- a/crates/sched/benches/policy/world.rs
+++ b/crates/sched/benches/policy/cluster.rs
@@ -1,4 +1,4 @@
-//! Entry VMs before engines on virtual time, with lagged reports and faults.
+//! Simulated test cluster: entry VMs and engines in virtual time, with delayed reports and faults.
 
 use std::{cmp, collections, sync};
 
@@ -8,7 +8,7 @@
 use stand::engine::{EngineProfile, feeds::CacheEvent};
 
 use crate::{
-    engine::{self, Engine, EngineNews},
+    engine::{self, Engine, EngineUpdate},
     entry::{Action, Entry, Report, Retry, Truth},
     measure::Outcome,
     mix,
@@ -23,14 +23,14 @@
 /// Seconds between two digests of one entry VM.
 const DIGEST_INTERVAL: f64 = 1.0;
 
-/// Nothing before this is measured.
-pub const WARM: f64 = 30.0;
+/// Warm-up time in seconds, during which nothing is measured.
+pub const WARMUP_S: f64 = 30.0;
 
-/// A fault of an engine.
+/// Injected fault of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
-    /// Engine 0 dies and comes back empty.
+    /// Engine 0 dies and later restarts empty.
     Dies {
         at: f64,
         back: f64,
@@ -42,13 +42,14 @@
     },
 }
 
-/// Everything about a run but the policy.
+/// Configuration of a run except the policy.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub engines: usize,
     pub entries: usize,
     pub profile: EngineProfile,
-    /// Age of a report when it arrives, in seconds: uniform between half of this and this.
+    /// Maximum age of a report on arrival, in seconds. The age is uniform between half of it and
+    /// it.
     pub lag: f64,
     pub fault: Fault,
     pub until: f64,
@@ -70,13 +71,13 @@
     Stopped(usize),
     Deliver {
         engine: usize,
-        news: EngineNews,
+        update: EngineUpdate,
     },
     Failed {
         request: usize,
         engine: usize,
     },
-    Take(usize),
+    TakeReport(usize),
     Report {
         entry: usize,
         engine: usize,
@@ -98,40 +99,40 @@
     Fault(usize),
 }
 
-struct Timed {
+struct TimedEvent {
     at: f64,
     number: u64,
     event: Event,
 }
 
-impl PartialEq for Timed {
+impl PartialEq for TimedEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Timed {}
+impl Eq for TimedEvent {}
 
-impl Ord for Timed {
+impl Ord for TimedEvent {
     fn cmp(&self, other: &Self) -> cmp::Ordering {
         let times = other.at.total_cmp(&self.at);
         times.then_with(|| other.number.cmp(&self.number))
     }
 }
 
-impl PartialOrd for Timed {
+impl PartialOrd for TimedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-/// What became of one request.
+/// State of one request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fate {
+pub struct RequestState {
     pub entry: usize,
-    pub tries: u32,
+    pub attempts: u32,
     pub engine: usize,
-    /// Whether an engine has it.
+    /// Whether an engine has accepted the request.
     pub started: bool,
     pub first_at: Option<f64>,
     pub last_at: f64,
@@ -143,26 +144,27 @@
     pub lost: bool,
 }
 
-pub struct World<'a> {
+pub struct TestCluster<'a> {
     setup: Setup,
     requests: &'a [mix::Arrival],
     entries: Vec<Box<dyn Entry>>,
     engines: Vec<Engine>,
-    /// Number of the step event that counts, by engine: an engine's next wake may move.
+    /// Number of the valid step event of each engine; older ones are stale because the engine's
+    /// next wake-up has moved.
     steps: Vec<u64>,
-    fates: Vec<Fate>,
-    heap: collections::BinaryHeap<Timed>,
+    states: Vec<RequestState>,
+    heap: collections::BinaryHeap<TimedEvent>,
     number: u64,
     now: f64,
     wakes: Vec<f64>,
     actions: Vec<Action>,
-    news: Vec<EngineNews>,
+    updates: Vec<EngineUpdate>,
     unloaded_step: f64,
     rng: ChaCha8Rng,
     outcome: Outcome,
 }
 
-impl<'a> World<'a> {
+impl<'a> TestCluster<'a> {
     pub fn new(
         setup: Setup,
         requests: &'a [mix::Arrival],
@@ -170,63 +172,63 @@
         seed: u64,
     ) -> Self {
         let count = entries.len();
-        let mut world = Self {
+        let mut cluster = Self {
             requests,
             engines: (0..setup.engines)
                 .map(|_| Engine::new(setup.profile.clone()))
                 .collect(),
             steps: vec![0; setup.engines],
             unloaded_step: engine::unloaded_step(&setup.profile),
-            fates: vec![Fate::default(); requests.len()],
+            states: vec![RequestState::default(); requests.len()],
             heap: collections::BinaryHeap::new(),
             number: 0,
             now: 0.0,
             wakes: vec![f64::INFINITY; count],
             actions: Vec::new(),
-            news: Vec::new(),
+            updates: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             outcome: Outcome::default(),
             entries,
             setup,
         };
-        for engine in 0..world.engines.len() {
-            world.at(
-                REPORT_INTERVAL * engine as f64 / world.engines.len() as f64,
-                Event::Take(engine),
+        for engine in 0..cluster.engines.len() {
+            cluster.at(
+                REPORT_INTERVAL * engine as f64 / cluster.engines.len() as f64,
+                Event::TakeReport(engine),
             );
         }
         for entry in 0..count {
             let offset = DIGEST_INTERVAL * entry as f64 / count as f64;
-            world.at(offset, Event::TakeDigest(entry));
+            cluster.at(offset, Event::TakeDigest(entry));
         }
-        match world.setup.fault {
+        match cluster.setup.fault {
             Fault::None => {}
             Fault::Dies { at, back } => {
-                world.at(at, Event::Fault(0));
-                world.at(back, Event::Fault(1));
+                cluster.at(at, Event::Fault(0));
+                cluster.at(back, Event::Fault(1));
             }
             Fault::Slow { from, to } => {
-                world.at(from, Event::Fault(2));
-                world.at(to, Event::Fault(3));
+                cluster.at(from, Event::Fault(2));
+                cluster.at(to, Event::Fault(3));
             }
         }
         if !requests.is_empty() {
-            world.at(requests[0].at, Event::Arrive(0));
+            cluster.at(requests[0].at, Event::Arrive(0));
         }
-        world
+        cluster
     }
 
     fn at(&mut self, at: f64, event: Event) {
         self.number += 1;
-        self.heap.push(Timed {
+        self.heap.push(TimedEvent {
             at,
             number: self.number,
             event,
         });
     }
 
-    /// Runs to the end and returns what was measured.
-    pub fn run(mut self) -> (Outcome, Vec<Fate>) {
+    /// Runs to the end and returns the metrics and the state of each request.
+    pub fn run(mut self) -> (Outcome, Vec<RequestState>) {
         while let Some(timed) = self.heap.pop() {
             if timed.at > self.setup.until {
                 break;
@@ -236,8 +238,8 @@
         }
         let outcome = self
             .outcome
-            .finish(self.requests, &self.fates, self.setup.until);
-        (outcome, self.fates)
+            .finish(self.requests, &self.states, self.setup.until);
+        (outcome, self.states)
     }
 
     fn handle(&mut self, event: Event) {
@@ -254,28 +256,28 @@
                 priority,
             } => self.start(engine, request, priority),
             Event::Stop { engine, request } => {
-                self.engines[engine].cancel(request, self.fates[request].tries, self.now);
+                self.engines[engine].cancel(request, self.states[request].attempts, self.now);
                 self.step(engine);
                 self.outcome.preempted(self.now, 0);
-                self.fates[request].preempted += 1;
+                self.states[request].preempted += 1;
                 self.at(self.now + LATENCY, Event::Stopped(request));
             }
             Event::Stopped(request) => {
-                let fate = &mut self.fates[request];
-                if fate.done_at.is_some() {
+                let state = &mut self.states[request];
+                if state.done_at.is_some() {
                     return;
                 }
-                self.outcome.discard(fate.produced, self.now);
-                fate.produced = 0;
-                fate.tries += 1;
-                fate.started = false;
-                let entry = fate.entry;
+                self.outcome.discard(state.produced, self.now);
+                state.produced = 0;
+                state.attempts += 1;
+                state.started = false;
+                let entry = state.entry;
                 self.entries[entry].requeued(request, self.now);
                 self.poll(entry);
             }
-            Event::Deliver { engine, news } => self.deliver(engine, news),
+            Event::Deliver { engine, update } => self.deliver(engine, update),
             Event::Failed { request, engine } => self.fail(request, engine),
-            Event::Take(engine) => self.take_report(engine),
+            Event::TakeReport(engine) => self.take_report(engine),
             Event::Report {
                 entry,
                 engine,
@@ -315,10 +317,10 @@
 
     fn arrive(&mut self, request: usize) {
         let arrival = self.requests[request];
-        // Each organisation's callers are told three entry VMs.
+        // The callers of each organisation use three entry VMs.
         let count = self.entries.len();
         let entry = (arrival.organisation * 3 + arrival.pick as usize % 3) % count;
-        self.fates[request].entry = entry;
+        self.states[request].entry = entry;
         self.entries[entry].submit(request, &arrival, Retry::default(), self.now);
         self.poll(entry);
         if let Some(next) = self.requests.get(request + 1) {
@@ -331,7 +333,7 @@
         let truth = Truth {
             engines: &self.engines,
             requests: self.requests,
-            fates: &self.fates,
+            states: &self.states,
         };
         self.entries[entry].poll(self.now, &truth, &mut actions);
         for action in actions.drain(..) {
@@ -342,7 +344,7 @@
                     engine,
                     priority,
                 } => {
-                    self.fates[request].engine = engine;
+                    self.states[request].engine = engine;
                     self.at(
                         at,
                         Event::Start {
@@ -353,7 +355,7 @@
                     );
                 }
                 Action::Stop { request, engine } => self.at(at, Event::Stop { engine, request }),
-                Action::Refuse { request } => self.fates[request].refused_at = Some(self.now),
+                Action::Refuse { request } => self.states[request].refused_at = Some(self.now),
             }
         }
         self.actions = actions;
@@ -367,27 +369,28 @@
 
     fn start(&mut self, engine: usize, request: usize, priority: u8) {
         let arrival = &self.requests[request];
-        let tries = self.fates[request].tries;
-        let taken = self.engines[engine].start(request, tries, arrival, priority, self.now);
+        let attempts = self.states[request].attempts;
+        let taken = self.engines[engine].start(request, attempts, arrival, priority, self.now);
         if taken {
-            self.fates[request].started = true;
+            self.states[request].started = true;
             self.step(engine);
         } else {
             self.at(self.now + LATENCY, Event::Failed { request, engine });
         }
     }
 
-    /// Hands on what the engine did until now and notes when it does more.
+    /// Delivers the engine's progress until now and schedules its next step.
     fn step(&mut self, engine: usize) {
-        let mut news = std::mem::take(&mut self.news);
-        self.engines[engine].step(self.now, &mut news);
-        for news in news.drain(..) {
-            self.at(self.now + LATENCY, Event::Deliver { engine, news });
+        let mut updates = std::mem::take(&mut self.updates);
+        self.engines[engine].step(self.now, &mut updates);
+        for update in updates.drain(..) {
+            self.at(self.now + LATENCY, Event::Deliver { engine, update });
         }
-        self.news = news;
+        self.updates = updates;
         self.steps[engine] += 1;
         if let Some(wake) = self.engines[engine].next_wake() {
-            // Rounding to whole nanoseconds must not wake it just before its time.
+            // The margin keeps rounding to whole nanoseconds from waking the engine just before its
+            // time.
             self.at(
                 wake.max(self.now) + 1e-9,
                 Event::Step(engine, self.steps[engine]),
@@ -395,38 +398,38 @@
         }
     }
 
-    fn deliver(&mut self, engine: usize, news: EngineNews) {
-        match news {
-            EngineNews::Token { request } => {
-                let fate = &mut self.fates[request];
-                if fate.engine != engine || fate.done_at.is_some() {
+    fn deliver(&mut self, engine: usize, update: EngineUpdate) {
+        match update {
+            EngineUpdate::Token { request } => {
+                let state = &mut self.states[request];
+                if state.engine != engine || state.done_at.is_some() {
                     return;
                 }
                 let class = self.requests[request].class;
-                if fate.first_at.is_none() {
-                    fate.first_at = Some(self.now);
-                } else if fate.produced > 0 {
-                    let gap = self.now - fate.last_at;
-                    fate.pauses += (gap - 4.0 * self.unloaded_step).max(0.0);
+                if state.first_at.is_none() {
+                    state.first_at = Some(self.now);
+                } else if state.produced > 0 {
+                    let gap = self.now - state.last_at;
+                    state.pauses += (gap - 4.0 * self.unloaded_step).max(0.0);
                     self.outcome.gap(class, gap, self.now);
                 }
-                fate.last_at = self.now;
-                fate.produced += 1;
+                state.last_at = self.now;
+                state.produced += 1;
                 self.outcome.token(self.now);
-                self.entries[fate.entry].token(request, self.now);
+                self.entries[state.entry].token(request, self.now);
             }
-            EngineNews::Finished { request, cached } => {
-                let fate = &mut self.fates[request];
-                if fate.engine != engine || fate.done_at.is_some() {
+            EngineUpdate::Finished { request, cached } => {
+                let state = &mut self.states[request];
+                if state.engine != engine || state.done_at.is_some() {
                     return;
                 }
-                fate.done_at = Some(self.now);
-                let (entry, produced) = (fate.entry, fate.produced);
+                state.done_at = Some(self.now);
+                let (entry, produced) = (state.entry, state.produced);
                 self.entries[entry].finished(request, produced, cached, self.now);
                 self.poll(entry);
             }
-            EngineNews::Preempted { request } => {
-                self.fates[request].preempted += 1;
+            EngineUpdate::Preempted { request } => {
+                self.states[request].preempted += 1;
                 let held = &self.engines[engine];
                 self.outcome.preempted(self.now, held.free_blocks());
             }
@@ -435,22 +438,22 @@
 
     fn fail(&mut self, request: usize, engine: usize) {
         let arrival = self.requests[request];
-        let fate = &mut self.fates[request];
-        if fate.done_at.is_some() || fate.engine != engine {
+        let state = &mut self.states[request];
+        if state.done_at.is_some() || state.engine != engine {
             return;
         }
-        let entry = fate.entry;
+        let entry = state.entry;
         self.entries[entry].failed(request, self.now);
-        if fate.produced > 0 && !arrival.buffered {
-            fate.lost = true;
-            fate.done_at = Some(self.now);
+        if state.produced > 0 && !arrival.buffered {
+            state.lost = true;
+            state.done_at = Some(self.now);
         } else {
-            self.outcome.discard(fate.produced, self.now);
-            fate.produced = 0;
-            fate.tries += 1;
-            fate.started = false;
+            self.outcome.discard(state.produced, self.now);
+            state.produced = 0;
+            state.attempts += 1;
+            state.started = false;
             let retry = Retry {
-                tries: fate.tries,
+                attempts: state.attempts,
                 avoid: Some(engine),
             };
             self.entries[entry].submit(request, &arrival, retry, self.now);
@@ -490,7 +493,7 @@
                 );
             }
         }
-        self.at(self.now + REPORT_INTERVAL, Event::Take(engine));
+        self.at(self.now + REPORT_INTERVAL, Event::TakeReport(engine));
     }
 
     fn take_digest(&mut self, from: usize) {
@@ -514,9 +517,9 @@
         match number {
             0 => {
                 self.engines[0].crash(self.now);
-                for request in 0..self.fates.len() {
-                    let fate = &self.fates[request];
-                    let runs = fate.started && fate.engine == 0 && fate.done_at.is_none();
+                for request in 0..self.states.len() {
+                    let state = &self.states[request];
+                    let runs = state.started && state.engine == 0 && state.done_at.is_none();
                     if runs {
                         self.at(self.now + LATENCY, Event::Failed { request, engine: 0 });
                     }
--- a/crates/sched/benches/policy/engine.rs
+++ b/crates/sched/benches/policy/engine.rs
@@ -1,4 +1,4 @@
-//! Model engine stand-ins of crate `stand`, with the requests of the bench as their generations.
+//! Model engine stand-ins of the crate `stand`, running the requests of the bench as generations.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 
 use crate::mix;
 
-/// What happened to one request.
+/// Progress of one request.
 #[derive(Clone, Copy, Debug)]
-pub enum EngineNews {
+pub enum EngineUpdate {
     Token { request: usize },
     Finished { request: usize, cached: u32 },
     Preempted { request: usize },
 }
 
-/// Words of a request's prompt: its organisation's preamble, then its own.
+/// Returns the prompt of a request: its organisation's preamble, followed by its own words.
 pub fn prompt(request: usize, arrival: &mix::Arrival) -> String {
     let mut text = format!("[[len={}]]", arrival.length);
-    // The directive is the request's own, so it comes last: a prefix must not differ by it.
+    // The directive differs for each request, so it comes last and does not break shared prefixes.
     let own = arrival.prompt.saturating_sub(arrival.preamble + 1);
     let mut words = String::with_capacity(6 * arrival.prompt as usize);
     for word in 0..arrival.preamble {
@@ -32,8 +32,8 @@
     text
 }
 
-/// The profile that the bench runs: the stand-in's default but for how much prefill may delay a
-/// step, and for how long ended generations are kept.
+/// Returns the engine profile of the bench: the default of the stand-in, except for the prefill
+/// chunk, the load reports and the retention of ended generations.
 pub fn profile(prefill_chunk_tokens: u32, seed: u64) -> engine::EngineProfile {
     engine::EngineProfile {
         prefill_chunk_tokens,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Seconds of a step of one generation alone.
+/// Returns the duration of a step with a single generation, in seconds.
 pub fn unloaded_step(profile: &engine::EngineProfile) -> f64 {
     (profile.step_base_us + profile.step_sequence_us) as f64 * 1e-6
 }
@@ -55,15 +55,15 @@
     Duration::from_secs_f64(now)
 }
 
-fn generation(request: usize, tries: u32) -> id::GenerationId {
-    id::GenerationId((request as u128) << 32 | u128::from(tries))
+fn generation(request: usize, attempts: u32) -> id::GenerationId {
+    id::GenerationId((request as u128) << 32 | u128::from(attempts))
 }
 
 fn request(generation: id::GenerationId) -> usize {
     (generation.0 >> 32) as usize
 }
 
-/// One engine.
+/// Model engine stand-in.
 pub struct Engine {
     core: engine::EngineCore,
     cache_seen: u64,
@@ -95,17 +95,17 @@
         self.core.pool().free()
     }
 
-    /// Says whether it was taken.
+    /// Returns whether the engine accepted the request.
     pub fn start(
         &mut self,
         number: usize,
-        tries: u32,
+        attempts: u32,
         arrival: &mix::Arrival,
         priority: u8,
         now: f64,
     ) -> bool {
         let call = call::StartCall {
-            id: generation(number, tries),
+            id: generation(number, attempts),
             model: self.model.clone(),
             adapter: None,
             prompt: prompt(number, arrival),
@@ -116,28 +116,28 @@
         self.core.start(since_start(now), &call).is_ok()
     }
 
-    pub fn cancel(&mut self, request: usize, tries: u32, now: f64) {
-        // A dead engine has nothing left to cancel.
+    pub fn cancel(&mut self, request: usize, attempts: u32, now: f64) {
+        // The call fails on a dead engine, which has nothing to cancel.
         let _ = self
             .core
-            .cancel(since_start(now), generation(request, tries));
+            .cancel(since_start(now), generation(request, attempts));
     }
 
-    /// When [`Self::step`] is due.
+    /// Returns when [`Self::step`] is due.
     pub fn next_wake(&self) -> Option<f64> {
         self.core.next_wake().map(|wake| wake.as_secs_f64())
     }
 
-    pub fn step(&mut self, now: f64, news: &mut Vec<EngineNews>) {
+    pub fn step(&mut self, now: f64, updates: &mut Vec<EngineUpdate>) {
         for event in self.core.step(since_start(now)) {
             match event {
                 engine::EngineEvent::Token { id, .. } => {
-                    news.push(EngineNews::Token {
+                    updates.push(EngineUpdate::Token {
                         request: request(id),
                     });
                 }
                 engine::EngineEvent::Preempted { id, .. } => {
-                    news.push(EngineNews::Preempted {
+                    updates.push(EngineUpdate::Preempted {
                         request: request(id),
                     });
                 }
@@ -145,7 +145,7 @@
                     if report.finish != call::FinishReason::Cancelled =>
                 {
                     let (request, cached) = (request(id), report.cached_tokens);
-                    news.push(EngineNews::Finished { request, cached });
+                    updates.push(EngineUpdate::Finished { request, cached });
                 }
                 _ => {}
             }
--- a/crates/sched/benches/policy/entry.rs
+++ b/crates/sched/benches/policy/entry.rs
@@ -1,4 +1,5 @@
-//! What stands at an entry VM in the bench: one trait, the core and the baselines behind it.
+//! Policies of an entry VM in the bench: a trait implemented by the core, the baselines and the
+//! oracle.
 
 use std::time::Duration;
 
@@ -11,9 +12,9 @@
 };
 use tokio::time::Instant;
 
-use crate::{engine, mix, world};
+use crate::{cluster, engine, mix};
 
-/// What an entry VM wants done.
+/// Action requested by an entry VM.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
     Start {
@@ -30,7 +31,7 @@
     },
 }
 
-/// What an entry VM is told of an engine.
+/// Load report of an engine as received by an entry VM.
 #[derive(Clone, Copy, Debug)]
 pub struct Report {
     pub taken_at: f64,
@@ -40,14 +41,14 @@
     pub preemptions: u64,
 }
 
-/// The true state of everything, for the oracle alone.
+/// True state of the test cluster; only the oracle uses it.
 pub struct Truth<'a> {
     pub engines: &'a [engine::Engine],
     pub requests: &'a [mix::Arrival],
-    pub fates: &'a [world::Fate],
+    pub states: &'a [cluster::RequestState],
 }
 
-/// A policy at one entry VM.
+/// Policy of one entry VM.
 pub trait Entry {
     fn submit(&mut self, request: usize, arrival: &mix::Arrival, retry: Retry, now: f64);
     fn poll(&mut self, now: f64, truth: &Truth<'_>, actions: &mut Vec<Action>);
@@ -64,27 +65,27 @@
     fn take_digest(&mut self, _entry: usize, _digest: share::EntryDigest, _taken_at: f64) {}
 }
 
-/// What is known of earlier tries.
+/// Earlier attempts of a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Retry {
-    pub tries: u32,
-    /// Engine of the last try.
+    pub attempts: u32,
+    /// Engine used by the last attempt.
     pub avoid: Option<usize>,
 }
 
-/// Keys of one arena in the order of their numbers.
+/// Returns `count` keys of one arena in ascending order.
 fn keys<K: slotmap::Key>(count: usize) -> Vec<K> {
     let mut arena = slotmap::SlotMap::<K, ()>::with_key();
     (0..count).map(|_| arena.insert(())).collect()
 }
 
-/// Seconds after which an urgent request without a place is refused, as in the default rules.
+/// Seconds after which a waiting urgent request is refused, as in the default rules.
 pub const URGENT_DEADLINE: f64 = 5.0;
 
-/// The same for a normal one.
+/// Seconds after which a waiting normal request is refused, as in the default rules.
 pub const NORMAL_DEADLINE: f64 = 30.0;
 
-/// The core as it is used by the daemon.
+/// The scheduling core as used by the daemon.
 pub struct CoreEntry {
     core: core::DispatchCore,
     epoch: Instant,
@@ -161,7 +162,7 @@
         };
         generation.deadline = patience.map(|patience| self.at(arrival.at + patience));
         generation.buffered = arrival.buffered;
-        generation.retry = retry.tries > 0;
+        generation.retry = retry.attempts > 0;
         if let Some(engine) = retry.avoid {
             generation.avoid.push(self.servers[engine]);
         }
@@ -290,7 +291,7 @@
     }
 }
 
-/// A number of any look, different for different values.
+/// Mixes the bits of `value`. Different values give different results.
 pub fn mixed(value: u64) -> u64 {
     value.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
--- a/crates/sched/benches/policy/main.rs
+++ b/crates/sched/benches/policy/main.rs
@@ -1,10 +1,10 @@
-//! Policy bench: the decision core and what it is measured against, before nine model engine
-//! stand-ins on virtual time; same arrivals for all of a seed.
+//! Policy bench: compares the scheduling core with baselines on nine model engine stand-ins in
+//! virtual time. All policies get the same arrivals for a seed.
 //!
 //! `cargo bench -p sched --bench policy -- [quick] [scenario=NAME] [seeds=N] [threads=N]`
 //!
-//! `quick` plays two seeds of the loads 0.7, 0.9 and 1.1 and prints its tables within two minutes;
-//! the whole one takes hours.
+//! `quick` runs two seeds of the loads 0.7, 0.9 and 1.1 and prints its tables within two minutes;
+//! the complete bench takes hours.
 
 #![allow(
     clippy::too_many_lines,
@@ -14,12 +14,12 @@
 
 mod ablation;
 mod baseline;
+mod cluster;
 mod engine;
 mod entry;
 mod measure;
 mod mix;
 mod oracle;
-mod world;
 
 use std::sync::{atomic, mpsc};
 
@@ -29,9 +29,9 @@
 use tokio::time;
 
 use crate::{
+    cluster::{Fault, Setup},
     measure::Outcome,
     mix::{Mix, Surge},
-    world::{Fault, Setup},
 };
 
 #[derive(Clone, Debug)]
@@ -56,10 +56,10 @@
 }
 
 const ENGINES: usize = 9;
-const UNTIL: f64 = 150.0;
-/// Scenarios of a quick run, by the ends of their names.
+const RUN_SECONDS: f64 = 150.0;
+/// Suffixes of the names of the scenarios in a quick run.
 const QUICK_LOADS: [&str; 3] = ["load-0.7", "load-0.9", "load-1.1"];
-/// Seeds of a quick run.
+/// Number of seeds in a quick run.
 const QUICK_SEEDS: u64 = 2;
 
 fn entries(policy: &Policy, setup: &Setup, seed: u64) -> Vec<Box<dyn entry::Entry>> {
@@ -96,7 +96,7 @@
                         settings, ENGINES, profile, seed, epoch,
                     ))
                 }
-                Policy::Oracle => unreachable!("it has one queue for all"),
+                Policy::Oracle => unreachable!("handled above: the oracle has one queue for all entry VMs"),
             }
         })
         .collect()
@@ -109,21 +109,24 @@
         profile: engine::profile(scenario_chunk(), 0),
         lag: scenario.lag,
         fault: scenario.fault,
-        until: UNTIL,
+        until: RUN_SECONDS,
     };
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let requests = mix::arrivals(
         scenario.mix,
         scenario.load * capacity,
-        UNTIL,
+        RUN_SECONDS,
         scenario.surge,
         &mut rng,
     );
     let entries = entries(policy, &setup, seed);
-    world::World::new(setup, &requests, entries, seed).run().0
+    cluster::TestCluster::new(setup, &requests, entries, seed)
+        .run()
+        .0
 }
 
-/// Requests a second that the engines serve when work of all classes always waits.
+/// Returns the requests per second that the engines serve while requests of all classes are always
+/// waiting.
 fn calibrate(mix: Mix) -> f64 {
     let mut sum = 0.0;
     for seed in 0..3 {
@@ -147,7 +150,7 @@
             .sum();
         let mean = tokens / requests.len() as f64;
         let entries: Vec<Box<dyn entry::Entry>> = vec![Box::new(oracle::OracleEntry::new(ENGINES))];
-        let (outcome, _) = world::World::new(setup, &requests, entries, seed).run();
+        let (outcome, _) = cluster::TestCluster::new(setup, &requests, entries, seed).run();
         sum += outcome.tokens_per_second / mean;
     }
     sum / 3.0
@@ -260,14 +263,14 @@
     std::env::args().find_map(|text| text.strip_prefix(&prefix).map(str::to_owned))
 }
 
-/// Prompt tokens that a step prefills at the most.
+/// Returns the maximum number of prompt tokens prefilled per step.
 fn scenario_chunk() -> u32 {
     argument("chunk")
         .and_then(|text| text.parse().ok())
         .unwrap_or(128)
 }
 
-/// Runs all jobs on a few threads; results in the order of the jobs.
+/// Runs all jobs on a few threads and returns the results in the order of the jobs.
 fn run_all<J: Sync, R: Send>(jobs: &[J], run: impl Fn(&J) -> R + Sync) -> Vec<R> {
     let next = atomic::AtomicUsize::new(0);
     let threads = argument("threads")
@@ -279,15 +282,15 @@
             let (sender, next, run) = (sender.clone(), &next, &run);
             scope.spawn(move || {
                 loop {
-                    let place = next.fetch_add(1, atomic::Ordering::Relaxed);
-                    let Some(job) = jobs.get(place) else { return };
-                    sender.send((place, run(job))).expect("the receiver waits");
+                    let index = next.fetch_add(1, atomic::Ordering::Relaxed);
+                    let Some(job) = jobs.get(index) else { return };
+                    sender.send((index, run(job))).expect("the receiver waits");
                 }
             });
         }
         drop(sender);
         let mut results: Vec<(usize, R)> = receiver.iter().collect();
-        results.sort_by_key(|(place, _)| *place);
+        results.sort_by_key(|(index, _)| *index);
         results.into_iter().map(|(_, result)| result).collect()
     })
 }
--- a/crates/sched/benches/policy/measure.rs
+++ b/crates/sched/benches/policy/measure.rs
@@ -1,16 +1,16 @@
-//! What is measured of a run, and medians over runs.
+//! Metrics of one run, and their medians over runs.
 
 use base::class::TrafficClass;
 
-use crate::{entry, mix, world};
+use crate::{cluster, entry, mix};
 
-/// Counts of durations in buckets of 5 percent.
+/// Histogram of durations in logarithmic buckets.
 #[derive(Clone, Debug)]
 struct LogHistogram {
     counts: Vec<u64>,
 }
 
-const LOWEST: f64 = 1e-4;
+const MIN_SECONDS: f64 = 1e-4;
 const GROWTH: f64 = 1.02;
 
 impl Default for LogHistogram {
@@ -23,26 +23,26 @@
 
 impl LogHistogram {
     fn add(&mut self, seconds: f64) {
-        let place = ((seconds / LOWEST).max(1.0).ln() / GROWTH.ln()) as usize;
+        let index = ((seconds / MIN_SECONDS).max(1.0).ln() / GROWTH.ln()) as usize;
         let last = self.counts.len() - 1;
-        self.counts[place.min(last)] += 1;
+        self.counts[index.min(last)] += 1;
     }
 
-    fn quantile(&self, part: f64) -> f64 {
-        let whole: u64 = self.counts.iter().sum();
-        let wanted = (whole as f64 * part).ceil() as u64;
+    fn quantile(&self, fraction: f64) -> f64 {
+        let total: u64 = self.counts.iter().sum();
+        let rank = (total as f64 * fraction).ceil() as u64;
         let mut sum = 0;
-        for (place, count) in self.counts.iter().enumerate() {
+        for (index, count) in self.counts.iter().enumerate() {
             sum += count;
-            if sum >= wanted.max(1) {
-                return LOWEST * GROWTH.powf(place as f64 + 0.5);
+            if sum >= rank.max(1) {
+                return MIN_SECONDS * GROWTH.powf(index as f64 + 0.5);
             }
         }
         0.0
     }
 }
 
-/// The measures of one run.
+/// Metrics of one run.
 #[derive(Clone, Debug, Default)]
 #[derive(serde::Serialize)]
 pub struct Outcome {
@@ -60,9 +60,9 @@
     pub refused_normal: f64,
     pub lost: u64,
     pub started_late: u64,
-    /// Urgent stall, 99th of a hundred, of organisation 4, which is never the greedy one.
+    /// 99th percentile of the urgent stall of organisation 4, which is never the greedy one.
     pub other_urgent_p99: f64,
-    /// Normal stall of the same.
+    /// 99th percentile of the normal stall of organisation 4.
     pub other_normal_p99: f64,
     #[serde(skip)]
     gaps: [LogHistogram; 3],
@@ -70,49 +70,55 @@
     tokens: f64,
 }
 
-fn quantile(values: &mut [f64], part: f64) -> f64 {
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     if values.is_empty() {
         return 0.0;
     }
     values.sort_by(f64::total_cmp);
-    let place = (values.len() as f64 * part).ceil() as usize;
-    values[place.clamp(1, values.len()) - 1]
+    let index = (values.len() as f64 * fraction).ceil() as usize;
+    values[index.clamp(1, values.len()) - 1]
 }
 
 impl Outcome {
     pub fn token(&mut self, now: f64) {
-        if now >= world::WARM {
+        if now >= cluster::WARMUP_S {
             self.tokens += 1.0;
         }
     }
 
     pub fn discard(&mut self, tokens: u32, now: f64) {
-        if now >= world::WARM {
+        if now >= cluster::WARMUP_S {
             self.tokens -= f64::from(tokens);
         }
     }
 
     pub fn preempted(&mut self, now: f64, free: u32) {
-        if now >= world::WARM {
+        if now >= cluster::WARMUP_S {
             self.preemptions += 1;
             self.preempted_roomy += u64::from(free > 150);
         }
     }
 
     pub fn gap(&mut self, class: TrafficClass, gap: f64, now: f64) {
-        if now >= world::WARM {
+        if now >= cluster::WARMUP_S {
             self.gaps[class.index()].add(gap);
         }
     }
 
-    pub fn finish(mut self, requests: &[mix::Arrival], fates: &[world::Fate], until: f64) -> Self {
+    pub fn finish(
+        mut self,
+        requests: &[mix::Arrival],
+        states: &[cluster::RequestState],
+        until: f64,
+    ) -> Self {
         let measured = || {
-            let both = requests.iter().zip(fates);
-            both.filter(|(arrival, _)| arrival.at >= world::WARM && arrival.at < until)
+            let both = requests.iter().zip(states);
+            both.filter(|(arrival, _)| arrival.at >= cluster::WARMUP_S && arrival.at < until)
         };
-        let stall = |arrival: &mix::Arrival, fate: &world::Fate| match fate.first_at {
-            Some(first) => first - arrival.at + fate.pauses,
-            // Refused or never begun: its caller waited as long as it may, or as it did.
+        let stall = |arrival: &mix::Arrival, state: &cluster::RequestState| match state.first_at {
+            Some(first) => first - arrival.at + state.pauses,
+            // Refused or never started: the stall is the time the caller waited, but at least its
+            // deadline.
             None => match arrival.class {
                 TrafficClass::Urgent => (until - arrival.at).max(entry::URGENT_DEADLINE),
                 TrafficClass::Normal => (until - arrival.at).max(entry::NORMAL_DEADLINE),
@@ -121,18 +127,18 @@
         };
         let stalls = |class: TrafficClass, organisation: Option<usize>| -> Vec<f64> {
             measured()
-                .filter(|(arrival, fate)| {
+                .filter(|(arrival, state)| {
                     arrival.class == class
-                        && organisation.is_none_or(|wanted| wanted == arrival.organisation)
-                        && (fate.first_at.is_some()
-                            || fate.refused_at.is_some()
+                        && organisation.is_none_or(|expected| expected == arrival.organisation)
+                        && (state.first_at.is_some()
+                            || state.refused_at.is_some()
                             || class == TrafficClass::Deferrable
                             || until - arrival.at > entry::URGENT_DEADLINE)
                 })
-                .map(|(arrival, fate)| match fate.refused_at {
+                .map(|(arrival, state)| match state.refused_at {
                     Some(_) if class == TrafficClass::Urgent => entry::URGENT_DEADLINE,
                     Some(_) => entry::NORMAL_DEADLINE,
-                    None => stall(arrival, fate),
+                    None => stall(arrival, state),
                 })
                 .collect()
         };
@@ -148,29 +154,29 @@
         let refused = |class: TrafficClass| {
             let all = measured().filter(|(arrival, _)| arrival.class == class);
             let (mut count, mut refused) = (0.0, 0.0);
-            for (_, fate) in all {
+            for (_, state) in all {
                 count += 1.0;
-                refused += f64::from(u8::from(fate.refused_at.is_some()));
+                refused += f64::from(u8::from(state.refused_at.is_some()));
             }
             refused / f64::max(count, 1.0)
         };
         self.refused_urgent = refused(TrafficClass::Urgent);
         self.refused_normal = refused(TrafficClass::Normal);
-        self.lost = fates.iter().filter(|fate| fate.lost).count() as u64;
-        let mut whole = LogHistogram::default();
+        self.lost = states.iter().filter(|state| state.lost).count() as u64;
+        let mut total = LogHistogram::default();
         for gaps in &self.gaps {
-            for (sum, count) in whole.counts.iter_mut().zip(&gaps.counts) {
+            for (sum, count) in total.counts.iter_mut().zip(&gaps.counts) {
                 *sum += count;
             }
         }
-        self.gap_p99 = whole.quantile(0.99);
+        self.gap_p99 = total.quantile(0.99);
         self.urgent_gap_p99 = self.gaps[0].quantile(0.99);
-        self.tokens_per_second = self.tokens / (until - world::WARM);
+        self.tokens_per_second = self.tokens / (until - cluster::WARMUP_S);
         self
     }
 }
 
-/// Median and the quarters beside it.
+/// Median and quartiles.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(serde::Serialize)]
 pub struct Spread {
--- a/crates/sched/benches/policy/mix.rs
+++ b/crates/sched/benches/policy/mix.rs
@@ -1,20 +1,20 @@
-//! The two users' traffic, seeded.
+//! Seeded synthetic traffic of the two users' workloads.
 
 use base::class::TrafficClass;
 use rand::{Rng, RngExt as _};
 
-/// Organisations.
+/// Number of organisations.
 pub const ORGANISATIONS: usize = 10;
 
-/// Share of the traffic of each organisation: a few are large.
+/// Fraction of the traffic of each organisation; a few organisations are large.
 const SHARES: [f64; ORGANISATIONS] = [0.26, 0.20, 0.15, 0.10, 0.08, 0.06, 0.05, 0.04, 0.03, 0.03];
 
-/// Traffic of one kind.
+/// Workload of one traffic class.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
     pub class: TrafficClass,
-    /// Share of the requests.
-    pub part: f64,
+    /// Fraction of the requests.
+    pub fraction: f64,
     pub prompt_median: f64,
     pub prompt_spread: f64,
     pub output_median: f64,
@@ -23,7 +23,7 @@
     pub buffered: bool,
 }
 
-/// Whose traffic it is.
+/// User whose workload is generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mix {
     PassWorks,
@@ -42,7 +42,7 @@
 
     pub fn kinds(self) -> [Kind; 3] {
         match self {
-            // Gate checks; verdicts on booths; reviews of dossiers, which may wait.
+            // Gate checks; verdicts on booths; reviews of dossiers, which are deferrable.
             Self::PassWorks => [
                 kind(TrafficClass::Urgent, 0.60, (90.0, 0.3), (14.0, 0.4), 64),
                 kind(TrafficClass::Normal, 0.25, (300.0, 0.4), (60.0, 0.6), 512),
@@ -54,7 +54,8 @@
                     6_000,
                 ),
             ],
-            // Whether a pickup fits; run sheets that a dispatcher waits for; sheets of tomorrow.
+            // Checks whether a pickup fits; run sheets that a dispatcher waits for; run sheets of
+            // the next day.
             Self::Ridebook => [
                 kind(TrafficClass::Urgent, 0.60, (160.0, 0.3), (35.0, 0.6), 256),
                 kind(
@@ -78,14 +79,14 @@
 
 fn kind(
     class: TrafficClass,
-    part: f64,
+    fraction: f64,
     prompt: (f64, f64),
     output: (f64, f64),
     max_tokens: u32,
 ) -> Kind {
     Kind {
         class,
-        part,
+        fraction,
         prompt_median: prompt.0,
         prompt_spread: prompt.1,
         output_median: output.0,
@@ -100,27 +101,27 @@
 pub struct Arrival {
     pub at: f64,
     pub organisation: usize,
-    /// Which of its organisation's entry VMs takes it: any number.
+    /// Random number that selects one of the organisation's entry VMs.
     pub pick: u32,
     pub class: TrafficClass,
     pub prompt: u32,
     pub length: u32,
     pub max_tokens: u32,
-    /// Words at the beginning of its prompt that others of its kind and organisation share.
+    /// Length in words of the preamble shared by the organisation's requests of this kind.
     pub preamble: u32,
-    /// Which preamble.
+    /// Number of the preamble.
     pub preamble_number: usize,
     pub buffered: bool,
 }
 
-/// A change of the traffic for some time.
+/// Temporary or permanent increase of the traffic.
 #[derive(Clone, Copy, Debug)]
 pub enum Surge {
-    /// Deferrable and, where there is none, the longest work, times the factor.
+    /// Multiplies the deferrable work, which has the longest outputs, by `factor`.
     Long { from: f64, to: f64, factor: f64 },
-    /// Urgent work.
+    /// Multiplies the urgent work by `factor`.
     Urgent { from: f64, to: f64, factor: f64 },
-    /// Everything of one organisation, all the time.
+    /// Multiplies all work of one organisation by `factor` during the entire run.
     Greedy { organisation: usize, factor: f64 },
 }
 
@@ -133,7 +134,7 @@
     median * (spread * normal(rng)).exp()
 }
 
-/// Mean output tokens of a request of the mix, by the same draws that the bench makes.
+/// Returns the arrivals of a run in order of time.
 pub fn arrivals<R: Rng>(
     mix: Mix,
     rate: f64,
@@ -142,7 +143,7 @@
     rng: &mut R,
 ) -> Vec<Arrival> {
     let kinds = mix.kinds();
-    // Each organisation writes in its own way: longer or shorter, and with its own preamble.
+    // Output lengths and preambles differ between organisations.
     let scales: Vec<f64> = (0..ORGANISATIONS)
         .map(|_| (0.35 * normal(rng)).exp())
         .collect();
@@ -152,7 +153,7 @@
     let mut arrivals = Vec::new();
     for (organisation, share) in SHARES.iter().enumerate() {
         for (number, kind) in kinds.iter().enumerate() {
-            let base = rate * share * kind.part;
+            let base = rate * share * kind.fraction;
             let factor = |at: f64| match surge {
                 Some(Surge::Long { from, to, factor })
                     if (from..to).contains(&at) && kind.class == TrafficClass::Deferrable =>
@@ -170,7 +171,7 @@
                 }) if greedy == organisation => factor,
                 _ => 1.0,
             };
-            let most = match surge {
+            let max_factor = match surge {
                 Some(
                     Surge::Long { factor, .. }
                     | Surge::Urgent { factor, .. }
@@ -180,13 +181,13 @@
             };
             let mut at = 0.0;
             loop {
-                at += -(1.0 - rng.random::<f64>()).ln() / (base * most);
+                at += -(1.0 - rng.random::<f64>()).ln() / (base * max_factor);
                 if at > until {
                     break;
                 }
-                let kept = rng.random::<f64>() * most < factor(at);
+                let accepted = rng.random::<f64>() * max_factor < factor(at);
                 let arrival = draw(organisation, number, kind, &scales, &preambles, at, rng);
-                if kept {
+                if accepted {
                     arrivals.push(arrival);
                 }
             }
