--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -44,7 +44,7 @@
             class,
             waiting: load.waiting,
             running: load.running,
-            oldest_ms: u64::try_from(load.oldest.as_millis()).unwrap_or(u64::MAX),
+            oldest_ms: u64::try_from(load.max_wait.as_millis()).unwrap_or(u64::MAX),
             taken: 0,
             refused: 0,
         })
--- a/crates/sched/benches/policy/main.rs
+++ b/crates/sched/benches/policy/main.rs
@@ -96,7 +96,9 @@
                         settings, ENGINES, profile, seed, epoch,
                     ))
                 }
-                Policy::Oracle => unreachable!("handled above: the oracle has one queue for all entry VMs"),
+                Policy::Oracle => {
+                    unreachable!("handled above: the oracle has one queue for all entry VMs")
+                }
             }
         })
         .collect()
--- a/crates/sched/src/core.rs
+++ b/crates/sched/src/core.rs
@@ -60,7 +60,7 @@
     /// Requests running on a server.
     pub running: u32,
     /// Wait time of the request that has waited the longest.
-    pub oldest: time::Duration,
+    pub max_wait: time::Duration,
 }
 
 impl DispatchCore {
@@ -441,7 +441,7 @@
             } else {
                 load.waiting += 1;
                 let waited = now.saturating_duration_since(ticket.submitted_at);
-                load.oldest = load.oldest.max(waited);
+                load.max_wait = load.max_wait.max(waited);
             }
         }
         loads
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,5 +1,5 @@
-//! Request scheduling: memory-aware admission, fair queues, routing to servers and limits of
-//! organisations.
+//! Request scheduling: memory-aware admission, fair queues, routing to servers, preemption and
+//! limits of organisations.
 //!
 //! [`core::DispatchCore`] decides without I/O and without a clock or random source of its own;
 //! [`driver::Driver`] runs it on the runtime's clock for the request plane.
--- a/crates/sched/src/maintenance.rs
+++ b/crates/sched/src/maintenance.rs
@@ -34,7 +34,7 @@
         {
             return;
         }
-        let (then, started) = self.own_loads(view, report.taken_at);
+        let (own_at_report, started) = self.own_loads(view, report.taken_at);
         let model = view.spec.models.first().copied().unwrap_or_default();
         let residual = match self.models.get(model) {
             Some(fleet) => fleet.residual,
@@ -42,7 +42,7 @@
         };
         let draw = self.rng.random();
         if let Some(view) = self.servers.get_mut(server) {
-            view.take_report(report, then, started, &residual);
+            view.take_report(report, own_at_report, started, &residual);
             view.draw = draw;
         }
         if !self.reported.contains(&server) {
@@ -53,7 +53,7 @@
     /// Returns the load of this VM's generations on a server as of `taken_at`, and the load of
     /// those started later.
     fn own_loads(&self, server: &view::ServerView, taken_at: time::Instant) -> (LoadSum, LoadSum) {
-        let (mut then, mut since) = (LoadSum::default(), LoadSum::default());
+        let (mut own_at_report, mut since) = (LoadSum::default(), LoadSum::default());
         for ticket in &server.tickets {
             let Some(state) = self.tickets.get(*ticket) else {
                 continue;
@@ -63,16 +63,16 @@
                 since.add_generation(&run.load);
                 continue;
             }
-            then.add_generation(&run.load);
+            own_at_report.add_generation(&run.load);
             // Subtract the tokens that arrived after the report was taken.
             let after = run
                 .last_token_at
                 .saturating_duration_since(taken_at)
                 .as_secs_f32();
             let tokens = (after / server.step.max(1e-3)).min(run.produced as f32);
-            then.memory.mean[0] -= tokens;
+            own_at_report.memory.mean[0] -= tokens;
         }
-        (then, since)
+        (own_at_report, since)
     }
 
     /// Recomputes the candidates of every model. Called only when servers or settings change.
--- a/crates/sched/src/queue.rs
+++ b/crates/sched/src/queue.rs
@@ -27,7 +27,7 @@
     /// Whether the flow has tickets.
     active: bool,
     /// Whether the heap contains the flow: it is active and not parked.
-    queued: bool,
+    in_heap: bool,
     /// Whether the flow is parked until a limit permits more work.
     parked: bool,
 }
@@ -68,7 +68,7 @@
 pub const MAX_FRONTS: usize = 4;
 
 /// Minimum number of empty flows kept for their tags before idle flows are evicted.
-const INITIAL_IDLE_FLOW_LIMIT: usize = 64;
+const MIN_IDLE_FLOW_LIMIT: usize = 64;
 
 /// Waiting tickets of one class and model, shared fairly among organisations.
 #[derive(Clone, Debug, Default)]
@@ -79,7 +79,7 @@
     /// Keys of the parked flows.
     parked: Vec<usize>,
     /// Virtual time: the tag of the flow served last; never decreases.
-    time: f64,
+    virtual_time: f64,
     /// Number of tickets in all flows.
     len: usize,
     /// Sum of the backlogs of all flows.
@@ -135,7 +135,7 @@
         if !flow.active {
             flow.active = true;
             flow.weight = weight.max(1e-6);
-            flow.tag = flow.tag.max(self.time);
+            flow.tag = flow.tag.max(self.virtual_time);
             self.weight += flow.weight;
             self.idle -= 1;
             self.requeue(key);
@@ -149,8 +149,8 @@
         self.flows[entry.key].tickets.front().copied()
     }
 
-    /// Writes the tickets that are served next to `fronts`, one of each flow, and returns their
-    /// number.
+    /// Writes the tickets that are served next to `fronts`, one of each flow and at most
+    /// `fronts.len()`, and returns their number.
     pub fn fronts(&mut self, fronts: &mut [QueuedTicket]) -> usize {
         let mut entries = [HeapEntry { tag: 0.0, key: 0 }; MAX_FRONTS];
         let limit = fronts.len().min(MAX_FRONTS);
@@ -175,7 +175,7 @@
         }
         let flow = &mut self.flows[key];
         let queued = flow.tickets.pop_front()?;
-        self.time = self.time.max(flow.tag);
+        self.virtual_time = self.virtual_time.max(flow.tag);
         flow.tag += queued.cost / flow.weight;
         self.subtract_ticket(key, queued.cost);
         self.requeue(key);
@@ -213,7 +213,11 @@
             return false;
         };
         let flow = &mut self.flows[key];
-        let Some(index) = flow.tickets.iter().position(|held| held.ticket == ticket) else {
+        let Some(index) = flow
+            .tickets
+            .iter()
+            .position(|queued| queued.ticket == ticket)
+        else {
             return false;
         };
         let cost = flow.tickets.remove(index).map_or(0.0, |queued| queued.cost);
@@ -242,7 +246,7 @@
         let flow = self.keys.get(&organisation).map(|&key| &self.flows[key]);
         let own = flow.map_or(0.0, |flow| {
             // While the tag is ahead of the virtual time, other flows are served first.
-            (flow.tag - self.time)
+            (flow.tag - self.virtual_time)
                 .max(0.0)
                 .mul_add(flow.weight, flow.backlog)
         });
@@ -260,7 +264,7 @@
         if let Some(&key) = self.keys.get(&organisation) {
             return key;
         }
-        if self.idle >= self.idle_limit.max(INITIAL_IDLE_FLOW_LIMIT) {
+        if self.idle >= self.idle_limit.max(MIN_IDLE_FLOW_LIMIT) {
             self.evict_idle_flows();
         }
         let tickets = self.spare.pop().unwrap_or_default();
@@ -284,10 +288,10 @@
 
     /// Removes a flow from the heap. Returns whether it was there.
     fn remove_from_heap(&mut self, key: usize) -> bool {
-        if !self.flows[key].queued {
+        if !self.flows[key].in_heap {
             return false;
         }
-        self.flows[key].queued = false;
+        self.flows[key].in_heap = false;
         let mut passed = [HeapEntry { tag: 0.0, key: 0 }; MAX_FRONTS];
         let mut count = 0;
         while let Some(entry) = self.heap.pop() {
@@ -321,7 +325,7 @@
                 self.idle += 1;
             }
         } else if !flow.parked {
-            flow.queued = true;
+            flow.in_heap = true;
             self.heap.push(HeapEntry { tag: flow.tag, key });
         }
         if self.len == 0 {
@@ -332,10 +336,10 @@
     /// Drops empty flows whose tag is not ahead of the virtual time. Recreating such a flow gives
     /// the same tag.
     fn evict_idle_flows(&mut self) {
-        let (time, keys, spare) = (self.time, &mut self.keys, &mut self.spare);
+        let (virtual_time, keys, spare) = (self.virtual_time, &mut self.keys, &mut self.spare);
         let before = self.flows.len();
         self.flows.retain(|_, flow| {
-            let keep = flow.active || flow.tag > time;
+            let keep = flow.active || flow.tag > virtual_time;
             if !keep {
                 keys.remove(&flow.organisation);
                 spare.push(std::mem::take(&mut flow.tickets));
--- a/crates/sched/src/share.rs
+++ b/crates/sched/src/share.rs
@@ -137,13 +137,13 @@
             });
         }
         divide_all(&mut self.entries, capacity, rule.floor);
-        let common = own.waiting / (waiting + own.waiting).max(1.0);
+        let common_share = own.waiting / (waiting + own.waiting).max(1.0);
         self.common_fraction = rule.common_fraction;
-        self.assign_shares(own.identity, engines, common);
+        self.assign_shares(own.identity, engines, common_share);
     }
 
     /// Places the VMs and the engines on the ring and records this VM's share of each engine.
-    fn assign_shares(&mut self, own: u64, engines: &[RingEngine], common: f32) {
+    fn assign_shares(&mut self, own: u64, engines: &[RingEngine], common_share: f32) {
         self.entries.sort_unstable_by_key(|entry| entry.identity);
         let before = self
             .entries
@@ -157,7 +157,7 @@
             let end = start + engine.capacity;
             let covered = (to.min(end) - from.max(start)).max(0.0);
             let own = covered / engine.capacity.max(1.0);
-            let share = (1.0 - self.common_fraction) * own + self.common_fraction * common;
+            let share = (1.0 - self.common_fraction) * own + self.common_fraction * common_share;
             self.shares.insert(engine.server, share);
             start = end;
         }
@@ -166,10 +166,11 @@
     /// Returns the index in `engines` of the first engine that this VM covers.
     #[must_use]
     pub fn first_covered(&self, engines: &[RingEngine]) -> Option<usize> {
-        let own = self.common_fraction + f32::EPSILON;
-        engines
-            .iter()
-            .position(|engine| self.share(engine.server).is_some_and(|share| share > own))
+        let max_common = self.common_fraction + f32::EPSILON;
+        engines.iter().position(|engine| {
+            self.share(engine.server)
+                .is_some_and(|share| share > max_common)
+        })
     }
 
     /// Returns this VM's share of the capacity of `server`, or `None` while no other VM is known.
