--- a/crates/sched/src/dispatch.rs
+++ b/crates/sched/src/dispatch.rs
@@ -266,8 +266,8 @@
         let waited = now.saturating_duration_since(submitted_at);
         let may_spill = urgent || waited >= self.settings.spill_after;
         if found.is_err() && may_spill && !fleet.remote.is_empty() {
-            let remote = context.choose(&fleet.remote, &query, &mut self.rng);
-            found = remote
+            let spilled = context.choose(&fleet.remote, &query, &mut self.rng);
+            found = spilled
                 .map(|choice| route::RouteChoice {
                     cause: explain::ChoiceCause::RegionSpill,
                     ..choice
--- a/crates/sched/src/explain.rs
+++ b/crates/sched/src/explain.rs
@@ -112,9 +112,9 @@
 pub enum RefusalReason {
     /// The deadline has passed or cannot be met.
     Deadline,
-    /// The organisation exceeds its requests per second.
+    /// The organisation exceeds its limit of requests per second.
     RequestRate,
-    /// The organisation exceeds its generated tokens per second.
+    /// The organisation exceeds its limit of generated tokens per second.
     TokenRate,
     /// The organisation has reached its limit of concurrent generations.
     Concurrency,
@@ -149,10 +149,10 @@
                 "no engine can start this request before its deadline; retry after the given time"
             }
             Self::RequestRate => {
-                "the organisation exceeds its requests per second; slow down or raise the limit"
+                "the organisation exceeds its limit of requests per second; slow down or raise the limit"
             }
             Self::TokenRate => {
-                "the organisation exceeds its tokens per second; slow down or raise the limit"
+                "the organisation exceeds its limit of tokens per second; slow down or raise the limit"
             }
             Self::Concurrency => {
                 "the organisation has reached its limit of concurrent generations; wait for one to \
