--- a/crates/sched/benches/policy/main.rs
+++ b/crates/sched/benches/policy/main.rs
@@ -97,7 +97,7 @@
                     ))
                 }
                 Policy::Oracle => {
-                    unreachable!("handled above: the oracle has one queue for all entry VMs")
+                    unreachable!("the oracle is handled above")
                 }
             }
         })
