--- a/crates/sched/benches/policy/main.rs
+++ b/crates/sched/benches/policy/main.rs
@@ -96,9 +96,7 @@
                         settings, ENGINES, profile, seed, epoch,
                     ))
                 }
-                Policy::Oracle => {
-                    unreachable!("the oracle is handled above")
-                }
+                Policy::Oracle => unreachable!("the oracle is handled above"),
             }
         })
         .collect()
