--- a/crates/sched/benches/policy/ablation.rs
+++ b/crates/sched/benches/policy/ablation.rs
@@ -1,11 +1,11 @@
-//! The policy with one part changed at a time.
+//! Variants of the policy, each with one setting changed.
 
 use sched::settings::PolicySettings;
 use tokio::time::Duration;
 
 use crate::Policy;
 
-/// The policy as it is, then each variant.
+/// Returns the default policy, followed by its variants.
 pub fn variants() -> Vec<(&'static str, Policy)> {
     let with = |change: fn(&mut PolicySettings)| {
         let mut settings = PolicySettings::default();
@@ -20,8 +20,8 @@
         ("near40", with(|s| s.near_best = Duration::from_millis(40))),
         ("head2", with(|s| s.headroom_deviations = 2.0)),
         ("head4", with(|s| s.headroom_deviations = 4.0)),
-        ("doubt0", with(|s| s.slot_doubt = 0.0)),
-        ("beyond1", with(|s| s.urgent_beyond = 1)),
-        ("beyond4", with(|s| s.urgent_beyond = 4)),
+        ("doubt0", with(|s| s.slot_uncertainty = 0.0)),
+        ("beyond1", with(|s| s.urgent_overcommit = 1)),
+        ("beyond4", with(|s| s.urgent_overcommit = 4)),
     ]
 }
--- a/crates/sched/benches/policy/entry.rs
+++ b/crates/sched/benches/policy/entry.rs
@@ -1,19 +1,20 @@
-//! What stands at an entry VM in the bench: one trait, the core and the baselines behind it.
+//! Policies of an entry VM in the bench: a trait implemented by the core, the baselines and the
+//! oracle.
 
 use std::time::Duration;
 
 use base::{class::TrafficClass, id, prefix};
 use rand::{SeedableRng as _, rngs};
-use sched::{ask, core, explain::Decision, settings, share, view};
+use sched::{core, explain::Decision, request, settings, share, view};
 use stand::engine::{
     EngineProfile,
     feeds::{CacheEvent, CacheEventKind},
 };
 use tokio::time::Instant;
 
-use crate::{engine, mix, world};
+use crate::{cluster, engine, mix};
 
-/// What an entry VM wants done.
+/// Action requested by an entry VM.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
     Start {
@@ -30,7 +31,7 @@
     },
 }
 
-/// What an entry VM is told of an engine.
+/// Load report of an engine as received by an entry VM.
 #[derive(Clone, Copy, Debug)]
 pub struct Report {
     pub taken_at: f64,
@@ -40,14 +41,14 @@
     pub preemptions: u64,
 }
 
-/// The true state of everything, for the oracle alone.
+/// True state of the test cluster; only the oracle uses it.
 pub struct Truth<'a> {
     pub engines: &'a [engine::Engine],
     pub requests: &'a [mix::Arrival],
-    pub fates: &'a [world::Fate],
+    pub states: &'a [cluster::RequestState],
 }
 
-/// A policy at one entry VM.
+/// Policy of one entry VM.
 pub trait Entry {
     fn submit(&mut self, request: usize, arrival: &mix::Arrival, retry: Retry, now: f64);
     fn poll(&mut self, now: f64, truth: &Truth<'_>, actions: &mut Vec<Action>);
@@ -64,27 +65,27 @@
     fn take_digest(&mut self, _entry: usize, _digest: share::EntryDigest, _taken_at: f64) {}
 }
 
-/// What is known of earlier tries.
+/// Earlier attempts of a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Retry {
-    pub tries: u32,
-    /// Engine of the last try.
+    pub attempts: u32,
+    /// Engine used by the last attempt.
     pub avoid: Option<usize>,
 }
 
-/// Keys of one arena in the order of their numbers.
+/// Returns `count` keys of one arena in ascending order.
 fn keys<K: slotmap::Key>(count: usize) -> Vec<K> {
     let mut arena = slotmap::SlotMap::<K, ()>::with_key();
     (0..count).map(|_| arena.insert(())).collect()
 }
 
-/// Seconds after which an urgent request without a place is refused, as in the default rules.
+/// Seconds after which a waiting urgent request is refused, as in the default rules.
 pub const URGENT_DEADLINE: f64 = 5.0;
 
-/// The same for a normal one.
+/// Seconds after which a waiting normal request is refused, as in the default rules.
 pub const NORMAL_DEADLINE: f64 = 30.0;
 
-/// The core as it is used by the daemon.
+/// The scheduling core as used by the daemon.
 pub struct CoreEntry {
     core: core::DispatchCore,
     epoch: Instant,
@@ -92,8 +93,8 @@
     organisations: Vec<id::OrganisationKey>,
     vms: Vec<id::VmKey>,
     model: id::ModelKey,
-    tickets: slotmap::SecondaryMap<ask::TicketKey, usize>,
-    requests: std::collections::HashMap<usize, ask::TicketKey>,
+    tickets: slotmap::SecondaryMap<request::TicketKey, usize>,
+    requests: std::collections::HashMap<usize, request::TicketKey>,
     decisions: Vec<Decision>,
     profile: EngineProfile,
 }
@@ -114,7 +115,7 @@
         for &server in &servers {
             let spec = view::EngineSpec {
                 identity: mixed(slotmap::Key::data(&server).as_ffi()),
-                place: view::ServerPlace::default(),
+                location: view::ServerLocation::default(),
                 models: vec![model],
                 total_blocks: profile.total_blocks,
                 block_tokens: profile.block_tokens,
@@ -147,7 +148,7 @@
 impl Entry for CoreEntry {
     fn submit(&mut self, request: usize, arrival: &mix::Arrival, retry: Retry, now: f64) {
         let organisation = self.organisations[arrival.organisation];
-        let mut ask = ask::Ask::new(
+        let mut generation = request::GenerationRequest::new(
             organisation,
             arrival.class,
             self.model,
@@ -159,11 +160,11 @@
             TrafficClass::Normal => Some(NORMAL_DEADLINE),
             TrafficClass::Deferrable => None,
         };
-        ask.deadline = patience.map(|patience| self.at(arrival.at + patience));
-        ask.buffered = arrival.buffered;
-        ask.retry = retry.tries > 0;
+        generation.deadline = patience.map(|patience| self.at(arrival.at + patience));
+        generation.buffered = arrival.buffered;
+        generation.retry = retry.attempts > 0;
         if let Some(engine) = retry.avoid {
-            ask.avoid.push(self.servers[engine]);
+            generation.avoid.push(self.servers[engine]);
         }
         let prompt = engine::prompt(request, arrival);
         let chain = prefix::chain(
@@ -172,8 +173,8 @@
             &prompt,
             self.profile.block_tokens,
         );
-        ask.prefix = ask::PrefixChain::sample(&chain, self.profile.block_tokens);
-        let ticket = self.core.submit(ask, self.at(now));
+        generation.prefix = request::PrefixChain::sample(&chain, self.profile.block_tokens);
+        let ticket = self.core.submit(generation, self.at(now));
         self.tickets.insert(ticket, request);
         self.requests.insert(request, ticket);
     }
@@ -243,7 +244,7 @@
     fn failed(&mut self, request: usize, now: f64) {
         let at = self.at(now);
         if let Some(ticket) = self.requests.remove(&request) {
-            self.core.failed(ticket, ask::FailureKind::Broken, at);
+            self.core.failed(ticket, request::FailureKind::Broken, at);
         }
     }
 
@@ -268,7 +269,7 @@
     }
 
     fn prefix(&mut self, engine: usize, event: &CacheEvent, at: f64) {
-        let prefix = ask::PrefixHash {
+        let prefix = request::PrefixHash {
             hash: event.prefix_hash,
             tokens: event.tokens,
         };
@@ -290,7 +291,7 @@
     }
 }
 
-/// A number of any look, different for different values.
+/// Mixes the bits of `value`. Different values give different results.
 pub fn mixed(value: u64) -> u64 {
     value.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
--- a/crates/sched/src/affinity.rs
+++ b/crates/sched/src/affinity.rs
@@ -1,133 +1,134 @@
-//! Which server is believed to hold which prefix in its cache.
+//! Prediction of which servers have which prompt prefixes in their cache.
 //!
-//! Engines tell late and with gaps what they stored and evicted. What this process itself sent
-//! somewhere is known at once. Belief fades with age; how much it is worth at all is learnt from
-//! the cached tokens that engines report at the end of a generation.
+//! Engines report stored and evicted prefixes with delay and gaps, while the prefixes that this
+//! process itself sent to a server are known at once. The estimate decays with age. Its overall
+//! reliability is learnt from the cached tokens that engines report at the end of a generation.
 
 use base::id;
 use tokio::time;
 
-use crate::ask;
+use crate::request;
 
-/// Servers remembered of one prefix.
-const WAYS: usize = 4;
+/// Maximum number of servers tracked per prefix.
+const MAX_SERVERS_PER_PREFIX: usize = 4;
 
-/// Sets of the table; a power of two.
+/// Number of sets in the table; a power of two.
 const SETS: usize = 4_096;
 
-/// Slots of a set, each a prefix on one server.
-const SLOTS: usize = 8;
+/// Slots per set; each holds one prefix on one server.
+const SLOTS_PER_SET: usize = 8;
 
-/// One prefix on one server.
+/// Record that a server holds a prefix.
 #[derive(Clone, Copy, Debug)]
 struct AffinitySlot {
     hash: u64,
     server: id::ServerKey,
-    /// Null `server`: nothing.
+    /// Time of the latest evidence that the server holds the prefix.
     seen_at: time::Instant,
 }
 
-/// Bounded table of prefixes and the servers that hold them.
+/// Bounded set-associative table of prefixes and the servers that hold them.
 #[derive(Clone, Debug)]
 pub struct AffinityTable {
-    /// `SETS * SLOTS` of them once anything was noted, none before.
+    /// Empty until the first insertion, then `SETS * SLOTS_PER_SET` slots.
     slots: Vec<Option<AffinitySlot>>,
-    /// Belief in an entry halves with this age.
+    /// Age at which the estimate of an entry has halved.
     half_life: time::Duration,
-    /// Cached tokens found over those believed in, decayed; from 0 to 1.
-    trust: f32,
+    /// Decayed ratio of cached tokens found to cached tokens predicted, from 0 to 1.
+    hit_ratio: f32,
 }
 
-/// A believed cache hit.
+/// Predicted cache hit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PrefixBelief {
-    /// Tokens of the longest prefix believed to be there.
+pub struct PrefixEstimate {
+    /// Length of the longest prefix predicted to be cached, in tokens.
     pub tokens: u32,
-    /// Expected tokens: the former by the chance that it still is there.
+    /// Expected number of cached tokens: `tokens` times the probability that the prefix is still
+    /// cached.
     pub expected: f32,
 }
 
-/// Servers believed to hold some prefix of one prompt, at most `MOST_BELIEFS` of them.
+/// Servers predicted to hold a prefix of one prompt; at most `MAX_ESTIMATES`.
 #[derive(Clone, Copy, Debug)]
-pub struct BeliefList {
-    beliefs: [(id::ServerKey, PrefixBelief); MOST_BELIEFS],
+pub struct EstimateList {
+    estimates: [(id::ServerKey, PrefixEstimate); MAX_ESTIMATES],
     len: usize,
 }
 
-/// Servers that one [`BeliefList`] holds.
-const MOST_BELIEFS: usize = 16;
+/// Maximum number of servers in one [`EstimateList`].
+const MAX_ESTIMATES: usize = 16;
 
-impl Default for BeliefList {
+impl Default for EstimateList {
     fn default() -> Self {
-        let none = (id::ServerKey::default(), PrefixBelief::default());
+        let none = (id::ServerKey::default(), PrefixEstimate::default());
         Self {
-            beliefs: [none; MOST_BELIEFS],
+            estimates: [none; MAX_ESTIMATES],
             len: 0,
         }
     }
 }
 
-impl BeliefList {
-    /// What is believed of `server`.
+impl EstimateList {
+    /// Returns the estimate for `server`.
     #[must_use]
-    pub fn of(&self, server: id::ServerKey) -> PrefixBelief {
-        let mut held = self.beliefs[..self.len].iter();
-        let found = held.find(|(key, _)| *key == server);
-        found.map_or_else(PrefixBelief::default, |(_, belief)| *belief)
+    pub fn get(&self, server: id::ServerKey) -> PrefixEstimate {
+        let mut entries = self.estimates[..self.len].iter();
+        let found = entries.find(|(key, _)| *key == server);
+        found.map_or_else(PrefixEstimate::default, |(_, estimate)| *estimate)
     }
 
-    fn raise(&mut self, server: id::ServerKey, belief: PrefixBelief) {
-        let mut held = self.beliefs[..self.len].iter_mut();
-        if let Some((_, old)) = held.find(|(key, _)| *key == server) {
-            if belief.expected > old.expected {
-                *old = belief;
+    fn raise(&mut self, server: id::ServerKey, estimate: PrefixEstimate) {
+        let mut entries = self.estimates[..self.len].iter_mut();
+        if let Some((_, old)) = entries.find(|(key, _)| *key == server) {
+            if estimate.expected > old.expected {
+                *old = estimate;
             }
-        } else if self.len < MOST_BELIEFS {
-            self.beliefs[self.len] = (server, belief);
+        } else if self.len < MAX_ESTIMATES {
+            self.estimates[self.len] = (server, estimate);
             self.len += 1;
         }
     }
 }
 
 impl AffinityTable {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(half_life: time::Duration) -> Self {
         Self {
             slots: Vec::new(),
             half_life,
-            trust: 0.8,
+            hit_ratio: 0.8,
         }
     }
 
-    /// Changes the age with which belief halves.
+    /// Sets the age at which the estimate of an entry has halved.
     pub fn set_half_life(&mut self, half_life: time::Duration) {
         self.half_life = half_life;
     }
 
     fn set(hash: u64) -> usize {
-        // The hash may be of any quality: spread it.
+        // Callers may use hashes of low quality, so mix the bits.
         let spread = hash.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
-        (spread as usize % SETS) * SLOTS
+        (spread as usize % SETS) * SLOTS_PER_SET
     }
 
-    /// Notes that `server` holds the prefix `hash`, as of `seen_at`.
-    pub fn note(&mut self, hash: u64, server: id::ServerKey, seen_at: time::Instant) {
+    /// Records that `server` held the prefix `hash` at `seen_at`.
+    pub fn insert(&mut self, hash: u64, server: id::ServerKey, seen_at: time::Instant) {
         if self.slots.is_empty() {
-            self.slots = vec![None; SETS * SLOTS];
+            self.slots = vec![None; SETS * SLOTS_PER_SET];
         }
         let set = Self::set(hash);
-        let slots = &mut self.slots[set..set + SLOTS];
-        let held = |slot: &Option<AffinitySlot>| {
+        let slots = &mut self.slots[set..set + SLOTS_PER_SET];
+        let matches = |slot: &Option<AffinitySlot>| {
             slot.is_some_and(|slot| slot.hash == hash && slot.server == server)
         };
-        let place = slots
+        let index = slots
             .iter()
-            .position(held)
+            .position(matches)
             .unwrap_or_else(|| Self::oldest(slots, hash));
-        let newer = slots[place].is_none_or(|slot| slot.seen_at <= seen_at);
-        if newer || !held(&slots[place]) {
-            slots[place] = Some(AffinitySlot {
+        let newer = slots[index].is_none_or(|slot| slot.seen_at <= seen_at);
+        if newer || !matches(&slots[index]) {
+            slots[index] = Some(AffinitySlot {
                 hash,
                 server,
                 seen_at,
@@ -135,34 +136,34 @@
         }
     }
 
-    /// The slot to give up: the oldest of the same prefix when that has its [`WAYS`], else the
-    /// oldest of the set.
+    /// Returns the slot to replace: the oldest slot of the same prefix if it already has
+    /// [`MAX_SERVERS_PER_PREFIX`] servers, otherwise the oldest slot of the set.
     fn oldest(slots: &[Option<AffinitySlot>], hash: u64) -> usize {
         let same = |slot: &Option<AffinitySlot>| slot.is_some_and(|slot| slot.hash == hash);
-        let full = slots.iter().filter(|slot| same(slot)).count() >= WAYS;
-        let places = (0..slots.len()).filter(|&place| !full || same(&slots[place]));
-        places
-            .min_by_key(|&place| slots[place].map(|slot| slot.seen_at))
+        let full = slots.iter().filter(|slot| same(slot)).count() >= MAX_SERVERS_PER_PREFIX;
+        let indices = (0..slots.len()).filter(|&index| !full || same(&slots[index]));
+        indices
+            .min_by_key(|&index| slots[index].map(|slot| slot.seen_at))
             .unwrap_or(0)
     }
 
-    /// Notes that `server` dropped the prefix `hash` at `evicted_at`; a later note stands.
-    pub fn forget(&mut self, hash: u64, server: id::ServerKey, evicted_at: time::Instant) {
+    /// Removes the entry for `hash` on `server`, unless it is newer than `evicted_at`.
+    pub fn remove(&mut self, hash: u64, server: id::ServerKey, evicted_at: time::Instant) {
         if self.slots.is_empty() {
             return;
         }
         let set = Self::set(hash);
-        for slot in &mut self.slots[set..set + SLOTS] {
-            let gone = slot.is_some_and(|slot| {
+        for slot in &mut self.slots[set..set + SLOTS_PER_SET] {
+            let evicted = slot.is_some_and(|slot| {
                 slot.hash == hash && slot.server == server && slot.seen_at <= evicted_at
             });
-            if gone {
+            if evicted {
                 *slot = None;
             }
         }
     }
 
-    /// Forgets all that `server` held: it restarted.
+    /// Removes all entries of `server`, which has restarted.
     pub fn clear(&mut self, server: id::ServerKey) {
         for slot in &mut self.slots {
             if slot.is_some_and(|slot| slot.server == server) {
@@ -171,35 +172,36 @@
         }
     }
 
-    /// Learns from a generation that was believed to find `believed` tokens and found `found`.
-    pub fn learn(&mut self, believed: u32, found: u32) {
+    /// Updates the hit ratio with a generation for which `predicted` cached tokens were predicted
+    /// and `found` were reported.
+    pub fn record_hit(&mut self, predicted: u32, found: u32) {
         const WEIGHT: f32 = 0.05;
-        if believed > 0 {
-            let part = (found as f32 / believed as f32).min(1.0);
-            self.trust += WEIGHT * (part - self.trust);
+        if predicted > 0 {
+            let ratio = (found as f32 / predicted as f32).min(1.0);
+            self.hit_ratio += WEIGHT * (ratio - self.hit_ratio);
         }
     }
 
-    /// Which servers are believed to hold a prefix of the prompt.
+    /// Returns the servers predicted to hold a prefix of the prompt.
     #[must_use]
-    pub fn beliefs(&self, prefix: &ask::PrefixChain, now: time::Instant) -> BeliefList {
-        let mut list = BeliefList::default();
+    pub fn estimates(&self, prefix: &request::PrefixChain, now: time::Instant) -> EstimateList {
+        let mut list = EstimateList::default();
         if self.slots.is_empty() {
             return list;
         }
         for wanted in prefix.hashes() {
             let set = Self::set(wanted.hash);
-            for slot in self.slots[set..set + SLOTS].iter().flatten() {
+            for slot in self.slots[set..set + SLOTS_PER_SET].iter().flatten() {
                 if slot.hash != wanted.hash {
                     continue;
                 }
                 let age = now.saturating_duration_since(slot.seen_at).as_secs_f32();
-                let chance = self.trust * (-age / self.half_life.as_secs_f32()).exp2();
-                let belief = PrefixBelief {
+                let chance = self.hit_ratio * (-age / self.half_life.as_secs_f32()).exp2();
+                let estimate = PrefixEstimate {
                     tokens: wanted.tokens,
                     expected: chance * wanted.tokens as f32,
                 };
-                list.raise(slot.server, belief);
+                list.raise(slot.server, estimate);
             }
         }
         list
--- a/crates/sched/src/dispatch.rs
+++ b/crates/sched/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Serving the queues: who is next, whether there is room, and where.
+//! Serves the queues: selects the next request, checks free capacity and chooses a server.
 
 use std::cmp;
 
@@ -6,40 +6,44 @@
 use tokio::time;
 
 use crate::{
-    ask::TicketKey,
+    admission,
     core::DispatchCore,
     explain::{self, Decision, WaitCause},
-    fleet::HeldServer,
-    queue, risk, room, route, ticket, victim, view,
+    fleet::ServerReservation,
+    queue,
+    request::TicketKey,
+    risk, route, ticket, victim, view,
 };
 
-/// Horizons at which a victim is looked for: memory that runs out later may yet come free.
-const VICTIM_HORIZONS: usize = 2;
+/// Number of memory horizons checked for preemption. Memory that would run out at a later horizon
+/// may still be freed before.
+const PREEMPTION_HORIZONS: usize = 2;
 
-/// What became of the front of a queue.
+/// Result of serving a queue once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServeOutcome {
-    /// One was dispatched, with this cost in whole tokens.
+    /// A request was dispatched; the value is its cost in whole tokens.
     Served(u64),
-    /// One was set aside or dropped; look again.
+    /// A flow was parked; the queue has to be served again.
     Skipped,
-    /// None of the first few finds room.
+    /// No server has capacity for any of the requests considered.
     Blocked,
-    /// Nothing waits.
+    /// The queue is empty.
     Empty,
 }
 
 impl DispatchCore {
-    /// Appends what is to be done now.
+    /// Appends the decisions that are due now to `decisions`.
     pub fn poll(&mut self, now: time::Instant, decisions: &mut Vec<Decision>) {
-        self.upkeep(now);
+        self.maintain(now);
         decisions.append(&mut self.refusals);
         self.expire(now, decisions);
         self.find_victims(now, decisions);
         if self.waiting == 0 {
             return;
         }
-        // Indexed by raw key list would allocate; a model that nothing waits for costs one test.
+        // Collecting the keys would allocate on each poll; checking a model without waiting
+        // requests is cheap.
         let mut next = self.models.keys().next();
         while let Some(model) = next {
             self.serve_model(model, now, decisions);
@@ -47,7 +51,7 @@
         }
     }
 
-    /// Refuses what waited beyond its deadline.
+    /// Refuses waiting requests whose deadline has passed.
     fn expire(&mut self, now: time::Instant, decisions: &mut Vec<Decision>) {
         while let Some(&cmp::Reverse((deadline, ticket))) = self.deadlines.peek() {
             let waits = self
@@ -62,15 +66,15 @@
                 continue;
             }
             let state = &self.tickets[ticket];
-            let (ask, wait) = (state.ask, state.wait);
-            let predicted = self.predicted_wait(&ask);
+            let (request, wait) = (state.request, state.wait_cause);
+            let predicted = self.predicted_wait(&request);
             self.withdrawn(ticket, now);
             let reason = match wait {
                 WaitCause::Limit => explain::RefusalReason::Concurrency,
                 WaitCause::Server => explain::RefusalReason::NoServer,
                 _ => explain::RefusalReason::Deadline,
             };
-            let retry_after = Some(Self::come_back(predicted, 0.0));
+            let retry_after = Some(Self::retry_after(predicted, 0.0));
             decisions.push(Decision::Refuse {
                 ticket,
                 reason,
@@ -108,21 +112,21 @@
                 class = second;
             }
             match outcome {
-                ServeOutcome::Served(cost) => self.settle_credit(model, class, cost as f64),
+                ServeOutcome::Served(cost) => self.update_credit(model, class, cost as f64),
                 ServeOutcome::Skipped => {}
                 ServeOutcome::Blocked | ServeOutcome::Empty => return,
             }
         }
     }
 
-    /// Whether deferrable work is owed its part before more normal work is served.
+    /// Whether deferrable work has earned enough credit to be served before normal work.
     fn deferrable_due(&self, model: id::ModelKey) -> bool {
         let fleet = &self.models[model];
         let front = fleet.queues[class::TrafficClass::Deferrable.index()].front();
         front.is_some_and(|front| fleet.credit >= front.cost)
     }
 
-    fn settle_credit(&mut self, model: id::ModelKey, class: class::TrafficClass, cost: f64) {
+    fn update_credit(&mut self, model: id::ModelKey, class: class::TrafficClass, cost: f64) {
         let floor = self.settings.deferrable_floor;
         let fleet = &mut self.models[model];
         let queue = &fleet.queues[class::TrafficClass::Deferrable.index()];
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Serves one of the first few of a queue.
+    /// Serves one request among the first few of a queue.
     fn serve(
         &mut self,
         model: id::ModelKey,
@@ -154,28 +158,28 @@
         now: time::Instant,
         decisions: &mut Vec<Decision>,
     ) -> ServeOutcome {
-        let mut fronts = [queue::QueuedTicket::default(); queue::MOST_FRONTS];
+        let mut fronts = [queue::QueuedTicket::default(); queue::MAX_FRONTS];
         let count = self.models[model].queue(class).fronts(&mut fronts);
         let due = self.deferrable_due(model);
-        for (place, front) in fronts[..count].iter().enumerate() {
-            let organisation = self.tickets[front.ticket].ask.organisation;
+        for (index, front) in fronts[..count].iter().enumerate() {
+            let organisation = self.tickets[front.ticket].request.organisation;
             if !self.organisations.may_start(organisation, now) {
-                self.tickets[front.ticket].wait = WaitCause::Limit;
+                self.tickets[front.ticket].wait_cause = WaitCause::Limit;
                 self.models[model].queue(class).park(organisation);
                 return ServeOutcome::Skipped;
             }
-            match self.place(front.ticket, now) {
+            match self.find_server(front.ticket, now) {
                 Ok((choice, load, chance)) => {
-                    self.models[model].queue(class).take(organisation);
+                    self.models[model].queue(class).pop(organisation);
                     self.models[model].drains[class.index()].serve(front.cost);
                     decisions.push(self.start(front.ticket, &choice, &load, chance, now));
                     return ServeOutcome::Served(front.cost as u64);
                 }
                 Err(wait) => {
                     let state = &mut self.tickets[front.ticket];
-                    state.wait = wait;
-                    if place == 0 && (class != class::TrafficClass::Deferrable || due) {
-                        self.hold(front.ticket, now);
+                    state.wait_cause = wait;
+                    if index == 0 && (class != class::TrafficClass::Deferrable || due) {
+                        self.reserve_server(front.ticket, now);
                     }
                 }
             }
@@ -187,18 +191,19 @@
         }
     }
 
-    /// Keeps an engine for a front that found no room for long: else smaller requests behind it
-    /// would take each bit of room that comes free, and it would never be served.
-    fn hold(&mut self, ticket: TicketKey, now: time::Instant) {
+    /// Reserves an engine for the request at the front of a queue if it has been blocked for
+    /// `reserve_after`. Otherwise smaller requests behind it would take all capacity that becomes
+    /// free, and it would starve.
+    fn reserve_server(&mut self, ticket: TicketKey, now: time::Instant) {
         let state = &mut self.tickets[ticket];
         let since = *state.blocked_at.get_or_insert(now);
-        let ask = state.ask;
-        let waited = now.saturating_duration_since(since) >= self.settings.hold_after;
-        let fleet = &mut self.models[ask.model];
+        let request = state.request;
+        let waited = now.saturating_duration_since(since) >= self.settings.reserve_after;
+        let fleet = &mut self.models[request.model];
         let taken = fleet
-            .held
-            .is_some_and(|held| self.tickets.contains_key(held.ticket));
-        if !waited || taken || ask.class == class::TrafficClass::Urgent {
+            .reservation
+            .is_some_and(|reserved| self.tickets.contains_key(reserved.ticket));
+        if !waited || taken || request.class == class::TrafficClass::Urgent {
             return;
         }
         let servers = &self.servers;
@@ -206,61 +211,63 @@
             let server = servers
                 .get(*key)
                 .filter(|server| route::healthy(server, now))?;
-            Some(server.whole(now).mean[2] / server.capacity())
+            Some(server.total_memory(now).mean[2] / server.capacity())
         };
         let emptiest = fleet
-            .near
+            .local
             .iter()
             .filter_map(|key| fullness(key).map(|full| (full, *key)))
             .min_by(|left, right| left.0.total_cmp(&right.0));
-        fleet.held = emptiest.map(|(_, server)| HeldServer { ticket, server });
+        fleet.reservation = emptiest.map(|(_, server)| ServerReservation { ticket, server });
     }
 
-    /// Where a waiting ticket may go now, what it adds there, and the chance of running out.
-    fn place(
+    /// Chooses a server for a waiting ticket. Returns the choice, the memory load that the ticket
+    /// adds there and the chance that the server then runs out of memory.
+    fn find_server(
         &mut self,
         ticket: TicketKey,
         now: time::Instant,
     ) -> Result<(route::RouteChoice, risk::MemoryLoad, f32), WaitCause> {
         let state = &self.tickets[ticket];
-        let (ask, submitted_at) = (state.ask, state.submitted_at);
-        let fleet = &self.models[ask.model];
-        let first = fleet.near.first().or(fleet.far.first());
+        let (request, submitted_at) = (state.request, state.submitted_at);
+        let fleet = &self.models[request.model];
+        let first = fleet.local.first().or(fleet.remote.first());
         let rounding = first
             .and_then(|key| self.servers.get(*key))
             .map_or(0.0, |server| server.rounding());
         let histogram = self.lengths.find(state.source());
         let curve = self
             .lengths
-            .curve(state.source(), histogram, ask.max_tokens);
-        let load = risk::MemoryLoad::of(&curve, ask.prompt_tokens as f32 + rounding, 0.0);
-        let terms = self.terms(&ask, fleet);
-        let held = fleet
-            .held
-            .filter(|held| held.ticket != ticket)
-            .map(|held| held.server);
-        let urgent = ask.class == class::TrafficClass::Urgent;
+            .curve(state.source(), histogram, request.max_tokens);
+        let load =
+            risk::MemoryLoad::of_generation(&curve, request.prompt_tokens as f32 + rounding, 0.0);
+        let bounds = self.admission_bounds(&request, fleet);
+        let reserved = fleet
+            .reservation
+            .filter(|reserved| reserved.ticket != ticket)
+            .map(|reserved| reserved.server);
+        let urgent = request.class == class::TrafficClass::Urgent;
         let query = route::RouteQuery {
-            ask: &ask,
+            request: &request,
             load: &load,
-            terms: &terms,
-            held: held.filter(|_| !urgent),
+            bounds: &bounds,
+            reserved: reserved.filter(|_| !urgent),
             prefill_rate: self.prefill_rate,
         };
-        let beliefs = self.affinity.beliefs(&ask.prefix, now);
+        let estimates = self.affinity.estimates(&request.prefix, now);
         let context = route::RouteContext {
             servers: &self.servers,
-            beliefs: &beliefs,
+            estimates: &estimates,
             shares: &fleet.shares,
             settings: &self.settings,
             now,
         };
-        let mut found = context.choose(&fleet.near, &query, &mut self.rng);
+        let mut found = context.choose(&fleet.local, &query, &mut self.rng);
         let waited = now.saturating_duration_since(submitted_at);
-        let spills = urgent || waited >= self.settings.spill_after;
-        if found.is_err() && spills && !fleet.far.is_empty() {
-            let spilt = context.choose(&fleet.far, &query, &mut self.rng);
-            found = spilt
+        let may_spill = urgent || waited >= self.settings.spill_after;
+        if found.is_err() && may_spill && !fleet.remote.is_empty() {
+            let spilled = context.choose(&fleet.remote, &query, &mut self.rng);
+            found = spilled
                 .map(|choice| route::RouteChoice {
                     cause: explain::ChoiceCause::RegionSpill,
                     ..choice
@@ -269,32 +276,37 @@
         }
         let choice = found?;
         let server = &self.servers[choice.server];
-        let mut whole = server.whole(now);
-        whole.add(&load);
-        let chance = risk::overflow_chance(&whole, server.capacity());
+        let mut total = server.total_memory(now);
+        total.add(&load);
+        let chance = risk::overflow_chance(&total, server.capacity());
         self.tickets[ticket].histogram = histogram;
         Ok((choice, load, chance))
     }
 
-    /// Bounds on the admission of `ask`.
-    fn terms(&self, ask: &crate::ask::Ask, fleet: &crate::fleet::ModelFleet) -> room::RoomTerms {
-        let deviations = risk::deviations(self.settings.overflow_chance(ask.class));
-        let urgent = ask.class == class::TrafficClass::Urgent;
+    /// Computes the bounds on the admission of `request`.
+    fn admission_bounds(
+        &self,
+        request: &crate::request::GenerationRequest,
+        fleet: &crate::fleet::ModelFleet,
+    ) -> admission::AdmissionBounds {
+        let deviations = risk::deviations(self.settings.overflow_chance(request.class));
+        let urgent = request.class == class::TrafficClass::Urgent;
         let (mut slots, mut tokens) = (0.0, 0.0);
         if !urgent {
             let demand = fleet.headroom.demand() + fleet.shares.others_urgent();
             let spread = self.settings.headroom_deviations * demand.sqrt();
-            // What urgent work uses now is in the loads already; own demand that is idle is not.
+            // Running urgent work is already part of the loads, so only the idle part of this VM's
+            // own demand is reserved.
             let engines = fleet.ring.len().max(1) as f32;
             slots = (fleet.headroom.idle() + spread) / engines;
             tokens = slots * fleet.headroom.tokens();
         }
-        room::RoomTerms {
+        admission::AdmissionBounds {
             deviations,
-            slot_doubt: self.settings.slot_doubt,
+            slot_uncertainty: self.settings.slot_uncertainty,
             reserved_tokens: tokens,
             reserved_slots: slots,
-            shared: self.settings.share_room && !urgent,
+            shared: self.settings.enforce_share && !urgent,
         }
     }
 
@@ -308,26 +320,26 @@
     ) -> Decision {
         self.waiting -= 1;
         let state = &mut self.tickets[ticket];
-        let (ask, expected) = (state.ask, f64::from(state.expected));
-        let urgent = ask.class == class::TrafficClass::Urgent;
-        let deferrable = ask.class == class::TrafficClass::Deferrable;
+        let (request, expected) = (state.request, f64::from(state.expected));
+        let urgent = request.class == class::TrafficClass::Urgent;
+        let deferrable = request.class == class::TrafficClass::Deferrable;
         let server = &mut self.servers[choice.server];
-        let place = server.start(ticket, load, choice.prefill, deferrable, now);
+        let index = server.start(ticket, load, choice.prefill, deferrable, now);
         state.run = Some(ticket::RunState {
             server: choice.server,
-            place,
+            index,
             started_at: now,
             load: *load,
             produced: 0,
-            loaded_at: 0,
-            heard_at: now,
-            believed: choice.cached,
+            load_produced: 0,
+            last_token_at: now,
+            predicted_cached: choice.cached,
             prefill: choice.prefill,
             stopping: false,
         });
-        let why = explain::DispatchReason {
+        let reason = explain::DispatchReason {
             cause: choice.cause,
-            wait: state.wait,
+            wait_cause: state.wait_cause,
             waited: now.saturating_duration_since(state.submitted_at),
             candidates: choice.candidates,
             overflow_permille: (chance * 1_000.0) as u16,
@@ -335,42 +347,48 @@
             cached_tokens: choice.cached,
             report_age: server.report_age(now).unwrap_or_default(),
         };
-        let fleet = &mut self.models[ask.model];
-        if fleet.held.is_some_and(|held| held.ticket == ticket) {
-            fleet.held = None;
+        let fleet = &mut self.models[request.model];
+        if fleet
+            .reservation
+            .is_some_and(|reserved| reserved.ticket == ticket)
+        {
+            fleet.reservation = None;
         }
         if urgent {
             fleet.headroom.change(1.0, now);
         }
         if !self.settings.prefix_half_life.is_zero() {
-            for prefix in ask.prefix.hashes() {
-                self.affinity.note(prefix.hash, choice.server, now);
+            for prefix in request.prefix.hashes() {
+                self.affinity.insert(prefix.hash, choice.server, now);
             }
         }
         self.organisations
-            .change(ask.organisation, now, |account, _| account.start(expected));
-        let (server, priority) = (choice.server, view::ServerView::priority(ask.class));
+            .with_account(request.organisation, now, |account, _| {
+                account.start(expected)
+            });
+        let (server, priority) = (choice.server, view::ServerView::priority(request.class));
         Decision::Dispatch {
             ticket,
             server,
             priority,
-            why,
+            reason,
         }
     }
 
-    /// Stops something on servers that were reported to run out of memory.
+    /// Preempts a generation on each server whose latest report shows that it is about to run out
+    /// of memory.
     fn find_victims(&mut self, now: time::Instant, decisions: &mut Vec<Decision>) {
         while let Some(key) = self.reported.pop() {
             let Some(server) = self.servers.get(key) else {
                 continue;
             };
-            let whole = server.whole(now);
+            let total = server.total_memory(now);
             let capacity = server.capacity();
             let mut chance = 0.0f32;
-            for place in 0..VICTIM_HORIZONS {
-                let deviation = whole.variance[place].sqrt().max(1.0);
-                let room = capacity - whole.mean[place];
-                chance = chance.max(risk::tail_chance(room / deviation));
+            for index in 0..PREEMPTION_HORIZONS {
+                let deviation = total.variance[index].sqrt().max(1.0);
+                let free = capacity - total.mean[index];
+                chance = chance.max(risk::tail_chance(free / deviation));
             }
             if chance < self.settings.victim_chance {
                 continue;
@@ -387,14 +405,14 @@
                 run.stopping = true;
             }
             let overflow_permille = (chance * 1_000.0) as u16;
-            let why = explain::PreemptReason {
+            let reason = explain::PreemptReason {
                 overflow_permille,
                 lost_tokens,
             };
             decisions.push(Decision::Preempt {
                 ticket,
                 server: key,
-                why,
+                reason,
             });
         }
     }
--- a/crates/sched/src/driver.rs
+++ b/crates/sched/src/driver.rs
@@ -6,33 +6,33 @@
 use tokio::{sync as async_sync, time};
 
 use crate::{
-    ask::{self, TicketKey},
     core,
     explain::{self, Decision},
+    request::{self, TicketKey},
 };
 
-/// A request that got no place. Nothing of it ran.
+/// Refusal of a request. A refused request has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RefusedAsk {
-    /// Why.
+pub struct RefusedRequest {
+    /// Reason for the refusal.
     pub reason: explain::RefusalReason,
-    /// When asking again makes sense; absent when it does not.
+    /// Delay before a retry; `None` if a retry cannot succeed.
     pub retry_after: Option<std::time::Duration>,
 }
 
-/// Where a generation is to be started.
+/// Server on which to start a generation.
 #[derive(Clone, Copy, Debug)]
-struct GrantedPlace {
+struct GrantedServer {
     server: id::ServerKey,
     priority: u8,
-    why: explain::DispatchReason,
+    reason: explain::DispatchReason,
 }
 
-/// The two ends that a ticket's holder listens to.
+/// Channels to the holder of a ticket.
 #[derive(Debug)]
 struct TicketSlot {
-    /// Taken by the decision that ends the wait.
-    answer: Option<async_sync::oneshot::Sender<Result<GrantedPlace, RefusedAsk>>>,
+    /// Sends the decision that ends the wait; taken when used.
+    answer: Option<async_sync::oneshot::Sender<Result<GrantedServer, RefusedRequest>>>,
     /// Tells the holder to stop the generation.
     preempt: async_sync::watch::Sender<Option<explain::PreemptReason>>,
 }
@@ -41,7 +41,7 @@
 struct DriverState {
     core: core::DispatchCore,
     slots: slotmap::SecondaryMap<TicketKey, TicketSlot>,
-    /// Empty between calls; kept for its capacity.
+    /// Empty between calls; kept to reuse its memory.
     decisions: Vec<Decision>,
 }
 
@@ -61,14 +61,14 @@
                 ticket,
                 server,
                 priority,
-                why,
+                reason,
             } => {
-                let place = GrantedPlace {
+                let granted = GrantedServer {
                     server,
                     priority,
-                    why,
+                    reason,
                 };
-                self.answer(ticket, Ok(place));
+                self.answer(ticket, Ok(granted));
             }
             Decision::Refuse {
                 ticket,
@@ -77,23 +77,24 @@
             } => {
                 self.answer(
                     ticket,
-                    Err(RefusedAsk {
+                    Err(RefusedRequest {
                         reason,
                         retry_after,
                     }),
                 );
                 self.slots.remove(ticket);
             }
-            Decision::Preempt { ticket, why, .. } => {
+            Decision::Preempt { ticket, reason, .. } => {
                 if let Some(slot) = self.slots.get(ticket) {
-                    slot.preempt.send_replace(Some(why));
+                    slot.preempt.send_replace(Some(reason));
                 }
             }
         }
     }
 
-    /// A holder that is gone has a guard that withdraws the ticket, so a failed send is no loss.
-    fn answer(&mut self, ticket: TicketKey, answer: Result<GrantedPlace, RefusedAsk>) {
+    /// Sends the decision to the ticket's holder. A failed send is harmless: the guard of a dropped
+    /// holder withdraws the ticket.
+    fn answer(&mut self, ticket: TicketKey, answer: Result<GrantedServer, RefusedRequest>) {
         let sender = self
             .slots
             .get_mut(ticket)
@@ -107,12 +108,13 @@
 #[derive(Debug)]
 struct SharedDriver {
     state: sync::Mutex<DriverState>,
-    /// Wakes the loop of [`Driver::run`] when something began to wait.
-    woken: async_sync::Notify,
+    /// Wakes the loop of [`Driver::run`] after a change of the core.
+    wake: async_sync::Notify,
 }
 
 impl SharedDriver {
-    /// The state stays usable after a panic elsewhere: each call leaves it whole.
+    /// Ignores poisoning: each call leaves the state consistent, so it can be used after a panic
+    /// elsewhere.
     fn lock(&self) -> sync::MutexGuard<'_, DriverState> {
         self.state
             .lock()
@@ -125,7 +127,7 @@
         let result = change(&mut state.core, now);
         state.poll(now);
         drop(state);
-        self.woken.notify_one();
+        self.wake.notify_one();
         result
     }
 
@@ -135,14 +137,14 @@
     }
 }
 
-/// Handle to one decision core; clones share it.
+/// Handle to one decision core. Clones share the core.
 #[derive(Clone, Debug)]
 pub struct Driver {
     shared: sync::Arc<SharedDriver>,
 }
 
 impl Driver {
-    /// A driver of `core`. Spawn [`Self::run`] beside it.
+    /// Creates a driver of `core`. The caller spawns [`Self::run`].
     #[must_use]
     pub fn new(core: core::DispatchCore) -> Self {
         let state = DriverState {
@@ -153,47 +155,51 @@
         Self {
             shared: sync::Arc::new(SharedDriver {
                 state: sync::Mutex::new(state),
-                woken: async_sync::Notify::new(),
+                wake: async_sync::Notify::new(),
             }),
         }
     }
 
-    /// Feeds the core from outside (servers, reports, organisations), then acts on what follows.
+    /// Applies a change from outside (servers, reports, organisations), then polls the core and
+    /// delivers its decisions.
     pub fn change<R>(&self, change: impl FnOnce(&mut core::DispatchCore, time::Instant) -> R) -> R {
         self.shared.change(change)
     }
 
-    /// Polls the core whenever it is due; never ends.
+    /// Polls the core whenever it is due. Never returns.
     pub async fn run(self) {
         loop {
             let now = time::Instant::now();
-            let wake = {
+            let wake_at = {
                 let mut state = self.shared.lock();
                 state.poll(now);
                 state.core.next_wake(now)
             };
-            let woken = self.shared.woken.notified();
-            match wake {
-                Some(wake) => {
-                    let _ = time::timeout_at(wake, woken).await;
+            let notified = self.shared.wake.notified();
+            match wake_at {
+                Some(wake_at) => {
+                    let _ = time::timeout_at(wake_at, notified).await;
                 }
-                None => woken.await,
+                None => notified.await,
             }
         }
     }
 
-    /// Waits for a place. Dropping the future withdraws the request.
+    /// Waits until a server is granted. Dropping the future withdraws the request.
     ///
     /// # Errors
     ///
-    /// [`RefusedAsk`] when it gets none; nothing of it ran.
-    pub async fn admit(&self, ask: ask::Ask) -> Result<Grant, RefusedAsk> {
+    /// Returns [`RefusedRequest`] if the request is refused.
+    pub async fn admit(
+        &self,
+        request: request::GenerationRequest,
+    ) -> Result<Grant, RefusedRequest> {
         let (answer, answered) = async_sync::oneshot::channel();
         let (preempt, preempted) = async_sync::watch::channel(None);
         let ticket = {
             let now = time::Instant::now();
             let mut state = self.shared.lock();
-            let ticket = state.core.submit(ask, now);
+            let ticket = state.core.submit(request, now);
             let slot = TicketSlot {
                 answer: Some(answer),
                 preempt,
@@ -204,36 +210,36 @@
         let guard = TicketGuard {
             shared: self.shared.clone(),
             ticket,
-            held: true,
+            armed: true,
         };
         self.shared.change(|_, _| ());
         guard.wait(answered, preempted).await
     }
 }
 
-/// Withdraws a ticket when its holder goes away without ending it.
+/// Withdraws the ticket when it is dropped while armed.
 #[derive(Debug)]
 struct TicketGuard {
     shared: sync::Arc<SharedDriver>,
     ticket: TicketKey,
-    held: bool,
+    armed: bool,
 }
 
 impl TicketGuard {
     async fn wait(
         mut self,
-        answered: async_sync::oneshot::Receiver<Result<GrantedPlace, RefusedAsk>>,
+        answered: async_sync::oneshot::Receiver<Result<GrantedServer, RefusedRequest>>,
         preempted: async_sync::watch::Receiver<Option<explain::PreemptReason>>,
-    ) -> Result<Grant, RefusedAsk> {
-        // The sender lives in the ticket's slot until it answers, so it is never just dropped.
+    ) -> Result<Grant, RefusedRequest> {
+        // The sender stays in the ticket's slot until it is used, so it is never dropped unused.
         match answered.await.expect("a waiting ticket keeps its sender") {
-            Ok(place) => Ok(Grant {
+            Ok(granted) => Ok(Grant {
                 guard: self,
-                place,
+                granted,
                 preempted,
             }),
             Err(refused) => {
-                self.held = false;
+                self.armed = false;
                 Err(refused)
             }
         }
@@ -242,7 +248,7 @@
 
 impl Drop for TicketGuard {
     fn drop(&mut self) {
-        if self.held {
+        if self.armed {
             let ticket = self.ticket;
             self.shared
                 .end(ticket, |core, now| core.withdrawn(ticket, now));
@@ -250,34 +256,34 @@
     }
 }
 
-/// A place on a server, held until it is ended or dropped.
+/// Slot on a server, held until the grant is ended or dropped.
 #[derive(Debug)]
 pub struct Grant {
     guard: TicketGuard,
-    place: GrantedPlace,
+    granted: GrantedServer,
     preempted: async_sync::watch::Receiver<Option<explain::PreemptReason>>,
 }
 
 impl Grant {
-    /// Where to start the generation.
+    /// Returns the server on which to start the generation.
     #[must_use]
     pub fn server(&self) -> id::ServerKey {
-        self.place.server
+        self.granted.server
     }
 
-    /// Engine priority to start it with.
+    /// Returns the engine priority of the generation.
     #[must_use]
     pub fn priority(&self) -> u8 {
-        self.place.priority
+        self.granted.priority
     }
 
-    /// Why there, and why not earlier.
+    /// Returns the reason for the choice of the server and for the wait before it.
     #[must_use]
-    pub fn why(&self) -> &explain::DispatchReason {
-        &self.place.why
+    pub fn reason(&self) -> &explain::DispatchReason {
+        &self.granted.reason
     }
 
-    /// Tells the core that `count` further tokens arrived, the first included.
+    /// Reports the arrival of `count` further tokens; the first token counts too.
     pub fn progress(&self, count: u32) {
         let now = time::Instant::now();
         self.guard
@@ -287,13 +293,13 @@
             .tokens(self.guard.ticket, count, now);
     }
 
-    /// Tells the core that the engine showed a sign of life without a token, such as a ping.
+    /// Reports a sign of life from the engine without a token, such as a ping.
     pub fn alive(&self) {
         let now = time::Instant::now();
         self.guard.shared.lock().core.alive(self.guard.ticket, now);
     }
 
-    /// Tells the core how many of the prompt's tokens the engine found in its cache.
+    /// Reports how many of the prompt's tokens the engine found in its cache.
     pub fn cached(&self, tokens: u32) {
         self.guard
             .shared
@@ -302,8 +308,8 @@
             .cached(self.guard.ticket, tokens);
     }
 
-    /// Completes when the generation is to be stopped and started again later: cancel it on its
-    /// server, then call [`Self::requeue`].
+    /// Completes when the generation is to be stopped and restarted later. The caller then cancels
+    /// it on its server and calls [`Self::requeue`].
     pub async fn preempted(&mut self) -> explain::PreemptReason {
         let waited = self.preempted.wait_for(Option::is_some).await;
         let reason = waited.ok().and_then(|reason| *reason);
@@ -313,29 +319,29 @@
         }
     }
 
-    /// Ends it: the generation finished with `produced` tokens in all.
+    /// Ends the grant of a generation that completed with `produced` tokens in total.
     pub fn finished(mut self, produced: u32) {
-        self.guard.held = false;
+        self.guard.armed = false;
         let ticket = self.guard.ticket;
         let shared = &self.guard.shared;
         shared.end(ticket, |core, now| core.finished(ticket, produced, now));
     }
 
-    /// Ends it: the generation failed on its server.
-    pub fn failed(mut self, failure: ask::FailureKind) {
-        self.guard.held = false;
+    /// Ends the grant of a generation that failed on its server.
+    pub fn failed(mut self, failure: request::FailureKind) {
+        self.guard.armed = false;
         let ticket = self.guard.ticket;
         let shared = &self.guard.shared;
         shared.end(ticket, |core, now| core.failed(ticket, failure, now));
     }
 
-    /// Gives the place back and waits for another, ahead of its organisation's others. Only
-    /// after the generation is known to be stopped on its server.
+    /// Returns the slot and waits for another one, ahead of the organisation's other requests. To
+    /// be called only after the generation is known to have stopped on its server.
     ///
     /// # Errors
     ///
-    /// [`RefusedAsk`] when it gets none.
-    pub async fn requeue(self) -> Result<Self, RefusedAsk> {
+    /// Returns [`RefusedRequest`] if the request is refused.
+    pub async fn requeue(self) -> Result<Self, RefusedRequest> {
         let (answer, answered) = async_sync::oneshot::channel();
         let (preempt, preempted) = async_sync::watch::channel(None);
         let ticket = self.guard.ticket;
--- a/crates/sched/src/limit.rs
+++ b/crates/sched/src/limit.rs
@@ -1,47 +1,47 @@
-//! Limits of an organisation over all its entry VMs, without agreement between them.
+//! Limits of an organisation across all its entry VMs, without coordination between them.
 //!
-//! Each VM enforces a fraction of the limit: its own recent demand over that of all, by the
-//! digests that the VMs exchange. The fraction rises slowly and falls at once. Were it to rise at
-//! once, a demand that moves from one VM to another would be served at both until their digests
-//! cross; rising by at most `1 / RAMP` a second, it is served too much by at most the digests'
-//! age over `RAMP`, for each VM that gains.
+//! Each VM enforces a fraction of the limit: its own recent demand divided by the total demand
+//! known from the digests that the VMs exchange. The fraction rises slowly and falls at once. If it
+//! rose at once, demand that moves from one VM to another would be served at both until they
+//! received each other's digests. With a rise of at most `1 / FRACTION_RAMP` per second, the excess
+//! is at most the digests' age over `FRACTION_RAMP` for each VM whose fraction grows.
 
 use base::id;
 use tokio::time;
 
 use crate::{explain, settings};
 
-/// Time that a fraction takes from nothing to the whole.
-const RAMP: time::Duration = time::Duration::from_secs(8);
+/// Time in which a fraction may rise from 0 to 1.
+const FRACTION_RAMP: time::Duration = time::Duration::from_secs(8);
 
-/// Seconds of a rate that may be used at once.
+/// Burst allowance, in seconds of the rate.
 const BURST_SECONDS: f64 = 1.0;
 
-/// Time over which demand is averaged.
-const DEMAND_SPAN: time::Duration = time::Duration::from_secs(5);
+/// Time constant of the moving average of demand.
+const DEMAND_WINDOW: time::Duration = time::Duration::from_secs(5);
 
-/// A peer's demand older than this counts as none.
-const STALE: time::Duration = time::Duration::from_secs(15);
+/// Age at which a peer's demand is no longer counted.
+const DEMAND_TIMEOUT: time::Duration = time::Duration::from_secs(15);
 
-/// Peers remembered of one organisation.
-const PEERS: usize = 4;
+/// Maximum number of peers tracked per organisation.
+const MAX_PEERS: usize = 4;
 
-/// Demand that each VM is taken to have at least, as a part of the limit.
-const FLOOR: f64 = 0.05;
+/// Minimum demand assumed for each VM, as a fraction of the limit.
+const MIN_DEMAND_FRACTION: f64 = 0.05;
 
-/// What an organisation asks of one entry VM.
+/// Demand of an organisation at one entry VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitDemand {
-    /// Requests a second, refused ones included.
+    /// Requests per second, including refused ones.
     pub requests_per_second: f32,
-    /// Generated tokens a second that it would use.
+    /// Generated tokens per second that the requests would use.
     pub tokens_per_second: f32,
-    /// Generations that run or wait.
+    /// Running and waiting generations.
     pub generations: f32,
 }
 
 impl LimitDemand {
-    fn rows(self) -> [f64; 3] {
+    fn to_array(self) -> [f64; 3] {
         [
             self.requests_per_second,
             self.tokens_per_second,
@@ -51,19 +51,19 @@
     }
 }
 
-/// Which limit holds a request back.
+/// Limit that delays a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitKind {
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Generated tokens a second.
+    /// Generated tokens per second.
     Tokens,
-    /// Generations at once.
+    /// Concurrent generations.
     Generations,
 }
 
 impl LimitKind {
-    /// What a caller is told.
+    /// Returns the refusal reason for callers.
     #[must_use]
     pub const fn reason(self) -> explain::RefusalReason {
         match self {
@@ -81,26 +81,26 @@
     taken_at: time::Instant,
 }
 
-/// One active organisation's use of its limits at this VM.
+/// Use of its limits by one active organisation at this VM.
 #[derive(Clone, Debug)]
 pub struct LimitAccount {
-    /// Fraction of each limit that this VM enforces, by [`LimitKind`].
+    /// Fraction of each limit that this VM enforces, indexed by [`LimitKind`].
     fractions: [f64; 3],
-    /// Requests that may come now; negative when deferrable work was taken beyond them.
+    /// Token bucket of requests; negative when deferrable work was accepted beyond it.
     requests: f64,
-    /// Tokens that may be generated now; negative when a generation went on longer than reckoned.
+    /// Token bucket of generated tokens; negative when a generation was longer than expected.
     tokens: f64,
     demand: LimitDemand,
-    peers: [Option<PeerDemand>; PEERS],
-    /// Generations that run.
+    peers: [Option<PeerDemand>; MAX_PEERS],
+    /// Number of running generations.
     pub running: u32,
-    /// Generations that wait.
+    /// Number of waiting generations.
     pub waiting: u32,
     advanced_at: time::Instant,
 }
 
 impl LimitAccount {
-    /// An account of an organisation that was idle, at one of its `entries` VMs.
+    /// Creates the account of a previously idle organisation at one of its `entries` VMs.
     #[must_use]
     pub fn new(plan: &settings::OrganisationPlan, entries: u32, now: time::Instant) -> Self {
         let fraction = 1.0 / f64::from(entries.max(1));
@@ -110,14 +110,14 @@
             requests: depth(plan.requests_per_second).max(1.0),
             tokens: depth(plan.tokens_per_second),
             demand: LimitDemand::default(),
-            peers: [None; PEERS],
+            peers: [None; MAX_PEERS],
             running: 0,
             waiting: 0,
             advanced_at: now,
         }
     }
 
-    /// Carries buckets, demand and fractions forward to `now`.
+    /// Advances the token buckets, the demand and the fractions to `now`.
     pub fn advance(&mut self, plan: &settings::OrganisationPlan, entries: u32, now: time::Instant) {
         let age = now
             .saturating_duration_since(self.advanced_at)
@@ -126,9 +126,9 @@
             return;
         }
         self.advanced_at = now;
-        let keep = (-age / DEMAND_SPAN.as_secs_f64()).exp() as f32;
-        self.demand.requests_per_second *= keep;
-        self.demand.tokens_per_second *= keep;
+        let decay = (-age / DEMAND_WINDOW.as_secs_f64()).exp() as f32;
+        self.demand.requests_per_second *= decay;
+        self.demand.tokens_per_second *= decay;
         self.demand.generations = (self.running + self.waiting) as f32;
         self.divide(plan, entries, age, now);
         if let Some(rate) = plan.requests_per_second {
@@ -154,28 +154,29 @@
             plan.tokens_per_second,
             plan.concurrent_generations.map(f64::from),
         ];
-        let own = self.demand.rows();
+        let own = self.demand.to_array();
         let mut others = [0.0; 3];
         let mut known = 0;
         for peer in self.peers.iter().flatten() {
-            if now.saturating_duration_since(peer.taken_at) < STALE {
+            if now.saturating_duration_since(peer.taken_at) < DEMAND_TIMEOUT {
                 known += 1;
-                for (sum, part) in others.iter_mut().zip(peer.demand.rows()) {
-                    *sum += part;
+                for (sum, value) in others.iter_mut().zip(peer.demand.to_array()) {
+                    *sum += value;
                 }
             }
         }
         let entries = f64::from(entries.max(known + 1));
-        let rise = age / RAMP.as_secs_f64();
-        for (place, limit) in limits.into_iter().enumerate() {
+        let rise = age / FRACTION_RAMP.as_secs_f64();
+        for (index, limit) in limits.into_iter().enumerate() {
             let Some(limit) = limit else { continue };
-            let floor = FLOOR * limit;
-            let wanted = (own[place] + floor) / (own[place] + others[place] + floor * entries);
-            self.fractions[place] = wanted.min(self.fractions[place] + rise);
+            let floor = MIN_DEMAND_FRACTION * limit;
+            let target = (own[index] + floor) / (own[index] + others[index] + floor * entries);
+            self.fractions[index] = target.min(self.fractions[index] + rise);
         }
     }
 
-    /// Which limit holds back one more request, and for how long.
+    /// Returns the limit that one more request would exceed, and the delay until it no longer
+    /// would.
     #[must_use]
     pub fn refusal(
         &self,
@@ -190,71 +191,71 @@
             let delay = missing(self.requests, 1.0, rate * self.fractions[0]);
             return Some((LimitKind::Requests, delay));
         }
-        self.lacks_tokens(plan)
+        self.token_delay(plan)
             .map(|delay| (LimitKind::Tokens, delay))
     }
 
-    fn lacks_tokens(&self, plan: &settings::OrganisationPlan) -> Option<time::Duration> {
+    fn token_delay(&self, plan: &settings::OrganisationPlan) -> Option<time::Duration> {
         let rate = plan.tokens_per_second? * self.fractions[1];
         let seconds = (1.0 - self.tokens) / rate.max(1e-3);
         (self.tokens <= 0.0).then(|| time::Duration::from_secs_f64(seconds.clamp(0.001, 3_600.0)))
     }
 
-    /// Whether a waiting generation may start now.
+    /// Returns whether a waiting generation may start now.
     #[must_use]
     pub fn may_start(&self, plan: &settings::OrganisationPlan) -> bool {
         let slots = plan
             .concurrent_generations
             .map(|limit| (f64::from(limit) * self.fractions[2]).round().max(1.0));
-        let crowded = slots.is_some_and(|slots| f64::from(self.running) >= slots);
-        !crowded && self.lacks_tokens(plan).is_none()
+        let slots_full = slots.is_some_and(|slots| f64::from(self.running) >= slots);
+        !slots_full && self.token_delay(plan).is_none()
     }
 
-    /// A request came, whether it is then refused or not.
-    pub fn asked(&mut self, expected_tokens: f64) {
-        let rate = DEMAND_SPAN.as_secs_f64().recip();
+    /// Records the demand of a request, whether or not it is then refused.
+    pub fn record_request(&mut self, expected_tokens: f64) {
+        let rate = DEMAND_WINDOW.as_secs_f64().recip();
         self.demand.requests_per_second += rate as f32;
         self.demand.tokens_per_second += (expected_tokens * rate) as f32;
     }
 
-    /// A request is taken.
+    /// Counts an accepted request.
     pub fn accept(&mut self) {
         self.requests -= 1.0;
         self.waiting += 1;
     }
 
-    /// A generation starts that is reckoned to bring `tokens`.
+    /// Counts the start of a generation that is expected to produce `tokens`.
     pub fn start(&mut self, tokens: f64) {
         self.tokens -= tokens;
         self.running += 1;
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// A generation ended that brought `excess` tokens more than it was reckoned to.
+    /// Counts the end of a generation that produced `excess` more tokens than expected.
     pub fn end(&mut self, excess: f64) {
         self.tokens -= excess;
         self.running = self.running.saturating_sub(1);
     }
 
-    /// What the organisation's other entry VMs are told.
+    /// Returns the demand to report to the organisation's other entry VMs.
     #[must_use]
     pub fn demand(&self) -> LimitDemand {
         self.demand
     }
 
-    /// What another of the organisation's entry VMs told.
-    pub fn take(&mut self, vm: id::VmKey, demand: LimitDemand, taken_at: time::Instant) {
+    /// Records the demand reported by another of the organisation's entry VMs.
+    pub fn record_peer(&mut self, vm: id::VmKey, demand: LimitDemand, taken_at: time::Instant) {
         let same = |peer: &Option<PeerDemand>| peer.is_some_and(|peer| peer.vm == vm);
         let oldest = || {
             let ages = self.peers.iter().map(|peer| peer.map(|peer| peer.taken_at));
             ages.enumerate()
                 .min_by_key(|(_, age)| *age)
-                .map_or(0, |(place, _)| place)
+                .map_or(0, |(index, _)| index)
         };
-        let place = self.peers.iter().position(same).unwrap_or_else(oldest);
-        let newer = self.peers[place].is_none_or(|peer| peer.taken_at < taken_at);
+        let index = self.peers.iter().position(same).unwrap_or_else(oldest);
+        let newer = self.peers[index].is_none_or(|peer| peer.taken_at < taken_at);
         if newer {
-            self.peers[place] = Some(PeerDemand {
+            self.peers[index] = Some(PeerDemand {
                 vm,
                 demand,
                 taken_at,
@@ -262,10 +263,10 @@
         }
     }
 
-    /// Whether nothing would be lost by forgetting the account.
+    /// Returns whether the account can be dropped without losing information.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        let quiet = self.demand.requests_per_second < 0.01;
-        self.running == 0 && self.waiting == 0 && quiet
+        let no_recent_requests = self.demand.requests_per_second < 0.01;
+        self.running == 0 && self.waiting == 0 && no_recent_requests
     }
 }
--- a/crates/sched/src/risk.rs
+++ b/crates/sched/src/risk.rs
@@ -1,64 +1,65 @@
-//! Memory at risk: how full an engine will be, as mean and variance at a few distances ahead.
+//! Prediction of engine memory: mean and variance at several horizons.
 //!
-//! A generation that holds `c` tokens now and still runs after `d` further steps holds `c + d`
-//! then; one that has ended holds nothing. The chance that it still runs comes from its length
-//! curve, given how far it has come. Summing the final sizes instead would count as if all
-//! reached their end at once, and would leave a third of the memory unused.
+//! A generation that holds `c` tokens now and still runs after `d` further steps then holds `c + d`
+//! tokens; a generation that has ended holds none. The chance that it still runs comes from its
+//! length curve, given the tokens produced so far. Adding up the final sizes instead would assume
+//! that all generations end at the same time, and would leave a third of the memory unused.
 
 use crate::length;
 
-/// Distances ahead at which memory is looked at, in tokens of each generation.
+/// Prediction horizons, in further tokens per generation.
 pub const HORIZONS: [f32; 5] = [0.0, 64.0, 256.0, 1_024.0, 3_072.0];
 
-/// One value at each of [`HORIZONS`].
+/// One value per horizon in [`HORIZONS`].
 pub type HorizonRow = [f32; HORIZONS.len()];
 
 /// Expected memory in tokens and its variance, at each horizon.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MemoryLoad {
-    /// Expected tokens held.
+    /// Expected number of tokens held.
     pub mean: HorizonRow,
-    /// Variance of that.
+    /// Variance of the number of tokens held.
     pub variance: HorizonRow,
 }
 
 impl MemoryLoad {
-    /// What one generation adds that holds `context` tokens and has come to `produced`.
+    /// Returns the load of one generation that holds `context` tokens and has produced `produced`.
     #[must_use]
-    pub fn of(curve: &length::LengthCurve<'_>, context: f32, produced: f32) -> Self {
+    pub fn of_generation(curve: &length::LengthCurve<'_>, context: f32, produced: f32) -> Self {
         let mut load = Self::default();
-        let alive = curve.beyond(produced).max(1e-6);
-        for (place, distance) in HORIZONS.into_iter().enumerate() {
+        let alive = curve.survival(produced).max(1e-6);
+        for (index, distance) in HORIZONS.into_iter().enumerate() {
             let chance = if distance == 0.0 {
                 1.0
             } else {
-                (curve.beyond(produced + distance) / alive).min(1.0)
+                (curve.survival(produced + distance) / alive).min(1.0)
             };
             let size = context + distance;
-            load.mean[place] = chance * size;
-            load.variance[place] = chance * (1.0 - chance) * size * size;
+            load.mean[index] = chance * size;
+            load.variance[index] = chance * (1.0 - chance) * size * size;
         }
         load
     }
 
     /// Adds another load.
     pub fn add(&mut self, other: &Self) {
-        for place in 0..HORIZONS.len() {
-            self.mean[place] += other.mean[place];
-            self.variance[place] += other.variance[place];
+        for index in 0..HORIZONS.len() {
+            self.mean[index] += other.mean[index];
+            self.variance[index] += other.variance[index];
         }
     }
 
-    /// Takes away a load that was added; rounding never leaves a negative rest.
+    /// Subtracts a load that was added before. Rounding errors never make the result negative.
     pub fn subtract(&mut self, other: &Self) {
-        for place in 0..HORIZONS.len() {
-            self.mean[place] = (self.mean[place] - other.mean[place]).max(0.0);
-            self.variance[place] = (self.variance[place] - other.variance[place]).max(0.0);
+        for index in 0..HORIZONS.len() {
+            self.mean[index] = (self.mean[index] - other.mean[index]).max(0.0);
+            self.variance[index] = (self.variance[index] - other.variance[index]).max(0.0);
         }
     }
 }
 
-/// Deviations from the mean that are exceeded with `chance`, for a normal distribution.
+/// Returns the number of standard deviations above the mean that a normal distribution exceeds with
+/// probability `chance`.
 ///
 /// Rational approximation of the inverse normal tail, exact to 0.0005 (Abramowitz and Stegun,
 /// 26.2.23).
@@ -78,7 +79,7 @@
     if chance <= 0.5 { value } else { -value }
 }
 
-/// Chance that a normal distribution exceeds its mean by `deviations`.
+/// Returns the probability that a normal distribution exceeds its mean by `deviations`.
 #[must_use]
 pub fn tail_chance(deviations: f32) -> f32 {
     let distance = deviations.abs();
@@ -93,23 +94,24 @@
     if deviations >= 0.0 { tail } else { 1.0 - tail }
 }
 
-/// Chance that `load` exceeds `capacity` tokens at some horizon.
+/// Returns the highest probability over all horizons that `load` exceeds `capacity` tokens.
 #[must_use]
 pub fn overflow_chance(load: &MemoryLoad, capacity: f32) -> f32 {
     let mut worst = 0.0f32;
-    for place in 0..HORIZONS.len() {
-        let room = capacity - load.mean[place];
-        let deviation = load.variance[place].sqrt().max(1.0);
-        worst = worst.max(tail_chance(room / deviation));
+    for index in 0..HORIZONS.len() {
+        let free = capacity - load.mean[index];
+        let deviation = load.variance[index].sqrt().max(1.0);
+        worst = worst.max(tail_chance(free / deviation));
     }
     worst
 }
 
-/// Whether `load` stays within `capacity` at every horizon, by `deviations` of its spread.
+/// Returns whether `load` stays within `capacity` at every horizon, with a margin of `deviations`
+/// standard deviations.
 #[must_use]
 pub fn fits(load: &MemoryLoad, capacity: f32, deviations: f32) -> bool {
-    (0..HORIZONS.len()).all(|place| {
-        let needed = deviations.mul_add(load.variance[place].sqrt(), load.mean[place]);
+    (0..HORIZONS.len()).all(|index| {
+        let needed = deviations.mul_add(load.variance[index].sqrt(), load.mean[index]);
         needed <= capacity
     })
 }
--- a/crates/sched/src/route.rs
+++ b/crates/sched/src/route.rs
@@ -1,65 +1,65 @@
-//! Choice of a server among candidates: predicted time to first token with cached prefixes, and
-//! recent failures; among the near-best at random, in proportion to the room that each is
-//! expected to have.
+//! Choice of a server among the candidates, by predicted time to first token (taking cached
+//! prefixes into account) and recent failures. Among the servers with nearly the best score, one is
+//! drawn at random, weighted by expected free capacity.
 //!
-//! Many entry VMs read the same lagged report. Were each to choose the engine with the most room,
-//! all would send their urgent work there until the next report, and overfill it. Drawn in
-//! proportion to the room, what all of them send together meets the room that there is.
+//! Many entry VMs read the same delayed report. If each chose the engine with the most free
+//! capacity, all would send their urgent work there until the next report and overfill it. With a
+//! weighted draw, the combined load of all VMs matches the capacity available.
 
 use base::id;
 use rand::{Rng, RngExt as _};
 use tokio::time;
 
-use crate::{affinity, ask, explain, risk, room, settings, share, view};
+use crate::{admission, affinity, explain, request, risk, settings, share, view};
 
-/// Most candidates compared in one decision.
-pub const MOST_CANDIDATES: usize = 64;
+/// Maximum number of candidates compared in one decision.
+pub const MAX_CANDIDATES: usize = 64;
 
-/// A server that shows nothing for this many steps is taken to be in trouble.
-const SILENT_STEPS: f32 = 25.0;
+/// Number of step durations without any sign of life after which a server counts as unhealthy.
+const SILENCE_TIMEOUT_STEPS: f32 = 25.0;
 
-/// The same in seconds, at least.
-const SILENT_SECONDS: f32 = 0.75;
+/// Lower bound of the silence timeout, in seconds.
+const MIN_SILENCE_TIMEOUT_S: f32 = 0.75;
 
 /// Weight in the draw of an engine that is expected to be full.
-const LEAST_FREE: f32 = 0.1;
+const MIN_DRAW_WEIGHT: f32 = 0.1;
 
-/// Faded failures above this keep a server out; below it and above [`PROBED`] it gets one
-/// generation at a time.
-const SHUNNED: f32 = 0.5;
+/// Decayed failure score above which a server is excluded. Between [`PROBE_THRESHOLD`] and this
+/// score it gets one generation at a time.
+const EXCLUSION_THRESHOLD: f32 = 0.5;
 
-/// Faded failures below this count for nothing.
-const PROBED: f32 = 0.05;
+/// Decayed failure score below which failures do not affect health.
+const PROBE_THRESHOLD: f32 = 0.05;
 
-/// What a choice is made for.
+/// Request for a server.
 #[derive(Debug)]
 pub struct RouteQuery<'a> {
-    /// What is to be placed.
-    pub ask: &'a ask::Ask,
-    /// What it would add to a server's memory.
+    /// Generation to place.
+    pub request: &'a request::GenerationRequest,
+    /// Memory load that the generation would add to a server.
     pub load: &'a risk::MemoryLoad,
-    /// Bounds on each server.
-    pub terms: &'a room::RoomTerms,
-    /// Kept for another request; not to be chosen.
-    pub held: Option<id::ServerKey>,
-    /// Learnt rate at which engines take in prompts, in tokens a second.
+    /// Bounds on the admission to each server.
+    pub bounds: &'a admission::AdmissionBounds,
+    /// Server that is reserved for another request and must not be chosen.
+    pub reserved: Option<id::ServerKey>,
+    /// Learnt rate of prefill, in prompt tokens per second.
     pub prefill_rate: f32,
 }
 
-/// A chosen server.
+/// Result of a choice.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteChoice {
-    /// Where to.
+    /// Chosen server.
     pub server: id::ServerKey,
-    /// What decided.
+    /// Reason for the choice.
     pub cause: explain::ChoiceCause,
-    /// Servers that had room.
+    /// Number of servers with free capacity.
     pub candidates: u16,
     /// Predicted time to first token, in seconds.
     pub first_token: f32,
-    /// Tokens believed to be cached there.
+    /// Prompt tokens predicted to be in the server's cache.
     pub cached: u32,
-    /// Prompt tokens that it has to take in.
+    /// Expected number of prompt tokens that the server has to prefill.
     pub prefill: f32,
 }
 
@@ -69,45 +69,47 @@
     score: f32,
     first_token: f32,
     free: f32,
-    prefix: affinity::PrefixBelief,
+    prefix: affinity::PrefixEstimate,
 }
 
-/// What choices are made by.
+/// Inputs that are the same for all choices of one decision.
 #[derive(Debug)]
 pub struct RouteContext<'a> {
-    /// All servers.
+    /// All known servers.
     pub servers: &'a slotmap::SecondaryMap<id::ServerKey, view::ServerView>,
-    /// Where the prompt's prefixes are believed to be.
-    pub beliefs: &'a affinity::BeliefList,
+    /// Predicted cache hits for the prompt.
+    pub estimates: &'a affinity::EstimateList,
     /// This VM's share of each server.
     pub shares: &'a share::ShareTable,
-    /// Weights.
+    /// Policy settings.
     pub settings: &'a settings::PolicySettings,
-    /// The time of the decision.
+    /// Time of the decision.
     pub now: time::Instant,
 }
 
-/// Whether a server may get new work at all, as far as its health goes.
+/// Returns whether a server's health permits new work.
 #[must_use]
 pub fn healthy(server: &view::ServerView, now: time::Instant) -> bool {
     if server.leaving || server.suspected {
         return false;
     }
     let failure = server.failure(now);
-    if failure > SHUNNED || (failure > PROBED && server.unstarted > 0) {
+    if failure > EXCLUSION_THRESHOLD || (failure > PROBE_THRESHOLD && server.unstarted > 0) {
         return false;
     }
-    let silence = now.saturating_duration_since(server.heard_at).as_secs_f32();
-    let silent = silence > SILENT_SECONDS.max(SILENT_STEPS * server.step);
+    let silence = now
+        .saturating_duration_since(server.active_at)
+        .as_secs_f32();
+    let silent = silence > MIN_SILENCE_TIMEOUT_S.max(SILENCE_TIMEOUT_STEPS * server.step);
     !(silent && server.own.running >= 1.0)
 }
 
 impl RouteContext<'_> {
-    /// The choice among `candidates`.
+    /// Chooses a server among `candidates`.
     ///
     /// # Errors
     ///
-    /// What the request has to wait for.
+    /// Returns what the request has to wait for if no candidate can take it.
     pub fn choose<R: Rng + ?Sized>(
         &self,
         candidates: &[id::ServerKey],
@@ -119,12 +121,13 @@
             score: f32::INFINITY,
             first_token: 0.0,
             free: 0.0,
-            prefix: affinity::PrefixBelief::default(),
+            prefix: affinity::PrefixEstimate::default(),
         };
-        let mut scored = [none; MOST_CANDIDATES];
+        let mut scored = [none; MAX_CANDIDATES];
         let mut found = self.score_all(candidates, query, true, &mut scored);
         if matches!(found, Err(explain::WaitCause::Server)) {
-            // Every server in health was tried before: better again than not at all.
+            // All healthy servers were tried before. Retrying one of them is better than not
+            // running.
             found = self.score_all(candidates, query, false, &mut scored);
         }
         let count = found?;
@@ -135,13 +138,13 @@
         &self,
         candidates: &[id::ServerKey],
         query: &RouteQuery<'_>,
-        avoiding: bool,
-        scored: &mut [ScoredServer; MOST_CANDIDATES],
+        skip_avoided: bool,
+        scored: &mut [ScoredServer; MAX_CANDIDATES],
     ) -> Result<usize, explain::WaitCause> {
         let mut count = 0;
         let mut cause = explain::WaitCause::Server;
-        for &key in candidates.iter().take(MOST_CANDIDATES) {
-            if avoiding && query.ask.avoid.contains(key) {
+        for &key in candidates.iter().take(MAX_CANDIDATES) {
+            if skip_avoided && query.request.avoid.contains(key) {
                 continue;
             }
             match self.score(key, query) {
@@ -160,7 +163,7 @@
         key: id::ServerKey,
         query: &RouteQuery<'_>,
     ) -> Result<ScoredServer, explain::WaitCause> {
-        let usable = query.held != Some(key);
+        let usable = query.reserved != Some(key);
         let server = self.servers.get(key).filter(|_| usable);
         let server = server.ok_or(explain::WaitCause::Server)?;
         if !healthy(server, self.now) {
@@ -168,18 +171,19 @@
         }
         let default = 1.0 / self.settings.entries.max(1) as f32;
         let share = self.shares.share(key).unwrap_or(default);
-        let part = room::RoomShare::of(share, server, self.settings.reuse);
-        let state = room::assess(server, query.load, query.terms, part, self.now);
-        if let Some(lack) = state.lack
-            && (query.terms.shared || server.unstarted >= self.settings.urgent_beyond)
+        let capacity_share =
+            admission::CapacityShare::of_server(share, server, self.settings.min_reuse);
+        let state = admission::assess(server, query.load, query.bounds, capacity_share, self.now);
+        if let Some(shortage) = state.shortage
+            && (query.bounds.shared || server.unstarted >= self.settings.urgent_overcommit)
         {
-            return Err(lack);
+            return Err(shortage);
         }
-        let prefix = self.beliefs.of(key);
+        let prefix = self.estimates.get(key);
         let first_token = self.first_token(server, query, prefix.expected);
         let score = first_token
             + self.settings.failure_weight.as_secs_f32() * server.failure(self.now)
-            + self.distance(server);
+            + self.distance_penalty(server);
         Ok(ScoredServer {
             server: key,
             score,
@@ -189,11 +193,11 @@
         })
     }
 
-    fn distance(&self, server: &view::ServerView) -> f32 {
-        let (own, its) = (self.settings.place, server.spec.place);
-        if own.region != its.region {
+    fn distance_penalty(&self, server: &view::ServerView) -> f32 {
+        let (own, server_location) = (self.settings.location, server.spec.location);
+        if own.region != server_location.region {
             self.settings.region_penalty.as_secs_f32()
-        } else if own.failure_domain != its.failure_domain {
+        } else if own.failure_domain != server_location.failure_domain {
             self.settings.domain_penalty.as_secs_f32()
         } else {
             0.0
@@ -201,12 +205,12 @@
     }
 
     fn first_token(&self, server: &view::ServerView, query: &RouteQuery<'_>, cached: f32) -> f32 {
-        let rest = (query.ask.prompt_tokens as f32 - cached).max(1.0);
+        let uncached = (query.request.prompt_tokens as f32 - cached).max(1.0);
         let queued = server.report.map_or(0, |report| report.waiting) as f32;
         let steps = 1.0 + queued;
         server
             .step
-            .mul_add(steps, (server.prefill + rest) / query.prefill_rate)
+            .mul_add(steps, (server.prefill + uncached) / query.prefill_rate)
     }
 
     fn draw<R: Rng + ?Sized>(
@@ -222,7 +226,7 @@
         let bound = best + self.settings.near_best.as_secs_f32();
         let near = || scored.iter().filter(|server| server.score <= bound);
         let count = near().count();
-        let weight = |server: &ScoredServer| server.free.max(LEAST_FREE);
+        let weight = |server: &ScoredServer| server.free.max(MIN_DRAW_WEIGHT);
         let mut drawn = rng.random::<f32>() * near().map(weight).sum::<f32>();
         let passed = near().take_while(|server| {
             drawn -= weight(server);
@@ -239,14 +243,14 @@
         } else {
             explain::ChoiceCause::Soonest
         };
-        let rest = query.ask.prompt_tokens as f32 - chosen.prefix.expected;
+        let uncached = query.request.prompt_tokens as f32 - chosen.prefix.expected;
         RouteChoice {
             server: chosen.server,
             cause,
             candidates: scored.len() as u16,
             first_token: chosen.first_token,
             cached: chosen.prefix.tokens,
-            prefill: rest.max(1.0),
+            prefill: uncached.max(1.0),
         }
     }
 }
