--- a/crates/entry/src/http/caller.rs
+++ b/crates/entry/src/http/caller.rs
@@ -49,7 +49,7 @@
     data: data::Data<'_>,
     entry: &State<sync::Arc<state::EntryState>>,
 ) -> GenerationAnswer {
-    generate(head, data, entry, body::CallerFace::Chat).await
+    generate(head, data, entry, body::CompletionApi::Chat).await
 }
 
 #[rocket::post("/v1/completions", data = "<data>")]
@@ -58,14 +58,14 @@
     data: data::Data<'_>,
     entry: &State<sync::Arc<state::EntryState>>,
 ) -> GenerationAnswer {
-    generate(head, data, entry, body::CallerFace::Completion).await
+    generate(head, data, entry, body::CompletionApi::Completion).await
 }
 
 async fn generate(
     head: head::CallHead,
     data: data::Data<'_>,
     entry: &state::EntryState,
-    face: body::CallerFace,
+    face: body::CompletionApi,
 ) -> GenerationAnswer {
     let bytes = match read_json(&head, data, entry).await {
         Ok(bytes) => bytes,
@@ -79,7 +79,7 @@
         .generate(caller_headers(head), face, bytes)
         .await
     {
-        Ok(plane::GenerationReply::Whole { request, body }) => {
+        Ok(plane::GenerationReply::Complete { request, body }) => {
             let headers = vec![answer::HeaderLine {
                 name: REQUEST_ID,
                 value: request.to_string(),
@@ -99,7 +99,7 @@
 /// Accepts work to be fetched later.
 async fn accept(
     head: head::CallHead,
-    face: body::CallerFace,
+    face: body::CompletionApi,
     bytes: Bytes,
     entry: &state::EntryState,
 ) -> WholeAnswer {
--- a/crates/flow/benches/relay/main.rs
+++ b/crates/flow/benches/relay/main.rs
@@ -33,7 +33,7 @@
             std::hint::black_box(reader.take().unwrap());
         }
     });
-    let face = body::CallerFace::Chat;
+    let face = body::CompletionApi::Chat;
     let writer = chunk::ChunkWriter::new(face, id::RequestId(1), "review-llm", 1, false);
     let write = per_token(|| {
         let mut out = BytesMut::new();
--- a/crates/flow/benches/relay/ports.rs
+++ b/crates/flow/benches/relay/ports.rs
@@ -143,7 +143,7 @@
     let body = format!(
         r#"{{"model": "review-llm", "stream": true, "messages": [{{"role": "user", "content": "{number}"}}]}}"#
     );
-    let reply = plane.generate(headers, body::CallerFace::Chat, body.into());
+    let reply = plane.generate(headers, body::CompletionApi::Chat, body.into());
     match reply.await {
         Ok(plane::GenerationReply::Stream(reply)) => reply,
         other => panic!("no stream: {other:?}"),
--- a/crates/flow/src/admit.rs
+++ b/crates/flow/src/admit.rs
@@ -18,7 +18,7 @@
 }
 
 /// A place on a backend server.
-pub type PlaceGrant<P> = <<P as port::PortSet>::Schedule as port::Scheduler>::Grant;
+pub type SlotGrant<P> = <<P as port::PortSet>::Schedule as port::Scheduler>::Grant;
 
 impl<P: port::PortSet> AdmitFilter<P> {
     /// The filter of one plane.
@@ -37,7 +37,7 @@
         facts: &request::RequestFacts<W>,
         terms: &request::Terms,
         alone: bool,
-    ) -> Result<PlaceGrant<P>, refusal::RefusalBody> {
+    ) -> Result<SlotGrant<P>, refusal::RefusalBody> {
         let schedule = self.shared.ports.schedule();
         let mut tried = facts.avoid.as_slice();
         loop {
@@ -115,7 +115,7 @@
 }
 
 impl<P, W, Q, C>
-    filter::Filter<request::Request<W, request::Cleared<Q, C, Option<quarantine::ProbePass>>>>
+    filter::Filter<request::Request<W, request::Cleared<Q, C, Option<quarantine::ProbePermit>>>>
     for AdmitFilter<P>
 where
     P: port::PortSet,
@@ -124,11 +124,11 @@
     C: Send + Sync,
 {
     type Out =
-        request::Request<W, request::Admitted<Q, C, Option<quarantine::ProbePass>, PlaceGrant<P>>>;
+        request::Request<W, request::Admitted<Q, C, Option<quarantine::ProbePermit>, SlotGrant<P>>>;
 
     async fn apply(
         &self,
-        input: request::Request<W, request::Cleared<Q, C, Option<quarantine::ProbePass>>>,
+        input: request::Request<W, request::Cleared<Q, C, Option<quarantine::ProbePermit>>>,
     ) -> Result<Self::Out, filter::EarlyEnd> {
         let terms = input.stage.claimed.terms;
         let alone = input.stage.probe.is_some();
--- a/crates/flow/src/attempt.rs
+++ b/crates/flow/src/attempt.rs
@@ -20,7 +20,7 @@
 
 /// What came of waiting for a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TryStep {
+pub enum AttemptStep {
     /// Its next token.
     Token {
         /// Its number.
@@ -31,12 +31,12 @@
     /// It ended whole.
     Finished(port::FinishReport),
     /// Nothing more will come of this try.
-    Lost(TryLoss),
+    Lost(AttemptLoss),
 }
 
 /// How a try was lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TryLoss {
+pub struct AttemptLoss {
     /// What is known of the generation.
     pub kind: LossKind,
     /// What happened, for people.
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossKind {
     /// Its server's process is gone.
-    ServerGone,
+    ServerDied,
     /// Its server answers that it does not hold it.
     NotHeld,
     /// Its server declined to start it.
@@ -63,7 +63,7 @@
     #[must_use]
     pub const fn failure(self) -> port::FailureKind {
         match self {
-            Self::ServerGone | Self::NotHeld => port::FailureKind::Broken,
+            Self::ServerDied | Self::NotHeld => port::FailureKind::Broken,
             Self::Declined => port::FailureKind::Rejected,
             Self::Unreachable => port::FailureKind::Silent,
             Self::Ended => port::FailureKind::Errored,
@@ -76,7 +76,7 @@
 /// A generation that runs on a server.
 ///
 /// Dropped before its end, its generation is cancelled.
-pub struct LiveTry<P: port::PortSet> {
+pub struct LiveAttempt<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
     request: id::RequestId,
     target: port::ServerTarget,
@@ -97,7 +97,7 @@
     over: bool,
 }
 
-impl<P: port::PortSet> LiveTry<P> {
+impl<P: port::PortSet> LiveAttempt<P> {
     /// Sends a generation's start.
     pub async fn start(
         shared: sync::Arc<shared::SharedPlane<P>>,
@@ -106,8 +106,10 @@
         order: &port::StartOrder,
         permit: proof::StartPermit,
         silent_limit: Duration,
-    ) -> proof::TryOutcome<(Self, proof::TryTicket<proof::GenerationKind>), proof::GenerationKind>
-    {
+    ) -> proof::AttemptOutcome<
+        (Self, proof::AttemptTicket<proof::GenerationKind>),
+        proof::GenerationKind,
+    > {
         let (send, ticket) = permit.send();
         let limit = shared.settings.call_limit;
         let answer = {
@@ -125,7 +127,7 @@
                 evidence, cause, ..
             })) => {
                 live.over = true;
-                return proof::TryOutcome::NotRun {
+                return proof::AttemptOutcome::NotRun {
                     permit: ticket.never_sent(evidence),
                     cause,
                 };
@@ -133,7 +135,7 @@
             Ok(Err(declined @ fault::StartFault::Declined { status, .. })) => {
                 // Settled by whoever reads this outcome; a second cancel would be too many.
                 live.over = true;
-                return proof::TryOutcome::Unknown {
+                return proof::AttemptOutcome::Unknown {
                     ticket,
                     cause: declined.to_string(),
                     hopeless: hopeless(status),
@@ -142,7 +144,7 @@
             // It may have started: it is sought there before anything else is done.
             Ok(Err(fault::StartFault::Lost { .. })) | Err(_) => {}
         }
-        proof::TryOutcome::Ran((live, ticket))
+        proof::AttemptOutcome::Ran((live, ticket))
     }
 
     /// A generation that runs already, from token `from` on.
@@ -231,7 +233,7 @@
     /// # Errors
     ///
     /// The loss of the try.
-    pub async fn connect(&mut self) -> Result<(), TryLoss> {
+    pub async fn connect(&mut self) -> Result<(), AttemptLoss> {
         if self.events.is_some() {
             return Ok(());
         }
@@ -239,7 +241,7 @@
     }
 
     /// The next token, the end, or the loss. Nothing is lost when the future is dropped.
-    pub async fn next(&mut self) -> TryStep {
+    pub async fn next(&mut self) -> AttemptStep {
         loop {
             let Some(events) = self.events.as_mut() else {
                 match self.reconnect().await {
@@ -276,13 +278,13 @@
         }
     }
 
-    fn accept(&mut self, tagged: port::TaggedEvent) -> Option<TryStep> {
+    fn accept(&mut self, tagged: port::TaggedEvent) -> Option<AttemptStep> {
         let now = time::Instant::now();
         match self.cursor.accept(tagged) {
             cursor::CursorStep::Deliver { index, text } => {
                 self.works();
                 self.gauge.token(now);
-                return Some(TryStep::Token { index, text });
+                return Some(AttemptStep::Token { index, text });
             }
             cursor::CursorStep::Alive | cursor::CursorStep::Repeated => {
                 self.works();
@@ -295,7 +297,7 @@
             cursor::CursorStep::Finished(report) => return Some(self.finished(report)),
             cursor::CursorStep::Contradiction => {
                 let cause = "its engine says that it made fewer tokens than it sent";
-                return Some(self.lost(TryLoss {
+                return Some(self.lost(AttemptLoss {
                     kind: LossKind::Ended,
                     cause: cause.to_owned(),
                 }));
@@ -304,13 +306,13 @@
         None
     }
 
-    fn finished(&mut self, report: port::FinishReport) -> TryStep {
+    fn finished(&mut self, report: port::FinishReport) -> AttemptStep {
         match report.finish {
             port::FinishReason::Stop | port::FinishReason::Length => {
                 self.over = true;
-                TryStep::Finished(report)
+                AttemptStep::Finished(report)
             }
-            port::FinishReason::Cancelled | port::FinishReason::Error => self.lost(TryLoss {
+            port::FinishReason::Cancelled | port::FinishReason::Error => self.lost(AttemptLoss {
                 kind: LossKind::Ended,
                 cause: format!(
                     "its engine ended it as {}",
@@ -320,17 +322,17 @@
         }
     }
 
-    fn lost(&mut self, loss: TryLoss) -> TryStep {
+    fn lost(&mut self, loss: AttemptLoss) -> AttemptStep {
         self.events = None;
         let process_ended = match loss.kind {
-            LossKind::ServerGone => true,
+            LossKind::ServerDied => true,
             LossKind::NotHeld => self.held,
             LossKind::Declined | LossKind::Unreachable | LossKind::Ended => false,
         };
         if process_ended {
             self.shared.note_death(&self.target, &loss.cause);
         }
-        TryStep::Lost(loss)
+        AttemptStep::Lost(loss)
     }
 
     const fn works(&mut self) {
@@ -353,7 +355,7 @@
     }
 
     /// Opens a fresh connection to the same generation.
-    async fn reconnect(&mut self) -> Result<(), TryLoss> {
+    async fn reconnect(&mut self) -> Result<(), AttemptLoss> {
         // The first goes out at once; after that a connection that opens and shows nothing
         // counts as no better than one that does not open.
         let mut at_once = self.broken_at.is_none();
@@ -377,7 +379,7 @@
                     return Ok(());
                 }
                 Ok(Err(fault @ fault::ResumeFault::Refused { .. })) => {
-                    return Err(loss_of(LossKind::ServerGone, fault.to_string()));
+                    return Err(loss_of(LossKind::ServerDied, fault.to_string()));
                 }
                 Ok(Err(fault @ fault::ResumeFault::NotHeld { .. })) => {
                     return Err(loss_of(LossKind::NotHeld, fault.to_string()));
@@ -404,11 +406,11 @@
     }
 }
 
-const fn loss_of(kind: LossKind, cause: String) -> TryLoss {
-    TryLoss { kind, cause }
+const fn loss_of(kind: LossKind, cause: String) -> AttemptLoss {
+    AttemptLoss { kind, cause }
 }
 
-impl<P: port::PortSet> Drop for LiveTry<P> {
+impl<P: port::PortSet> Drop for LiveAttempt<P> {
     fn drop(&mut self) {
         if !self.over {
             self.shared
--- a/crates/flow/src/body.rs
+++ b/crates/flow/src/body.rs
@@ -7,7 +7,7 @@
 
 /// A request's body cannot be served.
 #[derive(Debug, Snafu)]
-pub enum BodyFault {
+pub enum BodyError {
     /// It is not JSON of the expected shape.
     #[snafu(display("the request body is not understood: {source}; correct it"))]
     Malformed {
@@ -22,18 +22,18 @@
     },
     /// More than one answer is asked for.
     #[snafu(display("`n` is {count}; send one request for each answer that is wanted"))]
-    ManyAnswers {
+    MultipleChoices {
         /// Answers that were asked for.
         count: u32,
     },
     /// No token may be produced.
     #[snafu(display("`max_tokens` is 0; give at least 1, or leave it out"))]
-    NoTokens,
+    ZeroMaxTokens,
 }
 
 /// Which of the two faces a caller used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallerFace {
+pub enum CompletionApi {
     /// `POST /v1/chat/completions`.
     Chat,
     /// `POST /v1/completions`.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GenerationBody {
     /// The face that it came by; answers take the same shape.
-    pub face: CallerFace,
+    pub face: CompletionApi,
     /// The model as the caller names it: `model` or `model:adapter`.
     pub model: String,
     /// The whole prompt.
@@ -118,16 +118,16 @@
     ///
     /// # Errors
     ///
-    /// [`BodyFault`] names what is wrong and what to do.
-    pub fn parse(face: CallerFace, body: &[u8]) -> Result<Self, BodyFault> {
+    /// [`BodyError`] names what is wrong and what to do.
+    pub fn parse(face: CompletionApi, body: &[u8]) -> Result<Self, BodyError> {
         let raw: RawBody = serde_json::from_slice(body).context(MalformedSnafu)?;
         let count = raw.n.unwrap_or(1);
-        snafu::ensure!(count == 1, ManyAnswersSnafu { count });
+        snafu::ensure!(count == 1, MultipleChoicesSnafu { count });
         let max_tokens = raw.max_completion_tokens.or(raw.max_tokens);
-        snafu::ensure!(max_tokens != Some(0), NoTokensSnafu);
+        snafu::ensure!(max_tokens != Some(0), ZeroMaxTokensSnafu);
         let prompt = match face {
-            CallerFace::Chat => chat_prompt(&raw.messages)?,
-            CallerFace::Completion => plain_prompt(raw.prompt)?,
+            CompletionApi::Chat => chat_prompt(&raw.messages)?,
+            CompletionApi::Completion => plain_prompt(raw.prompt)?,
         };
         Ok(Self {
             face,
@@ -150,7 +150,7 @@
 }
 
 /// One line for each message, then the answer's beginning.
-fn chat_prompt(messages: &[RawMessage]) -> Result<String, BodyFault> {
+fn chat_prompt(messages: &[RawMessage]) -> Result<String, BodyError> {
     let mut prompt = String::new();
     let mut has_text = false;
     for message in messages {
@@ -175,13 +175,13 @@
     Ok(prompt)
 }
 
-fn plain_prompt(raw: Option<RawPrompt>) -> Result<String, BodyFault> {
+fn plain_prompt(raw: Option<RawPrompt>) -> Result<String, BodyError> {
     let prompt = match raw {
         Some(RawPrompt::Text(text)) => text,
         Some(RawPrompt::Texts(texts)) if texts.len() == 1 => texts.concat(),
         Some(RawPrompt::Texts(texts)) if texts.len() > 1 => {
             let count = u32::try_from(texts.len()).unwrap_or(u32::MAX);
-            return ManyAnswersSnafu { count }.fail();
+            return MultipleChoicesSnafu { count }.fail();
         }
         Some(RawPrompt::Texts(_)) | None => String::new(),
     };
--- a/crates/flow/src/calling.rs
+++ b/crates/flow/src/calling.rs
@@ -26,20 +26,20 @@
     request::CallWork,
     quota::QuotaPermit<P>,
     Option<claim::HeldClaim<P>>,
-    admit::PlaceGrant<P>,
+    admit::SlotGrant<P>,
 >;
 
 /// Calls plain services.
 #[derive(Clone, Debug)]
 pub struct CallFilter<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
-    placing: opening::PlacingChain<P>,
+    placing: opening::PlacementChain<P>,
 }
 
 impl<P: port::PortSet> CallFilter<P> {
     pub(crate) const fn new(
         shared: sync::Arc<shared::SharedPlane<P>>,
-        placing: opening::PlacingChain<P>,
+        placing: opening::PlacementChain<P>,
     ) -> Self {
         Self { shared, placing }
     }
@@ -51,7 +51,7 @@
         until: time::Instant,
         target: &port::ServerTarget,
         permit: proof::StartPermit,
-    ) -> proof::TryOutcome<port::ServiceAnswer, proof::CallKind> {
+    ) -> proof::AttemptOutcome<port::ServiceAnswer, proof::CallKind> {
         let raw = &facts.work.raw;
         let call = port::ServiceCall {
             request: facts.id,
@@ -72,19 +72,19 @@
             time::timeout_at(until, called).await
         };
         match answer {
-            Ok(Ok(answer)) => proof::TryOutcome::Ran(answer),
+            Ok(Ok(answer)) => proof::AttemptOutcome::Ran(answer),
             Ok(Err(fault::CallFault::NeverSent {
                 evidence, cause, ..
-            })) => proof::TryOutcome::NotRun {
+            })) => proof::AttemptOutcome::NotRun {
                 permit: ticket.never_sent(evidence),
                 cause,
             },
-            Ok(Err(lost @ fault::CallFault::Lost { .. })) => proof::TryOutcome::Unknown {
+            Ok(Err(lost @ fault::CallFault::Lost { .. })) => proof::AttemptOutcome::Unknown {
                 ticket,
                 cause: lost.to_string(),
                 hopeless: None,
             },
-            Err(_) => proof::TryOutcome::Unknown {
+            Err(_) => proof::AttemptOutcome::Unknown {
                 ticket,
                 cause: format!("{} did not answer in time", target.name),
                 hopeless: None,
@@ -151,21 +151,21 @@
             }
             let outcome = self.send(&facts, until, &target, permit).await;
             let (permit, cause) = match outcome {
-                proof::TryOutcome::Ran(answer) => {
+                proof::AttemptOutcome::Ran(answer) => {
                     admitted.grant.finished(0);
                     if let Some(claim) = claimed.claim.take() {
                         claim.settle(port::ClaimEnd::Answered(answer.clone()));
                     }
                     return Ok(answer);
                 }
-                proof::TryOutcome::NotRun { permit, cause } => {
+                proof::AttemptOutcome::NotRun { permit, cause } => {
                     admitted.grant.failed(port::FailureKind::Broken);
                     if let Some(claim) = claimed.claim.as_mut() {
                         claim.came_back();
                     }
                     (permit, cause)
                 }
-                proof::TryOutcome::Unknown { ticket, cause, .. } => {
+                proof::AttemptOutcome::Unknown { ticket, cause, .. } => {
                     admitted.grant.failed(port::FailureKind::Silent);
                     match facts.work.repeat {
                         Some(repeat) if time::Instant::now() < due_at => {
--- a/crates/flow/src/chunk.rs
+++ b/crates/flow/src/chunk.rs
@@ -10,7 +10,7 @@
 /// Text that begins every chunk of one stream, written once.
 #[derive(Clone, Debug)]
 pub struct ChunkWriter {
-    face: body::CallerFace,
+    face: body::CompletionApi,
     /// Up to and with the opening of the one choice's variable part.
     head: String,
     include_usage: bool,
@@ -60,15 +60,15 @@
     /// A writer for the answer to `request`.
     #[must_use]
     pub fn new(
-        face: body::CallerFace,
+        face: body::CompletionApi,
         request: id::RequestId,
         model: &str,
         created_s: u64,
         include_usage: bool,
     ) -> Self {
         let (prefix, object) = match face {
-            body::CallerFace::Chat => ("chatcmpl", "chat.completion.chunk"),
-            body::CallerFace::Completion => ("cmpl", "text_completion"),
+            body::CompletionApi::Chat => ("chatcmpl", "chat.completion.chunk"),
+            body::CompletionApi::Completion => ("cmpl", "text_completion"),
         };
         let model = json_text(model);
         let head = format!(
@@ -85,18 +85,18 @@
     pub fn token(&self, out: &mut BytesMut, index: u32, text: &str) {
         out.put_slice(self.head.as_bytes());
         out.put_slice(match (self.face, index) {
-            (body::CallerFace::Chat, 0) => {
+            (body::CompletionApi::Chat, 0) => {
                 br#"{"index":0,"delta":{"role":"assistant","content":"#.as_slice()
             }
-            (body::CallerFace::Chat, _) => br#"{"index":0,"delta":{"content":"#.as_slice(),
-            (body::CallerFace::Completion, _) => br#"{"index":0,"text":"#.as_slice(),
+            (body::CompletionApi::Chat, _) => br#"{"index":0,"delta":{"content":"#.as_slice(),
+            (body::CompletionApi::Completion, _) => br#"{"index":0,"text":"#.as_slice(),
         });
         let mut writer = out.writer();
         // Writing into memory does not fail.
         let _ = serde_json::to_writer(&mut writer, text);
         let close = match self.face {
-            body::CallerFace::Chat => "}",
-            body::CallerFace::Completion => "",
+            body::CompletionApi::Chat => "}",
+            body::CompletionApi::Completion => "",
         };
         let _ = write!(
             writer,
@@ -109,8 +109,8 @@
         let usage = serde_json::to_string(&UsageBody::of(report)).unwrap_or_default();
         let name = finish_name(report.finish);
         let variable = match self.face {
-            body::CallerFace::Chat => r#""delta":{}"#,
-            body::CallerFace::Completion => r#""text":"""#,
+            body::CompletionApi::Chat => r#""delta":{}"#,
+            body::CompletionApi::Completion => r#""text":"""#,
         };
         let head = &self.head;
         let mut writer = out.writer();
@@ -162,7 +162,7 @@
 /// A whole answer.
 #[must_use]
 pub fn whole_answer(
-    face: body::CallerFace,
+    face: body::CompletionApi,
     request: id::RequestId,
     model: &str,
     created_s: u64,
@@ -170,18 +170,18 @@
     report: &port::FinishReport,
 ) -> String {
     let (prefix, object) = match face {
-        body::CallerFace::Chat => ("chatcmpl", "chat.completion"),
-        body::CallerFace::Completion => ("cmpl", "text_completion"),
+        body::CompletionApi::Chat => ("chatcmpl", "chat.completion"),
+        body::CompletionApi::Completion => ("cmpl", "text_completion"),
     };
     let model = json_text(model);
     let text = json_text(text);
     let usage = serde_json::to_string(&UsageBody::of(report)).unwrap_or_default();
     let finish = finish_name(report.finish);
     let variable = match face {
-        body::CallerFace::Chat => {
+        body::CompletionApi::Chat => {
             format!(r#""message":{{"role":"assistant","content":{text}}}"#)
         }
-        body::CallerFace::Completion => format!(r#""text":{text}"#),
+        body::CompletionApi::Completion => format!(r#""text":{text}"#),
     };
     format!(
         r#"{{"id":"{prefix}-{request}","object":"{object}","created":{created_s},"model":{model},"choices":[{{"index":0,{variable},"finish_reason":"{finish}"}}],"usage":{usage}}}"#
--- a/crates/flow/src/collect.rs
+++ b/crates/flow/src/collect.rs
@@ -7,7 +7,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeText {
+pub struct CompleteText {
     /// All tokens of one generation.
     pub text: String,
     /// How it ended.
@@ -16,7 +16,7 @@
 
 /// What came next of a generation that is collected.
 enum CollectStep {
-    Step(attempt::TryStep),
+    Step(attempt::AttemptStep),
     Preempted,
 }
 
@@ -29,7 +29,7 @@
 pub async fn collect<P: port::PortSet>(
     opener: &opening::GenerationOpener<P>,
     opened: opening::OpenedRequest<P>,
-) -> Result<(opening::OpenedRequest<P>, WholeText), filter::EarlyEnd> {
+) -> Result<(opening::OpenedRequest<P>, CompleteText), filter::EarlyEnd> {
     let mut opened = opened;
     loop {
         match collect_one(&mut opened).await {
@@ -42,14 +42,14 @@
 /// Collects one generation; `Err(None)`: the scheduler stopped it.
 async fn collect_one<P: port::PortSet>(
     opened: &mut opening::OpenedRequest<P>,
-) -> Result<WholeText, Option<attempt::TryLoss>> {
+) -> Result<CompleteText, Option<attempt::AttemptLoss>> {
     let mut text = String::new();
     let mut unreported = 0;
     let mut step = opened.step.clone();
     let running = &mut opened.running;
     loop {
         match step {
-            attempt::TryStep::Token { text: token, .. } => {
+            attempt::AttemptStep::Token { text: token, .. } => {
                 text.push_str(&token);
                 opened.claimed.quota.charge(1);
                 unreported += 1;
@@ -57,8 +57,8 @@
                     running.grant.progress(std::mem::take(&mut unreported));
                 }
             }
-            attempt::TryStep::Finished(report) => return Ok(WholeText { text, report }),
-            attempt::TryStep::Lost(loss) => return Err(Some(loss)),
+            attempt::AttemptStep::Finished(report) => return Ok(CompleteText { text, report }),
+            attempt::AttemptStep::Lost(loss) => return Err(Some(loss)),
         }
         let next = tokio::select! {
             biased;
--- a/crates/flow/src/continuation.rs
+++ b/crates/flow/src/continuation.rs
@@ -64,7 +64,7 @@
             content: facts.content,
             arrived_at: known.facts.arrived_at,
             live,
-            flowing: proof::FlowingTry::continued(),
+            flowing: proof::RelayedAttempt::continued(),
             charge: flowing::StreamCharge {
                 grant: None,
                 quota: None,
@@ -94,10 +94,10 @@
         target: port::ServerTarget,
         from: u32,
         silent_limit: Duration,
-    ) -> Result<attempt::LiveTry<P>, refused::Refused> {
+    ) -> Result<attempt::LiveAttempt<P>, refused::Refused> {
         let shared = self.shared();
         let limits = (silent_limit, shared.settings.opening_patience);
-        let mut live = attempt::LiveTry::continued(
+        let mut live = attempt::LiveAttempt::continued(
             shared.clone(),
             facts.request,
             target,
@@ -113,7 +113,7 @@
             Err(loss) => {
                 // Another may still read it, and this caller may come back for it.
                 live.release();
-                Err(proof::FlowingTry::continued().refused(not_continued(&loss)))
+                Err(proof::RelayedAttempt::continued().refused(not_continued(&loss)))
             }
         }
     }
@@ -160,14 +160,14 @@
     )
 }
 
-fn not_continued(loss: &attempt::TryLoss) -> refusal::RefusalBody {
+fn not_continued(loss: &attempt::AttemptLoss) -> refusal::RefusalBody {
     match loss.kind {
         attempt::LossKind::Unreachable => {
             let message = format!("{}; ask again, or another entry VM", loss.cause);
             let code = refusal::RefusalCode::Unavailable;
             shared::come_back(code, message, UNKNOWN_SERVER_RETRY)
         }
-        attempt::LossKind::ServerGone
+        attempt::LossKind::ServerDied
         | attempt::LossKind::NotHeld
         | attempt::LossKind::Declined
         | attempt::LossKind::Ended => lost(&loss.cause),
--- a/crates/flow/src/flowing.rs
+++ b/crates/flow/src/flowing.rs
@@ -21,13 +21,13 @@
 /// What a stream holds besides its generation.
 pub struct StreamCharge<P: port::PortSet> {
     /// Its place; absent when another entry VM holds it.
-    pub grant: Option<admit::PlaceGrant<P>>,
+    pub grant: Option<admit::SlotGrant<P>>,
     /// Its share of its organisation's limits.
     pub quota: Option<quota::QuotaPermit<P>>,
     /// Marks its content as running.
     pub mark: Option<crashes::RunMark>,
     /// Held by a suspect.
-    pub probe: Option<quarantine::ProbePass>,
+    pub probe: Option<quarantine::ProbePermit>,
 }
 
 /// A generation on its way to a caller.
@@ -36,9 +36,9 @@
     pub(crate) request: id::RequestId,
     pub(crate) content: fingerprint::ContentHash,
     pub(crate) arrived_at: time::Instant,
-    pub(crate) live: attempt::LiveTry<P>,
+    pub(crate) live: attempt::LiveAttempt<P>,
     /// Nothing but the same generation may follow.
-    pub(crate) flowing: proof::FlowingTry,
+    pub(crate) flowing: proof::RelayedAttempt,
     pub(crate) charge: StreamCharge<P>,
     pub(crate) writer: chunk::ChunkWriter,
     pub(crate) pipe: pipe::PipeWriter,
@@ -51,7 +51,7 @@
     /// Whole.
     Finished(port::FinishReport),
     /// The rest is not coming.
-    Lost(attempt::TryLoss),
+    Lost(attempt::AttemptLoss),
     /// The caller is gone.
     CallerGone,
     /// The caller reads nothing.
@@ -62,12 +62,12 @@
 
 impl<P: port::PortSet> FlowingStream<P> {
     /// Relays to the end, beginning with `first` when it is there already.
-    pub async fn run(mut self, first: Option<attempt::TryStep>) {
+    pub async fn run(mut self, first: Option<attempt::AttemptStep>) {
         let end = self.relay(first).await;
         self.finish(end);
     }
 
-    async fn relay(&mut self, first: Option<attempt::TryStep>) -> StreamEnd {
+    async fn relay(&mut self, first: Option<attempt::AttemptStep>) -> StreamEnd {
         let mut unreported = 0;
         let mut beat = Box::pin(time::sleep(self.shared.settings.heartbeat));
         let mut step = match first {
@@ -79,7 +79,7 @@
         };
         loop {
             let has_space = match step {
-                attempt::TryStep::Token { index, text } => {
+                attempt::AttemptStep::Token { index, text } => {
                     unreported += 1;
                     if unreported == PROGRESS_LOT || index == 0 {
                         self.report(std::mem::take(&mut unreported));
@@ -87,11 +87,11 @@
                     let writer = &self.writer;
                     self.pipe.append(|out| writer.token(out, index, &text))
                 }
-                attempt::TryStep::Finished(report) => {
+                attempt::AttemptStep::Finished(report) => {
                     self.report(unreported);
                     return StreamEnd::Finished(report);
                 }
-                attempt::TryStep::Lost(loss) => return StreamEnd::Lost(loss),
+                attempt::AttemptStep::Lost(loss) => return StreamEnd::Lost(loss),
             };
             match has_space {
                 Ok(true) => {}
@@ -114,7 +114,7 @@
     async fn wait(
         &mut self,
         mut beat: pin::Pin<&mut time::Sleep>,
-    ) -> Result<attempt::TryStep, StreamEnd> {
+    ) -> Result<attempt::AttemptStep, StreamEnd> {
         if self.shared.gate.hands_over() {
             return Err(StreamEnd::HandedOver);
         }
@@ -197,7 +197,7 @@
         }
     }
 
-    fn end_lost(mut self, loss: attempt::TryLoss) {
+    fn end_lost(mut self, loss: attempt::AttemptLoss) {
         metrics::counter!("pollenchute_flow_generations_lost_total").increment(1);
         let message = format!(
             "the generation was lost after token {}: {}; send the request anew",
--- a/crates/flow/src/jobs.rs
+++ b/crates/flow/src/jobs.rs
@@ -44,7 +44,7 @@
     pub async fn accept_job(
         &self,
         headers: request::CallerHeaders,
-        face: body::CallerFace,
+        face: body::CompletionApi,
         body: Bytes,
     ) -> Result<id::RequestId, plane::RefusedRequest> {
         let arrived = self.arrive(headers, ());
@@ -58,7 +58,7 @@
     async fn accept_arrived(
         &self,
         arrived: request::Request<(), request::Arrived>,
-        face: body::CallerFace,
+        face: body::CompletionApi,
         body: Bytes,
     ) -> Result<(), filter::EarlyEnd> {
         let (arrived, _pass) = self.enter(arrived)?;
@@ -83,7 +83,7 @@
     fn check_job(
         &self,
         known: &request::Request<(), request::Known>,
-        face: body::CallerFace,
+        face: body::CompletionApi,
         body: &Bytes,
     ) -> Result<port::JobRecord, refusal::RefusalBody> {
         let facts = &known.facts;
@@ -109,7 +109,7 @@
         Ok(port::JobRecord {
             request: facts.id,
             organisation: view.map(|view| view.name.clone()).unwrap_or_default(),
-            chat: face == body::CallerFace::Chat,
+            chat: face == body::CompletionApi::Chat,
             body: String::from_utf8_lossy(body).into_owned(),
             accepted_ms: self.shared().now_ms(),
         })
@@ -256,9 +256,9 @@
 
     async fn run_once(&self, job: &port::JobRecord) -> Result<String, refusal::RefusalBody> {
         let face = if job.chat {
-            body::CallerFace::Chat
+            body::CompletionApi::Chat
         } else {
-            body::CallerFace::Completion
+            body::CompletionApi::Completion
         };
         let raw = request::RawGeneration {
             face,
--- a/crates/flow/src/opening.rs
+++ b/crates/flow/src/opening.rs
@@ -29,11 +29,11 @@
     request::GenerationWork,
     quota::QuotaPermit<P>,
     Option<claim::HeldClaim<P>>,
-    admit::PlaceGrant<P>,
+    admit::SlotGrant<P>,
 >;
 
 /// Filters that find a place for a try, the first and every further one.
-pub type PlacingChain<P> = filter::Chain<
+pub type PlacementChain<P> = filter::Chain<
     filter::Chain<quarantine::QuarantineFilter<P>, admit::AdmitFilter<P>>,
     route::RouteFilter,
 >;
@@ -47,21 +47,21 @@
     /// Its try.
     pub running: running::RunningTry<P>,
     /// The first step: a token, or the end.
-    pub step: attempt::TryStep,
+    pub step: attempt::AttemptStep,
 }
 
 /// Starts generations and restarts them for as long as nothing of them has left for the caller.
 #[derive(Clone, Debug)]
 pub struct GenerationOpener<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
-    placing: PlacingChain<P>,
+    placing: PlacementChain<P>,
     routing: route::RouteFilter,
 }
 
 impl<P: port::PortSet> GenerationOpener<P> {
     pub(crate) const fn new(
         shared: sync::Arc<shared::SharedPlane<P>>,
-        placing: PlacingChain<P>,
+        placing: PlacementChain<P>,
         routing: route::RouteFilter,
     ) -> Self {
         Self {
@@ -128,7 +128,7 @@
         facts: &request::RequestFacts<request::GenerationWork>,
         terms: &request::Terms,
         permit: proof::StartPermit,
-    ) -> Result<(running::RunningTry<P>, attempt::TryStep), TryEnd<P>> {
+    ) -> Result<(running::RunningTry<P>, attempt::AttemptStep), TryEnd<P>> {
         let running = place.start(&self.shared, facts, terms, permit).await?;
         running.first_step(&self.shared, facts, terms.due_at).await
     }
@@ -141,7 +141,7 @@
     pub async fn reopen(
         &self,
         opened: OpenedRequest<P>,
-        loss: Option<attempt::TryLoss>,
+        loss: Option<attempt::AttemptLoss>,
     ) -> Result<OpenedRequest<P>, filter::EarlyEnd> {
         let OpenedRequest {
             facts,
--- a/crates/flow/src/plane.rs
+++ b/crates/flow/src/plane.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub enum GenerationReply {
     /// A whole answer.
-    Whole {
+    Complete {
         /// The caller's request, for `x-request-id`.
         request: id::RequestId,
         /// The body, JSON.
@@ -73,7 +73,7 @@
     shared: sync::Arc<shared::SharedPlane<P>>,
     views: watch::Receiver<sync::Arc<view::PlaneView>>,
     known: KnownChain<P>,
-    placing: opening::PlacingChain<P>,
+    placing: opening::PlacementChain<P>,
     opener: opening::GenerationOpener<P>,
     caller: calling::CallFilter<P>,
 }
@@ -141,7 +141,7 @@
     pub async fn generate(
         &self,
         headers: request::CallerHeaders,
-        face: body::CallerFace,
+        face: body::CompletionApi,
         body: Bytes,
     ) -> Result<GenerationReply, RefusedRequest> {
         let raw = request::RawGeneration {
@@ -167,7 +167,7 @@
         }
         let request = opened.facts.id;
         let text = self.whole(opened).await?;
-        Ok(GenerationReply::Whole {
+        Ok(GenerationReply::Complete {
             request,
             body: Bytes::from(text),
         })
@@ -343,7 +343,7 @@
         &self,
         facts: &request::RequestFacts<request::GenerationWork>,
         terms: &request::Terms,
-        live: &attempt::LiveTry<P>,
+        live: &attempt::LiveAttempt<P>,
         created_s: u64,
     ) -> String {
         let organisation = facts.view.config.organisation(terms.organisation);
@@ -362,7 +362,7 @@
                 vm: self.shared.settings.vm.clone(),
                 content: facts.work.content,
                 revision: facts.view.config.revision(),
-                chat: facts.work.body.face == body::CallerFace::Chat,
+                chat: facts.work.body.face == body::CompletionApi::Chat,
                 model: facts.work.body.model.clone(),
                 created_s,
                 include_usage: facts.work.body.include_usage,
@@ -373,7 +373,7 @@
     fn record_first_token(
         &self,
         facts: &request::RequestFacts<request::GenerationWork>,
-        live: &attempt::LiveTry<P>,
+        live: &attempt::LiveAttempt<P>,
     ) {
         self.shared.record(
             facts.id,
--- a/crates/flow/src/proof.rs
+++ b/crates/flow/src/proof.rs
@@ -82,8 +82,8 @@
     }
 
     /// Splits into what the link consumes and what stays here while the try is out.
-    pub const fn send<K>(self) -> (SendPermit, TryTicket<K>) {
-        let ticket = TryTicket {
+    pub const fn send<K>(self) -> (SendPermit, AttemptTicket<K>) {
+        let ticket = AttemptTicket {
             earlier: self.ran,
             seen_running: false,
             kind: marker::PhantomData,
@@ -120,24 +120,24 @@
 /// ```
 /// use flow::proof::{GenerationKind, StartPermit};
 /// let (_, ticket) = StartPermit::for_tests().send::<GenerationKind>();
-/// let _another = ticket.server_gone();
+/// let _another = ticket.server_died();
 /// ```
 ///
 /// ```compile_fail
 /// use flow::proof::{CallKind, StartPermit};
 /// let (_, ticket) = StartPermit::for_tests().send::<CallKind>();
-/// let _another = ticket.server_gone();
+/// let _another = ticket.server_died();
 /// ```
 #[derive(Debug)]
 #[must_use = "a try that is out must be settled or reported"]
-pub struct TryTicket<K> {
+pub struct AttemptTicket<K> {
     earlier: outcome::RanState,
     /// Whether the server showed that it runs this try.
     seen_running: bool,
     kind: marker::PhantomData<K>,
 }
 
-impl<K> TryTicket<K> {
+impl<K> AttemptTicket<K> {
     /// The try was never sent.
     pub fn never_sent(self, _evidence: NeverSent) -> StartPermit {
         StartPermit { ran: self.earlier }
@@ -164,14 +164,14 @@
     }
 }
 
-impl TryTicket<CallKind> {
+impl AttemptTicket<CallKind> {
     /// Another try although this one may have run: only for calls that may be repeated.
     pub fn repeated(self, _permit: RepeatPermit) -> StartPermit {
         self.over()
     }
 }
 
-impl TryTicket<GenerationKind> {
+impl AttemptTicket<GenerationKind> {
     /// The server showed a token of this try.
     pub const fn saw_running(&mut self) {
         self.seen_running = true;
@@ -195,7 +195,7 @@
     }
 
     /// The server's process is gone: it refuses connections, so the try cannot run on.
-    pub fn server_gone(self) -> StartPermit {
+    pub fn server_died(self) -> StartPermit {
         self.over()
     }
 
@@ -205,8 +205,8 @@
     }
 
     /// A token is leaving for the caller: no other generation may be started from here on.
-    pub const fn flowing(self) -> FlowingTry {
-        FlowingTry { _made_here: () }
+    pub const fn flowing(self) -> RelayedAttempt {
+        RelayedAttempt { _made_here: () }
     }
 }
 
@@ -216,11 +216,11 @@
 /// the first by mixing the two, which the caller would read as one answer.
 #[derive(Debug)]
 #[must_use = "an answer that has begun must be ended"]
-pub struct FlowingTry {
+pub struct RelayedAttempt {
     _made_here: (),
 }
 
-impl FlowingTry {
+impl RelayedAttempt {
     /// A generation that another entry VM, or this one earlier, began to relay.
     pub(crate) const fn continued() -> Self {
         Self { _made_here: () }
@@ -234,7 +234,7 @@
 
 /// Outcome of one try: three values.
 #[derive(Debug)]
-pub enum TryOutcome<T, K> {
+pub enum AttemptOutcome<T, K> {
     /// It is proved that the try did not run.
     NotRun {
         /// For another try, or for a refusal.
@@ -247,7 +247,7 @@
     /// It may have run: the ticket allows no other try unless the call may be repeated.
     Unknown {
         /// For a refusal that says so.
-        ticket: TryTicket<K>,
+        ticket: AttemptTicket<K>,
         /// What happened.
         cause: String,
         /// What the server said that makes another try no use.
--- a/crates/flow/src/quarantine.rs
+++ b/crates/flow/src/quarantine.rs
@@ -9,7 +9,7 @@
 
 /// Held by a suspect while it runs: suspects run one to a server, on few servers.
 #[derive(Debug)]
-pub struct ProbePass {
+pub struct ProbePermit {
     _permit: OwnedSemaphorePermit,
 }
 
@@ -31,7 +31,7 @@
         &self,
         work: &W,
         due_at: time::Instant,
-    ) -> Result<Option<ProbePass>, refusal::RefusalBody> {
+    ) -> Result<Option<ProbePermit>, refusal::RefusalBody> {
         let content = work.fingerprint();
         let standing = || self.shared.book.standing(content, self.shared.now_ms());
         if let ContentStanding::Suspect { .. } = standing() {
@@ -41,7 +41,7 @@
                 Ok(Err(_)) | Err(_) => return Err(crowded()),
             };
             return match standing() {
-                ContentStanding::Suspect { .. } => Ok(Some(ProbePass { _permit: permit })),
+                ContentStanding::Suspect { .. } => Ok(Some(ProbePermit { _permit: permit })),
                 ContentStanding::Clear => Ok(None),
                 ContentStanding::Quarantined { left_ms } => Err(quarantined(left_ms)),
             };
@@ -75,7 +75,7 @@
 }
 
 /// A request that may run, alone if it is a suspect.
-pub type ClearedRequest<W, Q, C> = request::Request<W, request::Cleared<Q, C, Option<ProbePass>>>;
+pub type ClearedRequest<W, Q, C> = request::Request<W, request::Cleared<Q, C, Option<ProbePermit>>>;
 
 impl<P, W, Q, C> filter::Filter<request::Request<W, request::Claimed<Q, C>>> for QuarantineFilter<P>
 where
--- a/crates/flow/src/request.rs
+++ b/crates/flow/src/request.rs
@@ -61,12 +61,12 @@
     fn time_limit(&self, view: &view::PlaneView, class: class::TrafficClass) -> Duration;
 
     /// Content that must run at most once, with the hash that tells two calls apart.
-    fn run_once(&self) -> Option<OnceFacts<'_>>;
+    fn run_once(&self) -> Option<AtMostOnceCall<'_>>;
 }
 
 /// A call that must run at most once.
 #[derive(Clone, Copy, Debug)]
-pub struct OnceFacts<'a> {
+pub struct AtMostOnceCall<'a> {
     /// The service.
     pub service: &'a str,
     /// Of method, path and body.
@@ -194,7 +194,7 @@
 #[derive(Debug)]
 pub struct RawGeneration {
     /// The face that it came by.
-    pub face: body::CallerFace,
+    pub face: body::CompletionApi,
     /// Its body.
     pub body: bytes::Bytes,
     /// It is deferrable work that was accepted: no time limit applies, the answer is whole.
@@ -311,7 +311,7 @@
         }
     }
 
-    fn run_once(&self) -> Option<OnceFacts<'_>> {
+    fn run_once(&self) -> Option<AtMostOnceCall<'_>> {
         None
     }
 }
@@ -402,8 +402,8 @@
         Duration::from_millis(view.config.rules().time_limits.service_call_ms)
     }
 
-    fn run_once(&self) -> Option<OnceFacts<'_>> {
-        self.repeat.is_none().then_some(OnceFacts {
+    fn run_once(&self) -> Option<AtMostOnceCall<'_>> {
+        self.repeat.is_none().then_some(AtMostOnceCall {
             service: &self.raw.service,
             content: self.content,
         })
--- a/crates/flow/src/route.rs
+++ b/crates/flow/src/route.rs
@@ -68,11 +68,11 @@
 }
 
 /// What a request holds once it has a place.
-type AdmittedStage<Q, C, G> = request::Admitted<Q, C, Option<quarantine::ProbePass>, G>;
+type AdmittedStage<Q, C, G> = request::Admitted<Q, C, Option<quarantine::ProbePermit>, G>;
 
 /// A request with its server's address.
 pub type RoutedRequest<W, Q, C, G> =
-    request::Request<W, request::Routed<Q, C, Option<quarantine::ProbePass>, G>>;
+    request::Request<W, request::Routed<Q, C, Option<quarantine::ProbePermit>, G>>;
 
 impl<W, Q, C, G> filter::Filter<request::Request<W, AdmittedStage<Q, C, G>>> for RouteFilter
 where
--- a/crates/flow/src/running.rs
+++ b/crates/flow/src/running.rs
@@ -18,23 +18,23 @@
 /// Where a try is to run.
 pub(crate) struct TryPlace<P: port::PortSet> {
     pub(crate) target: port::ServerTarget,
-    pub(crate) grant: admit::PlaceGrant<P>,
+    pub(crate) grant: admit::SlotGrant<P>,
     pub(crate) mark: crashes::RunMark,
-    pub(crate) probe: Option<quarantine::ProbePass>,
+    pub(crate) probe: Option<quarantine::ProbePermit>,
 }
 
 /// A try that is under way.
 pub struct RunningTry<P: port::PortSet> {
     /// The generation.
-    pub live: attempt::LiveTry<P>,
+    pub live: attempt::LiveAttempt<P>,
     /// What stays here while it runs.
-    pub ticket: proof::TryTicket<proof::GenerationKind>,
+    pub ticket: proof::AttemptTicket<proof::GenerationKind>,
     /// Its place.
-    pub grant: admit::PlaceGrant<P>,
+    pub grant: admit::SlotGrant<P>,
     /// Marks its content as running there.
     pub mark: crashes::RunMark,
     /// Held by a suspect.
-    pub probe: Option<quarantine::ProbePass>,
+    pub probe: Option<quarantine::ProbePermit>,
 }
 
 /// What follows a try that ended without an answer.
@@ -49,8 +49,8 @@
     /// The scheduler stopped it; it has a place again.
     Moved {
         permit: proof::StartPermit,
-        grant: admit::PlaceGrant<P>,
-        probe: Option<quarantine::ProbePass>,
+        grant: admit::SlotGrant<P>,
+        probe: Option<quarantine::ProbePermit>,
     },
     /// The request ends here.
     Refused(refused::Refused),
@@ -59,7 +59,7 @@
 impl<P: port::PortSet> TryEnd<P> {
     /// Another try, if the lost one could be settled.
     fn settled(
-        settled: Result<proof::StartPermit, proof::TryTicket<proof::GenerationKind>>,
+        settled: Result<proof::StartPermit, proof::AttemptTicket<proof::GenerationKind>>,
         server: id::ServerKey,
         cause: String,
     ) -> Self {
@@ -90,7 +90,7 @@
             dispatched(facts, &self.target, self.grant.reason()),
         );
         let order = start_order(shared, &facts.work, self.grant.priority());
-        let outcome = attempt::LiveTry::start(
+        let outcome = attempt::LiveAttempt::start(
             shared.clone(),
             facts.id,
             self.target.clone(),
@@ -100,14 +100,14 @@
         );
         let server = self.target.key;
         match outcome.await {
-            proof::TryOutcome::Ran((live, ticket)) => Ok(RunningTry {
+            proof::AttemptOutcome::Ran((live, ticket)) => Ok(RunningTry {
                 live,
                 ticket,
                 grant: self.grant,
                 mark: self.mark,
                 probe: self.probe,
             }),
-            proof::TryOutcome::NotRun { permit, cause } => {
+            proof::AttemptOutcome::NotRun { permit, cause } => {
                 self.grant.failed(port::FailureKind::Broken);
                 Err(TryEnd::Again {
                     permit,
@@ -115,12 +115,12 @@
                     cause,
                 })
             }
-            proof::TryOutcome::Unknown {
+            proof::AttemptOutcome::Unknown {
                 ticket,
                 cause,
                 hopeless,
             } => {
-                let lost = settle::LostTry {
+                let lost = settle::LostAttempt {
                     target: self.target,
                     generation: order.id,
                     ticket,
@@ -147,7 +147,7 @@
         shared: &sync::Arc<shared::SharedPlane<P>>,
         facts: &Facts,
         due_at: time::Instant,
-    ) -> Result<(Self, attempt::TryStep), TryEnd<P>> {
+    ) -> Result<(Self, attempt::AttemptStep), TryEnd<P>> {
         let step = {
             let Self { live, grant, .. } = &mut self;
             tokio::select! {
@@ -158,7 +158,7 @@
             }
         };
         match step {
-            Some(attempt::TryStep::Lost(loss)) => Err(self.settle(shared, loss, due_at).await),
+            Some(attempt::AttemptStep::Lost(loss)) => Err(self.settle(shared, loss, due_at).await),
             Some(step) => {
                 self.ticket.saw_running();
                 Ok((self, step))
@@ -180,7 +180,7 @@
     pub(crate) async fn settle(
         self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
-        loss: attempt::TryLoss,
+        loss: attempt::AttemptLoss,
         until: time::Instant,
     ) -> TryEnd<P> {
         let server = self.live.target().key;
@@ -235,12 +235,12 @@
 
 async fn settle_live<P: port::PortSet>(
     shared: &sync::Arc<shared::SharedPlane<P>>,
-    mut live: attempt::LiveTry<P>,
-    ticket: proof::TryTicket<proof::GenerationKind>,
+    mut live: attempt::LiveAttempt<P>,
+    ticket: proof::AttemptTicket<proof::GenerationKind>,
     loss: attempt::LossKind,
     until: time::Instant,
-) -> Result<proof::StartPermit, proof::TryTicket<proof::GenerationKind>> {
-    let lost = settle::LostTry {
+) -> Result<proof::StartPermit, proof::AttemptTicket<proof::GenerationKind>> {
+    let lost = settle::LostAttempt {
         target: live.target().clone(),
         generation: live.generation(),
         ticket,
--- a/crates/flow/src/settle.rs
+++ b/crates/flow/src/settle.rs
@@ -12,16 +12,16 @@
 
 /// A try that is to be settled.
 #[derive(Debug)]
-pub struct LostTry {
+pub struct LostAttempt {
     /// Its server.
     pub target: port::ServerTarget,
     /// Its generation.
     pub generation: id::GenerationId,
     /// What stayed here.
-    pub ticket: proof::TryTicket<proof::GenerationKind>,
+    pub ticket: proof::AttemptTicket<proof::GenerationKind>,
 }
 
-impl LostTry {
+impl LostAttempt {
     /// Cancels the generation until that is answered, its server's process is found gone, or
     /// `until`. Only then is there a permit for another.
     ///
@@ -37,9 +37,9 @@
         shared: &sync::Arc<shared::SharedPlane<P>>,
         loss: attempt::LossKind,
         until: time::Instant,
-    ) -> Result<proof::StartPermit, proof::TryTicket<proof::GenerationKind>> {
-        if loss == attempt::LossKind::ServerGone {
-            return Ok(self.ticket.server_gone());
+    ) -> Result<proof::StartPermit, proof::AttemptTicket<proof::GenerationKind>> {
+        if loss == attempt::LossKind::ServerDied {
+            return Ok(self.ticket.server_died());
         }
         let abandon_at = shared
             .settings
@@ -50,7 +50,7 @@
                 Ok(Some(answer)) => {
                     return Ok(self.ticket.cancelled(&answer));
                 }
-                Ok(None) => return Ok(self.ticket.server_gone()),
+                Ok(None) => return Ok(self.ticket.server_died()),
                 Err(_) => {}
             }
             let now = time::Instant::now();
--- a/crates/flow/src/token.rs
+++ b/crates/flow/src/token.rs
@@ -42,11 +42,11 @@
 impl ContinuationFacts {
     /// The face that the stream began with.
     #[must_use]
-    pub const fn face(&self) -> body::CallerFace {
+    pub const fn face(&self) -> body::CompletionApi {
         if self.chat {
-            body::CallerFace::Chat
+            body::CompletionApi::Chat
         } else {
-            body::CallerFace::Completion
+            body::CompletionApi::Completion
         }
     }
 }
--- a/crates/flow/tests/plane/callers.rs
+++ b/crates/flow/tests/plane/callers.rs
@@ -48,7 +48,7 @@
     body: Bytes,
 ) -> Result<plane::GenerationReply, plane::RefusedRequest> {
     plane
-        .generate(headers(), body::CallerFace::Chat, body)
+        .generate(headers(), body::CompletionApi::Chat, body)
         .await
 }
 
--- a/crates/flow/tests/plane/calls.rs
+++ b/crates/flow/tests/plane/calls.rs
@@ -170,7 +170,7 @@
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
         tokio::spawn(world.planes[0].clone().run_jobs());
-        let face = flow::body::CallerFace::Chat;
+        let face = flow::body::CompletionApi::Chat;
         let body = callers::chat(40, 150, false, "");
         let accepted = world.planes[0].accept_job(callers::headers(), face, body);
         let job = accepted.await.unwrap();
--- a/crates/flow/tests/plane/crashing.rs
+++ b/crates/flow/tests/plane/crashing.rs
@@ -21,7 +21,7 @@
     for ask in 1..=30 {
         let body = callers::chat(mark, 40, false, extra);
         match callers::generate(&world.planes[0], body).await {
-            Ok(plane::GenerationReply::Whole { body, .. }) => {
+            Ok(plane::GenerationReply::Complete { body, .. }) => {
                 let mut transcript = callers::Transcript::default();
                 transcript.whole(&body);
                 transcript.check(mark, 40);
--- a/crates/flow/tests/plane/fuzz.rs
+++ b/crates/flow/tests/plane/fuzz.rs
@@ -324,7 +324,7 @@
         () = world.cut(caller.entry) => return,
     };
     match reply {
-        Ok(plane::GenerationReply::Whole { body, .. }) => {
+        Ok(plane::GenerationReply::Complete { body, .. }) => {
             let mut transcript = callers::Transcript::default();
             transcript.whole(&body);
             transcript.check(caller.mark, tokens);
@@ -431,7 +431,7 @@
 
 async fn review(world: &world::World, ledger: &Ledger, caller: Caller, tokens: u32) {
     let body = callers::chat(caller.mark, tokens, false, "");
-    let face = body::CallerFace::Chat;
+    let face = body::CompletionApi::Chat;
     let accepted = tokio::select! {
         accepted = world.planes[caller.entry].accept_job(callers::headers(), face, body) => accepted,
         () = world.cut(caller.entry) => return,
--- a/crates/flow/tests/plane/streams.rs
+++ b/crates/flow/tests/plane/streams.rs
@@ -113,7 +113,7 @@
             busy(&world).crash();
         };
         let (reply, ()) = tokio::join!(asks, dies);
-        let Ok(plane::GenerationReply::Whole { body, .. }) = reply else {
+        let Ok(plane::GenerationReply::Complete { body, .. }) = reply else {
             panic!("no answer: {reply:?}");
         };
         let mut transcript = callers::Transcript::default();
--- a/crates/flow/tests/plane/thin.rs
+++ b/crates/flow/tests/plane/thin.rs
@@ -24,7 +24,7 @@
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
         let reply = callers::generate(&world.planes[0], callers::chat(8, 20, false, "")).await;
-        let Ok(plane::GenerationReply::Whole { body, .. }) = reply else {
+        let Ok(plane::GenerationReply::Complete { body, .. }) = reply else {
             panic!("no answer: {reply:?}");
         };
         let mut transcript = callers::Transcript::default();
@@ -40,7 +40,7 @@
         let mut headers = callers::headers();
         headers.api_key = Some("nobody's".to_owned());
         let body = callers::chat(9, 5, true, "");
-        let face = flow::body::CallerFace::Chat;
+        let face = flow::body::CompletionApi::Chat;
         let refused = world.planes[0]
             .generate(headers, face, body)
             .await
--- a/crates/flow/tests/pure.rs
+++ b/crates/flow/tests/pure.rs
@@ -248,7 +248,7 @@
 fn chunks_are_json_whatever_the_text() {
     on_seeds(200, |u| {
         let text: String = u.arbitrary()?;
-        let face = body::CallerFace::Chat;
+        let face = body::CompletionApi::Chat;
         let writer = chunk::ChunkWriter::new(face, id::RequestId(1), "mo\"del", 1, true);
         let mut out = BytesMut::new();
         writer.token(&mut out, 3, &text);
@@ -268,7 +268,7 @@
 
 #[test]
 fn bodies_of_both_faces_are_understood_and_odd_ones_refused() {
-    let chat = |text: &str| body::GenerationBody::parse(body::CallerFace::Chat, text.as_bytes());
+    let chat = |text: &str| body::GenerationBody::parse(body::CompletionApi::Chat, text.as_bytes());
     let parts = r#"{"model": "m", "messages": [{"role": "user", "content":
         [{"type": "text", "text": "hello"}]}], "max_completion_tokens": 5, "temperature": 1}"#;
     let parsed = chat(parts).unwrap();
@@ -286,6 +286,6 @@
         assert!(chat(odd).is_err(), "{odd}");
     }
     let plain = br#"{"model": "m", "prompt": ["one"], "stream": true}"#;
-    let parsed = body::GenerationBody::parse(body::CallerFace::Completion, plain).unwrap();
+    let parsed = body::GenerationBody::parse(body::CompletionApi::Completion, plain).unwrap();
     assert!(parsed.stream && parsed.prompt == "one");
 }
