--- a/crates/flow/benches/promises.rs
+++ b/crates/flow/benches/promises.rs
@@ -62,7 +62,7 @@
     world::history(async move {
         let plan = world::WorldPlan {
             seed: u64::from(number) + 1,
-            silence_floor: Some(floor),
+            min_silence_timeout: Some(floor),
             ..world::WorldPlan::default()
         };
         let world = world::World::new(&plan);
--- a/crates/flow/src/admit.rs
+++ b/crates/flow/src/admit.rs
@@ -32,7 +32,7 @@
     /// What goes wrong when they are avoided for as long as it waits: every other server dies or
     /// leaves meanwhile, and the request waits beside one that came back. One would notice work
     /// that waits while an engine is idle.
-    async fn place<W: request::Work>(
+    async fn acquire_slot<W: request::Work>(
         &self,
         facts: &request::RequestFacts<W>,
         terms: &request::Terms,
@@ -41,21 +41,21 @@
         let schedule = self.shared.ports.schedule();
         let mut tried = facts.avoid.as_slice();
         loop {
-            let avoid = avoid_list(facts, tried, self.shared.book.probed(), alone);
-            let picky = !avoid.is_empty();
-            let ask = ask_of(facts, terms, avoid, alone);
-            let admission = schedule.admit(&ask);
-            if !picky {
+            let avoid = avoid_list(facts, tried, self.shared.suspects.probed(), alone);
+            let avoids_servers = !avoid.is_empty();
+            let request = admission_request(facts, terms, avoid, alone);
+            let admission = schedule.admit(&request);
+            if !avoids_servers {
                 return admission.await;
             }
-            match time::timeout(AVOIDED_FOR, admission).await {
+            match time::timeout(AVOID_TIMEOUT, admission).await {
                 Ok(Ok(grant)) => return Ok(grant),
                 Ok(Err(body)) if alone => return Err(body),
                 Ok(Err(_)) | Err(_) => tried = &[],
             }
             if !alone {
                 return schedule
-                    .admit(&ask_of(facts, terms, Vec::new(), alone))
+                    .admit(&admission_request(facts, terms, Vec::new(), alone))
                     .await;
             }
         }
@@ -63,10 +63,10 @@
 }
 
 /// Servers are avoided for this long; then any will do.
-const AVOIDED_FOR: Duration = Duration::from_secs(2);
+const AVOID_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The scheduler's question for a request.
-pub(crate) fn ask_of<W: request::Work>(
+pub(crate) fn admission_request<W: request::Work>(
     facts: &request::RequestFacts<W>,
     terms: &request::Terms,
     avoid: Vec<id::ServerKey>,
@@ -76,13 +76,13 @@
         request: facts.id,
         organisation: terms.organisation,
         class: terms.class,
-        work: facts.work.asked(),
+        work: facts.work.requested(),
         prompt: facts.work.prompt(),
         deadline: terms.due_at,
         avoid,
         alone,
         buffered: facts.work.buffered(),
-        retry: facts.tries > 0,
+        retry: facts.attempts > 0,
     }
 }
 
@@ -96,7 +96,7 @@
     probed: Vec<id::ServerKey>,
     alone: bool,
 ) -> Vec<id::ServerKey> {
-    let leaves_one = |avoid: &[id::ServerKey]| {
+    let leaves_candidate = |avoid: &[id::ServerKey]| {
         let candidates = facts.work.candidates(&facts.view).iter();
         candidates
             .filter(|server| facts.view.takes_work(**server))
@@ -104,11 +104,11 @@
     };
     let mut avoid = probed;
     avoid.extend_from_slice(tried);
-    if leaves_one(&avoid) {
+    if leaves_candidate(&avoid) {
         return avoid;
     }
     avoid.truncate(avoid.len() - tried.len());
-    if !alone && !leaves_one(&avoid) {
+    if !alone && !leaves_candidate(&avoid) {
         avoid.clear();
     }
     avoid
@@ -132,22 +132,22 @@
     ) -> Result<Self::Out, filter::EarlyEnd> {
         let terms = input.stage.claimed.terms;
         let alone = input.stage.probe.is_some();
-        let placed = self.place(&input.facts, &terms, alone);
-        match time::timeout_at(terms.due_at, placed).await {
+        let admission = self.acquire_slot(&input.facts, &terms, alone);
+        match time::timeout_at(terms.due_at, admission).await {
             Ok(Ok(grant)) => Ok(input.advance(|cleared| request::Admitted { cleared, grant })),
             Ok(Err(body)) => Err(input.refused(body).into()),
-            Err(_) => Err(input.refused(late()).into()),
+            Err(_) => Err(input.refused(no_slot_in_time()).into()),
         }
     }
 }
 
 /// When a request that found no place in its time may come back.
-const LATE_RETRY_MS: u64 = 1_000;
+const NO_SLOT_RETRY_MS: u64 = 1_000;
 
-fn late() -> refusal::RefusalBody {
+fn no_slot_in_time() -> refusal::RefusalBody {
     refusal::RefusalBody::not_run(
         refusal::RefusalCode::DeadlineExceeded,
         "no backend server had a place in time; ask again after the time given",
     )
-    .retry_after_ms(LATE_RETRY_MS)
+    .retry_after_ms(NO_SLOT_RETRY_MS)
 }
--- a/crates/flow/src/attempt.rs
+++ b/crates/flow/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a generation: its tokens in order over however many connections it takes.
+//! One try of a generation: its tokens in order released however many connections it takes.
 
 use std::{pin, sync, time::Duration};
 
@@ -12,11 +12,11 @@
     proof, shared, silence,
 };
 
-/// First pause between two connections that showed nothing.
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
+/// First resume_delay between two connections that showed nothing.
+const INITIAL_RESUME_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest pause between two connections that showed nothing.
-const LONGEST_RESUME_PAUSE: Duration = Duration::from_millis(800);
+/// Longest resume_delay between two connections that showed nothing.
+const MAX_RESUME_DELAY: Duration = Duration::from_millis(800);
 
 /// What came of waiting for a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -83,18 +83,18 @@
     cursor: cursor::StreamCursor,
     gauge: silence::SilenceGauge,
     /// Fires at some time before or at the gauge's, which is then looked at again.
-    alarm: pin::Pin<Box<time::Sleep>>,
+    timer: pin::Pin<Box<time::Sleep>>,
     /// The connection; absent while there is none.
     events: Option<LinkEvents<P>>,
-    /// When the last connection that showed something broke; absent while one works.
+    /// When the last connection that showed something connection_failed; absent while one mark_working.
     broken_at: Option<time::Instant>,
     /// How long a generation that shows nothing is sought.
-    patience: Duration,
-    pause: Duration,
+    reconnect_timeout: Duration,
+    resume_delay: Duration,
     /// Whether the server ever showed that it has this generation.
-    held: bool,
+    seen_on_server: bool,
     /// Nothing is left to cancel.
-    over: bool,
+    released: bool,
 }
 
 impl<P: port::PortSet> LiveAttempt<P> {
@@ -111,22 +111,30 @@
         proof::GenerationKind,
     > {
         let (send, ticket) = permit.send();
-        let limit = shared.settings.call_limit;
+        let limit = shared.settings.call_timeout;
         let answer = {
             let start = shared.ports.engines().start(&target, order, send);
             time::timeout(limit, start).await
         };
-        let patience = shared.settings.opening_patience;
-        let mut live = Self::new(shared, request, target, order.id, 0, silent_limit, patience);
+        let reconnect_timeout = shared.settings.opening_reconnect_timeout;
+        let mut live = Self::new(
+            shared,
+            request,
+            target,
+            order.id,
+            0,
+            silent_limit,
+            reconnect_timeout,
+        );
         match answer {
             Ok(Ok(events)) => {
                 live.events = Some(events);
-                live.held = true;
+                live.seen_on_server = true;
             }
             Ok(Err(fault::StartFault::NeverSent {
                 evidence, cause, ..
             })) => {
-                live.over = true;
+                live.released = true;
                 return proof::AttemptOutcome::NotRun {
                     permit: ticket.never_sent(evidence),
                     cause,
@@ -134,11 +142,11 @@
             }
             Ok(Err(declined @ fault::StartFault::Declined { status, .. })) => {
                 // Settled by whoever reads this outcome; a second cancel would be too many.
-                live.over = true;
+                live.released = true;
                 return proof::AttemptOutcome::Unknown {
                     ticket,
                     cause: declined.to_string(),
-                    hopeless: hopeless(status),
+                    permanent_refusal: permanent_refusal(status),
                 };
             }
             // It may have started: it is sought there before anything else is done.
@@ -156,7 +164,7 @@
         from: u32,
         limits: (Duration, Duration),
     ) -> Self {
-        let (silent_limit, patience) = limits;
+        let (silent_limit, reconnect_timeout) = limits;
         Self::new(
             shared,
             request,
@@ -164,7 +172,7 @@
             generation,
             from,
             silent_limit,
-            patience,
+            reconnect_timeout,
         )
     }
 
@@ -175,23 +183,24 @@
         generation: id::GenerationId,
         from: u32,
         silent_limit: Duration,
-        patience: Duration,
+        reconnect_timeout: Duration,
     ) -> Self {
         let now = time::Instant::now();
-        let gauge = silence::SilenceGauge::new(shared.settings.silence_floor, silent_limit, now);
+        let gauge =
+            silence::SilenceGauge::new(shared.settings.min_silence_timeout, silent_limit, now);
         Self {
             shared,
             request,
             target,
             cursor: cursor::StreamCursor::new(generation, from),
-            alarm: Box::pin(time::sleep_until(gauge.give_up_at())),
+            timer: Box::pin(time::sleep_until(gauge.give_up_at())),
             gauge,
             events: None,
             broken_at: None,
-            patience,
-            pause: RESUME_PAUSE,
-            held: false,
-            over: false,
+            reconnect_timeout,
+            resume_delay: INITIAL_RESUME_DELAY,
+            seen_on_server: false,
+            released: false,
         }
     }
 
@@ -214,8 +223,8 @@
     }
 
     /// Seeks the generation for longer, or less long, from here on.
-    pub const fn set_patience(&mut self, patience: Duration) {
-        self.patience = patience;
+    pub const fn set_reconnect_timeout(&mut self, reconnect_timeout: Duration) {
+        self.reconnect_timeout = reconnect_timeout;
     }
 
     /// Closes the connection; the generation goes on.
@@ -225,7 +234,7 @@
 
     /// Nothing is left to cancel, or somebody else will.
     pub const fn release(&mut self) {
-        self.over = true;
+        self.released = true;
     }
 
     /// Opens a connection, if there is none.
@@ -252,8 +261,8 @@
             let event = tokio::select! {
                 biased;
                 event = events.next() => event,
-                () = self.alarm.as_mut() => {
-                    self.alarm_rang();
+                () = self.timer.as_mut() => {
+                    self.timer_fired();
                     continue;
                 }
             };
@@ -263,18 +272,18 @@
                         return step;
                     }
                 }
-                Err(fault) => self.broke(&fault.to_string()),
+                Err(fault) => self.connection_failed(&fault.to_string()),
             }
         }
     }
 
-    /// The alarm is set anew only when it rings: a token costs no timer.
-    fn alarm_rang(&mut self) {
+    /// The timer is set anew only when it rings: a token costs no timer.
+    fn timer_fired(&mut self) {
         let give_up_at = self.gauge.give_up_at();
         if give_up_at <= time::Instant::now() {
-            self.broke("silent");
+            self.connection_failed("silent");
         } else {
-            self.alarm.as_mut().reset(give_up_at);
+            self.timer.as_mut().reset(give_up_at);
         }
     }
 
@@ -282,18 +291,18 @@
         let now = time::Instant::now();
         match self.cursor.accept(tagged) {
             cursor::CursorStep::Deliver { index, text } => {
-                self.works();
+                self.mark_working();
                 self.gauge.token(now);
                 return Some(AttemptStep::Token { index, text });
             }
             cursor::CursorStep::Alive | cursor::CursorStep::Repeated => {
-                self.works();
+                self.mark_working();
                 self.gauge.alive(now);
             }
             cursor::CursorStep::Foreign => {
                 metrics::counter!("pollenchute_flow_foreign_events_total").increment(1);
             }
-            cursor::CursorStep::Gap => self.broke("tokens are missing"),
+            cursor::CursorStep::Gap => self.connection_failed("tokens are missing"),
             cursor::CursorStep::Finished(report) => return Some(self.finished(report)),
             cursor::CursorStep::Contradiction => {
                 let cause = "its engine says that it made fewer tokens than it sent";
@@ -309,7 +318,7 @@
     fn finished(&mut self, report: port::FinishReport) -> AttemptStep {
         match report.finish {
             port::FinishReason::Stop | port::FinishReason::Length => {
-                self.over = true;
+                self.released = true;
                 AttemptStep::Finished(report)
             }
             port::FinishReason::Cancelled | port::FinishReason::Error => self.lost(AttemptLoss {
@@ -326,22 +335,22 @@
         self.events = None;
         let process_ended = match loss.kind {
             LossKind::ServerDied => true,
-            LossKind::NotHeld => self.held,
+            LossKind::NotHeld => self.seen_on_server,
             LossKind::Declined | LossKind::Unreachable | LossKind::Ended => false,
         };
         if process_ended {
-            self.shared.note_death(&self.target, &loss.cause);
+            self.shared.record_server_death(&self.target, &loss.cause);
         }
         AttemptStep::Lost(loss)
     }
 
-    const fn works(&mut self) {
-        self.held = true;
+    const fn mark_working(&mut self) {
+        self.seen_on_server = true;
         self.broken_at = None;
-        self.pause = RESUME_PAUSE;
+        self.resume_delay = INITIAL_RESUME_DELAY;
     }
 
-    fn broke(&mut self, reason: &str) {
+    fn connection_failed(&mut self, reason: &str) {
         self.events = None;
         metrics::counter!("pollenchute_flow_connections_given_up_total").increment(1);
         self.shared.record(
@@ -358,22 +367,22 @@
     async fn reconnect(&mut self) -> Result<(), AttemptLoss> {
         // The first goes out at once; after that a connection that opens and shows nothing
         // counts as no better than one that does not open.
-        let mut at_once = self.broken_at.is_none();
+        let mut immediate = self.broken_at.is_none();
         let broken_at = *self.broken_at.get_or_insert_with(time::Instant::now);
-        let give_up_at = broken_at + self.patience;
+        let give_up_at = broken_at + self.reconnect_timeout;
         loop {
-            if !std::mem::take(&mut at_once) {
+            if !std::mem::take(&mut immediate) {
                 if time::Instant::now() >= give_up_at {
                     let cause = format!("{} showed nothing for too long", self.target.name);
                     return Err(loss_of(LossKind::Unreachable, cause));
                 }
-                time::sleep(self.pause).await;
-                self.pause = (self.pause * 2).min(LONGEST_RESUME_PAUSE);
+                time::sleep(self.resume_delay).await;
+                self.resume_delay = (self.resume_delay * 2).min(MAX_RESUME_DELAY);
             }
             let (target, generation) = (&self.target, self.cursor.generation());
             let engines = self.shared.ports.engines();
             let resume = engines.resume(target, generation, self.cursor.next());
-            match time::timeout(self.shared.settings.call_limit, resume).await {
+            match time::timeout(self.shared.settings.call_timeout, resume).await {
                 Ok(Ok(events)) => {
                     self.opened(events);
                     return Ok(());
@@ -393,12 +402,12 @@
         self.events = Some(events);
         self.gauge.alive(time::Instant::now());
         let give_up_at = self.gauge.give_up_at();
-        self.alarm.as_mut().reset(give_up_at);
+        self.timer.as_mut().reset(give_up_at);
     }
 }
 
 /// What an engine says of the request itself, so that every other engine will say the same.
-const fn hopeless(status: u16) -> Option<refusal::RefusalCode> {
+const fn permanent_refusal(status: u16) -> Option<refusal::RefusalCode> {
     match status {
         400 | 422 => Some(refusal::RefusalCode::BadRequest),
         413 => Some(refusal::RefusalCode::TooLarge),
@@ -412,7 +421,7 @@
 
 impl<P: port::PortSet> Drop for LiveAttempt<P> {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.released {
             self.shared
                 .cancel_in_background(self.target.clone(), self.cursor.generation());
         }
--- a/crates/flow/src/authenticate.rs
+++ b/crates/flow/src/authenticate.rs
@@ -9,7 +9,7 @@
 pub struct AuthenticateFilter;
 
 impl<W: Send> filter::Filter<request::Request<W, request::Arrived>> for AuthenticateFilter {
-    type Out = request::Request<W, request::Known>;
+    type Out = request::Request<W, request::Authenticated>;
 
     async fn apply(
         &self,
@@ -23,7 +23,7 @@
         }
         let key = input.facts.headers.api_key.as_deref();
         match key.and_then(|key| config.organisation_by_api_key(key)) {
-            Some(organisation) => Ok(input.advance(|_| request::Known { organisation })),
+            Some(organisation) => Ok(input.advance(|_| request::Authenticated { organisation })),
             None => {
                 let body = refusal::RefusalBody::not_run(
                     refusal::RefusalCode::Unauthenticated,
--- a/crates/flow/src/body.rs
+++ b/crates/flow/src/body.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GenerationBody {
     /// The face that it came by; answers take the same shape.
-    pub face: CompletionApi,
+    pub api: CompletionApi,
     /// The model as the caller names it: `model` or `model:adapter`.
     pub model: String,
     /// The whole prompt.
@@ -119,18 +119,18 @@
     /// # Errors
     ///
     /// [`BodyError`] names what is wrong and what to do.
-    pub fn parse(face: CompletionApi, body: &[u8]) -> Result<Self, BodyError> {
+    pub fn parse(api: CompletionApi, body: &[u8]) -> Result<Self, BodyError> {
         let raw: RawBody = serde_json::from_slice(body).context(MalformedSnafu)?;
         let count = raw.n.unwrap_or(1);
         snafu::ensure!(count == 1, MultipleChoicesSnafu { count });
         let max_tokens = raw.max_completion_tokens.or(raw.max_tokens);
         snafu::ensure!(max_tokens != Some(0), ZeroMaxTokensSnafu);
-        let prompt = match face {
+        let prompt = match api {
             CompletionApi::Chat => chat_prompt(&raw.messages)?,
             CompletionApi::Completion => plain_prompt(raw.prompt)?,
         };
         Ok(Self {
-            face,
+            api,
             model: raw.model,
             prompt,
             max_tokens,
--- a/crates/flow/src/budget.rs
+++ b/crates/flow/src/budget.rs
@@ -13,14 +13,14 @@
 const WINDOW_SLOTS: usize = 10;
 
 /// Length of one slot of the window.
-const SLOT: Duration = Duration::from_secs(1);
+const SLOT_DURATION: Duration = Duration::from_secs(1);
 
 /// Retries that are always allowed in one window, so that a quiet site can retry at all.
-const FLOOR: f64 = 10.0;
+const MIN_RETRIES: f64 = 10.0;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct BudgetSlot {
-    first_tries: u32,
+    first_attempts: u32,
     retries: u32,
 }
 
@@ -29,7 +29,7 @@
 pub struct RetryBudget {
     slots: [BudgetSlot; WINDOW_SLOTS],
     /// Begin of the newest slot.
-    slot_began_at: time::Instant,
+    slot_started_at: time::Instant,
     newest: usize,
 }
 
@@ -39,15 +39,15 @@
     pub fn new(now: time::Instant) -> Self {
         Self {
             slots: [BudgetSlot::default(); WINDOW_SLOTS],
-            slot_began_at: now,
+            slot_started_at: now,
             newest: 0,
         }
     }
 
     /// A first try is made.
-    pub fn first_try(&mut self, now: time::Instant) {
-        self.turn(now);
-        self.slots[self.newest].first_tries += 1;
+    pub fn record_first_attempt(&mut self, now: time::Instant) {
+        self.advance(now);
+        self.slots[self.newest].first_attempts += 1;
     }
 
     /// Takes one retry, when retries are under `fraction` of first tries.
@@ -56,35 +56,35 @@
     ///
     /// How long until the oldest retries leave the window.
     pub fn take_retry(&mut self, fraction: f64, now: time::Instant) -> Result<(), Duration> {
-        self.turn(now);
-        let first_tries: u32 = self.slots.iter().map(|slot| slot.first_tries).sum();
+        self.advance(now);
+        let first_attempts: u32 = self.slots.iter().map(|slot| slot.first_attempts).sum();
         let retries: u32 = self.slots.iter().map(|slot| slot.retries).sum();
-        let allowed = FLOOR.max(f64::from(first_tries) * fraction);
+        let allowed = MIN_RETRIES.max(f64::from(first_attempts) * fraction);
         if f64::from(retries) + 1.0 > allowed {
-            return Err(self.until_relief(now));
+            return Err(self.time_until_retry(now));
         }
         self.slots[self.newest].retries += 1;
         Ok(())
     }
 
     /// Time until the oldest slot that holds a retry leaves the window.
-    fn until_relief(&self, now: time::Instant) -> Duration {
+    fn time_until_retry(&self, now: time::Instant) -> Duration {
         let held = (1..=WINDOW_SLOTS)
             .position(|age| self.slots[(self.newest + age) % WINDOW_SLOTS].retries > 0)
             .unwrap_or(0);
         let slots = u32::try_from(held + 1).unwrap_or(1);
-        (self.slot_began_at + SLOT * slots).saturating_duration_since(now)
+        (self.slot_started_at + SLOT_DURATION * slots).saturating_duration_since(now)
     }
 
-    fn turn(&mut self, now: time::Instant) {
+    fn advance(&mut self, now: time::Instant) {
         let passed = now
-            .saturating_duration_since(self.slot_began_at)
+            .saturating_duration_since(self.slot_started_at)
             .as_millis()
-            / SLOT.as_millis();
+            / SLOT_DURATION.as_millis();
         for _ in 0..passed.min(WINDOW_SLOTS as u128) {
             self.newest = (self.newest + 1) % WINDOW_SLOTS;
             self.slots[self.newest] = BudgetSlot::default();
         }
-        self.slot_began_at += SLOT * u32::try_from(passed).unwrap_or(u32::MAX);
+        self.slot_started_at += SLOT_DURATION * u32::try_from(passed).unwrap_or(u32::MAX);
     }
 }
--- a/crates/flow/src/calling.rs
+++ b/crates/flow/src/calling.rs
@@ -1,4 +1,4 @@
-//! Filter, the last one for plain service calls: call, and call again only where that is proved
+//! Filter, the last one for plain service calls: call, and call retried only where that is proved
 //! or allowed.
 
 use std::{sync, time::Duration};
@@ -48,7 +48,7 @@
     async fn send(
         &self,
         facts: &request::RequestFacts<request::CallWork>,
-        until: time::Instant,
+        deadline: time::Instant,
         target: &port::ServerTarget,
         permit: proof::StartPermit,
     ) -> proof::AttemptOutcome<port::ServiceAnswer, proof::CallKind> {
@@ -61,7 +61,7 @@
             content_type: raw.content_type.clone(),
             body: raw.body.clone(),
         };
-        let time_left = until.saturating_duration_since(time::Instant::now());
+        let time_left = deadline.saturating_duration_since(time::Instant::now());
         let (send, ticket) = permit.send();
         let answer = {
             let called = self
@@ -69,7 +69,7 @@
                 .ports
                 .services()
                 .call(target, &call, time_left, send);
-            time::timeout_at(until, called).await
+            time::timeout_at(deadline, called).await
         };
         match answer {
             Ok(Ok(answer)) => proof::AttemptOutcome::Ran(answer),
@@ -82,18 +82,18 @@
             Ok(Err(lost @ fault::CallFault::Lost { .. })) => proof::AttemptOutcome::Unknown {
                 ticket,
                 cause: lost.to_string(),
-                hopeless: None,
+                permanent_refusal: None,
             },
             Err(_) => proof::AttemptOutcome::Unknown {
                 ticket,
                 cause: format!("{} did not answer in time", target.name),
-                hopeless: None,
+                permanent_refusal: None,
             },
         }
     }
 
-    /// Another place for a call that may be tried again.
-    async fn place_again(
+    /// Another place for a call that may be tried retried.
+    async fn retry(
         &self,
         mut facts: request::RequestFacts<request::CallWork>,
         claimed: CallClaimed<P>,
@@ -102,25 +102,25 @@
         cause: &str,
     ) -> Result<CallRouted<P>, filter::EarlyEnd> {
         let rules = &facts.view.config.rules().retries;
-        if facts.tries >= rules.max_tries {
-            return Err(permit.refused(opening::used_up(cause)).into());
+        if facts.attempts >= rules.max_tries {
+            return Err(permit.refused(opening::attempts_exhausted(cause)).into());
         }
         self.shared.record(
             facts.id,
             kind::EventKind::RequestRetried {
                 server: server.name.clone(),
-                attempt: facts.tries,
+                attempt: facts.attempts,
                 ran: permit.ran(),
                 reason: cause.to_owned(),
             },
         );
         facts.avoid.push(server.key);
-        let again = request::Request {
+        let retried = request::Request {
             facts,
             permit,
             stage: claimed,
         };
-        self.placing.apply(again).await
+        self.placing.apply(retried).await
     }
 }
 
@@ -138,18 +138,20 @@
             let request::Routed { admitted, target } = stage;
             let mut claimed = admitted.cleared.claimed;
             let fraction = facts.view.config.rules().retries.budget_fraction;
-            if let Err(delay) = self.shared.take_try(facts.tries, fraction) {
-                return Err(permit.refused(opening::over_budget(delay)).into());
+            if let Err(delay) = self.shared.take_attempt(facts.attempts, fraction) {
+                return Err(permit
+                    .refused(opening::retry_budget_exhausted(delay))
+                    .into());
             }
-            facts.tries += 1;
+            facts.attempts += 1;
             let due_at = claimed.terms.due_at;
-            let until = try_until(&facts, due_at);
+            let deadline = attempt_deadline(&facts, due_at);
             if let Some(claim) = claimed.claim.as_mut()
-                && !claim.leave(time::Instant::now())
+                && !claim.begin_send(time::Instant::now())
             {
                 return Err(permit.refused(lapsed()).into());
             }
-            let outcome = self.send(&facts, until, &target, permit).await;
+            let outcome = self.send(&facts, deadline, &target, permit).await;
             let (permit, cause) = match outcome {
                 proof::AttemptOutcome::Ran(answer) => {
                     admitted.grant.finished(0);
@@ -161,7 +163,7 @@
                 proof::AttemptOutcome::NotRun { permit, cause } => {
                     admitted.grant.failed(port::FailureKind::Broken);
                     if let Some(claim) = claimed.claim.as_mut() {
-                        claim.came_back();
+                        claim.mark_not_run();
                     }
                     (permit, cause)
                 }
@@ -175,9 +177,7 @@
                     }
                 }
             };
-            routed = self
-                .place_again(facts, claimed, permit, &target, &cause)
-                .await?;
+            routed = self.retry(facts, claimed, permit, &target, &cause).await?;
         }
     }
 }
@@ -186,12 +186,12 @@
 ///
 /// A call that may be repeated leaves half of its time for another server: one that hangs would
 /// take it all otherwise.
-fn try_until(
+fn attempt_deadline(
     facts: &request::RequestFacts<request::CallWork>,
     due_at: time::Instant,
 ) -> time::Instant {
     let now = time::Instant::now();
-    let is_last = facts.tries >= facts.view.config.rules().retries.max_tries;
+    let is_last = facts.attempts >= facts.view.config.rules().retries.max_tries;
     if is_last || facts.work.repeat.is_none() {
         return due_at;
     }
@@ -201,7 +201,7 @@
 fn lapsed() -> refusal::RefusalBody {
     let message = "the claim on the idempotency key lapsed before the call could leave; repeat it \
                    after the time given";
-    shared::come_back(
+    shared::retryable_refusal(
         refusal::RefusalCode::DeadlineExceeded,
         message,
         NOT_RUN_RETRY,
@@ -211,9 +211,10 @@
 fn may_have_run(cause: &str, repeat: Option<proof::RepeatPermit>) -> refusal::RefusalBody {
     let code = refusal::RefusalCode::BackendFault;
     if repeat.is_some() {
-        let message = format!("{cause}; ask again after the time given");
-        return shared::come_back(code, message, NOT_RUN_RETRY);
+        let message = format!("{cause}; ask retried after the time given");
+        return shared::retryable_refusal(code, message, NOT_RUN_RETRY);
     }
-    let message = format!("{cause}; look up whether it did before calling again with another key");
+    let message =
+        format!("{cause}; look up whether it did before calling retried with another key");
     refusal::RefusalBody::not_run(code, message)
 }
--- a/crates/flow/src/claim.rs
+++ b/crates/flow/src/claim.rs
@@ -10,12 +10,12 @@
 };
 
 /// Storing how a call ended is tried for this long.
-const STORE_FOR: Duration = Duration::from_secs(30);
+const STORE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// First pause between two tries to store.
-const STORE_PAUSE: Duration = Duration::from_millis(100);
+/// First delay between two tries to store.
+const INITIAL_STORE_DELAY: Duration = Duration::from_millis(100);
 
-/// A claim that this request holds. Dropped before the call leaves, it is given back: the key
+/// A claim that this request holds. Dropped before the call is_valid, it is given back: the key
 /// may then be claimed again.
 #[derive(Debug)]
 pub struct HeldClaim<P: port::PortSet> {
@@ -38,21 +38,21 @@
         }
     }
 
-    /// Whether a try may leave now; if so, a drop means from here on that it may have run.
+    /// Whether a try may begin_send now; if so, a drop means from here on that it may have run.
     ///
     /// What goes wrong without the look at the clock: a process that was paused between its
     /// claim and its call sends after others have taken the claim for lapsed. One would notice a
     /// call that arrives after a repeat was told "unknown".
-    pub(crate) fn leave(&mut self, now: time::Instant) -> bool {
-        let leaves = self.hold.as_ref().is_some_and(|hold| now < hold.deadline);
-        if leaves {
+    pub(crate) fn begin_send(&mut self, now: time::Instant) -> bool {
+        let is_valid = self.hold.as_ref().is_some_and(|hold| now < hold.deadline);
+        if is_valid {
             self.end_on_drop = port::ClaimEnd::Unknown;
         }
-        leaves
+        is_valid
     }
 
     /// The try that left was proved not to have run.
-    pub(crate) fn came_back(&mut self) {
+    pub(crate) fn mark_not_run(&mut self) {
         self.end_on_drop = port::ClaimEnd::NotRun;
     }
 
@@ -83,16 +83,16 @@
     hold: port::ClaimHold,
     end: port::ClaimEnd,
 ) {
-    let give_up_at = time::Instant::now() + STORE_FOR;
-    let mut pause = STORE_PAUSE;
+    let give_up_at = time::Instant::now() + STORE_TIMEOUT;
+    let mut delay = INITIAL_STORE_DELAY;
     loop {
         let store = shared.ports.claims().store(hold.clone(), end.clone());
         match store.await {
             Ok(()) => return,
             Err(_) if time::Instant::now() >= give_up_at => break,
-            Err(_) => time::sleep(pause).await,
+            Err(_) => time::sleep(delay).await,
         }
-        pause *= 2;
+        delay *= 2;
     }
     metrics::counter!("pollenchute_flow_claim_ends_lost_total").increment(1);
 }
--- a/crates/flow/src/classify.rs
+++ b/crates/flow/src/classify.rs
@@ -26,14 +26,14 @@
     }
 }
 
-impl<P: port::PortSet, W: RawWork> filter::Filter<request::Request<W, request::Known>>
+impl<P: port::PortSet, W: RawWork> filter::Filter<request::Request<W, request::Authenticated>>
     for ClassifyFilter<P>
 {
     type Out = request::Request<W::Parsed, request::Terms>;
 
     async fn apply(
         &self,
-        input: request::Request<W, request::Known>,
+        input: request::Request<W, request::Authenticated>,
     ) -> Result<Self::Out, filter::EarlyEnd> {
         let request::Request {
             facts,
@@ -47,9 +47,9 @@
         let config = &facts.view.config;
         let requested = facts.headers.requested_class;
         let class = config.class_of(stage.organisation, work.target(), requested);
-        let by_rules = work.time_limit(&facts.view, class);
-        let by_caller = facts.headers.time_limit_ms.map(Duration::from_millis);
-        let time_limit = by_caller.map_or(by_rules, |limit| limit.min(by_rules));
+        let default_limit = work.time_limit(&facts.view, class);
+        let caller_limit = facts.headers.time_limit_ms.map(Duration::from_millis);
+        let time_limit = caller_limit.map_or(default_limit, |limit| limit.min(default_limit));
         let taken = taken(config, stage.organisation, work.target());
         self.shared.record(facts.id, taken);
         self.shared.record(
@@ -73,7 +73,7 @@
             arrived_at: facts.arrived_at,
             view: facts.view,
             headers: facts.headers,
-            tries: facts.tries,
+            attempts: facts.attempts,
             avoid: facts.avoid,
         };
         Ok(request::Request {
--- a/crates/flow/src/continuation.rs
+++ b/crates/flow/src/continuation.rs
@@ -57,7 +57,9 @@
         let silent_limit = running::silent_limit(&known.facts.view);
         let live = self.connect(&facts, target, from, silent_limit).await?;
         let (writer_end, stream) = pipe::pipe();
-        let mark = shared.book.begin(live.target().key, facts.content, false);
+        let mark = shared
+            .suspects
+            .begin(live.target().key, facts.content, false);
         let relay = flowing::FlowingStream {
             shared: shared.clone(),
             request: facts.request,
@@ -96,7 +98,7 @@
         silent_limit: Duration,
     ) -> Result<attempt::LiveAttempt<P>, refused::Refused> {
         let shared = self.shared();
-        let limits = (silent_limit, shared.settings.opening_patience);
+        let limits = (silent_limit, shared.settings.opening_reconnect_timeout);
         let mut live = attempt::LiveAttempt::continued(
             shared.clone(),
             facts.request,
@@ -107,7 +109,7 @@
         );
         match live.connect().await {
             Ok(()) => {
-                live.set_patience(plane::RESUME_PATIENCE);
+                live.set_reconnect_timeout(plane::MAX_RECONNECT_TIMEOUT);
                 Ok(live)
             }
             Err(loss) => {
@@ -121,7 +123,7 @@
     /// The facts of a token that this caller may use, and the generation's server.
     fn resolve(
         &self,
-        known: &request::Request<(), request::Known>,
+        known: &request::Request<(), request::Authenticated>,
         token: &str,
     ) -> Result<(token::ContinuationFacts, port::ServerTarget), refusal::RefusalBody> {
         let shared = self.shared();
@@ -143,7 +145,11 @@
                 let message = "this entry VM does not know the generation's server yet; ask \
                                again after the time given";
                 let code = refusal::RefusalCode::NotReady;
-                Err(shared::come_back(code, message, UNKNOWN_SERVER_RETRY))
+                Err(shared::retryable_refusal(
+                    code,
+                    message,
+                    UNKNOWN_SERVER_RETRY,
+                ))
             }
             None => Err(lost("its backend server is no longer in the inventory")),
         }
@@ -165,7 +171,7 @@
         attempt::LossKind::Unreachable => {
             let message = format!("{}; ask again, or another entry VM", loss.cause);
             let code = refusal::RefusalCode::Unavailable;
-            shared::come_back(code, message, UNKNOWN_SERVER_RETRY)
+            shared::retryable_refusal(code, message, UNKNOWN_SERVER_RETRY)
         }
         attempt::LossKind::ServerDied
         | attempt::LossKind::NotHeld
@@ -176,5 +182,5 @@
 
 fn lost(cause: &str) -> refusal::RefusalBody {
     let message = format!("the generation is lost: {cause}; send the request anew");
-    shared::come_back(refusal::RefusalCode::GenerationLost, message, LOST_RETRY)
+    shared::retryable_refusal(refusal::RefusalCode::GenerationLost, message, LOST_RETRY)
 }
--- a/crates/flow/src/deduplicate.rs
+++ b/crates/flow/src/deduplicate.rs
@@ -18,7 +18,7 @@
 /// When to ask again while another call with the key is under way.
 const UNKNOWN_RETRY_MS: u64 = 1_000;
 
-/// Claims the idempotency key of a call that must run at most once.
+/// Claims the idempotency key of a call that must run at most call.
 #[derive(Clone, Debug)]
 pub struct DeduplicateFilter<P> {
     shared: sync::Arc<shared::SharedPlane<P>>,
@@ -36,12 +36,12 @@
     }
 
     /// The claim to make; absent when the work may be repeated.
-    fn claim_ask<W: request::Work>(
+    fn claim_request<W: request::Work>(
         &self,
         facts: &request::RequestFacts<W>,
         terms: &request::Terms,
     ) -> Result<Option<port::ClaimAsk>, refusal::RefusalBody> {
-        let Some(once) = facts.work.run_once() else {
+        let Some(call) = facts.work.at_most_once() else {
             return Ok(None);
         };
         let Some(key) = facts.headers.idempotency_key.as_deref() else {
@@ -58,10 +58,10 @@
             organisation: organisation
                 .map(|view| view.name.clone())
                 .unwrap_or_default(),
-            service: once.service.to_owned(),
+            service: call.service.to_owned(),
             key: key.to_owned(),
             key_made_ms,
-            content: once.content,
+            content: call.content,
             holds_for: terms.time_limit + self.shared.settings.claim_margin,
         }))
     }
@@ -75,14 +75,14 @@
     /// although nothing ran. In its own task the claim comes to its holder, or is given back.
     async fn claim(
         &self,
-        ask: port::ClaimAsk,
+        request: port::ClaimAsk,
         due_at: time::Instant,
     ) -> Result<claim::HeldClaim<P>, port::ClaimAnswer> {
         let shared = self.shared.clone();
         let pass = shared.gate.extend();
         let claiming = tokio::spawn(async move {
             let _pass = pass;
-            match shared.ports.claims().claim(ask).await {
+            match shared.ports.claims().claim(request).await {
                 port::ClaimAnswer::Fresh(hold) => Ok(claim::HeldClaim::new(shared, hold)),
                 other => Err(other),
             }
@@ -110,13 +110,13 @@
                 claim,
             })
         };
-        let ask = match self.claim_ask(&input.facts, &input.stage.terms) {
+        let request = match self.claim_request(&input.facts, &input.stage.terms) {
             Ok(Some(ask)) => ask,
             Ok(None) => return Ok(claimed(input, None)),
             Err(body) => return Err(input.refused(body).into()),
         };
         let due_at = input.stage.terms.due_at;
-        let answer = match self.claim(ask, due_at).await {
+        let answer = match self.claim(request, due_at).await {
             Ok(claim) => return Ok(claimed(input, Some(claim))),
             Err(answer) => answer,
         };
@@ -128,7 +128,7 @@
             port::ClaimAnswer::InProgress { retry_after_ms } => {
                 let message = "a call with this idempotency key is in progress; repeat it later \
                                for its answer";
-                Err(earlier_call(
+                Err(earlier_call_refusal(
                     refusal::RefusalCode::InProgress,
                     message,
                     retry_after_ms,
@@ -137,7 +137,7 @@
             port::ClaimAnswer::Unknown => {
                 let message = "an earlier call with this idempotency key may have run; look up \
                                whether it did before using another key";
-                Err(earlier_call(
+                Err(earlier_call_refusal(
                     refusal::RefusalCode::BackendFault,
                     message,
                     UNKNOWN_RETRY_MS,
@@ -161,7 +161,7 @@
 fn unanswered() -> refusal::RefusalBody {
     let message = "the claim on the idempotency key was not answered in time, so the call was not \
                    sent; repeat it after the time given";
-    shared::come_back(
+    shared::retryable_refusal(
         refusal::RefusalCode::DeadlineExceeded,
         message,
         UNANSWERED_RETRY,
@@ -169,7 +169,7 @@
 }
 
 /// What a repeat is told: its fate is that of the first call, which is not known.
-fn earlier_call(
+fn earlier_call_refusal(
     code: refusal::RefusalCode,
     message: &str,
     retry_after_ms: u64,
--- a/crates/flow/src/flowing.rs
+++ b/crates/flow/src/flowing.rs
@@ -69,7 +69,7 @@
 
     async fn relay(&mut self, first: Option<attempt::AttemptStep>) -> StreamEnd {
         let mut unreported = 0;
-        let mut beat = Box::pin(time::sleep(self.shared.settings.heartbeat));
+        let mut beat = Box::pin(time::sleep(self.shared.settings.heartbeat_interval));
         let mut step = match first {
             Some(step) => step,
             None => match self.wait(beat.as_mut()).await {
@@ -96,7 +96,7 @@
             match has_space {
                 Ok(true) => {}
                 Ok(false) => {
-                    let limit = self.shared.settings.caller_stall;
+                    let limit = self.shared.settings.caller_stall_timeout;
                     if let Err(end) = caller_reads(&self.pipe, limit).await {
                         return end;
                     }
@@ -115,10 +115,10 @@
         &mut self,
         mut beat: pin::Pin<&mut time::Sleep>,
     ) -> Result<attempt::AttemptStep, StreamEnd> {
-        if self.shared.gate.hands_over() {
+        if self.shared.gate.is_handing_over() {
             return Err(StreamEnd::HandedOver);
         }
-        let heartbeat = self.shared.settings.heartbeat;
+        let heartbeat = self.shared.settings.heartbeat_interval;
         let mut shown_at = time::Instant::now();
         let next = self.live.next();
         tokio::pin!(next);
@@ -129,7 +129,7 @@
                 () = self.pipe.gone() => return Err(StreamEnd::CallerGone),
                 () = beat.as_mut() => {}
             }
-            if self.shared.gate.hands_over() {
+            if self.shared.gate.is_handing_over() {
                 return Err(StreamEnd::HandedOver);
             }
             // The beat is set anew only when it rings, so that a token costs no timer.
@@ -162,7 +162,7 @@
                 let writer = &self.writer;
                 let _ = self.pipe.append(|out| writer.finish(out, &report));
                 self.shared
-                    .book
+                    .suspects
                     .ended_well(self.content, self.shared.now_ms());
                 if let Some(grant) = self.charge.grant.take() {
                     grant.finished(report.produced);
@@ -219,7 +219,7 @@
 
     /// Tells the caller that no more comes by this stream, and whether the rest may be had.
     fn end_early(&self, code: refusal::RefusalCode, message: String, lives: bool) {
-        let body = shared::come_back(code, message, LOST_RETRY);
+        let body = shared::retryable_refusal(code, message, LOST_RETRY);
         let refused = self.flowing.refused(body);
         let body = refused.body();
         self.shared.record(
--- a/crates/flow/src/gate.rs
+++ b/crates/flow/src/gate.rs
@@ -124,7 +124,7 @@
     /// Whether streams are to end with their continuation token; looked at with each token and
     /// each heartbeat, so that no stream need wait for it.
     #[must_use]
-    pub fn hands_over(&self) -> bool {
+    pub fn is_handing_over(&self) -> bool {
         self.phase.load(atomic::Ordering::Relaxed) == HANDING_OVER
     }
 
--- a/crates/flow/src/jobs.rs
+++ b/crates/flow/src/jobs.rs
@@ -82,13 +82,13 @@
     /// Finds what is wrong with a job before it is accepted.
     fn check_job(
         &self,
-        known: &request::Request<(), request::Known>,
+        known: &request::Request<(), request::Authenticated>,
         face: body::CompletionApi,
         body: &Bytes,
     ) -> Result<port::JobRecord, refusal::RefusalBody> {
         let facts = &known.facts;
         let raw = request::RawGeneration {
-            face,
+            api: face,
             body: body.clone(),
             job: true,
         };
@@ -104,7 +104,7 @@
             self.shared()
                 .ports
                 .quotas()
-                .take(organisation, rule, &work.asked(), now)?,
+                .take(organisation, rule, &work.requested(), now)?,
         );
         Ok(port::JobRecord {
             request: facts.id,
@@ -157,7 +157,7 @@
     /// Takes jobs and runs them until this entry VM leaves. Spawn it once.
     pub async fn run_jobs(self: sync::Arc<Self>) {
         let places = sync::Arc::new(tokio::sync::Semaphore::new(
-            self.shared().settings.jobs_at_once,
+            self.shared().settings.max_concurrent_jobs,
         ));
         while !self.gate().is_closed() {
             let Ok(place) = places.clone().acquire_owned().await else {
@@ -261,7 +261,7 @@
             body::CompletionApi::Completion
         };
         let raw = request::RawGeneration {
-            face,
+            api: face,
             body: Bytes::from(job.body.clone()),
             job: true,
         };
@@ -277,7 +277,7 @@
             let code = refusal::RefusalCode::Forbidden;
             return Err(refusal::RefusalBody::not_run(code, message));
         };
-        let known = arrived.advance(|_| request::Known { organisation });
+        let known = arrived.advance(|_| request::Authenticated { organisation });
         let end = async { self.whole(self.open(known).await?).await };
         end.await.map_err(|end| self.refused(job.request, end).body)
     }
--- a/crates/flow/src/opening.rs
+++ b/crates/flow/src/opening.rs
@@ -15,10 +15,10 @@
 };
 
 /// When to come back when the tries of a request are used up.
-const USED_UP_RETRY: Duration = Duration::from_secs(1);
+const EXHAUSTED_RETRY: Duration = Duration::from_secs(1);
 
 /// Pause before a suspect that met another on its server asks for another place.
-const PROBE_PAUSE: Duration = Duration::from_millis(50);
+const PROBE_CONFLICT_DELAY: Duration = Duration::from_millis(50);
 
 /// What a generation's request holds before it has a place.
 pub type GenerationClaimed<P> =
@@ -90,18 +90,21 @@
             let request::Routed { admitted, target } = stage;
             let request::Cleared { claimed, probe } = admitted.cleared;
             let content = facts.work.content;
-            let begun = self.shared.book.begin(target.key, content, probe.is_some());
+            let begun = self
+                .shared
+                .suspects
+                .begin(target.key, content, probe.is_some());
             let Some(mark) = begun else {
                 drop((admitted.grant, probe));
-                time::sleep(PROBE_PAUSE).await;
+                time::sleep(PROBE_CONFLICT_DELAY).await;
                 routed = self.place(facts, permit, claimed).await?;
                 continue;
             };
             let fraction = facts.view.config.rules().retries.budget_fraction;
-            if let Err(delay) = self.shared.take_try(facts.tries, fraction) {
-                return Err(permit.refused(over_budget(delay)).into());
+            if let Err(delay) = self.shared.take_attempt(facts.attempts, fraction) {
+                return Err(permit.refused(retry_budget_exhausted(delay)).into());
             }
-            facts.tries += 1;
+            facts.attempts += 1;
             let place = running::TryPlace {
                 target,
                 grant: admitted.grant,
@@ -117,7 +120,7 @@
                         step,
                     });
                 }
-                Err(end) => routed = self.place_again(facts, claimed, end).await?,
+                Err(end) => routed = self.retry(facts, claimed, end).await?,
             }
         }
     }
@@ -156,11 +159,11 @@
             Some(loss) => running.settle(&self.shared, loss, until).await,
             None => running.preempt(&self.shared, facts.id, until).await,
         };
-        let routed = self.place_again(facts, claimed, end).await?;
+        let routed = self.retry(facts, claimed, end).await?;
         self.open(routed).await
     }
 
-    async fn place_again(
+    async fn retry(
         &self,
         mut facts: request::RequestFacts<request::GenerationWork>,
         claimed: GenerationClaimed<P>,
@@ -187,14 +190,14 @@
                 server,
                 cause,
             } => {
-                if facts.tries >= facts.view.config.rules().retries.max_tries {
-                    return Err(permit.refused(used_up(&cause)).into());
+                if facts.attempts >= facts.view.config.rules().retries.max_tries {
+                    return Err(permit.refused(attempts_exhausted(&cause)).into());
                 }
                 self.shared.record(
                     facts.id,
                     kind::EventKind::RequestRetried {
                         server: server_name(&facts.view, server),
-                        attempt: facts.tries,
+                        attempt: facts.attempts,
                         ran: permit.ran(),
                         reason: cause,
                     },
@@ -226,15 +229,15 @@
     server.map(|server| server.name.clone()).unwrap_or_default()
 }
 
-pub(crate) fn over_budget(delay: Duration) -> refusal::RefusalBody {
-    shared::come_back(
+pub(crate) fn retry_budget_exhausted(delay: Duration) -> refusal::RefusalBody {
+    shared::retryable_refusal(
         refusal::RefusalCode::Overloaded,
         "a try failed and the budget of retries is used up; ask again after the time given",
         delay,
     )
 }
 
-pub(crate) fn used_up(cause: &str) -> refusal::RefusalBody {
+pub(crate) fn attempts_exhausted(cause: &str) -> refusal::RefusalBody {
     let message = format!("{cause}; no try succeeded; ask again after the time given");
-    shared::come_back(refusal::RefusalCode::Unavailable, message, USED_UP_RETRY)
+    shared::retryable_refusal(refusal::RefusalCode::Unavailable, message, EXHAUSTED_RETRY)
 }
--- a/crates/flow/src/plane.rs
+++ b/crates/flow/src/plane.rs
@@ -16,7 +16,7 @@
 };
 
 /// A stream that broke is sought for this long at most, or for its class's time limit.
-pub(crate) const RESUME_PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const MAX_RECONNECT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a caller is sent.
 #[derive(Debug)]
@@ -62,7 +62,7 @@
 }
 
 /// Filters from the known organisation up to the claim.
-type KnownChain<P> = Chain<
+type PreparationChain<P> = Chain<
     Chain<classify::ClassifyFilter<P>, quota::QuotaFilter<P>>,
     deduplicate::DeduplicateFilter<P>,
 >;
@@ -72,7 +72,7 @@
 pub struct RequestPlane<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
     views: watch::Receiver<sync::Arc<view::PlaneView>>,
-    known: KnownChain<P>,
+    preparing: PreparationChain<P>,
     placing: opening::PlacementChain<P>,
     opener: opening::GenerationOpener<P>,
     caller: calling::CallFilter<P>,
@@ -93,14 +93,14 @@
             )
             .then(route::RouteFilter::new(views.clone()))
         };
-        let known = Chain::new(
+        let preparing = Chain::new(
             classify::ClassifyFilter::new(shared.clone()),
             quota::QuotaFilter::new(shared.clone()),
         )
         .then(deduplicate::DeduplicateFilter::new(shared.clone()));
         let routing = route::RouteFilter::new(views.clone());
         Self {
-            known,
+            preparing,
             opener: opening::GenerationOpener::new(shared.clone(), placing(), routing),
             caller: calling::CallFilter::new(shared.clone(), placing()),
             placing: placing(),
@@ -118,7 +118,7 @@
     /// Content that crashes backend servers.
     #[must_use]
     pub fn suspects(&self) -> &crashes::SuspectBook {
-        &self.shared.book
+        &self.shared.suspects
     }
 
     /// The ports.
@@ -141,11 +141,11 @@
     pub async fn generate(
         &self,
         headers: request::CallerHeaders,
-        face: body::CompletionApi,
+        api: body::CompletionApi,
         body: Bytes,
     ) -> Result<GenerationReply, RefusedRequest> {
         let raw = request::RawGeneration {
-            face,
+            api,
             body,
             job: false,
         };
@@ -160,8 +160,8 @@
         arrived: request::Request<request::RawGeneration, request::Arrived>,
     ) -> Result<GenerationReply, filter::EarlyEnd> {
         let (arrived, pass) = self.enter(arrived)?;
-        let known = authenticate::AuthenticateFilter.apply(arrived).await?;
-        let opened = self.open(known).await?;
+        let authenticated = authenticate::AuthenticateFilter.apply(arrived).await?;
+        let opened = self.open(authenticated).await?;
         if opened.facts.work.body.stream {
             return Ok(GenerationReply::Stream(self.stream(opened, pass)));
         }
@@ -199,8 +199,8 @@
         arrived: request::Request<request::RawCall, request::Arrived>,
     ) -> Result<port::ServiceAnswer, filter::EarlyEnd> {
         let (arrived, _pass) = self.enter(arrived)?;
-        let known = authenticate::AuthenticateFilter.apply(arrived).await?;
-        let claimed = self.known.apply(known).await?;
+        let authenticated = authenticate::AuthenticateFilter.apply(arrived).await?;
+        let claimed = self.preparing.apply(authenticated).await?;
         let routed = self.placing.apply(claimed).await?;
         self.caller.apply(routed).await
     }
@@ -208,9 +208,9 @@
     /// Runs a known organisation's generation to its first step.
     pub(crate) async fn open(
         &self,
-        known: request::Request<request::RawGeneration, request::Known>,
+        authenticated: request::Request<request::RawGeneration, request::Authenticated>,
     ) -> Result<opening::OpenedRequest<P>, filter::EarlyEnd> {
-        let claimed = self.known.apply(known).await?;
+        let claimed = self.preparing.apply(authenticated).await?;
         let routed = self.placing.apply(claimed).await?;
         self.opener.open(routed).await
     }
@@ -246,7 +246,7 @@
             view: self.view(),
             headers,
             work,
-            tries: 0,
+            attempts: 0,
             avoid: Vec::new(),
         };
         request::Request {
@@ -269,7 +269,7 @@
         let work = &facts.work;
         let token = self.token_of(&facts, &claimed.terms, &running.live, created_s);
         let writer = chunk::ChunkWriter::new(
-            work.body.face,
+            work.body.api,
             facts.id,
             &work.body.model,
             created_s,
@@ -277,7 +277,7 @@
         );
         self.record_first_token(&facts, &running.live);
         let mut live = running.live;
-        live.set_patience(claimed.terms.time_limit.min(RESUME_PATIENCE));
+        live.set_reconnect_timeout(claimed.terms.time_limit.min(MAX_RECONNECT_TIMEOUT));
         let flowing = flowing::FlowingStream {
             reader: self.shared.readers.enter(live.generation()),
             shared: self.shared.clone(),
@@ -285,7 +285,7 @@
             content: work.content,
             arrived_at: facts.arrived_at,
             live,
-            flowing: running.ticket.flowing(),
+            flowing: running.ticket.into_relayed(),
             charge: flowing::StreamCharge {
                 grant: Some(running.grant),
                 quota: Some(claimed.quota),
@@ -318,7 +318,7 @@
         let (opened, whole) = collect::collect(&self.opener, opened).await?;
         let facts = &opened.facts;
         let text = chunk::whole_answer(
-            facts.work.body.face,
+            facts.work.body.api,
             facts.id,
             &facts.work.body.model,
             self.shared.now_ms() / 1_000,
@@ -326,7 +326,9 @@
             &whole.report,
         );
         let content = facts.work.content;
-        self.shared.book.ended_well(content, self.shared.now_ms());
+        self.shared
+            .suspects
+            .ended_well(content, self.shared.now_ms());
         self.shared.record(
             facts.id,
             kind::EventKind::RequestFinished {
@@ -347,7 +349,7 @@
         created_s: u64,
     ) -> String {
         let organisation = facts.view.config.organisation(terms.organisation);
-        let kept = self.shared.settings.token_kept;
+        let kept = self.shared.settings.token_ttl;
         let kept_ms = u64::try_from(kept.as_millis()).unwrap_or(u64::MAX);
         self.shared
             .settings
@@ -362,7 +364,7 @@
                 vm: self.shared.settings.vm.clone(),
                 content: facts.work.content,
                 revision: facts.view.config.revision(),
-                chat: facts.work.body.face == body::CompletionApi::Chat,
+                chat: facts.work.body.api == body::CompletionApi::Chat,
                 model: facts.work.body.model.clone(),
                 created_s,
                 include_usage: facts.work.body.include_usage,
--- a/crates/flow/src/proof.rs
+++ b/crates/flow/src/proof.rs
@@ -103,17 +103,17 @@
     }
 }
 
-/// Kind of tickets of generations: one that is over may be followed by another.
+/// Kind of tickets of generations: one that is settled may be followed by another.
 #[derive(Debug)]
 pub struct GenerationKind;
 
-/// Kind of tickets of plain service calls: one that is over may have had its effect all the same.
+/// Kind of tickets of plain service calls: one that is settled may have had its effect all the same.
 #[derive(Debug)]
 pub struct CallKind;
 
 /// What stays behind while a try is out.
 ///
-/// A generation's turns into a new [`StartPermit`] only by evidence that the try is over: it was
+/// A generation's turns into a new [`StartPermit`] only by evidence that the try is settled: it was
 /// never sent, its cancellation was answered, or its server's process is gone. A call's does so
 /// only when it was never sent, or when the rules let the call be repeated:
 ///
@@ -157,7 +157,7 @@
         }
     }
 
-    fn over(self) -> StartPermit {
+    fn settled(self) -> StartPermit {
         StartPermit {
             ran: self.earlier.and(self.known()),
         }
@@ -167,7 +167,7 @@
 impl AttemptTicket<CallKind> {
     /// Another try although this one may have run: only for calls that may be repeated.
     pub fn repeated(self, _permit: RepeatPermit) -> StartPermit {
-        self.over()
+        self.settled()
     }
 }
 
@@ -196,16 +196,16 @@
 
     /// The server's process is gone: it refuses connections, so the try cannot run on.
     pub fn server_died(self) -> StartPermit {
-        self.over()
+        self.settled()
     }
 
     /// The try was given up without settling it; a standing order to cancel it remains.
     pub(crate) fn abandoned(self) -> StartPermit {
-        self.over()
+        self.settled()
     }
 
     /// A token is leaving for the caller: no other generation may be started from here on.
-    pub const fn flowing(self) -> RelayedAttempt {
+    pub const fn into_relayed(self) -> RelayedAttempt {
         RelayedAttempt { _made_here: () }
     }
 }
@@ -251,7 +251,7 @@
         /// What happened.
         cause: String,
         /// What the server said that makes another try no use.
-        hopeless: Option<refusal::RefusalCode>,
+        permanent_refusal: Option<refusal::RefusalCode>,
     },
 }
 
--- a/crates/flow/src/quarantine.rs
+++ b/crates/flow/src/quarantine.rs
@@ -27,18 +27,18 @@
     }
 
     /// Waits for a turn as long as content is suspect; it may be cleared meanwhile.
-    async fn pass<W: request::Work>(
+    async fn check<W: request::Work>(
         &self,
         work: &W,
         due_at: time::Instant,
     ) -> Result<Option<ProbePermit>, refusal::RefusalBody> {
         let content = work.fingerprint();
-        let standing = || self.shared.book.standing(content, self.shared.now_ms());
+        let standing = || self.shared.suspects.standing(content, self.shared.now_ms());
         if let ContentStanding::Suspect { .. } = standing() {
-            let turn = self.shared.probes.clone().acquire_owned();
+            let turn = self.shared.probe_permits.clone().acquire_owned();
             let permit = match time::timeout_at(due_at, turn).await {
                 Ok(Ok(permit)) => permit,
-                Ok(Err(_)) | Err(_) => return Err(crowded()),
+                Ok(Err(_)) | Err(_) => return Err(no_probe_slot()),
             };
             return match standing() {
                 ContentStanding::Suspect { .. } => Ok(Some(ProbePermit { _permit: permit })),
@@ -63,15 +63,15 @@
 }
 
 /// When a suspect that found no turn may come back.
-const CROWDED_RETRY_MS: u64 = 1_000;
+const PROBE_BUSY_RETRY_MS: u64 = 1_000;
 
-fn crowded() -> refusal::RefusalBody {
+fn no_probe_slot() -> refusal::RefusalBody {
     refusal::RefusalBody::not_run(
         refusal::RefusalCode::Overloaded,
         "a backend server died while it ran this content, which now waits for one to itself; \
          ask again after the time given",
     )
-    .retry_after_ms(CROWDED_RETRY_MS)
+    .retry_after_ms(PROBE_BUSY_RETRY_MS)
 }
 
 /// A request that may run, alone if it is a suspect.
@@ -90,7 +90,10 @@
         &self,
         input: request::Request<W, request::Claimed<Q, C>>,
     ) -> Result<Self::Out, filter::EarlyEnd> {
-        match self.pass(&input.facts.work, input.stage.terms.due_at).await {
+        match self
+            .check(&input.facts.work, input.stage.terms.due_at)
+            .await
+        {
             Ok(probe) => Ok(input.advance(|claimed| request::Cleared { claimed, probe })),
             Err(body) => Err(input.refused(body).into()),
         }
--- a/crates/flow/src/quota.rs
+++ b/crates/flow/src/quota.rs
@@ -28,11 +28,14 @@
     }
 
     /// Whether this is a repeat of a keyed call that this process knows of.
-    fn repeats_known<W: request::Work>(&self, input: &request::Request<W, request::Terms>) -> bool {
+    fn is_known_repeat<W: request::Work>(
+        &self,
+        input: &request::Request<W, request::Terms>,
+    ) -> bool {
         let facts = &input.facts;
         let organisation = facts.view.config.organisation(input.stage.organisation);
         let key = facts.headers.idempotency_key.as_deref();
-        match (facts.work.run_once(), key, organisation) {
+        match (facts.work.at_most_once(), key, organisation) {
             (Some(_), Some(key), Some(view)) => self.shared.ports.claims().seen(&view.name, key),
             _ => false,
         }
@@ -51,10 +54,10 @@
         &self,
         input: request::Request<W, request::Terms>,
     ) -> Result<Self::Out, filter::EarlyEnd> {
-        let ask = admit::ask_of(&input.facts, &input.stage, Vec::new(), false);
-        let repeats = self.repeats_known(&input);
+        let request = admit::admission_request(&input.facts, &input.stage, Vec::new(), false);
+        let is_repeat = self.is_known_repeat(&input);
         let refused = |input: request::Request<W, request::Terms>, body| {
-            if repeats {
+            if is_repeat {
                 // Not run, this time; but the caller asks about its first call.
                 refused::Refused::of_claim(body, outcome::RanState::Unknown)
             } else {
@@ -62,7 +65,7 @@
             }
         };
         // A repeat costs no place: it is given the stored answer, also under overload.
-        if !repeats && let Some(body) = self.shared.ports.schedule().early_refusal(&ask) {
+        if !is_repeat && let Some(body) = self.shared.ports.schedule().early_refusal(&request) {
             return Err(input.refused(body).into());
         }
         let config = &input.facts.view.config;
@@ -78,7 +81,7 @@
             .shared
             .ports
             .quotas()
-            .take(organisation, rule, &ask.work, now)
+            .take(organisation, rule, &request.work, now)
         {
             Ok(quota) => Ok(input.advance(|terms| request::Metered { terms, quota })),
             Err(body) => Err(refused(input, body).into()),
--- a/crates/flow/src/request.rs
+++ b/crates/flow/src/request.rs
@@ -43,7 +43,7 @@
     fn target(&self) -> snapshot::RequestTarget<'_>;
 
     /// What it needs a place for.
-    fn asked(&self) -> port::AskedWork;
+    fn requested(&self) -> port::AskedWork;
 
     /// Its prompt; empty for a plain service call.
     fn prompt(&self) -> sync::Arc<str>;
@@ -61,7 +61,7 @@
     fn time_limit(&self, view: &view::PlaneView, class: class::TrafficClass) -> Duration;
 
     /// Content that must run at most once, with the hash that tells two calls apart.
-    fn run_once(&self) -> Option<AtMostOnceCall<'_>>;
+    fn at_most_once(&self) -> Option<AtMostOnceCall<'_>>;
 }
 
 /// A call that must run at most once.
@@ -87,7 +87,7 @@
     /// The work.
     pub work: W,
     /// Tries so far.
-    pub tries: u32,
+    pub attempts: u32,
     /// Servers of failed tries.
     pub avoid: Vec<id::ServerKey>,
 }
@@ -125,7 +125,7 @@
 
 /// The caller's key is known.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct Authenticated {
     /// Whose key it is.
     pub organisation: id::OrganisationKey,
 }
@@ -194,7 +194,7 @@
 #[derive(Debug)]
 pub struct RawGeneration {
     /// The face that it came by.
-    pub face: body::CompletionApi,
+    pub api: body::CompletionApi,
     /// Its body.
     pub body: bytes::Bytes,
     /// It is deferrable work that was accepted: no time limit applies, the answer is whole.
@@ -205,7 +205,7 @@
 const BYTES_PER_TOKEN: usize = 4;
 
 /// A first token may take this long when nobody waits for it.
-const UNHURRIED: Duration = Duration::from_hours(1);
+const DEFERRABLE_TIME_LIMIT: Duration = Duration::from_hours(1);
 
 /// A generation, understood.
 #[derive(Debug)]
@@ -233,15 +233,15 @@
         let bad = |message: String| {
             refusal::RefusalBody::not_run(refusal::RefusalCode::BadRequest, message)
         };
-        let mut body = body::GenerationBody::parse(self.face, &self.body)
+        let mut body = body::GenerationBody::parse(self.api, &self.body)
             .map_err(|fault| bad(fault.to_string()))?;
         let choice = view.model(&body.model)?;
         let (model, adapter) = (choice.model.to_owned(), choice.adapter.map(str::to_owned));
         let context = choice.entry.context_tokens;
         let prompt_tokens =
             u32::try_from(body.prompt.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX);
-        let room = context.saturating_sub(prompt_tokens).max(1);
-        let max_tokens = body.max_tokens.unwrap_or(room);
+        let available = context.saturating_sub(prompt_tokens).max(1);
+        let max_tokens = body.max_tokens.unwrap_or(available);
         if max_tokens > context {
             return Err(bad(format!(
                 "`max_tokens` is {max_tokens}, model \"{model}\" holds {context}; ask for fewer"
@@ -276,7 +276,7 @@
         snapshot::RequestTarget::Model(&self.model)
     }
 
-    fn asked(&self) -> port::AskedWork {
+    fn requested(&self) -> port::AskedWork {
         port::AskedWork::Generation {
             model: self.model.clone(),
             adapter: self.adapter.clone(),
@@ -304,14 +304,14 @@
     fn time_limit(&self, view: &view::PlaneView, class: class::TrafficClass) -> Duration {
         let limits = &view.config.rules().time_limits;
         match class {
-            _ if self.job => UNHURRIED,
+            _ if self.job => DEFERRABLE_TIME_LIMIT,
             class::TrafficClass::Urgent => Duration::from_millis(limits.urgent_first_token_ms),
             class::TrafficClass::Normal => Duration::from_millis(limits.normal_first_token_ms),
-            class::TrafficClass::Deferrable => UNHURRIED,
+            class::TrafficClass::Deferrable => DEFERRABLE_TIME_LIMIT,
         }
     }
 
-    fn run_once(&self) -> Option<AtMostOnceCall<'_>> {
+    fn at_most_once(&self) -> Option<AtMostOnceCall<'_>> {
         None
     }
 }
@@ -376,7 +376,7 @@
         snapshot::RequestTarget::Service(&self.raw.service)
     }
 
-    fn asked(&self) -> port::AskedWork {
+    fn requested(&self) -> port::AskedWork {
         port::AskedWork::Service {
             service: self.raw.service.clone(),
         }
@@ -402,7 +402,7 @@
         Duration::from_millis(view.config.rules().time_limits.service_call_ms)
     }
 
-    fn run_once(&self) -> Option<AtMostOnceCall<'_>> {
+    fn at_most_once(&self) -> Option<AtMostOnceCall<'_>> {
         self.repeat.is_none().then_some(AtMostOnceCall {
             service: &self.raw.service,
             content: self.content,
--- a/crates/flow/src/route.rs
+++ b/crates/flow/src/route.rs
@@ -8,13 +8,13 @@
 use crate::{filter, port, quarantine, request, shared, view};
 
 /// When to come back when no granted server takes work.
-const LEFT_RETRY: Duration = Duration::from_secs(1);
+const NO_SERVER_RETRY: Duration = Duration::from_secs(1);
 
 /// Pause before asking for another place, which lets the scheduler learn who is leaving.
-const LEFT_PAUSE: Duration = Duration::from_millis(20);
+const REQUEUE_DELAY: Duration = Duration::from_millis(20);
 
 /// Places that are asked for before a request is refused.
-const PLACES_TRIED: u32 = 5;
+const MAX_GRANTS: u32 = 5;
 
 /// Resolves the granted server.
 ///
@@ -41,16 +41,16 @@
     }
 
     /// The grant's server, or that of another grant when it takes no work.
-    async fn place<G: port::Grant>(
+    async fn resolve<G: port::Grant>(
         &self,
         mut grant: G,
         due_at: time::Instant,
     ) -> Result<(G, port::ServerTarget), refusal::RefusalBody> {
-        for _ in 0..PLACES_TRIED {
+        for _ in 0..MAX_GRANTS {
             if let Some(target) = self.target(&grant) {
                 return Ok((grant, target));
             }
-            time::sleep(LEFT_PAUSE).await;
+            time::sleep(REQUEUE_DELAY).await;
             grant = match time::timeout_at(due_at, grant.requeue()).await {
                 Ok(Ok(other)) => other,
                 Ok(Err(body)) => return Err(body),
@@ -59,10 +59,10 @@
         }
         let message = "every backend server that was chosen is leaving; ask again after the time \
                        given";
-        Err(shared::come_back(
+        Err(shared::retryable_refusal(
             refusal::RefusalCode::Unavailable,
             message,
-            LEFT_RETRY,
+            NO_SERVER_RETRY,
         ))
     }
 }
@@ -93,7 +93,7 @@
             stage,
         } = input;
         let due_at = stage.cleared.claimed.terms.due_at;
-        match self.place(stage.grant, due_at).await {
+        match self.resolve(stage.grant, due_at).await {
             Ok((grant, target)) => {
                 let admitted = request::Admitted {
                     cleared: stage.cleared,
--- a/crates/flow/src/running.rs
+++ b/crates/flow/src/running.rs
@@ -118,7 +118,7 @@
             proof::AttemptOutcome::Unknown {
                 ticket,
                 cause,
-                hopeless,
+                permanent_refusal,
             } => {
                 let lost = settle::LostAttempt {
                     target: self.target,
@@ -128,7 +128,7 @@
                 let declined = attempt::LossKind::Declined;
                 let settled = lost.settle(shared, declined, terms.due_at).await;
                 self.grant.failed(port::FailureKind::Rejected);
-                Err(match (settled, hopeless) {
+                Err(match (settled, permanent_refusal) {
                     (Ok(permit), Some(code)) => {
                         let body = refusal::RefusalBody::not_run(code, cause);
                         TryEnd::Refused(permit.refused(body))
@@ -172,7 +172,7 @@
         let message = "the first token did not come in time; ask again after the time given";
         let code = refusal::RefusalCode::DeadlineExceeded;
         self.grant.failed(port::FailureKind::Silent);
-        let body = shared::come_back(code, message, LATE_RETRY);
+        let body = shared::retryable_refusal(code, message, LATE_RETRY);
         TryEnd::Refused(self.ticket.refused(body))
     }
 
@@ -226,7 +226,7 @@
                 let message = "it was stopped to make room and found no other place in time; ask \
                                again after the time given";
                 let code = refusal::RefusalCode::DeadlineExceeded;
-                let body = shared::come_back(code, message, LATE_RETRY);
+                let body = shared::retryable_refusal(code, message, LATE_RETRY);
                 TryEnd::Refused(permit.refused(body))
             }
         }
@@ -274,7 +274,7 @@
 ) -> kind::EventKind {
     kind::EventKind::RequestDispatched {
         server: target.name.clone(),
-        attempt: facts.tries,
+        attempt: facts.attempts,
         candidates: reason.candidates,
         waited_ms: shared::millis_since(facts.arrived_at),
         reason: reason.text,
--- a/crates/flow/src/settle.rs
+++ b/crates/flow/src/settle.rs
@@ -8,7 +8,7 @@
 use crate::{attempt, port, proof, shared};
 
 /// Pause between two orders to cancel.
-const SETTLE_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
+const CANCEL_RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(100);
 
 /// A try that is to be settled.
 #[derive(Debug)]
@@ -63,7 +63,7 @@
                     Err(self.ticket)
                 };
             }
-            time::sleep(SETTLE_PAUSE).await;
+            time::sleep(CANCEL_RETRY_INTERVAL).await;
         }
     }
 }
--- a/crates/flow/src/shared.rs
+++ b/crates/flow/src/shared.rs
@@ -13,11 +13,11 @@
     suspect::ContentStanding,
 };
 
-/// First pause between two orders to cancel.
-const CANCEL_PAUSE: Duration = Duration::from_millis(100);
+/// First delay between two orders to cancel.
+const INITIAL_CANCEL_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest pause between two orders to cancel.
-const LONGEST_CANCEL_PAUSE: Duration = Duration::from_secs(5);
+/// Longest delay between two orders to cancel.
+const MAX_CANCEL_DELAY: Duration = Duration::from_secs(5);
 
 /// State that requests share.
 #[derive(Debug)]
@@ -25,11 +25,11 @@
     pub(crate) ports: P,
     pub(crate) settings: settings::PlaneSettings,
     pub(crate) gate: gate::FlowGate,
-    pub(crate) book: sync::Arc<crashes::SuspectBook>,
+    pub(crate) suspects: sync::Arc<crashes::SuspectBook>,
     pub(crate) readers: sync::Arc<readers::ReaderTable>,
     pub(crate) budget: sync::Mutex<budget::RetryBudget>,
     /// One permit for each server that suspects may have to themselves.
-    pub(crate) probes: sync::Arc<tokio::sync::Semaphore>,
+    pub(crate) probe_permits: sync::Arc<tokio::sync::Semaphore>,
 }
 
 impl<P: port::PortSet> SharedPlane<P> {
@@ -37,10 +37,10 @@
         Self {
             ports,
             gate: gate::FlowGate::default(),
-            book: sync::Arc::new(crashes::SuspectBook::new(settings.suspects)),
+            suspects: sync::Arc::new(crashes::SuspectBook::new(settings.suspects)),
             readers: sync::Arc::default(),
             budget: sync::Mutex::new(budget::RetryBudget::new(time::Instant::now())),
-            probes: sync::Arc::new(tokio::sync::Semaphore::new(settings.probe_servers)),
+            probe_permits: sync::Arc::new(tokio::sync::Semaphore::new(settings.max_probe_servers)),
             settings,
         }
     }
@@ -58,14 +58,14 @@
     }
 
     /// Counts a first try, or takes a further one from the budget.
-    pub(crate) fn take_try(&self, tries: u32, fraction: f64) -> Result<(), Duration> {
+    pub(crate) fn take_attempt(&self, tries: u32, fraction: f64) -> Result<(), Duration> {
         let now = time::Instant::now();
         let mut budget = self
             .budget
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner);
         if tries == 0 {
-            budget.first_try(now);
+            budget.record_first_attempt(now);
             return Ok(());
         }
         metrics::counter!("pollenchute_flow_retries_total").increment(1);
@@ -73,8 +73,8 @@
     }
 
     /// A server's process is gone: what ran there becomes suspect.
-    pub(crate) fn note_death(&self, target: &port::ServerTarget, reason: &str) {
-        let contents = self.book.died(target.key, &target.name, self.now_ms());
+    pub(crate) fn record_server_death(&self, target: &port::ServerTarget, reason: &str) {
+        let contents = self.suspects.died(target.key, &target.name, self.now_ms());
         if contents.is_empty() {
             return;
         }
@@ -87,15 +87,15 @@
         };
         events.record(None, dead);
         for content in contents {
-            if let Some(found) = self.finding(content, &target.name) {
+            if let Some(found) = self.quarantine_event(content, &target.name) {
                 events.record(None, found);
             }
         }
     }
 
     /// What a death made of content.
-    fn finding(&self, content: ContentHash, server: &str) -> Option<kind::EventKind> {
-        match self.book.standing(content, self.now_ms()) {
+    fn quarantine_event(&self, content: ContentHash, server: &str) -> Option<kind::EventKind> {
+        match self.suspects.standing(content, self.now_ms()) {
             ContentStanding::Clear => None,
             ContentStanding::Suspect { deaths } => Some(kind::EventKind::QuarantineSuspected {
                 fingerprint: content,
@@ -127,15 +127,15 @@
         target: &port::ServerTarget,
         generation: id::GenerationId,
     ) {
-        let give_up_at = time::Instant::now() + self.settings.cancel_for;
-        let mut pause = CANCEL_PAUSE;
+        let give_up_at = time::Instant::now() + self.settings.cancel_timeout;
+        let mut delay = INITIAL_CANCEL_DELAY;
         while time::Instant::now() < give_up_at {
             if self.cancel_once(target, generation).await.is_ok() {
                 metrics::counter!("pollenchute_flow_cancels_total").increment(1);
                 return;
             }
-            time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_CANCEL_PAUSE);
+            time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_CANCEL_DELAY);
         }
         metrics::counter!("pollenchute_flow_cancels_unanswered_total").increment(1);
     }
@@ -147,7 +147,7 @@
         generation: id::GenerationId,
     ) -> Result<Option<port::CancelAnswer>, String> {
         let cancel = self.ports.engines().cancel(target, generation);
-        match time::timeout(self.settings.call_limit, cancel).await {
+        match time::timeout(self.settings.call_timeout, cancel).await {
             Ok(Ok(answer)) => Ok(Some(answer)),
             Ok(Err(crate::fault::CancelFault::Refused { .. })) => Ok(None),
             Ok(Err(fault)) => Err(fault.to_string()),
@@ -157,7 +157,7 @@
 }
 
 /// A refusal body with the time to come back.
-pub(crate) fn come_back(
+pub(crate) fn retryable_refusal(
     code: refusal::RefusalCode,
     message: impl Into<String>,
     delay: Duration,
--- a/crates/flow/tests/plane/world.rs
+++ b/crates/flow/tests/plane/world.rs
@@ -121,10 +121,10 @@
     pub mishaps_permille: u64,
     pub rules: rules::RuleSet,
     pub abandon_after: Option<Duration>,
-    pub probe_servers: usize,
+    pub max_probe_servers: usize,
     pub entries: u128,
     pub suspects: suspect::SuspectLimits,
-    pub silence_floor: Option<Duration>,
+    pub min_silence_timeout: Option<Duration>,
 }
 
 impl Default for WorldPlan {
@@ -137,10 +137,10 @@
             mishaps_permille: 0,
             rules: rules::RuleSet::default(),
             abandon_after: None,
-            probe_servers: 1,
+            max_probe_servers: 1,
             entries: 2,
             suspects: suspect::SuspectLimits::default(),
-            silence_floor: None,
+            min_silence_timeout: None,
         }
     }
 }
@@ -288,9 +288,11 @@
             let keys = token::TokenKeys::new(secret, None);
             let mut settings = settings::PlaneSettings::new(vm.clone(), keys);
             settings.abandon_after = plan.abandon_after;
-            settings.probe_servers = plan.probe_servers;
+            settings.max_probe_servers = plan.max_probe_servers;
             settings.suspects = plan.suspects;
-            settings.silence_floor = plan.silence_floor.unwrap_or(settings.silence_floor);
+            settings.min_silence_timeout = plan
+                .min_silence_timeout
+                .unwrap_or(settings.min_silence_timeout);
             let plane = plane::RequestPlane::new(ports, settings, self.views.subscribe());
             let plane = sync::Arc::new(plane);
             let weak = sync::Arc::downgrade(&plane);
--- a/crates/flow/tests/pure.rs
+++ b/crates/flow/tests/pure.rs
@@ -189,7 +189,7 @@
         for _ in 0..400 {
             now += Duration::from_millis(u.int_in_range(0..=20)?);
             if u.ratio(1, 3)? {
-                budget.first_try(now);
+                budget.record_first_attempt(now);
                 first_tries += 1;
             } else {
                 match budget.take_retry(0.1, now) {
