--- a/crates/flow/src/admit.rs
+++ b/crates/flow/src/admit.rs
@@ -1,4 +1,4 @@
-//! Filter: wait for a place.
+//! Admission filter: waits until the scheduler grants a slot on a backend server.
 
 use std::{sync, time::Duration};
 
@@ -11,27 +11,26 @@
     quarantine, request, shared,
 };
 
-/// Asks the scheduler for a place and waits for it.
+/// Requests a slot from the scheduler and waits for the grant.
 #[derive(Clone, Debug)]
 pub struct AdmitFilter<P> {
     shared: sync::Arc<shared::SharedPlane<P>>,
 }
 
-/// A place on a backend server.
+/// Grant of a slot on a backend server.
 pub type SlotGrant<P> = <<P as port::PortSet>::Schedule as port::Scheduler>::Grant;
 
 impl<P: port::PortSet> AdmitFilter<P> {
-    /// The filter of one plane.
+    /// Creates the filter of one request plane.
     #[must_use]
     pub const fn new(shared: sync::Arc<shared::SharedPlane<P>>) -> Self {
         Self { shared }
     }
 
-    /// Waits for a place, for a while elsewhere than at the servers to avoid.
+    /// Waits for a slot and excludes the servers to avoid for at most [`AVOID_TIMEOUT`].
     ///
-    /// What goes wrong when they are avoided for as long as it waits: every other server dies or
-    /// leaves meanwhile, and the request waits beside one that came back. One would notice work
-    /// that waits while an engine is idle.
+    /// Excluding them for the whole wait would leave a request queued while an engine is idle: all
+    /// other servers may die or leave meanwhile, and an excluded server may have recovered.
     async fn acquire_slot<W: request::Work>(
         &self,
         facts: &request::RequestFacts<W>,
@@ -62,10 +61,10 @@
     }
 }
 
-/// Servers are avoided for this long; then any will do.
+/// Time after which servers to avoid become acceptable again.
 const AVOID_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The scheduler's question for a request.
+/// Builds the scheduler's admission request.
 pub(crate) fn admission_request<W: request::Work>(
     facts: &request::RequestFacts<W>,
     terms: &request::Terms,
@@ -86,10 +85,11 @@
     }
 }
 
-/// Servers that a request must not get, as long as that leaves it one.
+/// Returns the servers to exclude for a request, as long as another candidate remains.
 ///
-/// Servers of its failed tries, and servers where a suspect runs: whatever stands beside that
-/// dies with it. A suspect never joins another suspect, so that a death names one of them.
+/// These are the servers of its failed attempts and the servers that run a suspect, since a crash
+/// caused by a suspect also ends the requests that run beside it. A suspect never shares a server
+/// with another suspect, so that a crash identifies the content that caused it.
 fn avoid_list<W: request::Work>(
     facts: &request::RequestFacts<W>,
     tried: &[id::ServerKey],
@@ -141,13 +141,13 @@
     }
 }
 
-/// When a request that found no place in its time may come back.
+/// Retry delay for a request that got no slot before its deadline, in milliseconds.
 const NO_SLOT_RETRY_MS: u64 = 1_000;
 
 fn no_slot_in_time() -> refusal::RefusalBody {
     refusal::RefusalBody::not_run(
         refusal::RefusalCode::DeadlineExceeded,
-        "no backend server had a place in time; ask again after the time given",
+        "no backend server had a free slot before the deadline; retry after the given time",
     )
     .retry_after_ms(NO_SLOT_RETRY_MS)
 }
--- a/crates/flow/src/attempt.rs
+++ b/crates/flow/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a generation: its tokens in order released however many connections it takes.
+//! One attempt of a generation: delivers its tokens in order across reconnections.
 
 use std::{pin, sync, time::Duration};
 
@@ -12,54 +12,54 @@
     proof, shared, silence,
 };
 
-/// First resume_delay between two connections that showed nothing.
+/// Initial delay before reconnecting after a connection that delivered no event.
 const INITIAL_RESUME_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest resume_delay between two connections that showed nothing.
+/// Maximum delay before reconnecting after a connection that delivered no event.
 const MAX_RESUME_DELAY: Duration = Duration::from_millis(800);
 
-/// What came of waiting for a generation.
+/// Next step of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptStep {
-    /// Its next token.
+    /// The next token.
     Token {
-        /// Its number.
+        /// Index of the token.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// It ended whole.
+    /// The generation finished and all its tokens were delivered.
     Finished(port::FinishReport),
-    /// Nothing more will come of this try.
+    /// The attempt was lost; it delivers nothing more.
     Lost(AttemptLoss),
 }
 
-/// How a try was lost.
+/// Loss of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptLoss {
-    /// What is known of the generation.
+    /// State of the generation as far as it is known.
     pub kind: LossKind,
-    /// What happened, for people.
+    /// Human-readable cause.
     pub cause: String,
 }
 
-/// What is known of a generation that was lost.
+/// State of a lost generation as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossKind {
-    /// Its server's process is gone.
+    /// The server process that ran it has ended.
     ServerDied,
-    /// Its server answers that it does not hold it.
+    /// The server answers that it does not hold the generation.
     NotHeld,
-    /// Its server declined to start it.
+    /// The server declined to start it.
     Declined,
-    /// Its server did not answer for as long as was waited.
+    /// The server did not answer within the reconnect timeout.
     Unreachable,
-    /// Its engine ended it, or it contradicts itself.
+    /// The engine ended it, or the finish report contradicts the tokens that were received.
     Ended,
 }
 
 impl LossKind {
-    /// The same for the scheduler.
+    /// The kind of failure that is reported to the scheduler.
     #[must_use]
     pub const fn failure(self) -> port::FailureKind {
         match self {
@@ -75,30 +75,30 @@
 
 /// A generation that runs on a server.
 ///
-/// Dropped before its end, its generation is cancelled.
+/// Dropping it before the end cancels the generation.
 pub struct LiveAttempt<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
     request: id::RequestId,
     target: port::ServerTarget,
     cursor: cursor::StreamCursor,
     gauge: silence::SilenceGauge,
-    /// Fires at some time before or at the gauge's, which is then looked at again.
+    /// Fires no later than the gauge's deadline, which is then checked again.
     timer: pin::Pin<Box<time::Sleep>>,
-    /// The connection; absent while there is none.
+    /// Events of the open connection; `None` while disconnected.
     events: Option<LinkEvents<P>>,
-    /// When the last connection that showed something connection_failed; absent while one mark_working.
+    /// Time at which the last working connection failed; `None` while one works.
     broken_at: Option<time::Instant>,
-    /// How long a generation that shows nothing is sought.
+    /// Limit on reconnecting to a generation that delivers no event.
     reconnect_timeout: Duration,
     resume_delay: Duration,
-    /// Whether the server ever showed that it has this generation.
+    /// Whether the server ever confirmed that it holds this generation.
     seen_on_server: bool,
-    /// Nothing is left to cancel.
+    /// Whether dropping this must not cancel the generation.
     released: bool,
 }
 
 impl<P: port::PortSet> LiveAttempt<P> {
-    /// Sends a generation's start.
+    /// Sends the start request of a generation.
     pub async fn start(
         shared: sync::Arc<shared::SharedPlane<P>>,
         request: id::RequestId,
@@ -141,7 +141,7 @@
                 };
             }
             Ok(Err(declined @ fault::StartFault::Declined { status, .. })) => {
-                // Settled by whoever reads this outcome; a second cancel would be too many.
+                // The caller settles this outcome, which cancels; a second cancel would be redundant.
                 live.released = true;
                 return proof::AttemptOutcome::Unknown {
                     ticket,
@@ -149,13 +149,13 @@
                     permanent_refusal: permanent_refusal(status),
                 };
             }
-            // It may have started: it is sought there before anything else is done.
+            // It may have started, so the first step is to reconnect to it.
             Ok(Err(fault::StartFault::Lost { .. })) | Err(_) => {}
         }
         proof::AttemptOutcome::Ran((live, ticket))
     }
 
-    /// A generation that runs already, from token `from` on.
+    /// Attaches to a generation that already runs, from token `from` on.
     pub(crate) fn continued(
         shared: sync::Arc<shared::SharedPlane<P>>,
         request: id::RequestId,
@@ -204,44 +204,44 @@
         }
     }
 
-    /// The server.
+    /// The server that runs the generation.
     #[must_use]
     pub const fn target(&self) -> &port::ServerTarget {
         &self.target
     }
 
-    /// The generation.
+    /// Identifier of the generation.
     #[must_use]
     pub const fn generation(&self) -> id::GenerationId {
         self.cursor.generation()
     }
 
-    /// Number of the token that comes next.
+    /// Index of the next token.
     #[must_use]
     pub const fn next_index(&self) -> u32 {
         self.cursor.next()
     }
 
-    /// Seeks the generation for longer, or less long, from here on.
+    /// Changes the limit on reconnecting to the generation.
     pub const fn set_reconnect_timeout(&mut self, reconnect_timeout: Duration) {
         self.reconnect_timeout = reconnect_timeout;
     }
 
-    /// Closes the connection; the generation goes on.
+    /// Closes the connection; the generation continues to run.
     pub fn disconnect(&mut self) {
         self.events = None;
     }
 
-    /// Nothing is left to cancel, or somebody else will.
+    /// Disables the cancellation on drop: the generation has ended or is cancelled elsewhere.
     pub const fn release(&mut self) {
         self.released = true;
     }
 
-    /// Opens a connection, if there is none.
+    /// Opens a connection unless one is open.
     ///
     /// # Errors
     ///
-    /// The loss of the try.
+    /// Returns the loss of the attempt.
     pub async fn connect(&mut self) -> Result<(), AttemptLoss> {
         if self.events.is_some() {
             return Ok(());
@@ -249,7 +249,9 @@
         self.reconnect().await
     }
 
-    /// The next token, the end, or the loss. Nothing is lost when the future is dropped.
+    /// Waits for the next token, the end, or the loss of the attempt.
+    ///
+    /// Cancel safe: dropping the future loses no event.
     pub async fn next(&mut self) -> AttemptStep {
         loop {
             let Some(events) = self.events.as_mut() else {
@@ -277,7 +279,7 @@
         }
     }
 
-    /// The timer is set anew only when it rings: a token costs no timer.
+    /// Resets the timer only when it fires, so that a token costs no timer operation.
     fn timer_fired(&mut self) {
         let give_up_at = self.gauge.give_up_at();
         if give_up_at <= time::Instant::now() {
@@ -305,7 +307,7 @@
             cursor::CursorStep::Gap => self.connection_failed("tokens are missing"),
             cursor::CursorStep::Finished(report) => return Some(self.finished(report)),
             cursor::CursorStep::Contradiction => {
-                let cause = "its engine says that it made fewer tokens than it sent";
+                let cause = "the engine reports fewer tokens than it sent";
                 return Some(self.lost(AttemptLoss {
                     kind: LossKind::Ended,
                     cause: cause.to_owned(),
@@ -324,7 +326,7 @@
             port::FinishReason::Cancelled | port::FinishReason::Error => self.lost(AttemptLoss {
                 kind: LossKind::Ended,
                 cause: format!(
-                    "its engine ended it as {}",
+                    "the engine ended the generation as {}",
                     crate::chunk::finish_name(report.finish)
                 ),
             }),
@@ -363,17 +365,20 @@
         );
     }
 
-    /// Opens a fresh connection to the same generation.
+    /// Opens a new connection to the same generation.
     async fn reconnect(&mut self) -> Result<(), AttemptLoss> {
-        // The first goes out at once; after that a connection that opens and shows nothing
-        // counts as no better than one that does not open.
+        // The first reconnect is immediate. After it, a connection that opens but delivers no event
+        // counts as failed, like one that does not open.
         let mut immediate = self.broken_at.is_none();
         let broken_at = *self.broken_at.get_or_insert_with(time::Instant::now);
         let give_up_at = broken_at + self.reconnect_timeout;
         loop {
             if !std::mem::take(&mut immediate) {
                 if time::Instant::now() >= give_up_at {
-                    let cause = format!("{} showed nothing for too long", self.target.name);
+                    let cause = format!(
+                        "{} sent no event before the reconnect timeout",
+                        self.target.name
+                    );
                     return Err(loss_of(LossKind::Unreachable, cause));
                 }
                 time::sleep(self.resume_delay).await;
@@ -406,7 +411,7 @@
     }
 }
 
-/// What an engine says of the request itself, so that every other engine will say the same.
+/// Maps statuses that reject the request itself, so that every engine would answer the same.
 const fn permanent_refusal(status: u16) -> Option<refusal::RefusalCode> {
     match status {
         400 | 422 => Some(refusal::RefusalCode::BadRequest),
--- a/crates/flow/src/authenticate.rs
+++ b/crates/flow/src/authenticate.rs
@@ -1,10 +1,10 @@
-//! Filter: whose API key is it?
+//! Authentication filter: identifies the organisation by its API key.
 
 use base::refusal;
 
 use crate::{filter, request};
 
-/// Finds the organisation of the caller's API key.
+/// Looks up the organisation of the caller's API key.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AuthenticateFilter;
 
@@ -16,8 +16,8 @@
         input: request::Request<W, request::Arrived>,
     ) -> Result<Self::Out, filter::EarlyEnd> {
         let config = &input.facts.view.config;
-        // Without a configuration no key is known. Callers take "unauthenticated" as final: one
-        // would notice those that a VM met in its first second and that never came back.
+        // Without a configuration no key is known. Callers treat "unauthenticated" as final, so those
+        // that reach a VM in its first second would never retry.
         if config.revision() == 0 {
             return Err(input.refused(no_configuration()).into());
         }
@@ -36,11 +36,11 @@
     }
 }
 
-/// When to come back to an entry VM that has no configuration yet, in milliseconds.
+/// Retry delay of an entry VM that has no configuration yet, in milliseconds.
 const NO_CONFIGURATION_RETRY_MS: u64 = 500;
 
 fn no_configuration() -> refusal::RefusalBody {
-    let message = "this entry VM has no configuration yet; ask another one, or come back";
+    let message = "this entry VM has no configuration yet; use another one, or come back later";
     refusal::RefusalBody::not_run(refusal::RefusalCode::NotReady, message)
         .retry_after_ms(NO_CONFIGURATION_RETRY_MS)
 }
--- a/crates/flow/src/budget.rs
+++ b/crates/flow/src/budget.rs
@@ -1,21 +1,20 @@
-//! Retry budget: retries are a fraction of first tries.
+//! Retry budget: limits retries to a fraction of first attempts.
 //!
-//! What goes wrong without it: when everything is slow, each caller's retries come on top of the
-//! first tries of all others, and the load that they make keeps everything slow after its cause
-//! is gone. One would notice more tries than requests. Here retries end when they pass their
-//! fraction of what callers sent.
+//! Without a limit, a slowdown causes a retry storm: retries add to the first attempts, and the
+//! extra load keeps the servers slow after the original cause has ended, with more attempts than
+//! requests. Retries stop when they exceed their fraction of the requests that callers sent.
 
 use std::time::Duration;
 
 use tokio::time;
 
-/// Tries are counted over this long.
+/// Number of slots in the sliding window.
 const WINDOW_SLOTS: usize = 10;
 
-/// Length of one slot of the window.
+/// Duration of one slot of the window.
 const SLOT_DURATION: Duration = Duration::from_secs(1);
 
-/// Retries that are always allowed in one window, so that a quiet site can retry at all.
+/// Retries that are always allowed in one window, so that a site with little traffic can retry.
 const MIN_RETRIES: f64 = 10.0;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -24,17 +23,17 @@
     retries: u32,
 }
 
-/// Counts tries over a sliding window.
+/// Counts first attempts and retries over a sliding window.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     slots: [BudgetSlot; WINDOW_SLOTS],
-    /// Begin of the newest slot.
+    /// Start of the newest slot.
     slot_started_at: time::Instant,
     newest: usize,
 }
 
 impl RetryBudget {
-    /// An empty window.
+    /// Creates a budget with an empty window.
     #[must_use]
     pub fn new(now: time::Instant) -> Self {
         Self {
@@ -44,17 +43,17 @@
         }
     }
 
-    /// A first try is made.
+    /// Counts a first attempt.
     pub fn record_first_attempt(&mut self, now: time::Instant) {
         self.advance(now);
         self.slots[self.newest].first_attempts += 1;
     }
 
-    /// Takes one retry, when retries are under `fraction` of first tries.
+    /// Takes one retry if retries are below `fraction` of first attempts.
     ///
     /// # Errors
     ///
-    /// How long until the oldest retries leave the window.
+    /// Returns the time until the oldest retries leave the window.
     pub fn take_retry(&mut self, fraction: f64, now: time::Instant) -> Result<(), Duration> {
         self.advance(now);
         let first_attempts: u32 = self.slots.iter().map(|slot| slot.first_attempts).sum();
--- a/crates/flow/src/claim.rs
+++ b/crates/flow/src/claim.rs
@@ -1,4 +1,4 @@
-//! A claim in the hands of one request.
+//! A claim on an idempotency key, held by one request.
 
 use std::{sync, time::Duration};
 
@@ -9,20 +9,21 @@
     shared,
 };
 
-/// Storing how a call ended is tried for this long.
+/// Time limit for storing the outcome of a call.
 const STORE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// First delay between two tries to store.
+/// Initial delay between two attempts to store an outcome; it doubles each time.
 const INITIAL_STORE_DELAY: Duration = Duration::from_millis(100);
 
-/// A claim that this request holds. Dropped before the call is_valid, it is given back: the key
-/// may then be claimed again.
+/// A claim that this request holds.
+///
+/// Dropping it before the call is sent releases it, so that the key may be claimed again.
 #[derive(Debug)]
 pub struct HeldClaim<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
-    /// Taken when the claim is settled.
+    /// `None` once the claim has been settled.
     hold: Option<port::ClaimHold>,
-    /// What a drop means: nothing was sent yet, or the call may have run.
+    /// Outcome to store on drop: nothing was sent yet, or the call may have run.
     end_on_drop: port::ClaimEnd,
 }
 
@@ -38,11 +39,12 @@
         }
     }
 
-    /// Whether a try may begin_send now; if so, a drop means from here on that it may have run.
+    /// Returns whether an attempt may be sent now. If so, dropping the claim from here on records
+    /// that the call may have run.
     ///
-    /// What goes wrong without the look at the clock: a process that was paused between its
-    /// claim and its call sends after others have taken the claim for lapsed. One would notice a
-    /// call that arrives after a repeat was told "unknown".
+    /// The clock is checked because a process that was paused between claim and call would
+    /// otherwise send after others consider the claim lapsed: the call would run after a repeat
+    /// was answered as unknown.
     pub(crate) fn begin_send(&mut self, now: time::Instant) -> bool {
         let is_valid = self.hold.as_ref().is_some_and(|hold| now < hold.deadline);
         if is_valid {
@@ -51,12 +53,12 @@
         is_valid
     }
 
-    /// The try that left was proved not to have run.
+    /// Records that the attempt that was sent is proved not to have run.
     pub(crate) fn mark_not_run(&mut self) {
         self.end_on_drop = port::ClaimEnd::NotRun;
     }
 
-    /// Settles the claim; the end is stored in the background, which a graceful stop waits for.
+    /// Settles the claim. The outcome is stored in the background; a graceful shutdown waits for it.
     pub(crate) fn settle(mut self, end: port::ClaimEnd) {
         self.end_on_drop = end;
     }
--- a/crates/flow/src/classify.rs
+++ b/crates/flow/src/classify.rs
@@ -1,4 +1,4 @@
-//! Filter: what is asked for, how long may it wait, and until when?
+//! Classification filter: parses the work and determines its traffic class and deadline.
 
 use std::{sync, time::Duration};
 
@@ -12,14 +12,14 @@
     shared,
 };
 
-/// Understands the work and applies the rules to it.
+/// Parses the work and applies the rules to it.
 #[derive(Clone, Debug)]
 pub struct ClassifyFilter<P> {
     shared: sync::Arc<shared::SharedPlane<P>>,
 }
 
 impl<P: port::PortSet> ClassifyFilter<P> {
-    /// The filter of one plane.
+    /// Creates the filter of one request plane.
     #[must_use]
     pub const fn new(shared: sync::Arc<shared::SharedPlane<P>>) -> Self {
         Self { shared }
@@ -84,7 +84,7 @@
     }
 }
 
-/// The first event of a request: who asks for what.
+/// Builds the first event of a request: its organisation and its target.
 fn taken(
     config: &snapshot::ConfigSnapshot,
     organisation: id::OrganisationKey,
--- a/crates/flow/src/deduplicate.rs
+++ b/crates/flow/src/deduplicate.rs
@@ -1,4 +1,4 @@
-//! Filter: has a call with this idempotency key been made?
+//! Deduplication filter: runs at most one call per idempotency key.
 
 use std::{sync, time::Duration};
 
@@ -11,31 +11,31 @@
     refused, request, shared,
 };
 
-/// A key that claims to be from further ahead than this is refused: its window would end later
-/// than the claim book remembers it.
+/// Maximum time by which a key may lie in the future, in milliseconds. The window of a later key
+/// would end after the claim book has forgotten it.
 const CLOCK_SKEW_MS: u64 = 10_000;
 
-/// When to ask again while another call with the key is under way.
+/// Retry delay after an earlier call with the key may have run, in milliseconds.
 const UNKNOWN_RETRY_MS: u64 = 1_000;
 
-/// Claims the idempotency key of a call that must run at most call.
+/// Claims the idempotency key of a call that must run at most once.
 #[derive(Clone, Debug)]
 pub struct DeduplicateFilter<P> {
     shared: sync::Arc<shared::SharedPlane<P>>,
 }
 
-/// A request that may leave as far as its key is concerned.
+/// A request that holds the claim on its idempotency key, or needs none.
 pub type ClaimedRequest<P, W, Q> =
     request::Request<W, request::Claimed<Q, Option<claim::HeldClaim<P>>>>;
 
 impl<P: port::PortSet> DeduplicateFilter<P> {
-    /// The filter of one plane.
+    /// Creates the filter of one request plane.
     #[must_use]
     pub const fn new(shared: sync::Arc<shared::SharedPlane<P>>) -> Self {
         Self { shared }
     }
 
-    /// The claim to make; absent when the work may be repeated.
+    /// Builds the claim request; `None` if the work may be repeated.
     fn claim_request<W: request::Work>(
         &self,
         facts: &request::RequestFacts<W>,
@@ -68,11 +68,11 @@
 }
 
 impl<P: port::PortSet> DeduplicateFilter<P> {
-    /// Claims a key, in a task of its own.
+    /// Claims a key in a separate task.
     ///
-    /// What goes wrong otherwise: a caller goes away while the claim is appended, and the claim
-    /// stands for a call that is never sent. One would notice keys that are told as unknown
-    /// although nothing ran. In its own task the claim comes to its holder, or is given back.
+    /// A caller may disconnect while the claim is appended. Without a task of its own the claim
+    /// would stay on the log for a call that is never sent, and repeats would be answered as unknown
+    /// although nothing ran. The task either hands the claim to the request or releases it.
     async fn claim(
         &self,
         request: port::ClaimAsk,
@@ -123,11 +123,11 @@
         match answer {
             port::ClaimAnswer::Stored(answer) => Err(filter::EarlyEnd::Stored(answer)),
             port::ClaimAnswer::Refused(body) => Err(input.refused(body).into()),
-            // Taken out above.
+            // Unreachable: `Self::claim` returns fresh claims as `Ok`.
             port::ClaimAnswer::Fresh(_) => Err(input.refused(unanswered()).into()),
             port::ClaimAnswer::InProgress { retry_after_ms } => {
-                let message = "a call with this idempotency key is in progress; repeat it later \
-                               for its answer";
+                let message = "a call with this idempotency key is in progress; repeat the call \
+                               later to get its answer";
                 Err(earlier_call_refusal(
                     refusal::RefusalCode::InProgress,
                     message,
@@ -146,7 +146,7 @@
             port::ClaimAnswer::Mismatch => {
                 let body = refusal::RefusalBody::not_run(
                     refusal::RefusalCode::BadRequest,
-                    "this idempotency key was used for another call; draw a new key for each call",
+                    "this idempotency key was used for another call; use a new key for each call",
                 );
                 Err(input.refused(body).into())
             }
@@ -154,13 +154,14 @@
     }
 }
 
-/// When to ask again after a claim was not answered in time.
+/// Retry delay after a claim that was not answered in time.
 const UNANSWERED_RETRY: Duration = Duration::from_secs(1);
 
-/// The claim may be on the log; it is given back, as the call is not sent.
+/// Refusal for a claim that was not answered in time. The claim may be on the log; it is released,
+/// since the call is not sent.
 fn unanswered() -> refusal::RefusalBody {
     let message = "the claim on the idempotency key was not answered in time, so the call was not \
-                   sent; repeat it after the time given";
+                   sent; repeat it after the given time";
     shared::retryable_refusal(
         refusal::RefusalCode::DeadlineExceeded,
         message,
@@ -168,7 +169,7 @@
     )
 }
 
-/// What a repeat is told: its fate is that of the first call, which is not known.
+/// Refusal of a repeated call: its outcome is that of the first call, which is not known.
 fn earlier_call_refusal(
     code: refusal::RefusalCode,
     message: &str,
@@ -178,7 +179,7 @@
     refused::Refused::of_claim(body, outcome::RanState::Unknown).into()
 }
 
-/// The time that a key carries, when it lies in the window in which repeats are recognised.
+/// Parses the time in a key and checks that it lies within the deduplication window.
 fn key_time(key: &str, now_ms: u64, window_ms: u64) -> Result<u64, refusal::RefusalBody> {
     let made_ms = key
         .split_once('-')
@@ -186,7 +187,7 @@
         .ok_or_else(|| {
             refusal::RefusalBody::not_run(
                 refusal::RefusalCode::BadRequest,
-                "the idempotency key carries no time; send `<unix milliseconds>-<text>`",
+                "the idempotency key has no timestamp; send `<unix milliseconds>-<text>`",
             )
         })?;
     let window = Duration::from_millis(window_ms);
@@ -194,8 +195,8 @@
         return Err(refusal::RefusalBody::not_run(
             refusal::RefusalCode::IdempotencyKeyExpired,
             format!(
-                "the idempotency key is older than {} s; whether it ran is no longer known here, \
-                 so look that up, then draw a new key",
+                "the idempotency key is older than {} s, so it is no longer known whether a call \
+                 with it ran; look that up, then use a new key",
                 window.as_secs()
             ),
         )
@@ -204,7 +205,7 @@
     if made_ms > now_ms.saturating_add(CLOCK_SKEW_MS) {
         return Err(refusal::RefusalBody::not_run(
             refusal::RefusalCode::BadRequest,
-            "the idempotency key is from the future; set the caller's clock",
+            "the time in the idempotency key is in the future; correct the caller's clock",
         ));
     }
     Ok(made_ms)
--- a/crates/flow/src/filter.rs
+++ b/crates/flow/src/filter.rs
@@ -1,13 +1,13 @@
-//! The chain that every request goes through.
+//! The filter chain that every request passes through.
 
 use crate::{port, refused};
 
-/// How the chain ends before its last filter.
+/// Early end of the chain, before its last filter.
 #[derive(Debug)]
 pub enum EarlyEnd {
-    /// Refused.
+    /// The request was refused.
     Refused(refused::Refused),
-    /// An earlier call with the same idempotency key has the answer.
+    /// The stored answer of an earlier call with the same idempotency key.
     Stored(port::ServiceAnswer),
 }
 
@@ -17,16 +17,16 @@
     }
 }
 
-/// One step of the chain: a request in one stage in, in the next stage out.
+/// One step of the chain: takes a request in one stage and returns it in the next.
 pub trait Filter<In: Send>: Send + Sync {
-    /// The next stage.
+    /// The request in its next stage.
     type Out: Send;
 
-    /// Applies it. A request that does not pass ends here, with what it held given back.
+    /// Applies the filter. A request that does not pass ends here and releases what it holds.
     fn apply(&self, input: In) -> impl Future<Output = Result<Self::Out, EarlyEnd>> + Send;
 }
 
-/// Two filters, one after the other.
+/// Two filters applied in sequence.
 #[derive(Clone, Debug)]
 pub struct Chain<A, B> {
     first: A,
@@ -34,12 +34,12 @@
 }
 
 impl<A, B> Chain<A, B> {
-    /// `first`, then `second`.
+    /// Applies `first`, then `second`.
     pub const fn new(first: A, second: B) -> Self {
         Self { first, second }
     }
 
-    /// This chain, then `next`.
+    /// Extends this chain by `next`.
     pub const fn then<C>(self, next: C) -> Chain<Self, C> {
         Chain::new(self, next)
     }
--- a/crates/flow/src/gate.rs
+++ b/crates/flow/src/gate.rs
@@ -1,4 +1,4 @@
-//! What runs in this process, and a graceful end of it.
+//! Counts the requests that run in this process and drains them on shutdown.
 
 use std::{sync::atomic, time::Duration};
 
@@ -8,34 +8,34 @@
     time,
 };
 
-/// When a caller that comes to a leaving entry VM may try again; another one may be asked at
-/// once.
+/// Retry delay for a caller of an entry VM that is leaving, in milliseconds. Another entry VM may be
+/// called at once.
 const LEAVING_RETRY_MS: u64 = 1_000;
 
-/// Requests are taken.
+/// New requests are accepted.
 const OPEN: u8 = 0;
 
 /// New requests are refused.
 const CLOSED: u8 = 1;
 
-/// Streams end here and are continued from another entry VM.
+/// Streams end here and continue at another entry VM.
 const HANDING_OVER: u8 = 2;
 
-/// Counts what runs; closed when this entry VM leaves.
+/// Counts running requests; closed when this entry VM leaves.
 ///
-/// What goes wrong without it: a process that is told to end cuts off what it relays. One would
-/// notice streams without their `[DONE]` at every rollout. Here new work is refused first, what
-/// runs is waited for, and only what outlasts the wait is handed over by its token.
+/// Without it, a process that is told to stop would cut off the streams that it relays, and every
+/// rollout would leave streams without their `[DONE]`. Draining refuses new requests first, waits
+/// for the running ones, and hands over the remaining streams by their continuation tokens.
 #[derive(Debug)]
 pub struct FlowGate {
-    /// [`OPEN`], [`CLOSED`] or [`HANDING_OVER`]; only ever grows: a second signal does not open
-    /// the gate again.
+    /// [`OPEN`], [`CLOSED`] or [`HANDING_OVER`]. It never decreases, so a second signal cannot
+    /// reopen the gate.
     phase: atomic::AtomicU8,
     phase_changed: Notify,
     running: watch::Sender<u64>,
 }
 
-/// Counts one request for as long as it is held.
+/// Counts one request as running until dropped.
 #[derive(Debug)]
 pub struct GatePass {
     running: watch::Sender<u64>,
@@ -58,23 +58,24 @@
 }
 
 impl FlowGate {
-    /// Lets one request in.
+    /// Admits one request.
     ///
     /// # Errors
     ///
-    /// A refusal once the gate is closed.
+    /// Returns a refusal once the gate is closed.
     pub fn enter(&self) -> Result<GatePass, refusal::RefusalBody> {
-        // Counted before the check: one that is let in is seen by whoever closes and then waits.
+        // Counted before the check, so that a drain that closes the gate and then waits sees every
+        // admitted request.
         let pass = self.extend();
         if self.is_closed() {
-            let message = "this entry VM is leaving; ask another of GET /v1/entries";
+            let message = "this entry VM is leaving; use another one listed by GET /v1/entries";
             let body = refusal::RefusalBody::not_run(refusal::RefusalCode::NotReady, message);
             return Err(body.retry_after_ms(LEAVING_RETRY_MS));
         }
         Ok(pass)
     }
 
-    /// A pass for work that belongs to a request which is already in.
+    /// Returns a further pass for work of a request that was already admitted.
     #[must_use]
     pub fn extend(&self) -> GatePass {
         self.running.send_modify(|running| *running += 1);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Refuses new work from here on.
+    /// Closes the gate: new requests are refused from here on.
     pub fn close(&self) {
         self.enter_phase(CLOSED);
     }
@@ -93,49 +94,50 @@
         self.phase_changed.notify_waiters();
     }
 
-    /// Completes when new work is refused.
+    /// Completes when the gate is closed.
     pub async fn closed(&self) {
         let changed = self.phase_changed.notified();
         tokio::pin!(changed);
-        // Listening begins before the look, so that a change between the two is not missed.
+        // Registered before the check, so that a change between the two is not missed.
         changed.as_mut().enable();
         if !self.is_closed() {
             changed.await;
         }
     }
 
-    /// Whether new work is refused.
+    /// Whether new requests are refused.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.phase.load(atomic::Ordering::SeqCst) >= CLOSED
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     #[must_use]
     pub fn running(&self) -> u64 {
         *self.running.borrow()
     }
 
-    /// Ends every stream with its continuation token; the generations go on.
+    /// Ends every stream with its continuation token; the generations keep running.
     pub fn hand_over(&self) {
         self.enter_phase(HANDING_OVER);
     }
 
-    /// Whether streams are to end with their continuation token; looked at with each token and
-    /// each heartbeat, so that no stream need wait for it.
+    /// Whether streams must end with their continuation token. Streams check this with each token
+    /// and each heartbeat, so none has to wait for a notification.
     #[must_use]
     pub fn is_handing_over(&self) -> bool {
         self.phase.load(atomic::Ordering::Relaxed) == HANDING_OVER
     }
 
-    /// Completes when nothing runs.
+    /// Completes when no request runs.
     pub async fn idle(&self) {
         let mut watcher = self.running.subscribe();
         let _ = watcher.wait_for(|running| *running == 0).await;
     }
 
-    /// Graceful end: refuses new work, waits for what runs for at most `grace`, then hands over
-    /// what is left and waits for at most `handover`. Returns how many still run.
+    /// Shuts down gracefully: refuses new requests, waits at most `grace` for the running ones, then
+    /// hands over the remaining streams and waits at most `handover`. Returns the number of requests
+    /// that still run.
     pub async fn drain(&self, grace: Duration, handover: Duration) -> u64 {
         self.close();
         if time::timeout(grace, self.idle()).await.is_err() {
--- a/crates/flow/src/quarantine.rs
+++ b/crates/flow/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Filter: does this content crash backend servers?
+//! Quarantine filter: refuses content that crashes backend servers.
 
 use std::sync;
 
@@ -7,26 +7,27 @@
 
 use crate::{filter, port, request, shared, suspect::ContentStanding};
 
-/// Held by a suspect while it runs: suspects run one to a server, on few servers.
+/// Permit that a suspect holds while it runs: each suspect has a server to itself, and only a few
+/// servers run suspects.
 #[derive(Debug)]
 pub struct ProbePermit {
     _permit: OwnedSemaphorePermit,
 }
 
-/// Refuses quarantined content, and makes suspects run alone.
+/// Refuses quarantined content and runs suspects in isolation.
 #[derive(Clone, Debug)]
 pub struct QuarantineFilter<P> {
     shared: sync::Arc<shared::SharedPlane<P>>,
 }
 
 impl<P: port::PortSet> QuarantineFilter<P> {
-    /// The filter of one plane.
+    /// Creates the filter of one request plane.
     #[must_use]
     pub const fn new(shared: sync::Arc<shared::SharedPlane<P>>) -> Self {
         Self { shared }
     }
 
-    /// Waits for a turn as long as content is suspect; it may be cleared meanwhile.
+    /// Waits for a probe permit if the content is suspect; it may be cleared during the wait.
     async fn check<W: request::Work>(
         &self,
         work: &W,
@@ -35,10 +36,10 @@
         let content = work.fingerprint();
         let standing = || self.shared.suspects.standing(content, self.shared.now_ms());
         if let ContentStanding::Suspect { .. } = standing() {
-            let turn = self.shared.probe_permits.clone().acquire_owned();
-            let permit = match time::timeout_at(due_at, turn).await {
+            let acquiring = self.shared.probe_permits.clone().acquire_owned();
+            let permit = match time::timeout_at(due_at, acquiring).await {
                 Ok(Ok(permit)) => permit,
-                Ok(Err(_)) | Err(_) => return Err(no_probe_slot()),
+                Ok(Err(_)) | Err(_) => return Err(no_probe_permit()),
             };
             return match standing() {
                 ContentStanding::Suspect { .. } => Ok(Some(ProbePermit { _permit: permit })),
@@ -56,25 +57,25 @@
 fn quarantined(left_ms: u64) -> refusal::RefusalBody {
     refusal::RefusalBody::not_run(
         refusal::RefusalCode::Quarantined,
-        "backend servers died each time they ran this content; change it, or have an operator \
-         lift the quarantine",
+        "each backend server that ran this content crashed; change the content, or have an \
+         operator lift the quarantine",
     )
     .retry_after_ms(left_ms)
 }
 
-/// When a suspect that found no turn may come back.
+/// Retry delay for a suspect that got no probe permit, in milliseconds.
 const PROBE_BUSY_RETRY_MS: u64 = 1_000;
 
-fn no_probe_slot() -> refusal::RefusalBody {
+fn no_probe_permit() -> refusal::RefusalBody {
     refusal::RefusalBody::not_run(
         refusal::RefusalCode::Overloaded,
-        "a backend server died while it ran this content, which now waits for one to itself; \
-         ask again after the time given",
+        "a backend server crashed while it ran this content, which now needs a server to itself \
+         and found none free; retry after the given time",
     )
     .retry_after_ms(PROBE_BUSY_RETRY_MS)
 }
 
-/// A request that may run, alone if it is a suspect.
+/// A request that may run; a suspect carries a probe permit and runs alone.
 pub type ClearedRequest<W, Q, C> = request::Request<W, request::Cleared<Q, C, Option<ProbePermit>>>;
 
 impl<P, W, Q, C> filter::Filter<request::Request<W, request::Claimed<Q, C>>> for QuarantineFilter<P>
--- a/crates/flow/src/quota.rs
+++ b/crates/flow/src/quota.rs
@@ -1,4 +1,4 @@
-//! Filter: is the organisation within its limits, and is there any hope of a place?
+//! Quota filter: enforces the limits of organisations and refuses early under overload.
 
 use std::sync;
 
@@ -11,23 +11,23 @@
     refused, request, shared,
 };
 
-/// Takes the request's share of its organisation's limits, and refuses early under overload.
+/// Charges a request to its organisation's limits and refuses early under overload.
 ///
-/// Early, because a request that will be refused should cost neither a place in a queue nor an
-/// append on the log.
+/// Refusing early saves a place in the queue and an append on the log for a request that would be
+/// refused anyway.
 #[derive(Clone, Debug)]
 pub struct QuotaFilter<P> {
     shared: sync::Arc<shared::SharedPlane<P>>,
 }
 
 impl<P: port::PortSet> QuotaFilter<P> {
-    /// The filter of one plane.
+    /// Creates the filter of one request plane.
     #[must_use]
     pub const fn new(shared: sync::Arc<shared::SharedPlane<P>>) -> Self {
         Self { shared }
     }
 
-    /// Whether this is a repeat of a keyed call that this process knows of.
+    /// Whether this repeats a call whose idempotency key this process has already seen.
     fn is_known_repeat<W: request::Work>(
         &self,
         input: &request::Request<W, request::Terms>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// What a request holds of its organisation's limits.
+/// Permit for a request's share of its organisation's limits.
 pub type QuotaPermit<P> = <<P as port::PortSet>::Quotas as port::QuotaBook>::Permit;
 
 impl<P: port::PortSet, W: request::Work> filter::Filter<request::Request<W, request::Terms>>
@@ -58,13 +58,13 @@
         let is_repeat = self.is_known_repeat(&input);
         let refused = |input: request::Request<W, request::Terms>, body| {
             if is_repeat {
-                // Not run, this time; but the caller asks about its first call.
+                // This call did not run, but the answer must hold for the first call.
                 refused::Refused::of_claim(body, outcome::RanState::Unknown)
             } else {
                 input.refused(body)
             }
         };
-        // A repeat costs no place: it is given the stored answer, also under overload.
+        // A repeat needs no slot: it gets the stored answer, also under overload.
         if !is_repeat && let Some(body) = self.shared.ports.schedule().early_refusal(&request) {
             return Err(input.refused(body).into());
         }
--- a/crates/flow/src/route.rs
+++ b/crates/flow/src/route.rs
@@ -1,4 +1,4 @@
-//! Filter: where is the server that was granted, and does it still take work?
+//! Routing filter: resolves the address of the granted server and checks that it still takes work.
 
 use std::{sync, time::Duration};
 
@@ -7,27 +7,27 @@
 
 use crate::{filter, port, quarantine, request, shared, view};
 
-/// When to come back when no granted server takes work.
+/// Retry delay if no granted server takes work.
 const NO_SERVER_RETRY: Duration = Duration::from_secs(1);
 
-/// Pause before asking for another place, which lets the scheduler learn who is leaving.
+/// Delay before requesting another slot, so that the scheduler learns which servers are leaving.
 const REQUEUE_DELAY: Duration = Duration::from_millis(20);
 
-/// Places that are asked for before a request is refused.
+/// Maximum number of grants that are checked before a request is refused.
 const MAX_GRANTS: u32 = 5;
 
 /// Resolves the granted server.
 ///
-/// What goes wrong without a second look: a place that was granted before a server was known to
-/// be leaving sends it new work after. One would notice a start on a leaving server more than
-/// two seconds after the first source said so.
+/// The server is checked again after the grant. Otherwise a slot that was granted before the server
+/// was known to be leaving would start work there more than two seconds after the first source
+/// reported it.
 #[derive(Clone, Debug)]
 pub struct RouteFilter {
     views: watch::Receiver<sync::Arc<view::PlaneView>>,
 }
 
 impl RouteFilter {
-    /// The filter of one plane; it looks at the newest view, not the request's own.
+    /// Creates the filter of one request plane. It uses the newest view, not the request's own.
     #[must_use]
     pub const fn new(views: watch::Receiver<sync::Arc<view::PlaneView>>) -> Self {
         Self { views }
@@ -40,7 +40,7 @@
         target.filter(|_| view.takes_work(key))
     }
 
-    /// The grant's server, or that of another grant when it takes no work.
+    /// Resolves the grant's server, or requests another grant if that server takes no work.
     async fn resolve<G: port::Grant>(
         &self,
         mut grant: G,
@@ -57,8 +57,8 @@
                 Err(_) => break,
             };
         }
-        let message = "every backend server that was chosen is leaving; ask again after the time \
-                       given";
+        let message = "every backend server that was chosen is leaving; retry after the given \
+                       time";
         Err(shared::retryable_refusal(
             refusal::RefusalCode::Unavailable,
             message,
@@ -67,10 +67,10 @@
     }
 }
 
-/// What a request holds once it has a place.
+/// Stage of a request that was granted a slot.
 type AdmittedStage<Q, C, G> = request::Admitted<Q, C, Option<quarantine::ProbePermit>, G>;
 
-/// A request with its server's address.
+/// A request with the address of its server.
 pub type RoutedRequest<W, Q, C, G> =
     request::Request<W, request::Routed<Q, C, Option<quarantine::ProbePermit>, G>>;
 
