--- a/crates/flow/src/body.rs
+++ b/crates/flow/src/body.rs
@@ -1,37 +1,37 @@
-//! Requests for generations in the shape that client libraries of the field speak.
+//! Bodies of generation requests in the format of common client libraries.
 
 use std::fmt::Write as _;
 
 use base::fingerprint;
 use snafu::{ResultExt as _, Snafu};
 
-/// A request's body cannot be served.
+/// Error in a request body.
 #[derive(Debug, Snafu)]
 pub enum BodyError {
-    /// It is not JSON of the expected shape.
-    #[snafu(display("the request body is not understood: {source}; correct it"))]
+    /// The body is not JSON of the expected shape.
+    #[snafu(display("the request body is malformed: {source}; correct it"))]
     Malformed {
-        /// What the parser said, with line and column.
+        /// Error of the parser, with line and column.
         source: serde_json::Error,
     },
-    /// There is nothing to generate from.
-    #[snafu(display("the request body has no text in `{field}`; give at least one"))]
+    /// The prompt is empty.
+    #[snafu(display("the request body has no text in `{field}`; send at least one"))]
     Empty {
-        /// The field.
+        /// Name of the empty field.
         field: String,
     },
-    /// More than one answer is asked for.
-    #[snafu(display("`n` is {count}; send one request for each answer that is wanted"))]
+    /// More than one answer was requested.
+    #[snafu(display("`n` is {count}; send one request per answer"))]
     MultipleChoices {
-        /// Answers that were asked for.
+        /// Number of answers requested.
         count: u32,
     },
-    /// No token may be produced.
-    #[snafu(display("`max_tokens` is 0; give at least 1, or leave it out"))]
+    /// The limit of tokens is 0.
+    #[snafu(display("`max_tokens` is 0; send at least 1, or omit it"))]
     ZeroMaxTokens,
 }
 
-/// Which of the two faces a caller used.
+/// Completion API that a caller used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionApi {
     /// `POST /v1/chat/completions`.
@@ -40,22 +40,22 @@
     Completion,
 }
 
-/// What a caller asks for.
+/// Parsed body of a generation request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GenerationBody {
-    /// The face that it came by; answers take the same shape.
+    /// API of the request; the answer uses the format of the same API.
     pub api: CompletionApi,
-    /// The model as the caller names it: `model` or `model:adapter`.
+    /// Model as named by the caller: `model` or `model:adapter`.
     pub model: String,
-    /// The whole prompt.
+    /// Complete prompt.
     pub prompt: String,
-    /// Most tokens to produce; absent: what the model's context leaves.
+    /// Maximum number of tokens to produce; `None`: what the model's context leaves.
     pub max_tokens: Option<u32>,
-    /// Seed of the sampling.
+    /// Sampling seed.
     pub seed: Option<u64>,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether a streamed answer ends with a chunk of its own for the usage.
+    /// Whether a streamed answer ends with a separate usage chunk.
     pub include_usage: bool,
 }
 
@@ -114,11 +114,11 @@
 }
 
 impl GenerationBody {
-    /// Parses a body; fields that are not known are ignored, as clients send many.
+    /// Parses a body. Unknown fields are ignored, since clients send many.
     ///
     /// # Errors
     ///
-    /// [`BodyError`] names what is wrong and what to do.
+    /// Returns a [`BodyError`] that states the problem and how to correct it.
     pub fn parse(api: CompletionApi, body: &[u8]) -> Result<Self, BodyError> {
         let raw: RawBody = serde_json::from_slice(body).context(MalformedSnafu)?;
         let count = raw.n.unwrap_or(1);
@@ -142,14 +142,14 @@
         })
     }
 
-    /// Fingerprint of what an engine is given to work on; a caller's repeat has the same.
+    /// Fingerprint of the engine's input; a repeated request has the same one.
     #[must_use]
     pub fn fingerprint(&self) -> fingerprint::ContentHash {
         fingerprint::ContentHash::of_parts(&[self.model.as_bytes(), self.prompt.as_bytes()])
     }
 }
 
-/// One line for each message, then the answer's beginning.
+/// Renders one line per message, followed by the start of the answer.
 fn chat_prompt(messages: &[RawMessage]) -> Result<String, BodyError> {
     let mut prompt = String::new();
     let mut has_text = false;
--- a/crates/flow/src/calling.rs
+++ b/crates/flow/src/calling.rs
@@ -1,5 +1,5 @@
-//! Filter, the last one for plain service calls: call, and call retried only where that is proved
-//! or allowed.
+//! Call filter, the last one for plain service calls: sends the call, and retries it only if it is
+//! proved not to have run or is idempotent.
 
 use std::{sync, time::Duration};
 
@@ -15,13 +15,13 @@
     proof, quota, request, route, shared,
 };
 
-/// When to come back after a call did not run.
-const NOT_RUN_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay after a call that failed.
+const FAILED_CALL_RETRY: Duration = Duration::from_secs(1);
 
-/// What a call's request holds before it has a place.
+/// Stage of a call that has not been granted a slot.
 type CallClaimed<P> = request::Claimed<quota::QuotaPermit<P>, Option<claim::HeldClaim<P>>>;
 
-/// A call's request with a place.
+/// A call with a granted slot and the address of its server.
 pub type CallRouted<P> = route::RoutedRequest<
     request::CallWork,
     quota::QuotaPermit<P>,
@@ -44,7 +44,7 @@
         Self { shared, placing }
     }
 
-    /// Sends one try and says which of the three it was.
+    /// Sends one attempt and returns which of the three outcomes it had.
     async fn send(
         &self,
         facts: &request::RequestFacts<request::CallWork>,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Another place for a call that may be tried retried.
+    /// Acquires another slot for a call that may be retried.
     async fn retry(
         &self,
         mut facts: request::RequestFacts<request::CallWork>,
@@ -182,10 +182,10 @@
     }
 }
 
-/// Until when one try may take.
+/// Deadline of one attempt.
 ///
-/// A call that may be repeated leaves half of its time for another server: one that hangs would
-/// take it all otherwise.
+/// An attempt of an idempotent call, unless it is the last one, gets half of the remaining time, so
+/// that a hanging server leaves time for another one.
 fn attempt_deadline(
     facts: &request::RequestFacts<request::CallWork>,
     due_at: time::Instant,
@@ -199,22 +199,22 @@
 }
 
 fn lapsed() -> refusal::RefusalBody {
-    let message = "the claim on the idempotency key lapsed before the call could leave; repeat it \
-                   after the time given";
+    let message = "the claim on the idempotency key lapsed before the call was sent; repeat it \
+                   after the given time";
     shared::retryable_refusal(
         refusal::RefusalCode::DeadlineExceeded,
         message,
-        NOT_RUN_RETRY,
+        FAILED_CALL_RETRY,
     )
 }
 
 fn may_have_run(cause: &str, repeat: Option<proof::RepeatPermit>) -> refusal::RefusalBody {
     let code = refusal::RefusalCode::BackendFault;
     if repeat.is_some() {
-        let message = format!("{cause}; ask retried after the time given");
-        return shared::retryable_refusal(code, message, NOT_RUN_RETRY);
+        let message = format!("{cause}; retry after the given time");
+        return shared::retryable_refusal(code, message, FAILED_CALL_RETRY);
     }
     let message =
-        format!("{cause}; look up whether it did before calling retried with another key");
+        format!("{cause}; look up whether the call ran before calling again with another key");
     refusal::RefusalBody::not_run(code, message)
 }
--- a/crates/flow/src/collect.rs
+++ b/crates/flow/src/collect.rs
@@ -1,31 +1,31 @@
-//! Collecting a whole answer, of one generation, over as many generations as that takes.
+//! Collects a complete answer of one generation and restarts generations that are lost.
 
 use crate::{
     attempt, filter, flowing, opening,
     port::{self, Grant as _, QuotaPermit as _},
 };
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompleteText {
-    /// All tokens of one generation.
+    /// Text of all tokens of one generation.
     pub text: String,
-    /// How it ended.
+    /// Finish report of the generation.
     pub report: port::FinishReport,
 }
 
-/// What came next of a generation that is collected.
+/// Next step of a generation that is being collected.
 enum CollectStep {
     Step(attempt::AttemptStep),
     Preempted,
 }
 
-/// Collects to the end. A generation that is lost on the way is thrown away whole, and another
-/// begins from nothing: none of it has left for the caller.
+/// Collects the answer to its end. If a generation is lost, all its tokens are discarded and another
+/// one starts from the beginning, since none of them has been sent to the caller.
 ///
 /// # Errors
 ///
-/// An honest refusal that says what is known of the tries.
+/// Returns a refusal that states whether any attempt ran.
 pub async fn collect<P: port::PortSet>(
     opener: &opening::GenerationOpener<P>,
     opened: opening::OpenedRequest<P>,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Collects one generation; `Err(None)`: the scheduler stopped it.
+/// Collects one generation; `Err(None)` means that the scheduler preempted it.
 async fn collect_one<P: port::PortSet>(
     opened: &mut opening::OpenedRequest<P>,
 ) -> Result<CompleteText, Option<attempt::AttemptLoss>> {
--- a/crates/flow/src/opening.rs
+++ b/crates/flow/src/opening.rs
@@ -1,4 +1,4 @@
-//! Bringing a generation to its first token, over as many tries as that takes.
+//! Runs attempts of a generation until one delivers its first token.
 
 use std::{sync, time::Duration};
 
@@ -14,17 +14,17 @@
     shared, view,
 };
 
-/// When to come back when the tries of a request are used up.
+/// Retry delay after all attempts of a request have failed.
 const EXHAUSTED_RETRY: Duration = Duration::from_secs(1);
 
-/// Pause before a suspect that met another on its server asks for another place.
+/// Delay before a suspect that was granted a server with another suspect requests another slot.
 const PROBE_CONFLICT_DELAY: Duration = Duration::from_millis(50);
 
-/// What a generation's request holds before it has a place.
+/// Stage of a generation that has not been granted a slot.
 pub type GenerationClaimed<P> =
     request::Claimed<quota::QuotaPermit<P>, Option<claim::HeldClaim<P>>>;
 
-/// A generation's request with a place.
+/// A generation with a granted slot and the address of its server.
 pub type GenerationRouted<P> = route::RoutedRequest<
     request::GenerationWork,
     quota::QuotaPermit<P>,
@@ -32,25 +32,25 @@
     admit::SlotGrant<P>,
 >;
 
-/// Filters that find a place for a try, the first and every further one.
+/// Filters that acquire a slot for an attempt, the first one and every retry.
 pub type PlacementChain<P> = filter::Chain<
     filter::Chain<quarantine::QuarantineFilter<P>, admit::AdmitFilter<P>>,
     route::RouteFilter,
 >;
 
-/// A request whose generation has shown its first step.
+/// A request whose generation has delivered its first step.
 pub struct OpenedRequest<P: port::PortSet> {
-    /// What stays the same.
+    /// Facts of the request that no filter changes.
     pub facts: request::RequestFacts<request::GenerationWork>,
-    /// What it holds.
+    /// Terms, quota and claim of the request.
     pub claimed: GenerationClaimed<P>,
-    /// Its try.
+    /// The running attempt.
     pub running: running::RunningTry<P>,
-    /// The first step: a token, or the end.
+    /// The first step: a token or the end.
     pub step: attempt::AttemptStep,
 }
 
-/// Starts generations and restarts them for as long as nothing of them has left for the caller.
+/// Starts generations and restarts them as long as no token has been sent to the caller.
 #[derive(Clone, Debug)]
 pub struct GenerationOpener<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
@@ -71,11 +71,11 @@
         }
     }
 
-    /// Runs tries until one shows its first token or its end.
+    /// Runs attempts until one delivers its first token or its end.
     ///
     /// # Errors
     ///
-    /// An honest refusal that says what is known of the tries.
+    /// Returns a refusal that states whether any attempt ran.
     pub async fn open(
         &self,
         routed: GenerationRouted<P>,
@@ -90,11 +90,11 @@
             let request::Routed { admitted, target } = stage;
             let request::Cleared { claimed, probe } = admitted.cleared;
             let content = facts.work.content;
-            let begun = self
+            let mark = self
                 .shared
                 .suspects
                 .begin(target.key, content, probe.is_some());
-            let Some(mark) = begun else {
+            let Some(mark) = mark else {
                 drop((admitted.grant, probe));
                 time::sleep(PROBE_CONFLICT_DELAY).await;
                 routed = self.place(facts, permit, claimed).await?;
@@ -136,11 +136,12 @@
         running.first_step(&self.shared, facts, terms.due_at).await
     }
 
-    /// Ends a try whose answer was held here, and opens another. `None`: the scheduler stops it.
+    /// Ends an attempt whose answer was buffered here and opens another one. A `loss` of `None` means
+    /// that the scheduler preempts it.
     ///
     /// # Errors
     ///
-    /// An honest refusal that says what is known of the tries.
+    /// Returns a refusal that states whether any attempt ran.
     pub async fn reopen(
         &self,
         opened: OpenedRequest<P>,
@@ -152,7 +153,7 @@
             running,
             step: _,
         } = opened;
-        // The time limit is for the first token: a new generation has a new one.
+        // The time limit applies to the first token, so a new generation gets a new deadline.
         claimed.terms.due_at = time::Instant::now() + claimed.terms.time_limit;
         let until = claimed.terms.due_at;
         let end = match loss {
@@ -208,19 +209,19 @@
         }
     }
 
-    /// Finds a place for another try.
+    /// Acquires a slot for another attempt.
     async fn place(
         &self,
         facts: request::RequestFacts<request::GenerationWork>,
         permit: proof::StartPermit,
         claimed: GenerationClaimed<P>,
     ) -> Result<GenerationRouted<P>, filter::EarlyEnd> {
-        let again = request::Request {
+        let retried = request::Request {
             facts,
             permit,
             stage: claimed,
         };
-        self.placing.apply(again).await
+        self.placing.apply(retried).await
     }
 }
 
@@ -232,12 +233,12 @@
 pub(crate) fn retry_budget_exhausted(delay: Duration) -> refusal::RefusalBody {
     shared::retryable_refusal(
         refusal::RefusalCode::Overloaded,
-        "a try failed and the budget of retries is used up; ask again after the time given",
+        "an attempt failed and the retry budget is exhausted; retry after the given time",
         delay,
     )
 }
 
 pub(crate) fn attempts_exhausted(cause: &str) -> refusal::RefusalBody {
-    let message = format!("{cause}; no try succeeded; ask again after the time given");
+    let message = format!("{cause}; all attempts failed; retry after the given time");
     shared::retryable_refusal(refusal::RefusalCode::Unavailable, message, EXHAUSTED_RETRY)
 }
--- a/crates/flow/src/plane.rs
+++ b/crates/flow/src/plane.rs
@@ -1,4 +1,4 @@
-//! The request plane as a daemon calls it.
+//! Public interface of the request plane.
 
 use std::{sync, time::Duration};
 
@@ -15,53 +15,53 @@
     proof, quarantine, quota, request, route, settings, shared, token, view,
 };
 
-/// A stream that broke is sought for this long at most, or for its class's time limit.
+/// Maximum time for reconnecting to a stream; a shorter time limit of its class takes precedence.
 pub(crate) const MAX_RECONNECT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a caller is sent.
+/// Answer to a generation request.
 #[derive(Debug)]
 pub enum GenerationReply {
-    /// A whole answer.
+    /// A complete answer.
     Complete {
-        /// The caller's request, for `x-request-id`.
+        /// Request identifier, for `x-request-id`.
         request: id::RequestId,
-        /// The body, JSON.
+        /// JSON body.
         body: Bytes,
     },
-    /// A stream that has begun.
+    /// A stream that has started.
     Stream(StreamReply),
 }
 
-/// A stream that has begun.
+/// A stream that has started.
 #[derive(Debug)]
 pub struct StreamReply {
-    /// The caller's request, for `x-request-id`.
+    /// Request identifier, for `x-request-id`.
     pub request: id::RequestId,
-    /// For `x-generation-token`.
+    /// Continuation token, for `x-generation-token`.
     pub token: String,
     /// Server-sent events.
     pub stream: pipe::CallerStream,
 }
 
-/// A request that was refused, and its identifier.
+/// A refused request and its identifier.
 #[derive(Debug)]
 pub struct RefusedRequest {
-    /// For `x-request-id`.
+    /// Request identifier, for `x-request-id`.
     pub request: id::RequestId,
-    /// The body of the answer.
+    /// Body of the answer.
     pub body: refusal::RefusalBody,
 }
 
-/// A plain service's answer.
+/// Answer of a plain service.
 #[derive(Debug)]
 pub struct ServiceReply {
-    /// The caller's request, for `x-request-id`.
+    /// Request identifier, for `x-request-id`.
     pub request: id::RequestId,
-    /// The answer.
+    /// Answer of the service.
     pub answer: port::ServiceAnswer,
 }
 
-/// Filters from the known organisation up to the claim.
+/// Filters from classification to the claim on the idempotency key.
 type PreparationChain<P> = Chain<
     Chain<classify::ClassifyFilter<P>, quota::QuotaFilter<P>>,
     deduplicate::DeduplicateFilter<P>,
@@ -79,7 +79,7 @@
 }
 
 impl<P: port::PortSet> RequestPlane<P> {
-    /// A plane that goes by the newest of `views`.
+    /// Creates a plane that uses the newest of `views`.
     pub fn new(
         ports: P,
         settings: settings::PlaneSettings,
@@ -109,35 +109,35 @@
         }
     }
 
-    /// What runs, and a graceful end.
+    /// Gate that counts running requests and drains them.
     #[must_use]
     pub fn gate(&self) -> &gate::FlowGate {
         &self.shared.gate
     }
 
-    /// Content that crashes backend servers.
+    /// Record of content that crashes backend servers.
     #[must_use]
     pub fn suspects(&self) -> &crashes::SuspectBook {
         &self.shared.suspects
     }
 
-    /// The ports.
+    /// Ports of this plane.
     #[must_use]
     pub fn ports(&self) -> &P {
         &self.shared.ports
     }
 
-    /// Another entry VM goes on with a generation that this one began to relay.
+    /// Records that another entry VM has taken over a generation that this one relayed first.
     pub fn adopted_elsewhere(&self, generation: id::GenerationId) {
         self.shared.readers.adopted_elsewhere(generation);
     }
 
-    /// A call of `/v1/chat/completions` or `/v1/completions`. Returns a stream once its first
-    /// token is there. Dropping the future gives the request up.
+    /// Handles `/v1/chat/completions` and `/v1/completions`. Returns a stream once its first token
+    /// has arrived. Dropping the future abandons the request.
     ///
     /// # Errors
     ///
-    /// An honest refusal.
+    /// Returns a refusal that states whether the request ran.
     pub async fn generate(
         &self,
         headers: request::CallerHeaders,
@@ -173,11 +173,11 @@
         })
     }
 
-    /// A call of `/v1/services/<service>/<path>`. Dropping the future gives the request up.
+    /// Handles `/v1/services/<service>/<path>`. Dropping the future abandons the request.
     ///
     /// # Errors
     ///
-    /// An honest refusal.
+    /// Returns a refusal that states whether the call ran.
     pub async fn call_service(
         &self,
         headers: request::CallerHeaders,
@@ -205,7 +205,7 @@
         self.caller.apply(routed).await
     }
 
-    /// Runs a known organisation's generation to its first step.
+    /// Runs the generation of an authenticated request to its first step.
     pub(crate) async fn open(
         &self,
         authenticated: request::Request<request::RawGeneration, request::Authenticated>,
@@ -215,7 +215,7 @@
         self.opener.open(routed).await
     }
 
-    /// Lets a request in, unless this entry VM is leaving.
+    /// Admits a request unless this entry VM is leaving.
     pub(crate) fn enter<W>(
         &self,
         arrived: request::Request<W, request::Arrived>,
@@ -230,7 +230,7 @@
         &self.shared
     }
 
-    /// The newest view.
+    /// Returns the newest view.
     pub(crate) fn view(&self) -> view::PlaneView {
         view::PlaneView::clone(&self.views.borrow())
     }
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Begins to relay a stream in a task of its own.
+    /// Starts to relay a stream in a separate task.
     fn stream(&self, opened: opening::OpenedRequest<P>, pass: gate::GatePass) -> StreamReply {
         let opening::OpenedRequest {
             facts,
@@ -309,7 +309,7 @@
         reply
     }
 
-    /// Collects a whole answer, as JSON text.
+    /// Collects a complete answer as JSON text.
     pub(crate) async fn whole(
         &self,
         opened: opening::OpenedRequest<P>,
@@ -386,7 +386,7 @@
         );
     }
 
-    /// A refusal as the caller and the time line are told.
+    /// Records a refusal on the time line and returns it for the caller.
     pub(crate) fn refused(&self, request: id::RequestId, end: filter::EarlyEnd) -> RefusedRequest {
         let body = match end {
             filter::EarlyEnd::Refused(refused) => refused.into_body(),
@@ -406,9 +406,10 @@
     }
 }
 
-/// A generation holds no claim, so that no stored answer can belong to one.
+/// Refusal for a stored answer at a generation, which holds no claim and so cannot have one.
 fn misplaced_answer() -> refusal::RefusalBody {
-    let message = "a stored service answer came up for a generation; report this fault";
+    let message =
+        "internal error: a generation got the stored answer of a service call; report this error";
     refusal::RefusalBody::not_run(refusal::RefusalCode::Internal, message)
         .ran(outcome::RanState::Unknown)
 }
--- a/crates/flow/src/proof.rs
+++ b/crates/flow/src/proof.rs
@@ -1,9 +1,9 @@
-//! What is known of a request's tries, as types that are moved, never copied.
+//! Evidence of whether a request's attempts ran, as types that are moved and never copied.
 //!
-//! What goes wrong without them: a lost answer is taken for "it did not run", the caller is told
-//! so or the call is sent again, and a pass is charged twice. One would notice only from the
-//! books. Here, "not run" can be said only by whoever holds a [`NotRunProof`], and sending
-//! consumes it; it comes back only through evidence that names its ground.
+//! Without them a lost answer could be mistaken for "did not run": the caller is told so or the
+//! call is sent again, and a pass is charged twice, which only the accounts would reveal. Here only
+//! the holder of a [`NotRunProof`] can report "not run". Sending consumes the proof, and it is
+//! restored only by evidence of a specific kind.
 
 use std::marker;
 
@@ -13,54 +13,54 @@
 
 /// Proof that nothing of a request has run anywhere.
 ///
-/// A request has it when it arrives, loses it when a try leaves, and regains it only from
-/// evidence about that try. Not `Clone`: there is at most one for each request.
+/// A request has it when it arrives, loses it when an attempt is sent, and regains it only from
+/// evidence about that attempt. Not `Clone`: there is at most one for each request.
 #[derive(Debug)]
-#[must_use = "a proof that is dropped cannot be had again"]
+#[must_use = "a dropped proof cannot be restored"]
 pub struct NotRunProof {
     _made_here: (),
 }
 
 impl NotRunProof {
-    /// The proof of a request of which nothing was sent yet.
+    /// Creates the proof for a request of which nothing has been sent.
     pub(crate) const fn at_arrival() -> Self {
         Self { _made_here: () }
     }
 
-    /// A refusal that promises "not run".
+    /// Creates a refusal that guarantees "not run".
     pub fn refused(self, body: refusal::RefusalBody) -> refused::Refused {
         refused::Refused::known(body, outcome::RanState::No)
     }
 }
 
-/// Right to send one try; a link consumes it by sending.
+/// Right to send one attempt; a link consumes it by sending.
 #[derive(Debug)]
-#[must_use = "a permit is either sent under or given back"]
+#[must_use = "a permit must be used for sending or returned"]
 pub struct SendPermit {
     _made_here: (),
 }
 
 impl SendPermit {
-    /// Gives the permit back: no byte of the try has left, or the connection was refused.
+    /// Returns the permit: no byte of the attempt was sent, or the connection was refused.
     ///
-    /// Only links call this, and only then: a time limit that passes after the first byte, a
-    /// reset, or an answer of any kind is no ground.
+    /// Only links may call this, and only in these two cases. A timeout after the first byte, a reset
+    /// or an answer of any kind is not evidence that the attempt was never sent.
     pub const fn never_sent(self) -> NeverSent {
         NeverSent { _made_here: () }
     }
 }
 
-/// Evidence that one try was never sent.
+/// Evidence that one attempt was never sent.
 #[derive(Debug)]
 pub struct NeverSent {
     _made_here: (),
 }
 
-/// Right to start a try: the first one, or another after the earlier ones were settled.
+/// Right to start an attempt: the first one, or another after the earlier ones were settled.
 #[derive(Debug)]
-#[must_use = "without a further try the request must be refused with this"]
+#[must_use = "without another attempt the request must be refused with this"]
 pub struct StartPermit {
-    /// What is known of all earlier tries together.
+    /// Whether any earlier attempt ran, as far as it is known.
     ran: outcome::RanState,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl StartPermit {
-    /// A permit for tests and benches of links, where nothing stands behind it.
+    /// Creates a permit for tests and benches of links, without any evidence.
     #[doc(hidden)]
     pub const fn for_tests() -> Self {
         Self {
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Splits into what the link consumes and what stays here while the try is out.
+    /// Splits into the permit that the link consumes and the ticket that is kept while the attempt
+    /// is in flight.
     pub const fn send<K>(self) -> (SendPermit, AttemptTicket<K>) {
         let ticket = AttemptTicket {
             earlier: self.ran,
@@ -91,31 +92,31 @@
         (SendPermit { _made_here: () }, ticket)
     }
 
-    /// What is known of the request so far.
+    /// Whether the request ran so far, as far as it is known.
     #[must_use]
     pub const fn ran(&self) -> outcome::RanState {
         self.ran
     }
 
-    /// Ends the request; it says "not run" only if every try was proved not to have run.
+    /// Ends the request; reports "not run" only if every attempt is proved not to have run.
     pub fn refused(self, body: refusal::RefusalBody) -> refused::Refused {
         refused::Refused::known(body, self.ran)
     }
 }
 
-/// Kind of tickets of generations: one that is settled may be followed by another.
+/// Kind of generation tickets: a settled attempt may be followed by another.
 #[derive(Debug)]
 pub struct GenerationKind;
 
-/// Kind of tickets of plain service calls: one that is settled may have had its effect all the same.
+/// Kind of plain service call tickets: a settled attempt may still have had its effect.
 #[derive(Debug)]
 pub struct CallKind;
 
-/// What stays behind while a try is out.
+/// Ticket that is kept while an attempt is in flight.
 ///
-/// A generation's turns into a new [`StartPermit`] only by evidence that the try is settled: it was
-/// never sent, its cancellation was answered, or its server's process is gone. A call's does so
-/// only when it was never sent, or when the rules let the call be repeated:
+/// A generation's ticket becomes a new [`StartPermit`] only with evidence that the attempt is
+/// settled: it was never sent, its cancellation was answered, or the server process has ended. A
+/// call's ticket does so only if the call was never sent, or if the rules allow it to be repeated:
 ///
 /// ```
 /// use flow::proof::{GenerationKind, StartPermit};
@@ -129,21 +130,21 @@
 /// let _another = ticket.server_died();
 /// ```
 #[derive(Debug)]
-#[must_use = "a try that is out must be settled or reported"]
+#[must_use = "an attempt in flight must be settled or reported"]
 pub struct AttemptTicket<K> {
     earlier: outcome::RanState,
-    /// Whether the server showed that it runs this try.
+    /// Whether the server confirmed that it runs this attempt.
     seen_running: bool,
     kind: marker::PhantomData<K>,
 }
 
 impl<K> AttemptTicket<K> {
-    /// The try was never sent.
+    /// Settles an attempt that was never sent.
     pub fn never_sent(self, _evidence: NeverSent) -> StartPermit {
         StartPermit { ran: self.earlier }
     }
 
-    /// The try can neither be settled nor continued: ends the request without another.
+    /// Ends the request when the attempt can neither be settled nor continued.
     pub fn refused(self, body: refusal::RefusalBody) -> refused::Refused {
         let ran = self.earlier.and(self.known());
         refused::Refused::known(body, ran)
@@ -165,104 +166,106 @@
 }
 
 impl AttemptTicket<CallKind> {
-    /// Another try although this one may have run: only for calls that may be repeated.
+    /// Allows another attempt although this one may have run; only for calls that may be repeated.
     pub fn repeated(self, _permit: RepeatPermit) -> StartPermit {
         self.settled()
     }
 }
 
 impl AttemptTicket<GenerationKind> {
-    /// The server showed a token of this try.
+    /// Records that the server delivered a token of this attempt.
     pub const fn saw_running(&mut self) {
         self.seen_running = true;
     }
 
-    /// The try's cancellation was answered: it will not run from here on.
+    /// Settles an attempt whose cancellation was answered: it does not run from here on.
     ///
-    /// What goes wrong when "not held" is taken for "did not run": a process that was started
-    /// since knows nothing of a try that the one before it ran. One would notice a caller told
-    /// "not run" for work that had been done.
+    /// An answer of "not held" does not mean "did not run": a restarted server process knows nothing
+    /// of an attempt that its previous incarnation ran, and the caller would be told "not run" for
+    /// work that was done.
     pub fn cancelled(self, answer: &port::CancelAnswer) -> StartPermit {
-        let this_try = match answer {
+        let this_attempt = match answer {
             _ if self.seen_running => outcome::RanState::Yes,
             port::CancelAnswer::Known { ran: true, .. } => outcome::RanState::Yes,
             port::CancelAnswer::Known { ran: false, .. } => outcome::RanState::No,
             port::CancelAnswer::Remembered => outcome::RanState::Unknown,
         };
         StartPermit {
-            ran: self.earlier.and(this_try),
+            ran: self.earlier.and(this_attempt),
         }
     }
 
-    /// The server's process is gone: it refuses connections, so the try cannot run on.
+    /// Settles an attempt whose server process has ended: the server refuses connections, so the
+    /// attempt no longer runs.
     pub fn server_died(self) -> StartPermit {
         self.settled()
     }
 
-    /// The try was given up without settling it; a standing order to cancel it remains.
+    /// Abandons an attempt without settling it; a background task continues to cancel it.
     pub(crate) fn abandoned(self) -> StartPermit {
         self.settled()
     }
 
-    /// A token is leaving for the caller: no other generation may be started from here on.
+    /// Converts the ticket when a token is sent to the caller: no other generation may be started
+    /// from here on.
     pub const fn into_relayed(self) -> RelayedAttempt {
         RelayedAttempt { _made_here: () }
     }
 }
 
-/// A generation of which a token has left for the caller.
+/// A generation of which a token has been sent to the caller.
 ///
-/// There is no way from here to a [`StartPermit`]: a second generation could only be joined to
-/// the first by mixing the two, which the caller would read as one answer.
+/// It cannot become a [`StartPermit`]: a second generation would be appended to the tokens of the
+/// first, and the caller would read the mixture as one answer.
 #[derive(Debug)]
-#[must_use = "an answer that has begun must be ended"]
+#[must_use = "an answer that has started must be ended"]
 pub struct RelayedAttempt {
     _made_here: (),
 }
 
 impl RelayedAttempt {
-    /// A generation that another entry VM, or this one earlier, began to relay.
+    /// Resumes a generation that another entry VM, or this one earlier, started to relay.
     pub(crate) const fn continued() -> Self {
         Self { _made_here: () }
     }
 
-    /// The rest of the answer is not coming by this stream.
+    /// Creates a refusal that ends this stream before the rest of the answer.
     pub fn refused(&self, body: refusal::RefusalBody) -> refused::Refused {
         refused::Refused::known(body, outcome::RanState::Yes)
     }
 }
 
-/// Outcome of one try: three values.
+/// Outcome of one attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome<T, K> {
-    /// It is proved that the try did not run.
+    /// The attempt is proved not to have run.
     NotRun {
-        /// For another try, or for a refusal.
+        /// Permit for another attempt or for a refusal.
         permit: StartPermit,
-        /// What happened.
+        /// Cause of the failure.
         cause: String,
     },
-    /// It ran, and this is its answer.
+    /// The attempt ran; contains its answer.
     Ran(T),
-    /// It may have run: the ticket allows no other try unless the call may be repeated.
+    /// The attempt may have run; the ticket allows no other one unless the call may be repeated.
     Unknown {
-        /// For a refusal that says so.
+        /// Ticket for a refusal that states this.
         ticket: AttemptTicket<K>,
-        /// What happened.
+        /// Cause of the failure.
         cause: String,
-        /// What the server said that makes another try no use.
+        /// Code of the server's answer if another attempt would be refused as well.
         permanent_refusal: Option<refusal::RefusalCode>,
     },
 }
 
-/// The rules say that this call may be repeated.
+/// Permission by the rules to repeat this call.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatPermit {
     _made_here: (),
 }
 
 impl RepeatPermit {
-    /// For a call that the classification found to be idempotent.
+    /// Creates the permit for a call that was classified as idempotent.
     pub(crate) const fn idempotent() -> Self {
         Self { _made_here: () }
     }
--- a/crates/flow/src/refused.rs
+++ b/crates/flow/src/refused.rs
@@ -1,17 +1,17 @@
-//! A refusal whose `ran` came from evidence.
+//! A refusal whose `ran` state is backed by evidence.
 
 use base::{outcome, refusal};
 
-/// A request's honest end without a whole answer.
+/// End of a request without a complete answer.
 ///
-/// Made only from a proof, permit or ticket of [`crate::proof`], which decide its `ran`.
+/// Created only from a proof, permit or ticket of [`crate::proof`], which determine its `ran` state.
 #[derive(Debug)]
 pub struct Refused {
     body: refusal::RefusalBody,
 }
 
 impl Refused {
-    /// A refusal that promises no more than both the evidence and whoever wrote `body` know.
+    /// Creates a refusal whose `ran` state claims no more than both the evidence and `body` support.
     pub(crate) fn known(body: refusal::RefusalBody, ran: outcome::RanState) -> Self {
         let ran = ran.and(body.ran);
         Self {
@@ -19,18 +19,18 @@
         }
     }
 
-    /// A repeat of a keyed call whose first call's fate is `ran`.
+    /// Creates a refusal for the repeat of a keyed call whose first call has the state `ran`.
     pub(crate) fn of_claim(body: refusal::RefusalBody, ran: outcome::RanState) -> Self {
         Self::known(body, ran)
     }
 
-    /// The body that the caller is sent.
+    /// Body that is sent to the caller.
     #[must_use]
     pub const fn body(&self) -> &refusal::RefusalBody {
         &self.body
     }
 
-    /// The body that the caller is sent.
+    /// Body that is sent to the caller.
     #[must_use]
     pub fn into_body(self) -> refusal::RefusalBody {
         self.body
--- a/crates/flow/src/request.rs
+++ b/crates/flow/src/request.rs
@@ -1,7 +1,7 @@
-//! A request on its way through the filters.
+//! A request on its way through the filter chain.
 //!
-//! Each filter takes a request in one stage and returns it in the next, so that a filter that
-//! was left out does not compile.
+//! Each filter takes a request in one stage and returns it in the next, so that a chain with a
+//! missing filter does not compile.
 
 use std::{sync, time::Duration};
 
@@ -11,7 +11,7 @@
 
 use crate::{body, path, port, proof, refused, view};
 
-/// What a caller sends beside the body.
+/// Headers that a caller sends with the body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHeaders {
     /// From `Authorization: Bearer`.
@@ -20,91 +20,91 @@
     pub requested_class: Option<class::TrafficClass>,
     /// From `Idempotency-Key`.
     pub idempotency_key: Option<String>,
-    /// From `X-Time-Limit-Ms`: the caller waits no longer than this.
+    /// From `X-Time-Limit-Ms`: the maximum time that the caller waits.
     pub time_limit_ms: Option<u64>,
 }
 
-/// Work as it came, not yet understood.
+/// Unparsed work.
 pub trait RawWork: Send + Sync + 'static {
-    /// The same, understood.
+    /// The parsed work.
     type Parsed: Work;
 
-    /// Understands it.
+    /// Parses the work.
     ///
     /// # Errors
     ///
-    /// A refusal that says what is wrong.
+    /// Returns a refusal that states the problem.
     fn parse(self, view: &view::PlaneView) -> Result<Self::Parsed, refusal::RefusalBody>;
 }
 
-/// Work that the rules can be applied to.
+/// Parsed work, to which the rules apply.
 pub trait Work: Send + Sync + 'static {
-    /// The model or service.
+    /// Model or service that the work targets.
     fn target(&self) -> snapshot::RequestTarget<'_>;
 
-    /// What it needs a place for.
+    /// Description of the work for the scheduler and the quotas.
     fn requested(&self) -> port::AskedWork;
 
-    /// Its prompt; empty for a plain service call.
+    /// Prompt; empty for a plain service call.
     fn prompt(&self) -> sync::Arc<str>;
 
-    /// Servers that can do it, whoever is leaving.
+    /// Servers that can run the work, including those that are leaving.
     fn candidates<'a>(&self, view: &'a view::PlaneView) -> &'a [id::ServerKey];
 
-    /// Fingerprint of its content.
+    /// Fingerprint of the content.
     fn fingerprint(&self) -> fingerprint::ContentHash;
 
-    /// Whether its answer is held until whole.
+    /// Whether the answer is buffered until it is complete.
     fn buffered(&self) -> bool;
 
-    /// How long it may take to its first token, or its answer, by the rules.
+    /// Time limit by the rules, to the first token or to the answer.
     fn time_limit(&self, view: &view::PlaneView, class: class::TrafficClass) -> Duration;
 
-    /// Content that must run at most once, with the hash that tells two calls apart.
+    /// Returns the service and content hash of a call that must run at most once.
     fn at_most_once(&self) -> Option<AtMostOnceCall<'_>>;
 }
 
 /// A call that must run at most once.
 #[derive(Clone, Copy, Debug)]
 pub struct AtMostOnceCall<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// Of method, path and body.
+    /// Hash of service, method, path and body, which distinguishes two calls.
     pub content: fingerprint::ContentHash,
 }
 
-/// What stays the same from filter to filter.
+/// Facts of a request that every stage carries.
 #[derive(Debug)]
 pub struct RequestFacts<W> {
-    /// Drawn at arrival.
+    /// Identifier, generated on arrival.
     pub id: id::RequestId,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived_at: time::Instant,
-    /// What it goes by.
+    /// View as of the arrival.
     pub view: view::PlaneView,
-    /// What the caller sent beside the body.
+    /// Headers that the caller sent.
     pub headers: CallerHeaders,
-    /// The work.
+    /// Work that is requested.
     pub work: W,
-    /// Tries so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Servers of failed tries.
+    /// Servers of failed attempts.
     pub avoid: Vec<id::ServerKey>,
 }
 
 /// A request in stage `S`.
 #[derive(Debug)]
 pub struct Request<W, S> {
-    /// What stays the same.
+    /// Facts that every stage carries.
     pub facts: RequestFacts<W>,
-    /// Right to start a try; says what is known of earlier ones.
+    /// Right to start an attempt; carries the evidence about earlier ones.
     pub permit: proof::StartPermit,
-    /// What the filters found.
+    /// Results of the filters so far.
     pub stage: S,
 }
 
 impl<W, S> Request<W, S> {
-    /// The same request in its next stage.
+    /// Advances the request to its next stage.
     pub fn advance<T, F: FnOnce(S) -> T>(self, stage: F) -> Request<W, T> {
         Request {
             facts: self.facts,
@@ -113,114 +113,114 @@
         }
     }
 
-    /// Ends the request.
+    /// Ends the request with a refusal.
     pub fn refused(self, body: refusal::RefusalBody) -> refused::Refused {
         self.permit.refused(body)
     }
 }
 
-/// Nothing is known yet.
+/// Stage of a request that has arrived and passed no filter.
 #[derive(Debug)]
 pub struct Arrived;
 
-/// The caller's key is known.
+/// Stage of a request whose API key is known.
 #[derive(Clone, Copy, Debug)]
 pub struct Authenticated {
-    /// Whose key it is.
+    /// Organisation that the key belongs to.
     pub organisation: id::OrganisationKey,
 }
 
-/// The rules were applied.
+/// Stage of a request to which the rules were applied.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
-    /// Who asks.
+    /// Organisation of the caller.
     pub organisation: id::OrganisationKey,
-    /// How long it may wait.
+    /// Traffic class, which determines how long the request may wait.
     pub class: class::TrafficClass,
-    /// First token, or the whole answer of a plain service call, by then.
+    /// Deadline for the first token, or for the complete answer of a plain service call.
     pub due_at: time::Instant,
     /// Time from arrival to `due_at`.
     pub time_limit: Duration,
 }
 
-/// It is within its organisation's limits.
+/// Stage of a request that is within its organisation's limits.
 #[derive(Debug)]
 pub struct Metered<Q> {
-    /// What the rules say.
+    /// Terms by the rules.
     pub terms: Terms,
-    /// Its share of the limits.
+    /// Permit for its share of the organisation's limits.
     pub quota: Q,
 }
 
-/// It is the one call with its key, or needs none.
+/// Stage of a request that holds the claim on its idempotency key, or needs none.
 #[derive(Debug)]
 pub struct Claimed<Q, C> {
-    /// What the rules say.
+    /// Terms by the rules.
     pub terms: Terms,
-    /// Its share of the limits.
+    /// Permit for its share of the organisation's limits.
     pub quota: Q,
-    /// Its claim.
+    /// Claim on the idempotency key.
     pub claim: C,
 }
 
-/// Its content is not quarantined.
+/// Stage of a request whose content is not quarantined.
 #[derive(Debug)]
 pub struct Cleared<Q, C, S> {
-    /// What was found before.
+    /// The previous stage.
     pub claimed: Claimed<Q, C>,
-    /// Held by content that may crash its server.
+    /// Probe permit of content that may crash its server.
     pub probe: S,
 }
 
-/// It has a place.
+/// Stage of a request with a granted slot.
 #[derive(Debug)]
 pub struct Admitted<Q, C, S, G> {
-    /// What was found before.
+    /// The previous stage.
     pub cleared: Cleared<Q, C, S>,
-    /// The place.
+    /// Grant of the slot.
     pub grant: G,
 }
 
-/// It has a server's address.
+/// Stage of a request with the address of its server.
 #[derive(Debug)]
 pub struct Routed<Q, C, S, G> {
-    /// What was found before.
+    /// The previous stage.
     pub admitted: Admitted<Q, C, S, G>,
-    /// The server.
+    /// Server that runs the request.
     pub target: port::ServerTarget,
 }
 
-/// A generation as it came.
+/// An unparsed generation request.
 #[derive(Debug)]
 pub struct RawGeneration {
-    /// The face that it came by.
+    /// API of the request.
     pub api: body::CompletionApi,
-    /// Its body.
+    /// Body of the request.
     pub body: bytes::Bytes,
-    /// It is deferrable work that was accepted: no time limit applies, the answer is whole.
+    /// Whether this is an accepted job: no time limit applies and the answer is not streamed.
     pub job: bool,
 }
 
-/// Bytes of text that are taken for one token when a prompt is estimated.
+/// Bytes per token in the estimate of a prompt's length.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// A first token may take this long when nobody waits for it.
+/// Time limit for the first token of work that no caller waits for.
 const DEFERRABLE_TIME_LIMIT: Duration = Duration::from_hours(1);
 
-/// A generation, understood.
+/// A parsed generation request.
 #[derive(Debug)]
 pub struct GenerationWork {
-    /// What the caller asks for.
+    /// Parsed body.
     pub body: body::GenerationBody,
-    /// The model in the inventory.
+    /// Name of the model in the inventory.
     pub model: String,
-    /// The adapter in the inventory.
+    /// Name of the adapter in the inventory.
     pub adapter: Option<String>,
-    /// Most tokens to produce.
+    /// Maximum number of tokens to produce.
     pub max_tokens: u32,
-    /// Estimate.
+    /// Estimated number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Of model, adapter and prompt.
+    /// Fingerprint of model, adapter and prompt.
     pub content: fingerprint::ContentHash,
     prompt: sync::Arc<str>,
     job: bool,
@@ -244,7 +244,7 @@
         let max_tokens = body.max_tokens.unwrap_or(available);
         if max_tokens > context {
             return Err(bad(format!(
-                "`max_tokens` is {max_tokens}, model \"{model}\" holds {context}; ask for fewer"
+                "`max_tokens` is {max_tokens}, but the context of model \"{model}\" is {context}; request fewer"
             )));
         }
         if self.job {
@@ -264,7 +264,7 @@
 }
 
 impl GenerationWork {
-    /// The prompt, for one start.
+    /// Returns a copy of the prompt for one start request.
     #[must_use]
     pub fn prompt_text(&self) -> String {
         String::from(&*self.prompt)
@@ -316,14 +316,14 @@
     }
 }
 
-/// A plain service call as it came.
+/// An unparsed plain service call.
 #[derive(Debug)]
 pub struct RawCall {
-    /// The service.
+    /// Name of the service.
     pub service: String,
     /// HTTP method.
     pub method: String,
-    /// Path below the service, with its query.
+    /// Path below the service, with the query.
     pub path: String,
     /// Content type of the body.
     pub content_type: Option<String>,
@@ -331,14 +331,14 @@
     pub body: bytes::Bytes,
 }
 
-/// A plain service call, understood.
+/// A parsed plain service call.
 #[derive(Debug)]
 pub struct CallWork {
-    /// What came.
+    /// The call as it was received.
     pub raw: RawCall,
-    /// Whether the rules let it be repeated; absent: it must run at most once.
+    /// Permit to repeat the call by the rules; `None`: it must run at most once.
     pub repeat: Option<proof::RepeatPermit>,
-    /// Of service, method, path and body.
+    /// Fingerprint of service, method, path and body.
     pub content: fingerprint::ContentHash,
 }
 
--- a/crates/flow/src/settings.rs
+++ b/crates/flow/src/settings.rs
@@ -1,49 +1,50 @@
-//! Limits of the plane that are no business of operators' rules.
+//! Settings of the request plane that are not part of the operators' rules.
 
 use std::time::Duration;
 
 use crate::{silence, suspect, token};
 
-/// Settings of one request plane; the same for its whole life.
+/// Settings of one request plane; constant for the lifetime of the process.
 #[derive(Clone, Debug)]
 pub struct PlaneSettings {
-    /// Name of this entry VM, as other entry VMs know it.
+    /// Name of this entry VM among the entry VMs.
     pub vm: String,
-    /// Secrets of continuation tokens; the same on all entry VMs.
+    /// Keys that sign continuation tokens; the same on all entry VMs.
     pub token_keys: token::TokenKeys,
-    /// A continuation token is honoured for this long.
+    /// Lifetime of a continuation token.
     pub token_ttl: Duration,
-    /// A generation whose caller is gone is kept for this long, to be continued.
+    /// Time for which a generation keeps running after its caller disconnected, so that it can be
+    /// continued.
     pub linger: Duration,
-    /// A caller that reads nothing for this long is given up.
+    /// Time after which a caller that reads nothing is disconnected.
     pub caller_stall_timeout: Duration,
-    /// A caller is shown a sign of life at least this often.
+    /// Maximum interval between two events or heartbeats that a caller receives.
     pub heartbeat_interval: Duration,
-    /// One call to a backend server that should be answered at once is given up after this.
+    /// Timeout of one call to a backend server that should be answered at once.
     pub call_timeout: Duration,
-    /// A connection to a model engine is given up no sooner than after this silence.
+    /// Minimum silence after which a connection to a model engine is given up.
     pub min_silence_timeout: Duration,
-    /// A generation of which no token came is sought on its server for this long before it is
+    /// Time limit for reconnecting to a generation that has delivered no token, before it is
     /// cancelled and started elsewhere.
     pub opening_reconnect_timeout: Duration,
-    /// Give a try up that can neither be reached nor cancelled after this, and start another
-    /// while a standing order to cancel it remains; absent: never, the request is refused when
-    /// its time limit passes.
+    /// Time after which an attempt that can be neither reached nor cancelled is abandoned: another
+    /// one is started while a background task continues to cancel it. `None`: never, and the request
+    /// is refused when its time limit passes.
     pub abandon_after: Option<Duration>,
-    /// An order to cancel is repeated for this long.
+    /// Time for which a cancel request is repeated in the background.
     pub cancel_timeout: Duration,
-    /// Servers that suspects may have to themselves at once, by this entry VM.
+    /// Maximum number of servers that this entry VM reserves for suspects at once.
     pub max_probe_servers: usize,
-    /// How long crashes are remembered.
+    /// Limits for remembering crashes.
     pub suspects: suspect::SuspectLimits,
-    /// A claim holds for the time limit of its call and this much more.
+    /// Time by which a claim outlasts the time limit of its call.
     pub claim_margin: Duration,
-    /// Jobs that run at once.
+    /// Maximum number of jobs that run at once.
     pub max_concurrent_jobs: usize,
 }
 
 impl PlaneSettings {
-    /// The defaults.
+    /// Creates the default settings.
     #[must_use]
     pub fn new(vm: String, token_keys: token::TokenKeys) -> Self {
         Self {
--- a/crates/flow/src/settle.rs
+++ b/crates/flow/src/settle.rs
@@ -1,4 +1,4 @@
-//! Settling a lost try, so that another may be started.
+//! Settles a lost attempt, so that another one may be started.
 
 use std::sync;
 
@@ -7,31 +7,32 @@
 
 use crate::{attempt, port, proof, shared};
 
-/// Pause between two orders to cancel.
+/// Interval between two cancel requests.
 const CANCEL_RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(100);
 
-/// A try that is to be settled.
+/// A lost attempt that must be settled.
 #[derive(Debug)]
 pub struct LostAttempt {
-    /// Its server.
+    /// Server of the attempt.
     pub target: port::ServerTarget,
-    /// Its generation.
+    /// Generation of the attempt.
     pub generation: id::GenerationId,
-    /// What stayed here.
+    /// Ticket of the attempt.
     pub ticket: proof::AttemptTicket<proof::GenerationKind>,
 }
 
 impl LostAttempt {
-    /// Cancels the generation until that is answered, its server's process is found gone, or
-    /// `until`. Only then is there a permit for another.
+    /// Repeats the cancel request until it is answered, the server process is found to have ended, or
+    /// `until` is reached. Only the first two permit another attempt, unless
+    /// [`abandon_after`](crate::settings::PlaneSettings::abandon_after) is set and has passed.
     ///
-    /// What goes wrong otherwise: the first generation runs on beside the second. One would
-    /// notice engines that work on answers which nobody reads, most of all when they are short
-    /// of memory.
+    /// Otherwise the first generation would run beside the second, and engines would work on answers
+    /// that nobody reads, which hurts most when they are short of memory.
     ///
     /// # Errors
     ///
-    /// The ticket, when the try could not be settled; a standing order to cancel it remains.
+    /// Returns the ticket if the attempt could not be settled; a background task continues to cancel
+    /// it.
     pub async fn settle<P: port::PortSet>(
         self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
@@ -68,12 +69,12 @@
     }
 }
 
-/// What a caller is told when a try could be neither continued nor settled.
+/// Refusal for an attempt that could be neither continued nor settled.
 pub(crate) fn unsettled(cause: &str) -> refusal::RefusalBody {
-    let message = format!("{cause}; it may have run there; ask again after the time given");
+    let message = format!("{cause}; the generation may have run there; retry after the given time");
     refusal::RefusalBody::not_run(refusal::RefusalCode::BackendFault, message)
         .retry_after_ms(UNSETTLED_RETRY_MS)
 }
 
-/// When to come back after a try was lost.
+/// Retry delay after an attempt that could not be settled, in milliseconds.
 const UNSETTLED_RETRY_MS: u64 = 1_000;
--- a/crates/flow/src/shared.rs
+++ b/crates/flow/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of one plane share.
+//! State shared by all requests of one plane.
 
 use std::{sync, time::Duration};
 
@@ -13,13 +13,13 @@
     suspect::ContentStanding,
 };
 
-/// First delay between two orders to cancel.
+/// Initial delay between two cancel requests; it doubles each time.
 const INITIAL_CANCEL_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest delay between two orders to cancel.
+/// Maximum delay between two cancel requests.
 const MAX_CANCEL_DELAY: Duration = Duration::from_secs(5);
 
-/// State that requests share.
+/// State shared by all requests of one plane.
 #[derive(Debug)]
 pub struct SharedPlane<P> {
     pub(crate) ports: P,
@@ -28,7 +28,7 @@
     pub(crate) suspects: sync::Arc<crashes::SuspectBook>,
     pub(crate) readers: sync::Arc<readers::ReaderTable>,
     pub(crate) budget: sync::Mutex<budget::RetryBudget>,
-    /// One permit for each server that suspects may have to themselves.
+    /// One permit for each server that may be reserved for a suspect.
     pub(crate) probe_permits: sync::Arc<tokio::sync::Semaphore>,
 }
 
@@ -57,7 +57,7 @@
         self.ports.events().record(Some(request), kind);
     }
 
-    /// Counts a first try, or takes a further one from the budget.
+    /// Counts a first attempt, or takes a retry from the budget.
     pub(crate) fn take_attempt(&self, tries: u32, fraction: f64) -> Result<(), Duration> {
         let now = time::Instant::now();
         let mut budget = self
@@ -72,7 +72,7 @@
         budget.take_retry(fraction, now)
     }
 
-    /// A server's process is gone: what ran there becomes suspect.
+    /// Records that a server process has ended; the content that ran there becomes suspect.
     pub(crate) fn record_server_death(&self, target: &port::ServerTarget, reason: &str) {
         let contents = self.suspects.died(target.key, &target.name, self.now_ms());
         if contents.is_empty() {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// What a death made of content.
+    /// Returns the event for content whose standing changed with a server's death.
     fn quarantine_event(&self, content: ContentHash, server: &str) -> Option<kind::EventKind> {
         match self.suspects.standing(content, self.now_ms()) {
             ContentStanding::Clear => None,
@@ -103,18 +103,18 @@
             }),
             ContentStanding::Quarantined { .. } => Some(kind::EventKind::QuarantineAdded {
                 fingerprint: content,
-                reason: format!("{server} died of it, and another before"),
+                reason: format!("it crashed {server}, and another server before"),
             }),
         }
     }
 
-    /// A standing order to cancel: repeated until it is answered, or its time is up.
+    /// Cancels a generation in the background, until a cancel is answered or the timeout passes.
     pub(crate) fn cancel_in_background(
         self: &sync::Arc<Self>,
         target: port::ServerTarget,
         generation: id::GenerationId,
     ) {
-        // Without a runtime the process is ending, and the connections end with it.
+        // Without a runtime the process is shutting down, which closes its connections.
         let Ok(runtime) = tokio::runtime::Handle::try_current() else {
             return;
         };
@@ -140,7 +140,7 @@
         metrics::counter!("pollenchute_flow_cancels_unanswered_total").increment(1);
     }
 
-    /// One order to cancel. `Ok(None)`: the server's process is gone.
+    /// Sends one cancel request. `Ok(None)` means that the server process has ended.
     pub(crate) async fn cancel_once(
         &self,
         target: &port::ServerTarget,
@@ -156,7 +156,7 @@
     }
 }
 
-/// A refusal body with the time to come back.
+/// Creates a refusal body with a retry delay.
 pub(crate) fn retryable_refusal(
     code: refusal::RefusalCode,
     message: impl Into<String>,
@@ -166,7 +166,7 @@
     refusal::RefusalBody::not_run(code, message).retry_after_ms(delay_ms)
 }
 
-/// Milliseconds that have passed, for the time line.
+/// Milliseconds since `earlier`, for the time line.
 pub(crate) fn millis_since(earlier: time::Instant) -> u64 {
     let passed = time::Instant::now().saturating_duration_since(earlier);
     u64::try_from(passed.as_millis()).unwrap_or(u64::MAX)
--- a/crates/flow/src/view.rs
+++ b/crates/flow/src/view.rs
@@ -1,4 +1,4 @@
-//! What one request goes by: the configuration and who is leaving, as of its arrival.
+//! View of one request: the configuration and the leaving servers as of its arrival.
 
 use std::{collections, sync};
 
@@ -7,23 +7,23 @@
 
 use crate::port;
 
-/// Immutable view that one request keeps from its arrival to its end.
+/// Immutable snapshot that one request uses from its arrival to its end.
 #[derive(Clone, Debug, Default)]
 pub struct PlaneView {
-    /// The configuration in force.
+    /// Configuration in force.
     pub config: sync::Arc<snapshot::ConfigSnapshot>,
-    /// Servers known to be leaving; only ever grows within one life of a server.
+    /// Servers known to be leaving. A server stays in the set for the rest of its incarnation.
     pub leaving: sync::Arc<collections::BTreeSet<id::ServerKey>>,
 }
 
 impl PlaneView {
-    /// Whether a server may get new work.
+    /// Whether a server may be given new work.
     #[must_use]
     pub fn takes_work(&self, server: id::ServerKey) -> bool {
         self.config.server(server).is_some() && !self.leaving.contains(&server)
     }
 
-    /// How links address a server; absent once it was removed.
+    /// Returns the target by which links address a server; `None` once it was removed.
     #[must_use]
     pub fn target(&self, key: id::ServerKey) -> Option<port::ServerTarget> {
         self.config.server(key).map(|server| port::ServerTarget {
@@ -33,11 +33,11 @@
         })
     }
 
-    /// The model and adapter that a caller means by `model` or `model:adapter`.
+    /// Resolves a caller's `model` or `model:adapter` to a model and an adapter.
     ///
     /// # Errors
     ///
-    /// A refusal when there is no such model or adapter.
+    /// Returns a refusal if there is no such model or adapter.
     pub fn model(&self, name: &str) -> Result<ModelChoice<'_>, refusal::RefusalBody> {
         let models = &self.config.inventory().models;
         if let Some((model, entry)) = models.get_key_value(name) {
@@ -65,13 +65,13 @@
     }
 }
 
-/// A model of the inventory, perhaps with an adapter.
+/// A model of the inventory with an optional adapter.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelChoice<'a> {
-    /// Its name.
+    /// Name of the model.
     pub model: &'a str,
-    /// The adapter.
+    /// Name of the adapter.
     pub adapter: Option<&'a str>,
-    /// Its entry.
+    /// Inventory entry of the model.
     pub entry: &'a inventory::ModelEntry,
 }
