--- a/crates/flow/benches/promises.rs
+++ b/crates/flow/benches/promises.rs
@@ -5,11 +5,11 @@
 #[path = "../tests/plane/callers.rs"]
 mod callers;
 #[allow(dead_code, reason = "the tests use the rest")]
+#[path = "../tests/plane/cluster.rs"]
+mod cluster;
+#[allow(dead_code, reason = "the tests use the rest")]
 #[path = "../tests/plane/links.rs"]
 mod links;
-#[allow(dead_code, reason = "the tests use the rest")]
-#[path = "../tests/plane/world.rs"]
-mod world;
 
 use std::{sync, time::Duration};
 
@@ -26,7 +26,7 @@
 }
 
 async fn stream(
-    plane: &sync::Arc<world::WorldPlane>,
+    plane: &sync::Arc<cluster::WorldPlane>,
     mark: u32,
     tokens: u32,
 ) -> plane::StreamReply {
@@ -59,13 +59,13 @@
 
 fn silent_once(number: u32, slow_factor: f64, floor: Duration) -> u128 {
     let (sender, receiver) = sync::mpsc::channel();
-    world::history(async move {
-        let plan = world::WorldPlan {
+    cluster::history(async move {
+        let plan = cluster::WorldPlan {
             seed: u64::from(number) + 1,
             min_silence_timeout: Some(floor),
-            ..world::WorldPlan::default()
+            ..cluster::WorldPlan::default()
         };
-        let world = world::World::new(&plan);
+        let world = cluster::World::new(&plan);
         for engine in &world.engines {
             engine.apply(&engine::EngineFault::Slow {
                 factor: slow_factor,
@@ -108,12 +108,12 @@
         ("abandon after 1 s", Some(Duration::from_secs(1))),
     ] {
         let (sender, receiver) = sync::mpsc::channel();
-        world::history(async move {
-            let plan = world::WorldPlan {
+        cluster::history(async move {
+            let plan = cluster::WorldPlan {
                 abandon_after,
-                ..world::WorldPlan::default()
+                ..cluster::WorldPlan::default()
             };
-            let world = sync::Arc::new(world::World::new(&plan));
+            let world = sync::Arc::new(cluster::World::new(&plan));
             world.engines[0].apply(&engine::EngineFault::Hang { on: true });
             let mut asks = task::JoinSet::new();
             for mark in 0..60 {
@@ -163,7 +163,7 @@
         ),
     ] {
         let (sender, receiver) = sync::mpsc::channel();
-        world::history(async move {
+        cluster::history(async move {
             let _ = sender.send(crash_once(limits).await);
         });
         let outcome = receiver.recv().unwrap();
@@ -182,13 +182,13 @@
 }
 
 async fn crash_once(limits: suspect::SuspectLimits) -> CrashOutcome {
-    let plan = world::WorldPlan {
+    let plan = cluster::WorldPlan {
         engines: 9,
         at_once: 16,
         suspects: limits,
-        ..world::WorldPlan::default()
+        ..cluster::WorldPlan::default()
     };
-    let world = sync::Arc::new(world::World::new(&plan));
+    let world = sync::Arc::new(cluster::World::new(&plan));
     let deaths = sync::Arc::new(sync::atomic::AtomicUsize::new(0));
     for engine in world.engines.clone() {
         let deaths = deaths.clone();
@@ -224,7 +224,7 @@
 }
 
 /// Asks until answered; the number of asks.
-async fn insist(world: &world::World, mark: u32, extra: &str) -> Option<u32> {
+async fn insist(world: &cluster::World, mark: u32, extra: &str) -> Option<u32> {
     for ask in 1..=30 {
         let body = callers::chat(mark, 40, false, extra);
         match callers::generate(&world.planes[0], body).await {
@@ -258,13 +258,13 @@
         ("callers that do not", false),
     ] {
         let (sender, receiver) = sync::mpsc::channel();
-        world::history(async move {
-            let plan = world::WorldPlan {
+        cluster::history(async move {
+            let plan = cluster::WorldPlan {
                 entries: 3,
                 engines: 9,
-                ..world::WorldPlan::default()
+                ..cluster::WorldPlan::default()
             };
-            let world = sync::Arc::new(world::World::new(&plan));
+            let world = sync::Arc::new(cluster::World::new(&plan));
             let mut streams = task::JoinSet::new();
             for mark in 0..60 {
                 let world = world.clone();
@@ -288,7 +288,7 @@
     gap_ms: u128,
 }
 
-async fn follow(world: &world::World, mark: u32, continues: bool) -> StreamOutcome {
+async fn follow(world: &cluster::World, mark: u32, continues: bool) -> StreamOutcome {
     let entry = mark as usize % 3;
     let mut reply = stream(&world.planes[entry], mark, 150).await;
     let mut transcript = callers::Transcript::default();
--- a/crates/flow/tests/plane/callers.rs
+++ b/crates/flow/tests/plane/callers.rs
@@ -8,7 +8,7 @@
 use futures_util::StreamExt as _;
 use stand::engine;
 
-use crate::world;
+use crate::cluster;
 
 /// What one caller got of one answer.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
 
 pub fn headers() -> request::CallerHeaders {
     request::CallerHeaders {
-        api_key: Some(world::API_KEY.to_owned()),
+        api_key: Some(cluster::API_KEY.to_owned()),
         ..request::CallerHeaders::default()
     }
 }
@@ -44,7 +44,7 @@
 }
 
 pub async fn generate(
-    plane: &sync::Arc<world::WorldPlane>,
+    plane: &sync::Arc<cluster::WorldPlane>,
     body: Bytes,
 ) -> Result<plane::GenerationReply, plane::RefusedRequest> {
     plane
--- a/crates/flow/tests/plane/calls.rs
+++ b/crates/flow/tests/plane/calls.rs
@@ -7,10 +7,10 @@
 use stand::service;
 use tokio::time;
 
-use crate::{callers, world};
+use crate::{callers, cluster};
 
 async fn charge(
-    plane: &sync::Arc<world::WorldPlane>,
+    plane: &sync::Arc<cluster::WorldPlane>,
     key: &str,
     path: &str,
 ) -> Result<plane::ServiceReply, plane::RefusedRequest> {
@@ -24,7 +24,7 @@
 }
 
 fn key(name: &str) -> String {
-    format!("{}-{name}", world::ORIGIN_MS)
+    format!("{}-{name}", cluster::ORIGIN_MS)
 }
 
 // Symptom: a pass is charged twice.
@@ -32,8 +32,8 @@
 // Cause: what may have run was sent again.
 #[test]
 fn a_lost_answer_is_told_as_unknown_and_never_repeated() {
-    world::history(async {
-        let world = world::World::new(&world::WorldPlan::default());
+    cluster::history(async {
+        let world = cluster::World::new(&cluster::WorldPlan::default());
         for service in &world.services {
             service.apply(&service::ServiceFault::LoseAnswers { count: 1 });
         }
@@ -53,8 +53,8 @@
 // Cause: the outcome was not stored with the claim.
 #[test]
 fn a_repeat_gets_the_stored_answer() {
-    world::history(async {
-        let world = world::World::new(&world::WorldPlan::default());
+    cluster::history(async {
+        let world = cluster::World::new(&cluster::WorldPlan::default());
         let key = key("family");
         let first = charge(&world.planes[0], &key, "charge").await.unwrap();
         time::sleep(Duration::from_millis(10)).await;
@@ -73,8 +73,8 @@
 // Cause: the holder still believed in it.
 #[test]
 fn a_lapsed_claim_is_not_used() {
-    world::history(async {
-        let world = world::World::new(&world::WorldPlan::default());
+    cluster::history(async {
+        let world = cluster::World::new(&cluster::WorldPlan::default());
         *world.late_claims.lock().unwrap() = Duration::from_secs(5);
         let key = key("late");
         let refused = charge(&world.planes[0], &key, "charge").await.unwrap_err();
@@ -88,8 +88,8 @@
 // Cause: the claim was not given back although nothing was sent.
 #[test]
 fn a_charge_that_never_left_may_be_repeated() {
-    world::history(async {
-        let world = world::World::new(&world::WorldPlan::default());
+    cluster::history(async {
+        let world = cluster::World::new(&cluster::WorldPlan::default());
         world
             .services
             .iter()
@@ -112,8 +112,8 @@
 // Cause: the rule was looked up by the spelling; the window was not looked at.
 #[test]
 fn a_charge_needs_a_fresh_key_however_it_is_spelled() {
-    world::history(async {
-        let world = world::World::new(&world::WorldPlan::default());
+    cluster::history(async {
+        let world = cluster::World::new(&cluster::WorldPlan::default());
         let plane = &world.planes[0];
         for path in ["charge/x", "%63harge", "/charge?a=b"] {
             let call = callers::call(path, "one pass");
@@ -145,7 +145,7 @@
                 "{path}"
             );
         }
-        let old = format!("{}-x", world::ORIGIN_MS - 600_000);
+        let old = format!("{}-x", cluster::ORIGIN_MS - 600_000);
         let refused = charge(plane, &old, "charge").await.unwrap_err();
         assert_eq!(
             refused.body.code,
@@ -167,8 +167,8 @@
 // Cause: nobody took the work over.
 #[test]
 fn a_job_outlives_its_entry_vm() {
-    world::history(async {
-        let world = world::World::new(&world::WorldPlan::default());
+    cluster::history(async {
+        let world = cluster::World::new(&cluster::WorldPlan::default());
         tokio::spawn(world.planes[0].clone().run_jobs());
         let face = flow::body::CompletionApi::Chat;
         let body = callers::chat(40, 150, false, "");
--- a/crates/flow/tests/plane/crashing.rs
+++ b/crates/flow/tests/plane/crashing.rs
@@ -6,18 +6,18 @@
 use flow::plane;
 use tokio::{task, time};
 
-use crate::{callers, world};
+use crate::{callers, cluster};
 
-fn plan() -> world::WorldPlan {
-    world::WorldPlan {
+fn plan() -> cluster::WorldPlan {
+    cluster::WorldPlan {
         engines: 9,
         at_once: 16,
-        ..world::WorldPlan::default()
+        ..cluster::WorldPlan::default()
     }
 }
 
 /// Asks until it is answered or told that it is no use; the number of asks.
-async fn insist(world: &world::World, mark: u32, extra: &str) -> (bool, u32) {
+async fn insist(world: &cluster::World, mark: u32, extra: &str) -> (bool, u32) {
     for ask in 1..=30 {
         let body = callers::chat(mark, 40, false, extra);
         match callers::generate(&world.planes[0], body).await {
@@ -46,8 +46,8 @@
 // Cause: it was not told apart from what ran beside it.
 #[test]
 fn a_crashing_request_costs_two_engines_and_the_innocent_are_answered() {
-    world::history(async {
-        let world = std::sync::Arc::new(world::World::new(&plan()));
+    cluster::history(async {
+        let world = std::sync::Arc::new(cluster::World::new(&plan()));
         let mut innocents = task::JoinSet::new();
         for mark in 1..=72 {
             let world = world.clone();
@@ -73,8 +73,8 @@
 // Cause: the finding was not passed on, or not taken in.
 #[test]
 fn a_finding_passes_to_other_entry_vms_and_can_be_lifted() {
-    world::history(async {
-        let world = world::World::new(&plan());
+    cluster::history(async {
+        let world = cluster::World::new(&plan());
         insist(&world, 200, "[[crash]]").await;
         let dead = || {
             world
@@ -84,7 +84,7 @@
                 .count()
         };
         let dead_before = dead();
-        let now_ms = world::ORIGIN_MS;
+        let now_ms = cluster::ORIGIN_MS;
         let digest = world.planes[0].suspects().digest(now_ms);
         assert!(world.planes[1].suspects().merge(digest));
         let body = callers::chat(200, 40, false, "[[crash]]");
--- a/crates/flow/tests/plane/faults.rs
+++ b/crates/flow/tests/plane/faults.rs
@@ -6,7 +6,7 @@
 use stand::{engine, service};
 use tokio::time;
 
-use crate::world;
+use crate::cluster;
 
 /// A fault of a model engine that the stand-in itself provides.
 #[derive(Clone, Copy, Debug)]
@@ -106,7 +106,7 @@
 impl TimedFault {
     pub fn draw(
         u: &mut arbitrary::Unstructured<'_>,
-        plan: &world::WorldPlan,
+        plan: &cluster::WorldPlan,
     ) -> arbitrary::Result<Self> {
         let engine = u.choose_index(plan.engines)?;
         let service = u.choose_index(plan.services)?;
@@ -151,14 +151,14 @@
         })
     }
 
-    pub async fn happen(self, world: sync::Arc<world::World>) {
+    pub async fn happen(self, world: sync::Arc<cluster::World>) {
         time::sleep(Duration::from_millis(self.after_ms)).await;
         self.begin(&world);
         time::sleep(Duration::from_millis(self.lasts_ms)).await;
         self.end(&world);
     }
 
-    fn begin(self, world: &world::World) {
+    fn begin(self, world: &cluster::World) {
         match self.fault {
             Fault::EngineDies { engine, .. } => world.engines[engine].crash(),
             Fault::ServiceDies { service } => world.services[service].crash(),
@@ -180,7 +180,7 @@
         }
     }
 
-    fn end(self, world: &world::World) {
+    fn end(self, world: &cluster::World) {
         match self.fault {
             Fault::EngineDies { engine, back: true } => world.engines[engine].restart(),
             Fault::ServiceDies { service } => world.services[service].restart(),
--- a/crates/flow/tests/plane/fuzz.rs
+++ b/crates/flow/tests/plane/fuzz.rs
@@ -8,7 +8,7 @@
 use flow::{body, jobs, plane, request};
 use tokio::{task, time};
 
-use crate::{callers, faults, world};
+use crate::{callers, cluster, faults};
 
 /// Histories in every run; `FLOW_HISTORIES` asks for more.
 const HISTORIES: u64 = 2_000;
@@ -135,7 +135,7 @@
     }
 
     /// Promises 2 and 3, once everything has come to rest.
-    fn check(&self, world: &world::World) {
+    fn check(&self, world: &cluster::World) {
         let told = self.told.lock().unwrap();
         for mark in &told.generations_not_run {
             assert!(
@@ -170,7 +170,7 @@
 }
 
 /// Does one caller's deed to its end.
-async fn act(world: sync::Arc<world::World>, ledger: sync::Arc<Ledger>, caller: Caller) {
+async fn act(world: sync::Arc<cluster::World>, ledger: sync::Arc<Ledger>, caller: Caller) {
     time::sleep(Duration::from_millis(caller.at_ms)).await;
     let acts = async {
         match caller.deed {
@@ -204,7 +204,7 @@
 
 /// Begins a stream; `None`: refused, or the entry VM died before it answered.
 async fn begin(
-    world: &world::World,
+    world: &cluster::World,
     ledger: &Ledger,
     caller: Caller,
     tokens: u32,
@@ -225,7 +225,7 @@
 }
 
 async fn stream(
-    world: &world::World,
+    world: &cluster::World,
     ledger: &Ledger,
     caller: Caller,
     tokens: u32,
@@ -251,7 +251,7 @@
 }
 
 async fn continued(
-    world: &world::World,
+    world: &cluster::World,
     ledger: &Ledger,
     caller: Caller,
     tokens: u32,
@@ -306,7 +306,7 @@
     panic!("neither whole nor refused: {transcript:?}");
 }
 
-async fn leave(world: &world::World, ledger: &Ledger, caller: Caller, tokens: u32, after: usize) {
+async fn leave(world: &cluster::World, ledger: &Ledger, caller: Caller, tokens: u32, after: usize) {
     if let Some(mut reply) = begin(world, ledger, caller, tokens).await {
         let mut transcript = callers::Transcript::default();
         tokio::select! {
@@ -317,7 +317,7 @@
     }
 }
 
-async fn whole(world: &world::World, ledger: &Ledger, caller: Caller, tokens: u32) {
+async fn whole(world: &cluster::World, ledger: &Ledger, caller: Caller, tokens: u32) {
     let body = callers::chat(caller.mark, tokens, false, "");
     let reply = tokio::select! {
         reply = callers::generate(&world.planes[caller.entry], body) => reply,
@@ -335,13 +335,13 @@
 }
 
 async fn charge(
-    world: &world::World,
+    world: &cluster::World,
     ledger: &Ledger,
     caller: Caller,
     twice: bool,
     repeat_ms: u64,
 ) {
-    let key = format!("{}-{:x}", world::ORIGIN_MS + caller.at_ms, caller.mark);
+    let key = format!("{}-{:x}", cluster::ORIGIN_MS + caller.at_ms, caller.mark);
     ledger.told.lock().unwrap().keys.push(key.clone());
     let other = Caller {
         entry: 1 - caller.entry,
@@ -359,7 +359,7 @@
 }
 
 async fn charge_until_told(
-    world: &world::World,
+    world: &cluster::World,
     ledger: &Ledger,
     caller: Caller,
     key: &str,
@@ -414,7 +414,7 @@
     answer
 }
 
-async fn status(world: &world::World, ledger: &Ledger, caller: Caller) {
+async fn status(world: &cluster::World, ledger: &Ledger, caller: Caller) {
     let body = format!("status {:x}", caller.mark);
     let call = callers::call("status", &body);
     let reply = tokio::select! {
@@ -429,7 +429,7 @@
     }
 }
 
-async fn review(world: &world::World, ledger: &Ledger, caller: Caller, tokens: u32) {
+async fn review(world: &cluster::World, ledger: &Ledger, caller: Caller, tokens: u32) {
     let body = callers::chat(caller.mark, tokens, false, "");
     let face = body::CompletionApi::Chat;
     let accepted = tokio::select! {
@@ -459,7 +459,7 @@
     }
 }
 
-async fn crash(world: &world::World, ledger: &Ledger, caller: Caller) {
+async fn crash(world: &cluster::World, ledger: &Ledger, caller: Caller) {
     for ask in 0..4 {
         let body = callers::chat(caller.mark, 10, false, "[[crash]]");
         let reply = tokio::select! {
@@ -481,7 +481,7 @@
 
 /// One history from its bytes.
 fn run(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
-    let plan = world::WorldPlan {
+    let plan = cluster::WorldPlan {
         engines: u.int_in_range(2..=4)?,
         at_once: u.int_in_range(1..=4)?,
         seed: u.arbitrary()?,
@@ -489,7 +489,7 @@
         abandon_after: u
             .arbitrary::<bool>()?
             .then_some(Duration::from_millis(1_000)),
-        ..world::WorldPlan::default()
+        ..cluster::WorldPlan::default()
     };
     let mut callers = Vec::new();
     for mark in 1..=u.int_in_range(2..=7_u32)? {
@@ -502,8 +502,8 @@
     if std::env::var_os("FLOW_SEED").is_some() {
         eprintln!("{plan:#?}\n{callers:#?}\n{timed_faults:#?}");
     }
-    world::history(async move {
-        let world = sync::Arc::new(world::World::new(&plan));
+    cluster::history(async move {
+        let world = sync::Arc::new(cluster::World::new(&plan));
         let ledger = sync::Arc::new(Ledger::default());
         for plane in &world.planes {
             tokio::spawn(plane.clone().run_jobs());
--- a/crates/flow/tests/plane/main.rs
+++ b/crates/flow/tests/plane/main.rs
@@ -2,10 +2,10 @@
 
 mod callers;
 mod calls;
+mod cluster;
 mod crashing;
 mod faults;
 mod fuzz;
 mod links;
 mod streams;
 mod thin;
-mod world;
--- a/crates/flow/tests/plane/thin.rs
+++ b/crates/flow/tests/plane/thin.rs
@@ -2,12 +2,12 @@
 
 use flow::plane;
 
-use crate::{callers, world};
+use crate::{callers, cluster};
 
 #[test]
 fn a_stream_arrives_whole() {
-    world::history(async {
-        let world = world::World::new(&world::WorldPlan::default());
+    cluster::history(async {
+        let world = cluster::World::new(&cluster::WorldPlan::default());
         let reply = callers::generate(&world.planes[0], callers::chat(7, 20, true, "")).await;
         let Ok(plane::GenerationReply::Stream(mut reply)) = reply else {
             panic!("no stream: {reply:?}");
@@ -21,8 +21,8 @@
 
 #[test]
 fn a_whole_answer_arrives_whole() {
-    world::history(async {
-        let world = world::World::new(&world::WorldPlan::default());
+    cluster::history(async {
+        let world = cluster::World::new(&cluster::WorldPlan::default());
         let reply = callers::generate(&world.planes[0], callers::chat(8, 20, false, "")).await;
         let Ok(plane::GenerationReply::Complete { body, .. }) = reply else {
             panic!("no answer: {reply:?}");
@@ -35,8 +35,8 @@
 
 #[test]
 fn an_unknown_key_is_refused_as_not_run() {
-    world::history(async {
-        let world = world::World::new(&world::WorldPlan::default());
+    cluster::history(async {
+        let world = cluster::World::new(&cluster::WorldPlan::default());
         let mut headers = callers::headers();
         headers.api_key = Some("nobody's".to_owned());
         let body = callers::chat(9, 5, true, "");
