--- a/crates/flow/benches/promises.rs
+++ b/crates/flow/benches/promises.rs
@@ -26,7 +26,7 @@
 }
 
 async fn stream(
-    plane: &sync::Arc<cluster::WorldPlane>,
+    plane: &sync::Arc<cluster::ClusterPlane>,
     mark: u32,
     tokens: u32,
 ) -> plane::StreamReply {
@@ -59,13 +59,13 @@
 
 fn silent_once(number: u32, slow_factor: f64, floor: Duration) -> u128 {
     let (sender, receiver) = sync::mpsc::channel();
-    cluster::history(async move {
-        let plan = cluster::WorldPlan {
+    cluster::run_paused(async move {
+        let plan = cluster::ClusterOptions {
             seed: u64::from(number) + 1,
             min_silence_timeout: Some(floor),
-            ..cluster::WorldPlan::default()
+            ..cluster::ClusterOptions::default()
         };
-        let world = cluster::World::new(&plan);
+        let world = cluster::TestCluster::new(&plan);
         for engine in &world.engines {
             engine.apply(&engine::EngineFault::Slow {
                 factor: slow_factor,
@@ -108,12 +108,12 @@
         ("abandon after 1 s", Some(Duration::from_secs(1))),
     ] {
         let (sender, receiver) = sync::mpsc::channel();
-        cluster::history(async move {
-            let plan = cluster::WorldPlan {
+        cluster::run_paused(async move {
+            let plan = cluster::ClusterOptions {
                 abandon_after,
-                ..cluster::WorldPlan::default()
+                ..cluster::ClusterOptions::default()
             };
-            let world = sync::Arc::new(cluster::World::new(&plan));
+            let world = sync::Arc::new(cluster::TestCluster::new(&plan));
             world.engines[0].apply(&engine::EngineFault::Hang { on: true });
             let mut asks = task::JoinSet::new();
             for mark in 0..60 {
@@ -163,7 +163,7 @@
         ),
     ] {
         let (sender, receiver) = sync::mpsc::channel();
-        cluster::history(async move {
+        cluster::run_paused(async move {
             let _ = sender.send(crash_once(limits).await);
         });
         let outcome = receiver.recv().unwrap();
@@ -182,13 +182,13 @@
 }
 
 async fn crash_once(limits: suspect::SuspectLimits) -> CrashOutcome {
-    let plan = cluster::WorldPlan {
+    let plan = cluster::ClusterOptions {
         engines: 9,
-        at_once: 16,
+        max_concurrency: 16,
         suspects: limits,
-        ..cluster::WorldPlan::default()
+        ..cluster::ClusterOptions::default()
     };
-    let world = sync::Arc::new(cluster::World::new(&plan));
+    let world = sync::Arc::new(cluster::TestCluster::new(&plan));
     let deaths = sync::Arc::new(sync::atomic::AtomicUsize::new(0));
     for engine in world.engines.clone() {
         let deaths = deaths.clone();
@@ -224,13 +224,13 @@
 }
 
 /// Asks until answered; the number of asks.
-async fn insist(world: &cluster::World, mark: u32, extra: &str) -> Option<u32> {
+async fn insist(world: &cluster::TestCluster, mark: u32, extra: &str) -> Option<u32> {
     for ask in 1..=30 {
         let body = callers::chat(mark, 40, false, extra);
         match callers::generate(&world.planes[0], body).await {
             Ok(plane::GenerationReply::Complete { body, .. }) => {
                 let mut transcript = callers::Transcript::default();
-                transcript.whole(&body);
+                transcript.read_complete(&body);
                 transcript.check(mark, 40);
                 return Some(ask);
             }
@@ -258,13 +258,13 @@
         ("callers that do not", false),
     ] {
         let (sender, receiver) = sync::mpsc::channel();
-        cluster::history(async move {
-            let plan = cluster::WorldPlan {
+        cluster::run_paused(async move {
+            let plan = cluster::ClusterOptions {
                 entries: 3,
                 engines: 9,
-                ..cluster::WorldPlan::default()
+                ..cluster::ClusterOptions::default()
             };
-            let world = sync::Arc::new(cluster::World::new(&plan));
+            let world = sync::Arc::new(cluster::TestCluster::new(&plan));
             let mut streams = task::JoinSet::new();
             for mark in 0..60 {
                 let world = world.clone();
@@ -288,13 +288,13 @@
     gap_ms: u128,
 }
 
-async fn follow(world: &cluster::World, mark: u32, continues: bool) -> StreamOutcome {
+async fn follow(world: &cluster::TestCluster, mark: u32, continues: bool) -> StreamOutcome {
     let entry = mark as usize % 3;
     let mut reply = stream(&world.planes[entry], mark, 150).await;
     let mut transcript = callers::Transcript::default();
     let cut = tokio::select! {
         () = transcript.read(&mut reply.stream, usize::MAX) => false,
-        () = world.cut(entry) => true,
+        () = world.disconnected(entry) => true,
     };
     let cut_at = time::Instant::now();
     let mut gap_ms = 0;
--- a/crates/flow/tests/plane/callers.rs
+++ b/crates/flow/tests/plane/callers.rs
@@ -1,4 +1,4 @@
-//! Callers as they are outside: they see bytes and know nothing of the system's insides.
+//! Test callers, which see only the bytes that a real caller receives.
 
 use std::sync;
 
@@ -10,17 +10,17 @@
 
 use crate::cluster;
 
-/// What one caller got of one answer.
+/// Tokens and refusal that one caller received for one answer.
 #[derive(Debug, Default)]
 pub struct Transcript {
-    /// Tokens with the index that their chunk named, in the order of arrival.
+    /// Tokens with the index in their chunk, in order of arrival.
     pub tokens: Vec<(u32, engine::text::TokenText)>,
-    /// Tokens that the usage counted.
+    /// Number of tokens reported by the usage chunk.
     pub counted: Option<u32>,
     pub done: bool,
-    /// Refusals in the order of arrival; a stream's last one ends it.
+    /// Refusal that ended the stream.
     pub refusal: Option<refusal::RefusalBody>,
-    /// The refusal names where the rest is to be had.
+    /// Whether the refusal says how to continue the stream.
     pub moved: bool,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// A chat request whose tokens all carry `mark`.
+/// Body of a chat request whose tokens all carry `mark`.
 pub fn chat(mark: u32, tokens: u32, stream: bool, extra: &str) -> Bytes {
     let content = format!("[[mark={mark:x}]] [[len={tokens}]] {extra}");
     let body = serde_json::json!({
@@ -44,7 +44,7 @@
 }
 
 pub async fn generate(
-    plane: &sync::Arc<cluster::WorldPlane>,
+    plane: &sync::Arc<cluster::ClusterPlane>,
     body: Bytes,
 ) -> Result<plane::GenerationReply, plane::RefusedRequest> {
     plane
@@ -53,7 +53,7 @@
 }
 
 impl Transcript {
-    /// Reads a stream to its end, or until `limit` tokens are there.
+    /// Reads a stream to its end, or until `limit` tokens have arrived.
     pub async fn read(&mut self, stream: &mut pipe::CallerStream, limit: usize) {
         let mut rest = String::new();
         while self.tokens.len() < limit {
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Takes in a whole answer.
-    pub fn whole(&mut self, body: &[u8]) {
+    /// Parses a complete answer.
+    pub fn read_complete(&mut self, body: &[u8]) {
         let json: serde_json::Value = serde_json::from_slice(body).unwrap();
         let text = json["choices"][0]["message"]["content"].as_str().unwrap();
         for (index, word) in text.split_whitespace().enumerate() {
@@ -108,8 +108,8 @@
         self.done = true;
     }
 
-    /// Promises 1 and 2: each token once, in order, of one generation, of the own request; and a
-    /// whole answer is whole.
+    /// Checks promises 1 and 2: each token once, in order, of one generation and of the caller's own
+    /// request; and an answer that ends as complete has all its tokens.
     pub fn check(&self, mark: u32, expected: u32) {
         let first = self.tokens.first().map(|(_, token)| token.tag);
         for (place, (index, token)) in self.tokens.iter().enumerate() {
@@ -123,14 +123,25 @@
             assert_eq!(token.mark, Some(mark), "another request's token: {self:?}");
         }
         if self.done {
-            assert_eq!(self.tokens.len(), expected as usize, "not whole: {self:?}");
-            assert_eq!(self.counted, Some(expected), "miscounted: {self:?}");
-            assert!(self.refusal.is_none(), "whole and refused: {self:?}");
+            assert_eq!(
+                self.tokens.len(),
+                expected as usize,
+                "tokens are missing: {self:?}"
+            );
+            assert_eq!(
+                self.counted,
+                Some(expected),
+                "wrong token count in the usage: {self:?}"
+            );
+            assert!(
+                self.refusal.is_none(),
+                "a complete answer with a refusal: {self:?}"
+            );
         }
     }
 }
 
-/// A plain service call.
+/// Builds a plain service call.
 pub fn call(path: &str, body: &str) -> request::RawCall {
     request::RawCall {
         service: "pass-app".to_owned(),
--- a/crates/flow/tests/plane/calls.rs
+++ b/crates/flow/tests/plane/calls.rs
@@ -1,4 +1,4 @@
-//! Failures of plain service calls, one by one.
+//! Failures of plain service calls.
 
 use std::{sync, time::Duration};
 
@@ -10,7 +10,7 @@
 use crate::{callers, cluster};
 
 async fn charge(
-    plane: &sync::Arc<cluster::WorldPlane>,
+    plane: &sync::Arc<cluster::ClusterPlane>,
     key: &str,
     path: &str,
 ) -> Result<plane::ServiceReply, plane::RefusedRequest> {
@@ -27,94 +27,95 @@
     format!("{}-{name}", cluster::ORIGIN_MS)
 }
 
-// Symptom: a pass is charged twice.
-// Sequence: a charge runs, its answer is lost, the caller repeats it.
-// Cause: what may have run was sent again.
+// Guards against charging a pass twice: a charge runs, its answer is lost, and a repeat by the
+// caller sends a call again that may have run.
 #[test]
-fn a_lost_answer_is_told_as_unknown_and_never_repeated() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
-        for service in &world.services {
+fn a_call_with_a_lost_answer_is_reported_as_unknown_and_never_resent() {
+    cluster::run_paused(async {
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        for service in &cluster.services {
             service.apply(&service::ServiceFault::LoseAnswers { count: 1 });
         }
         let key = key("family");
-        for plane in [&world.planes[0], &world.planes[1], &world.planes[0]] {
+        for plane in [&cluster.planes[0], &cluster.planes[1], &cluster.planes[0]] {
             let refused = charge(plane, &key, "charge").await.unwrap_err().body;
             assert_eq!(refused.ran, outcome::RanState::Unknown, "{refused:?}");
             time::sleep(Duration::from_secs(1)).await;
         }
-        assert_eq!(world.runs_of_key(&key), 1);
+        assert_eq!(cluster.runs_of_key(&key), 1);
     });
 }
 
-// Symptom: a caller that repeats its charge is told something else than the first time.
-// Sequence: a charge is answered; its caller lost the answer and repeats it elsewhere, with the
-// service down.
-// Cause: the outcome was not stored with the claim.
+// Guards against answering a repeated charge differently from the first one: the caller loses the
+// answer and repeats the charge at another entry VM while the service is down. The outcome must
+// have been stored with the claim.
 #[test]
 fn a_repeat_gets_the_stored_answer() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let key = key("family");
-        let first = charge(&world.planes[0], &key, "charge").await.unwrap();
+        let first = charge(&cluster.planes[0], &key, "charge").await.unwrap();
         time::sleep(Duration::from_millis(10)).await;
-        world
+        cluster
             .services
             .iter()
             .for_each(service::ServiceHandle::crash);
-        let repeat = charge(&world.planes[1], &key, "charge").await.unwrap();
+        let repeat = charge(&cluster.planes[1], &key, "charge").await.unwrap();
         assert_eq!(first.answer, repeat.answer);
-        assert_eq!(world.runs_of_key(&key), 1);
+        assert_eq!(cluster.runs_of_key(&key), 1);
     });
 }
 
-// Symptom: a charge is made after a repeat was told "unknown".
-// Sequence: the claim is on the log; the entry VM is paused until the claim has lapsed.
-// Cause: the holder still believed in it.
+// Guards against sending a charge after a repeat was answered as unknown: the claim is on the log,
+// the entry VM is paused until the claim has lapsed, and the holder still considers it valid.
 #[test]
 fn a_lapsed_claim_is_not_used() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
-        *world.late_claims.lock().unwrap() = Duration::from_secs(5);
+    cluster::run_paused(async {
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        *cluster.claim_delay.lock().unwrap() = Duration::from_secs(5);
         let key = key("late");
-        let refused = charge(&world.planes[0], &key, "charge").await.unwrap_err();
+        let refused = charge(&cluster.planes[0], &key, "charge")
+            .await
+            .unwrap_err();
         assert_eq!(refused.body.ran, outcome::RanState::No);
-        assert_eq!(world.runs_of_key(&key), 0);
+        assert_eq!(cluster.runs_of_key(&key), 0);
     });
 }
 
-// Symptom: a charge that could not run blocks its key.
-// Sequence: no server can be reached; they come back; the caller repeats the charge.
-// Cause: the claim was not given back although nothing was sent.
+// Guards against a key that stays blocked by a charge that could not run: no server is reachable,
+// the servers restart, and the caller repeats the charge. The claim must be released, since nothing
+// was sent.
 #[test]
-fn a_charge_that_never_left_may_be_repeated() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
-        world
+fn a_charge_that_was_never_sent_may_be_repeated() {
+    cluster::run_paused(async {
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        cluster
             .services
             .iter()
             .for_each(service::ServiceHandle::crash);
         let key = key("again");
-        let refused = charge(&world.planes[0], &key, "charge").await.unwrap_err();
+        let refused = charge(&cluster.planes[0], &key, "charge")
+            .await
+            .unwrap_err();
         assert_eq!(refused.body.ran, outcome::RanState::No);
-        world
+        cluster
             .services
             .iter()
             .for_each(service::ServiceHandle::restart);
         time::sleep(Duration::from_secs(1)).await;
-        charge(&world.planes[1], &key, "charge").await.unwrap();
-        assert_eq!(world.runs_of_key(&key), 1);
+        charge(&cluster.planes[1], &key, "charge").await.unwrap();
+        assert_eq!(cluster.runs_of_key(&key), 1);
     });
 }
 
-// Symptom: a charge runs without a claim.
-// Sequence: a caller spells the path otherwise, or sends no key, or one that is too old.
-// Cause: the rule was looked up by the spelling; the window was not looked at.
+// Guards against charges that run without a claim: a caller spells the path differently, sends no
+// key or an expired one. The rule must not depend on the spelling, and the time in the key must be
+// checked against the window.
 #[test]
-fn a_charge_needs_a_fresh_key_however_it_is_spelled() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
-        let plane = &world.planes[0];
+fn a_charge_needs_a_fresh_key_for_every_spelling_of_its_path() {
+    cluster::run_paused(async {
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let plane = &cluster.planes[0];
         for path in ["charge/x", "%63harge", "/charge?a=b"] {
             let call = callers::call(path, "one pass");
             let refused = plane
@@ -151,9 +152,9 @@
             refused.body.code,
             refusal::RefusalCode::IdempotencyKeyExpired
         );
-        // Whether a call with it ran within its window is no longer known.
+        // It is no longer known whether a call with this key ran within its window.
         assert_eq!(refused.body.ran, outcome::RanState::Unknown);
-        let runs: u64 = world
+        let runs: u64 = cluster
             .services
             .iter()
             .map(|service| service.counts().total)
@@ -162,31 +163,30 @@
     });
 }
 
-// Symptom: deferrable work is lost with its entry VM.
-// Sequence: the entry VM that accepted a review dies while it runs it.
-// Cause: nobody took the work over.
+// Guards against losing an accepted job with its entry VM: the VM that accepted it dies while it
+// runs the job, and no other VM takes it over.
 #[test]
-fn a_job_outlives_its_entry_vm() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
-        tokio::spawn(world.planes[0].clone().run_jobs());
+fn a_job_survives_the_death_of_its_entry_vm() {
+    cluster::run_paused(async {
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        tokio::spawn(cluster.planes[0].clone().run_jobs());
         let face = flow::body::CompletionApi::Chat;
         let body = callers::chat(40, 150, false, "");
-        let accepted = world.planes[0].accept_job(callers::headers(), face, body);
+        let accepted = cluster.planes[0].accept_job(callers::headers(), face, body);
         let job = accepted.await.unwrap();
         time::sleep(Duration::from_secs(1)).await;
-        world.kill_first_entry();
-        tokio::spawn(world.planes[1].clone().run_jobs());
+        cluster.kill_first_entry();
+        tokio::spawn(cluster.planes[1].clone().run_jobs());
         time::sleep(Duration::from_secs(20)).await;
-        let reply = world.planes[1]
+        let reply = cluster.planes[1]
             .fetch_job(callers::headers(), job)
             .await
             .unwrap();
         let flow::jobs::JobReply::Answer(text) = reply else {
-            panic!("not finished: {reply:?}");
+            panic!("the job is not finished: {reply:?}");
         };
         let mut transcript = callers::Transcript::default();
-        transcript.whole(text.as_bytes());
+        transcript.read_complete(text.as_bytes());
         transcript.check(40, 150);
     });
 }
--- a/crates/flow/tests/plane/cluster.rs
+++ b/crates/flow/tests/plane/cluster.rs
@@ -1,4 +1,4 @@
-//! Some entry VMs, a few model engines and plain service servers, all in this process.
+//! Test cluster of entry VMs, stand-in model engines and plain service servers in one process.
 
 use std::{collections, net, sync, time::Duration};
 
@@ -10,17 +10,17 @@
 
 use crate::links;
 
-/// API key of the organisation that callers belong to.
+/// API key of the organisation of the test callers.
 pub const API_KEY: &str = "key-of-troupes";
 
 /// API key of another organisation.
 pub const OTHER_API_KEY: &str = "key-of-vendors";
 
-/// Wall clock at the start of every history.
+/// Wall clock time at the start of every test, in milliseconds since 1970.
 pub const ORIGIN_MS: u64 = 1_800_000_000_000;
 
 /// Ports of one entry VM.
-pub struct WorldPorts {
+pub struct ClusterPorts {
     pub engines: links::StandEngines,
     pub services: links::StandServices,
     pub schedule: memory::MemorySchedule,
@@ -28,10 +28,10 @@
     pub jobs: links::SharedJobs,
     pub clock: memory::RuntimeClock,
     pub ids: links::CountedIds,
-    pub peers: PeerBoard,
+    pub peers: LocalPeers,
 }
 
-impl port::PortSet for WorldPorts {
+impl port::PortSet for ClusterPorts {
     type Engines = links::StandEngines;
     type Services = links::StandServices;
     type Schedule = memory::MemorySchedule;
@@ -41,7 +41,7 @@
     type Events = memory::NoEvents;
     type Clock = memory::RuntimeClock;
     type Ids = links::CountedIds;
-    type Peers = PeerBoard;
+    type Peers = LocalPeers;
 
     fn engines(&self) -> &links::StandEngines {
         &self.engines
@@ -70,18 +70,18 @@
     fn ids(&self) -> &links::CountedIds {
         &self.ids
     }
-    fn peers(&self) -> &PeerBoard {
+    fn peers(&self) -> &LocalPeers {
         &self.peers
     }
 }
 
-/// Carries word of adopted generations between the entry VMs.
+/// Announces adopted generations between the entry VMs of the test cluster.
 #[derive(Clone, Default)]
-pub struct PeerBoard {
-    planes: sync::Arc<sync::Mutex<collections::BTreeMap<String, sync::Weak<WorldPlane>>>>,
+pub struct LocalPeers {
+    planes: sync::Arc<sync::Mutex<collections::BTreeMap<String, sync::Weak<ClusterPlane>>>>,
 }
 
-impl port::PeerLink for PeerBoard {
+impl port::PeerLink for LocalPeers {
     fn adopted(&self, vm: &str, generation: id::GenerationId) {
         let plane = self
             .planes
@@ -95,30 +95,30 @@
     }
 }
 
-pub type WorldPlane = plane::RequestPlane<WorldPorts>;
+pub type ClusterPlane = plane::RequestPlane<ClusterPorts>;
 
-/// Everything there is.
-pub struct World {
-    pub planes: Vec<sync::Arc<WorldPlane>>,
+/// All processes of a test cluster, and controls for their faults.
+pub struct TestCluster {
+    pub planes: Vec<sync::Arc<ClusterPlane>>,
     pub switches: Vec<links::ProcessSwitch>,
     pub engines: Vec<engine::EngineHandle>,
     pub services: Vec<service::ServiceHandle>,
     pub chaos: links::Chaos,
     pub log_down: watch::Sender<bool>,
-    pub late_claims: sync::Arc<sync::Mutex<Duration>>,
+    pub claim_delay: sync::Arc<sync::Mutex<Duration>>,
     pub views: watch::Sender<sync::Arc<view::PlaneView>>,
     first_entry_dead: watch::Sender<bool>,
 }
 
-/// How large, and how it is set.
+/// Size and settings of a test cluster.
 #[derive(Clone, Debug)]
-pub struct WorldPlan {
+pub struct ClusterOptions {
     pub engines: usize,
     pub services: usize,
-    /// Requests on one server at once.
-    pub at_once: usize,
+    /// Maximum number of concurrent requests on one server.
+    pub max_concurrency: usize,
     pub seed: u64,
-    pub mishaps_permille: u64,
+    pub fault_permille: u64,
     pub rules: rules::RuleSet,
     pub abandon_after: Option<Duration>,
     pub max_probe_servers: usize,
@@ -127,14 +127,14 @@
     pub min_silence_timeout: Option<Duration>,
 }
 
-impl Default for WorldPlan {
+impl Default for ClusterOptions {
     fn default() -> Self {
         Self {
             engines: 3,
             services: 2,
-            at_once: 8,
+            max_concurrency: 8,
             seed: 1,
-            mishaps_permille: 0,
+            fault_permille: 0,
             rules: rules::RuleSet::default(),
             abandon_after: None,
             max_probe_servers: 1,
@@ -145,10 +145,10 @@
     }
 }
 
-fn inventory_of(plan: &WorldPlan) -> inventory::Inventory {
+fn inventory_of(options: &ClusterOptions) -> inventory::Inventory {
     let mut inventory = inventory::Inventory::default();
     let address = net::SocketAddr::from(([127, 0, 0, 1], 1));
-    for number in 0..plan.engines {
+    for number in 0..options.engines {
         let kind = inventory::ServerKind::ModelEngine(inventory::EngineEntry {
             models: vec!["review-llm".to_owned()],
             checks_fencing: true,
@@ -165,7 +165,7 @@
             .backend_servers
             .insert(format!("engine-{number}"), entry);
     }
-    for number in 0..plan.services {
+    for number in 0..options.services {
         let kind = inventory::ServerKind::PlainService {
             service: "pass-app".to_owned(),
         };
@@ -201,15 +201,15 @@
     inventory
 }
 
-impl World {
-    pub fn new(plan: &WorldPlan) -> Self {
+impl TestCluster {
+    pub fn new(options: &ClusterOptions) -> Self {
         let configuration = document::Configuration {
-            inventory: inventory_of(plan),
-            rules: plan.rules.clone(),
+            inventory: inventory_of(options),
+            rules: options.rules.clone(),
         };
         let config = snapshot::ConfigSnapshot::default().next(1, 1, sync::Arc::new(configuration));
         let profile = |number: usize| engine::EngineProfile {
-            seed: plan.seed ^ number as u64,
+            seed: options.seed ^ number as u64,
             ..engine::EngineProfile::default()
         };
         let mut engines = collections::BTreeMap::new();
@@ -225,34 +225,34 @@
             config: sync::Arc::new(config),
             leaving: sync::Arc::default(),
         };
-        let mut world = Self {
+        let mut cluster = Self {
             planes: Vec::new(),
             switches: Vec::new(),
             engines: engines.values().cloned().collect(),
             services: services.values().cloned().collect(),
-            chaos: links::Chaos::new(plan.seed, plan.mishaps_permille),
+            chaos: links::Chaos::new(options.seed, options.fault_permille),
             log_down: watch::Sender::new(false),
-            late_claims: sync::Arc::default(),
+            claim_delay: sync::Arc::default(),
             views: watch::Sender::new(sync::Arc::new(view)),
             first_entry_dead: watch::Sender::new(false),
         };
-        world.add_planes(plan, &engines, &services);
-        world
+        cluster.add_planes(options, &engines, &services);
+        cluster
     }
 
     fn add_planes(
         &mut self,
-        plan: &WorldPlan,
+        options: &ClusterOptions,
         engines: &collections::BTreeMap<id::ServerKey, engine::EngineHandle>,
         services: &collections::BTreeMap<id::ServerKey, service::ServiceHandle>,
     ) {
         let claims = sync::Arc::new(books::MemoryClaims::default());
         let jobs = sync::Arc::new(books::MemoryJobs::default());
-        let peers = PeerBoard::default();
-        for entry in 0..plan.entries {
+        let peers = LocalPeers::default();
+        for entry in 0..options.entries {
             let switch = links::ProcessSwitch::new();
             let vm = format!("entry-{entry}");
-            let ports = WorldPorts {
+            let ports = ClusterPorts {
                 engines: links::StandEngines {
                     handles: engines.clone(),
                     chaos: self.chaos.clone(),
@@ -262,11 +262,14 @@
                     handles: services.clone(),
                     switch: switch.clone(),
                 },
-                schedule: memory::MemorySchedule::new(self.views.subscribe(), plan.at_once),
+                schedule: memory::MemorySchedule::new(
+                    self.views.subscribe(),
+                    options.max_concurrency,
+                ),
                 claims: links::SharedClaims {
                     book: claims.clone(),
                     down: self.log_down.clone(),
-                    late: self.late_claims.clone(),
+                    late: self.claim_delay.clone(),
                     switch: switch.clone(),
                 },
                 jobs: links::SharedJobs {
@@ -287,10 +290,10 @@
             };
             let keys = token::TokenKeys::new(secret, None);
             let mut settings = settings::PlaneSettings::new(vm.clone(), keys);
-            settings.abandon_after = plan.abandon_after;
-            settings.max_probe_servers = plan.max_probe_servers;
-            settings.suspects = plan.suspects;
-            settings.min_silence_timeout = plan
+            settings.abandon_after = options.abandon_after;
+            settings.max_probe_servers = options.max_probe_servers;
+            settings.suspects = options.suspects;
+            settings.min_silence_timeout = options
                 .min_silence_timeout
                 .unwrap_or(settings.min_silence_timeout);
             let plane = plane::RequestPlane::new(ports, settings, self.views.subscribe());
@@ -302,7 +305,7 @@
         }
     }
 
-    /// The first entry VM dies: nothing of it gets out any more, and its connections are cut.
+    /// Kills the first entry VM: it sends nothing from here on, and its connections are closed.
     pub fn kill_first_entry(&self) {
         self.switches[0].set(false);
         self.first_entry_dead.send_replace(true);
@@ -312,16 +315,16 @@
         *self.first_entry_dead.borrow()
     }
 
-    /// Completes when callers' connections to an entry VM are cut.
-    pub async fn cut(&self, entry: usize) {
+    /// Completes when the callers' connections to an entry VM are closed.
+    pub async fn disconnected(&self, entry: usize) {
         let mut watcher = self.first_entry_dead.subscribe();
         if entry > 0 || watcher.wait_for(|dead| *dead).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// An engine is known to be leaving.
-    pub fn leave(&self, engine: usize) {
+    /// Marks an engine as leaving in the views of all entry VMs.
+    pub fn mark_leaving(&self, engine: usize) {
         self.views.send_modify(|view| {
             let mut leaving = collections::BTreeSet::clone(&view.leaving);
             leaving.insert(view.config.servers_of_model("review-llm")[engine]);
@@ -332,7 +335,7 @@
         });
     }
 
-    /// Times that calls with this key ran, on all servers together.
+    /// Number of times that calls with this key ran, summed over all servers.
     pub fn runs_of_key(&self, key: &str) -> u64 {
         let counts = self.services.iter().map(service::ServiceHandle::counts);
         counts
@@ -340,7 +343,7 @@
             .sum()
     }
 
-    /// Times that this request ran, on all servers together.
+    /// Number of times that this request ran, summed over all servers.
     pub fn runs_of_request(&self, request: id::RequestId) -> u64 {
         let request = request.to_string();
         let counts = self.services.iter().map(service::ServiceHandle::counts);
@@ -350,12 +353,12 @@
     }
 }
 
-/// Runs a history on a paused clock.
-pub fn history<F: Future<Output = ()>>(history: F) {
+/// Runs a future on a paused clock.
+pub fn run_paused<F: Future<Output = ()>>(future: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
         .unwrap();
-    runtime.block_on(history);
+    runtime.block_on(future);
 }
--- a/crates/flow/tests/plane/crashing.rs
+++ b/crates/flow/tests/plane/crashing.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the engines that run them.
+//! Requests whose content crashes the engines that run them.
 
 use std::time::Duration;
 
@@ -8,58 +8,63 @@
 
 use crate::{callers, cluster};
 
-fn plan() -> cluster::WorldPlan {
-    cluster::WorldPlan {
+fn crash_options() -> cluster::ClusterOptions {
+    cluster::ClusterOptions {
         engines: 9,
-        at_once: 16,
-        ..cluster::WorldPlan::default()
+        max_concurrency: 16,
+        ..cluster::ClusterOptions::default()
     }
 }
 
-/// Asks until it is answered or told that it is no use; the number of asks.
-async fn insist(world: &cluster::World, mark: u32, extra: &str) -> (bool, u32) {
-    for ask in 1..=30 {
+/// Retries a request until it is answered or quarantined. Returns whether it was answered, and the
+/// number of requests sent.
+async fn retry_until_final(cluster: &cluster::TestCluster, mark: u32, extra: &str) -> (bool, u32) {
+    for request in 1..=30 {
         let body = callers::chat(mark, 40, false, extra);
-        match callers::generate(&world.planes[0], body).await {
+        match callers::generate(&cluster.planes[0], body).await {
             Ok(plane::GenerationReply::Complete { body, .. }) => {
                 let mut transcript = callers::Transcript::default();
-                transcript.whole(&body);
+                transcript.read_complete(&body);
                 transcript.check(mark, 40);
-                return (true, ask);
+                return (true, request);
             }
-            Ok(other) => panic!("no whole answer: {other:?}"),
+            Ok(other) => panic!("not a complete answer: {other:?}"),
             Err(refused) if refused.body.code == refusal::RefusalCode::Quarantined => {
-                return (false, ask);
+                return (false, request);
             }
             Err(refused) => {
-                let delay_ms = refused.body.retry_after_ms.expect("when to come back");
+                let delay_ms = refused
+                    .body
+                    .retry_after_ms
+                    .expect("a refusal with a retry delay");
                 time::sleep(Duration::from_millis(delay_ms)).await;
             }
         }
     }
-    panic!("never answered: {mark}");
+    panic!("request {mark} was not answered after 30 retries");
 }
 
-// Symptom: one engine after the other dies.
-// Sequence: a request crashes each engine that runs it, beside full batches; it is sent again
-// and again.
-// Cause: it was not told apart from what ran beside it.
+// Guards against losing one engine after another: a request that crashes each engine that runs it
+// is retried beside full batches and is not distinguished from the requests that run beside it.
 #[test]
-fn a_crashing_request_costs_two_engines_and_the_innocent_are_answered() {
-    cluster::history(async {
-        let world = std::sync::Arc::new(cluster::World::new(&plan()));
-        let mut innocents = task::JoinSet::new();
+fn a_crashing_request_kills_at_most_two_engines_and_other_requests_are_answered() {
+    cluster::run_paused(async {
+        let cluster = std::sync::Arc::new(cluster::TestCluster::new(&crash_options()));
+        let mut others = task::JoinSet::new();
         for mark in 1..=72 {
-            let world = world.clone();
-            innocents.spawn(async move { insist(&world, mark, "").await });
+            let cluster = cluster.clone();
+            others.spawn(async move { retry_until_final(&cluster, mark, "").await });
         }
         time::sleep(Duration::from_millis(100)).await;
-        let (answered, _) = insist(&world, 100, "[[crash]]").await;
+        let (answered, _) = retry_until_final(&cluster, 100, "[[crash]]").await;
         assert!(!answered);
-        while let Some(innocent) = innocents.join_next().await {
-            assert!(innocent.unwrap().0, "an innocent request was quarantined");
+        while let Some(other) = others.join_next().await {
+            assert!(
+                other.unwrap().0,
+                "a request that crashes no engine was quarantined"
+            );
         }
-        let dead = world
+        let dead = cluster
             .engines
             .iter()
             .filter(|engine| !engine.is_up())
@@ -68,16 +73,15 @@
     });
 }
 
-// Symptom: an engine dies of content that another entry VM had found out.
-// Sequence: the content is quarantined by one entry VM; its caller goes to another.
-// Cause: the finding was not passed on, or not taken in.
+// Guards against an engine crash by content that another entry VM has quarantined: its caller goes
+// to a second entry VM, which did not receive the quarantine or did not merge it.
 #[test]
-fn a_finding_passes_to_other_entry_vms_and_can_be_lifted() {
-    cluster::history(async {
-        let world = cluster::World::new(&plan());
-        insist(&world, 200, "[[crash]]").await;
+fn a_quarantine_reaches_other_entry_vms_and_can_be_lifted() {
+    cluster::run_paused(async {
+        let cluster = cluster::TestCluster::new(&crash_options());
+        retry_until_final(&cluster, 200, "[[crash]]").await;
         let dead = || {
-            world
+            cluster
                 .engines
                 .iter()
                 .filter(|engine| !engine.is_up())
@@ -85,24 +89,24 @@
         };
         let dead_before = dead();
         let now_ms = cluster::ORIGIN_MS;
-        let digest = world.planes[0].suspects().digest(now_ms);
-        assert!(world.planes[1].suspects().merge(digest));
+        let digest = cluster.planes[0].suspects().digest(now_ms);
+        assert!(cluster.planes[1].suspects().merge(digest));
         let body = callers::chat(200, 40, false, "[[crash]]");
-        let refused = callers::generate(&world.planes[1], body)
+        let refused = callers::generate(&cluster.planes[1], body)
             .await
             .unwrap_err()
             .body;
         assert_eq!(refused.code, refusal::RefusalCode::Quarantined);
         assert_eq!(dead(), dead_before);
-        let listed = world.planes[1].suspects().list(now_ms);
+        let listed = cluster.planes[1].suspects().list(now_ms);
         assert_eq!(listed.len(), 1);
         assert_eq!(listed[0].state, ops::QuarantineState::Quarantined);
         let late_ms = now_ms + 60_000;
         assert!(
-            world.planes[1]
+            cluster.planes[1]
                 .suspects()
                 .lift(listed[0].fingerprint, late_ms)
         );
-        assert!(world.planes[1].suspects().list(late_ms).is_empty());
+        assert!(cluster.planes[1].suspects().list(late_ms).is_empty());
     });
 }
--- a/crates/flow/tests/plane/faults.rs
+++ b/crates/flow/tests/plane/faults.rs
@@ -106,7 +106,7 @@
 impl TimedFault {
     pub fn draw(
         u: &mut arbitrary::Unstructured<'_>,
-        plan: &cluster::WorldPlan,
+        plan: &cluster::ClusterOptions,
     ) -> arbitrary::Result<Self> {
         let engine = u.choose_index(plan.engines)?;
         let service = u.choose_index(plan.services)?;
@@ -151,14 +151,14 @@
         })
     }
 
-    pub async fn happen(self, world: sync::Arc<cluster::World>) {
+    pub async fn happen(self, world: sync::Arc<cluster::TestCluster>) {
         time::sleep(Duration::from_millis(self.after_ms)).await;
         self.begin(&world);
         time::sleep(Duration::from_millis(self.lasts_ms)).await;
         self.end(&world);
     }
 
-    fn begin(self, world: &cluster::World) {
+    fn begin(self, world: &cluster::TestCluster) {
         match self.fault {
             Fault::EngineDies { engine, .. } => world.engines[engine].crash(),
             Fault::ServiceDies { service } => world.services[service].crash(),
@@ -166,11 +166,11 @@
                 world.log_down.send_replace(true);
             }
             Fault::ClaimsLate { by_ms } => {
-                *world.late_claims.lock().unwrap() = Duration::from_millis(by_ms);
+                *world.claim_delay.lock().unwrap() = Duration::from_millis(by_ms);
             }
             Fault::EntryPaused { entry } => world.switches[entry].set(false),
             Fault::EntryDies => world.kill_first_entry(),
-            Fault::FirstEngineLeaves => world.leave(0),
+            Fault::FirstEngineLeaves => world.mark_leaving(0),
             Fault::Engine { engine, fault } => {
                 world.engines[engine].apply(&fault.switched(true));
             }
@@ -180,14 +180,14 @@
         }
     }
 
-    fn end(self, world: &cluster::World) {
+    fn end(self, world: &cluster::TestCluster) {
         match self.fault {
             Fault::EngineDies { engine, back: true } => world.engines[engine].restart(),
             Fault::ServiceDies { service } => world.services[service].restart(),
             Fault::LogDown => {
                 world.log_down.send_replace(false);
             }
-            Fault::ClaimsLate { .. } => *world.late_claims.lock().unwrap() = Duration::ZERO,
+            Fault::ClaimsLate { .. } => *world.claim_delay.lock().unwrap() = Duration::ZERO,
             Fault::EntryPaused { entry } if entry > 0 || !world.is_first_entry_dead() => {
                 world.switches[entry].set(true);
             }
--- a/crates/flow/tests/plane/fuzz.rs
+++ b/crates/flow/tests/plane/fuzz.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzz: callers of every kind, faults at any time, and an oracle that sees only what
-//! the outside sees.
+//! Stateful fuzz test: callers of every kind, faults at any time, and an oracle that sees only what
+//! callers and backend servers observe.
 
 use std::{sync, time::Duration};
 
@@ -10,47 +10,47 @@
 
 use crate::{callers, cluster, faults};
 
-/// Histories in every run; `FLOW_HISTORIES` asks for more.
+/// Number of histories per run, unless `FLOW_HISTORIES` sets another.
 const HISTORIES: u64 = 2_000;
 
-/// Threads that share them; each history is the same on any.
-const WORKERS: u64 = 4;
+/// Threads that share the histories; a history does not depend on its thread.
+const WORKER_THREADS: u64 = 4;
 
-/// Bytes that one history draws from.
+/// Number of random bytes that one history is drawn from.
 const HISTORY_BYTES: u64 = 512;
 
-/// What was accepted has ended by then, whatever happened.
-const HORIZON: Duration = Duration::from_mins(40);
+/// Time within which every request must have ended, whatever faults occur.
+const CALLER_TIMEOUT: Duration = Duration::from_mins(40);
 
-/// Engines that died are replaced after this.
-const REPLACED_AFTER: Duration = Duration::from_mins(1);
+/// Time after which crashed engines are restarted.
+const ENGINE_RESTART_DELAY: Duration = Duration::from_mins(1);
 
-/// What one caller does.
+/// Action of one caller.
 #[derive(Clone, Copy, Debug)]
-enum Deed {
+enum Action {
     /// Reads a stream to its end, pausing once.
     Stream {
         tokens: u32,
         pause_at: usize,
         pause_ms: u64,
     },
-    /// Reads a stream, loses its connection several times, and continues by token.
+    /// Reads a stream, loses its connection several times, and continues with its token.
     Continue {
         tokens: u32,
         cuts: [usize; 3],
-        away_ms: u64,
+        offline_ms: u64,
     },
-    /// Leaves a stream after some tokens.
-    Leave { tokens: u32, after: usize },
-    /// Waits for a whole answer.
-    Whole { tokens: u32 },
-    /// A call that must run at most once, repeated with its key, perhaps twice at once.
+    /// Disconnects from a stream after some tokens.
+    Disconnect { tokens: u32, after: usize },
+    /// Waits for a complete answer.
+    Complete { tokens: u32 },
+    /// Sends a call that must run at most once and repeats it with its key, possibly in parallel.
     Charge { twice: bool, repeat_ms: u64 },
-    /// A call that may be repeated.
+    /// Sends an idempotent call.
     Status,
-    /// Work that may wait.
+    /// Submits deferrable work.
     Review { tokens: u32 },
-    /// A request that crashes each engine that runs it, sent again and again.
+    /// Sends a request that crashes each engine that runs it, and retries it.
     Crash,
 }
 
@@ -59,74 +59,74 @@
     mark: u32,
     entry: usize,
     at_ms: u64,
-    deed: Deed,
+    action: Action,
 }
 
 impl Caller {
     fn draw(u: &mut arbitrary::Unstructured<'_>, mark: u32) -> arbitrary::Result<Self> {
         let tokens = u.int_in_range(1..=40)?;
-        let short = |u: &mut arbitrary::Unstructured<'_>| u.int_in_range(0..=20_usize);
-        let deed = match u.int_in_range(0..=10_u8)? {
-            0 | 1 => Deed::Stream {
+        let offset = |u: &mut arbitrary::Unstructured<'_>| u.int_in_range(0..=20_usize);
+        let action = match u.int_in_range(0..=10_u8)? {
+            0 | 1 => Action::Stream {
                 tokens,
-                pause_at: short(u)?,
+                pause_at: offset(u)?,
                 pause_ms: u.int_in_range(0..=15_000)?,
             },
-            2 | 3 => Deed::Continue {
+            2 | 3 => Action::Continue {
                 tokens,
-                cuts: [short(u)?, short(u)?, short(u)?],
-                away_ms: u.int_in_range(0..=4_000)?,
+                cuts: [offset(u)?, offset(u)?, offset(u)?],
+                offline_ms: u.int_in_range(0..=4_000)?,
             },
-            4 => Deed::Leave {
+            4 => Action::Disconnect {
                 tokens,
-                after: short(u)?,
+                after: offset(u)?,
             },
-            5 | 6 => Deed::Whole { tokens },
-            7 | 8 => Deed::Charge {
+            5 | 6 => Action::Complete { tokens },
+            7 | 8 => Action::Charge {
                 twice: u.arbitrary()?,
                 repeat_ms: u.int_in_range(0..=3_000)?,
             },
-            9 => Deed::Review { tokens },
-            _ if u.arbitrary()? => Deed::Status,
-            _ => Deed::Crash,
+            9 => Action::Review { tokens },
+            _ if u.arbitrary()? => Action::Status,
+            _ => Action::Crash,
         };
         Ok(Self {
             mark,
             entry: u.choose_index(2)?,
             at_ms: u.int_in_range(0..=1_500)?,
-            deed,
+            action,
         })
     }
 }
 
-/// What callers were told, to be held against what ran.
+/// Collects the results that callers received and compares them with what ran.
 #[derive(Debug, Default)]
-struct Ledger {
-    told: sync::Mutex<Told>,
+struct Oracle {
+    reported: sync::Mutex<ReportedResults>,
 }
 
 #[derive(Debug, Default)]
-struct Told {
-    /// Generations refused as not run, by mark.
+struct ReportedResults {
+    /// Marks of generations that were refused as not run.
     generations_not_run: Vec<u32>,
-    /// Calls refused as not run.
+    /// Calls that were refused as not run.
     calls_not_run: Vec<id::RequestId>,
-    /// Keys that were used.
+    /// Idempotency keys that were used.
     keys: Vec<String>,
     /// Answers of charges, by key.
     charges: Vec<(String, String)>,
 }
 
-impl Ledger {
+impl Oracle {
     fn refused_generation(&self, mark: u32, body: &refusal::RefusalBody) {
         if body.ran == outcome::RanState::No {
-            self.told.lock().unwrap().generations_not_run.push(mark);
+            self.reported.lock().unwrap().generations_not_run.push(mark);
         }
     }
 
     fn refused_call(&self, refused: &plane::RefusedRequest) {
         if refused.body.ran == outcome::RanState::No {
-            self.told
+            self.reported
                 .lock()
                 .unwrap()
                 .calls_not_run
@@ -134,105 +134,114 @@
         }
     }
 
-    /// Promises 2 and 3, once everything has come to rest.
-    fn check(&self, world: &cluster::World) {
-        let told = self.told.lock().unwrap();
-        for mark in &told.generations_not_run {
+    /// Checks promises 2 and 3 after all requests have ended.
+    fn check(&self, cluster: &cluster::TestCluster) {
+        let reported = self.reported.lock().unwrap();
+        for mark in &reported.generations_not_run {
             assert!(
-                !world.chaos.may_have_run(*mark),
-                "told not run, ran: generation {mark:x}"
+                !cluster.chaos.may_have_run(*mark),
+                "generation {mark:x} was reported as not run, but may have run"
             );
         }
-        for request in &told.calls_not_run {
+        for request in &reported.calls_not_run {
             assert_eq!(
-                world.runs_of_request(*request),
+                cluster.runs_of_request(*request),
                 0,
-                "told not run, ran: call {request}"
+                "call {request} was reported as not run, but ran"
             );
         }
-        for key in &told.keys {
-            let runs = world.runs_of_key(key);
+        for key in &reported.keys {
+            let runs = cluster.runs_of_key(key);
             assert!(runs <= 1, "call {key} ran {runs} times");
         }
-        for (key, answer) in &told.charges {
+        for (key, answer) in &reported.charges {
             assert_eq!(
-                world.runs_of_key(key),
+                cluster.runs_of_key(key),
                 1,
-                "answered, but did not run: {key}"
+                "call {key} was answered, but did not run exactly once"
             );
             let same = |other: &&(String, String)| other.0 == *key && other.1 != *answer;
             assert!(
-                !told.charges.iter().any(|other| same(&other)),
-                "two answers to {key}"
+                !reported.charges.iter().any(|other| same(&other)),
+                "call {key} got two different answers"
             );
         }
     }
 }
 
-/// Does one caller's deed to its end.
-async fn act(world: sync::Arc<cluster::World>, ledger: sync::Arc<Ledger>, caller: Caller) {
+/// Runs the action of one caller to its end.
+async fn run_caller(
+    cluster: sync::Arc<cluster::TestCluster>,
+    oracle: sync::Arc<Oracle>,
+    caller: Caller,
+) {
     time::sleep(Duration::from_millis(caller.at_ms)).await;
-    let acts = async {
-        match caller.deed {
-            Deed::Stream {
+    let actions = async {
+        match caller.action {
+            Action::Stream {
                 tokens,
                 pause_at,
                 pause_ms,
             } => {
-                stream(&world, &ledger, caller, tokens, pause_at, pause_ms).await;
+                stream(&cluster, &oracle, caller, tokens, pause_at, pause_ms).await;
             }
-            Deed::Continue {
+            Action::Continue {
                 tokens,
                 cuts,
-                away_ms,
+                offline_ms,
             } => {
-                continued(&world, &ledger, caller, tokens, cuts, away_ms).await;
+                continued(&cluster, &oracle, caller, tokens, cuts, offline_ms).await;
             }
-            Deed::Leave { tokens, after } => leave(&world, &ledger, caller, tokens, after).await,
-            Deed::Whole { tokens } => whole(&world, &ledger, caller, tokens).await,
-            Deed::Charge { twice, repeat_ms } => {
-                charge(&world, &ledger, caller, twice, repeat_ms).await;
+            Action::Disconnect { tokens, after } => {
+                disconnect(&cluster, &oracle, caller, tokens, after).await
             }
-            Deed::Status => status(&world, &ledger, caller).await,
-            Deed::Review { tokens } => review(&world, &ledger, caller, tokens).await,
-            Deed::Crash => crash(&world, &ledger, caller).await,
+            Action::Complete { tokens } => complete(&cluster, &oracle, caller, tokens).await,
+            Action::Charge { twice, repeat_ms } => {
+                charge(&cluster, &oracle, caller, twice, repeat_ms).await;
+            }
+            Action::Status => status(&cluster, &oracle, caller).await,
+            Action::Review { tokens } => review(&cluster, &oracle, caller, tokens).await,
+            Action::Crash => crash(&cluster, &oracle, caller).await,
         }
     };
-    let ended = time::timeout(HORIZON, acts).await;
-    assert!(ended.is_ok(), "no end within {HORIZON:?}: {caller:?}");
+    let ended = time::timeout(CALLER_TIMEOUT, actions).await;
+    assert!(
+        ended.is_ok(),
+        "the caller did not finish within {CALLER_TIMEOUT:?}: {caller:?}"
+    );
 }
 
-/// Begins a stream; `None`: refused, or the entry VM died before it answered.
-async fn begin(
-    world: &cluster::World,
-    ledger: &Ledger,
+/// Starts a stream; `None` if it was refused or the entry VM died before it answered.
+async fn start_stream(
+    cluster: &cluster::TestCluster,
+    oracle: &Oracle,
     caller: Caller,
     tokens: u32,
 ) -> Option<plane::StreamReply> {
     let body = callers::chat(caller.mark, tokens, true, "");
     let reply = tokio::select! {
-        reply = callers::generate(&world.planes[caller.entry], body) => reply,
-        () = world.cut(caller.entry) => return None,
+        reply = callers::generate(&cluster.planes[caller.entry], body) => reply,
+        () = cluster.disconnected(caller.entry) => return None,
     };
     match reply {
         Ok(plane::GenerationReply::Stream(reply)) => Some(reply),
-        Ok(other) => panic!("no stream: {other:?}"),
+        Ok(other) => panic!("not a stream: {other:?}"),
         Err(refused) => {
-            ledger.refused_generation(caller.mark, &refused.body);
+            oracle.refused_generation(caller.mark, &refused.body);
             None
         }
     }
 }
 
 async fn stream(
-    world: &cluster::World,
-    ledger: &Ledger,
+    cluster: &cluster::TestCluster,
+    oracle: &Oracle,
     caller: Caller,
     tokens: u32,
     pause_at: usize,
     pause_ms: u64,
 ) {
-    let Some(mut reply) = begin(world, ledger, caller, tokens).await else {
+    let Some(mut reply) = start_stream(cluster, oracle, caller, tokens).await else {
         return;
     };
     let mut transcript = callers::Transcript::default();
@@ -243,32 +252,35 @@
     };
     let cut = tokio::select! {
         () = reads => false,
-        () = world.cut(caller.entry) => true,
+        () = cluster.disconnected(caller.entry) => true,
     };
     transcript.check(caller.mark, tokens);
     let ended = transcript.done || transcript.refusal.is_some();
-    assert!(ended || cut, "neither whole nor refused: {transcript:?}");
+    assert!(
+        ended || cut,
+        "the stream is neither complete nor refused: {transcript:?}"
+    );
 }
 
 async fn continued(
-    world: &cluster::World,
-    ledger: &Ledger,
+    cluster: &cluster::TestCluster,
+    oracle: &Oracle,
     caller: Caller,
     tokens: u32,
     cuts: [usize; 3],
-    away_ms: u64,
+    offline_ms: u64,
 ) {
-    let Some(mut reply) = begin(world, ledger, caller, tokens).await else {
+    let Some(mut reply) = start_stream(cluster, oracle, caller, tokens).await else {
         return;
     };
     let mut transcript = callers::Transcript::default();
     let mut entry = caller.entry;
-    // The entry VM may die under the first read to the end, but not under the second.
+    // The entry VM may die during the first read to the end, but not during the second.
     for cut in cuts.into_iter().chain([usize::MAX, usize::MAX]) {
         let limit = transcript.tokens.len().saturating_add(cut);
         tokio::select! {
             () = transcript.read(&mut reply.stream, limit) => {}
-            () = world.cut(entry) => {}
+            () = cluster.disconnected(entry) => {}
         }
         transcript.check(caller.mark, tokens);
         let moved = std::mem::take(&mut transcript.moved);
@@ -277,90 +289,97 @@
         } else if transcript.done || transcript.refusal.is_some() {
             return;
         }
-        let cut = entry == 0 && world.is_first_entry_dead();
+        let cut = entry == 0 && cluster.is_first_entry_dead();
         assert!(
             cut || limit < usize::MAX,
-            "neither whole nor refused: {transcript:?}"
+            "the stream is neither complete nor refused: {transcript:?}"
         );
         let token = reply.token.clone();
         drop(reply);
-        time::sleep(Duration::from_millis(away_ms)).await;
-        entry = if world.is_first_entry_dead() {
+        time::sleep(Duration::from_millis(offline_ms)).await;
+        entry = if cluster.is_first_entry_dead() {
             1
         } else {
             1 - entry
         };
         let from = transcript.tokens.len() as u32;
-        let goes_on = world.planes[entry].continue_generation(callers::headers(), &token, from);
+        let continuation =
+            cluster.planes[entry].continue_generation(callers::headers(), &token, from);
         reply = tokio::select! {
-            again = goes_on => match again {
+            again = continuation => match again {
                 Ok(reply) => reply,
                 Err(refused) => {
                     assert_ne!(refused.body.ran, outcome::RanState::No, "{refused:?}");
                     return;
                 }
             },
-            () = world.cut(entry) => return,
+            () = cluster.disconnected(entry) => return,
         };
     }
-    panic!("neither whole nor refused: {transcript:?}");
+    panic!("the stream is neither complete nor refused: {transcript:?}");
 }
 
-async fn leave(world: &cluster::World, ledger: &Ledger, caller: Caller, tokens: u32, after: usize) {
-    if let Some(mut reply) = begin(world, ledger, caller, tokens).await {
+async fn disconnect(
+    cluster: &cluster::TestCluster,
+    oracle: &Oracle,
+    caller: Caller,
+    tokens: u32,
+    after: usize,
+) {
+    if let Some(mut reply) = start_stream(cluster, oracle, caller, tokens).await {
         let mut transcript = callers::Transcript::default();
         tokio::select! {
             () = transcript.read(&mut reply.stream, after) => {}
-            () = world.cut(caller.entry) => {}
+            () = cluster.disconnected(caller.entry) => {}
         }
         transcript.check(caller.mark, tokens);
     }
 }
 
-async fn whole(world: &cluster::World, ledger: &Ledger, caller: Caller, tokens: u32) {
+async fn complete(cluster: &cluster::TestCluster, oracle: &Oracle, caller: Caller, tokens: u32) {
     let body = callers::chat(caller.mark, tokens, false, "");
     let reply = tokio::select! {
-        reply = callers::generate(&world.planes[caller.entry], body) => reply,
-        () = world.cut(caller.entry) => return,
+        reply = callers::generate(&cluster.planes[caller.entry], body) => reply,
+        () = cluster.disconnected(caller.entry) => return,
     };
     match reply {
         Ok(plane::GenerationReply::Complete { body, .. }) => {
             let mut transcript = callers::Transcript::default();
-            transcript.whole(&body);
+            transcript.read_complete(&body);
             transcript.check(caller.mark, tokens);
         }
-        Ok(other) => panic!("no whole answer: {other:?}"),
-        Err(refused) => ledger.refused_generation(caller.mark, &refused.body),
+        Ok(other) => panic!("not a complete answer: {other:?}"),
+        Err(refused) => oracle.refused_generation(caller.mark, &refused.body),
     }
 }
 
 async fn charge(
-    world: &cluster::World,
-    ledger: &Ledger,
+    cluster: &cluster::TestCluster,
+    oracle: &Oracle,
     caller: Caller,
     twice: bool,
     repeat_ms: u64,
 ) {
     let key = format!("{}-{:x}", cluster::ORIGIN_MS + caller.at_ms, caller.mark);
-    ledger.told.lock().unwrap().keys.push(key.clone());
+    oracle.reported.lock().unwrap().keys.push(key.clone());
     let other = Caller {
         entry: 1 - caller.entry,
         ..caller
     };
-    let first = charge_until_told(world, ledger, caller, &key, repeat_ms);
+    let first = charge_until_answered(cluster, oracle, caller, &key, repeat_ms);
     if twice {
         tokio::join!(
             first,
-            charge_until_told(world, ledger, other, &key, repeat_ms / 2)
+            charge_until_answered(cluster, oracle, other, &key, repeat_ms / 2)
         );
     } else {
         first.await;
     }
 }
 
-async fn charge_until_told(
-    world: &cluster::World,
-    ledger: &Ledger,
+async fn charge_until_answered(
+    cluster: &cluster::TestCluster,
+    oracle: &Oracle,
     caller: Caller,
     key: &str,
     repeat_ms: u64,
@@ -374,27 +393,27 @@
         };
         let call = callers::call("charge/family", &body);
         let reply = tokio::select! {
-            reply = world.planes[entry].call_service(headers, call) => Some(reply),
-            () = world.cut(entry) => None,
+            reply = cluster.planes[entry].call_service(headers, call) => Some(reply),
+            () = cluster.disconnected(entry) => None,
         };
         match reply {
             Some(Ok(reply)) => {
                 let answer = check_answer(&reply.answer.body, "charge/family", &body);
                 assert_eq!(answer.idempotency_key.as_deref(), Some(key));
                 let text = String::from_utf8(reply.answer.body.to_vec()).unwrap();
-                ledger
-                    .told
+                oracle
+                    .reported
                     .lock()
                     .unwrap()
                     .charges
                     .push((key.to_owned(), text));
                 return;
             }
-            Some(Err(refused)) => ledger.refused_call(&refused),
+            Some(Err(refused)) => oracle.refused_call(&refused),
             None => {}
         }
         time::sleep(Duration::from_millis(repeat_ms)).await;
-        entry = if world.is_first_entry_dead() {
+        entry = if cluster.is_first_entry_dead() {
             1
         } else {
             1 - entry
@@ -402,75 +421,75 @@
     }
 }
 
-/// Promise 2: the answer is that to the own call.
+/// Checks promise 2: the answer belongs to the caller's own call.
 fn check_answer(answer: &[u8], path: &str, body: &str) -> stand::service::ServiceAnswer {
     let answer: stand::service::ServiceAnswer = serde_json::from_slice(answer).unwrap();
     let sent = base::fingerprint::ContentHash::of(body.as_bytes()).to_string();
     assert_eq!(
         (answer.path.as_str(), &answer.body_sha256),
         (path, &sent),
-        "another's answer"
+        "the answer belongs to another call"
     );
     answer
 }
 
-async fn status(world: &cluster::World, ledger: &Ledger, caller: Caller) {
+async fn status(cluster: &cluster::TestCluster, oracle: &Oracle, caller: Caller) {
     let body = format!("status {:x}", caller.mark);
     let call = callers::call("status", &body);
     let reply = tokio::select! {
-        reply = world.planes[caller.entry].call_service(callers::headers(), call) => reply,
-        () = world.cut(caller.entry) => return,
+        reply = cluster.planes[caller.entry].call_service(callers::headers(), call) => reply,
+        () = cluster.disconnected(caller.entry) => return,
     };
     match reply {
         Ok(reply) => {
             check_answer(&reply.answer.body, "status", &body);
         }
-        Err(refused) => ledger.refused_call(&refused),
+        Err(refused) => oracle.refused_call(&refused),
     }
 }
 
-async fn review(world: &cluster::World, ledger: &Ledger, caller: Caller, tokens: u32) {
+async fn review(cluster: &cluster::TestCluster, oracle: &Oracle, caller: Caller, tokens: u32) {
     let body = callers::chat(caller.mark, tokens, false, "");
     let face = body::CompletionApi::Chat;
     let accepted = tokio::select! {
-        accepted = world.planes[caller.entry].accept_job(callers::headers(), face, body) => accepted,
-        () = world.cut(caller.entry) => return,
+        accepted = cluster.planes[caller.entry].accept_job(callers::headers(), face, body) => accepted,
+        () = cluster.disconnected(caller.entry) => return,
     };
     let job = match accepted {
         Ok(job) => job,
         Err(refused) => {
-            ledger.refused_generation(caller.mark, &refused.body);
+            oracle.refused_generation(caller.mark, &refused.body);
             return;
         }
     };
     loop {
         time::sleep(Duration::from_millis(500)).await;
-        match world.planes[1].fetch_job(callers::headers(), job).await {
+        match cluster.planes[1].fetch_job(callers::headers(), job).await {
             Ok(jobs::JobReply::Waiting) => {}
             Ok(jobs::JobReply::Answer(text)) => {
                 let mut transcript = callers::Transcript::default();
-                transcript.whole(text.as_bytes());
+                transcript.read_complete(text.as_bytes());
                 transcript.check(caller.mark, tokens);
                 return;
             }
-            Ok(jobs::JobReply::Refused(body)) => panic!("accepted work was refused: {body:?}"),
-            Err(refused) => panic!("accepted work was dropped: {refused:?}"),
+            Ok(jobs::JobReply::Refused(body)) => panic!("accepted job was refused: {body:?}"),
+            Err(refused) => panic!("accepted job was lost: {refused:?}"),
         }
     }
 }
 
-async fn crash(world: &cluster::World, ledger: &Ledger, caller: Caller) {
-    for ask in 0..4 {
+async fn crash(cluster: &cluster::TestCluster, oracle: &Oracle, caller: Caller) {
+    for attempt in 0..4 {
         let body = callers::chat(caller.mark, 10, false, "[[crash]]");
         let reply = tokio::select! {
-            reply = callers::generate(&world.planes[caller.entry], body) => reply,
-            () = world.cut(caller.entry) => return,
+            reply = callers::generate(&cluster.planes[caller.entry], body) => reply,
+            () = cluster.disconnected(caller.entry) => return,
         };
-        let refused = reply.expect_err("no engine answers this");
-        // All asks have one mark: what is told of one can be held against it only as long as no
-        // other follows.
-        if ask == 0 && refused.body.ran == outcome::RanState::No {
-            ledger.refused_generation(caller.mark, &refused.body);
+        let refused = reply.expect_err("every engine crashes on this request");
+        // All requests of this caller have the same mark, so a result can be checked only if no
+        // further request follows.
+        if attempt == 0 && refused.body.ran == outcome::RanState::No {
+            oracle.refused_generation(caller.mark, &refused.body);
             return;
         }
         if refused.body.code == refusal::RefusalCode::Quarantined {
@@ -479,17 +498,17 @@
     }
 }
 
-/// One history from its bytes.
+/// Draws one history from its bytes and runs it.
 fn run(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
-    let plan = cluster::WorldPlan {
+    let options = cluster::ClusterOptions {
         engines: u.int_in_range(2..=4)?,
-        at_once: u.int_in_range(1..=4)?,
+        max_concurrency: u.int_in_range(1..=4)?,
         seed: u.arbitrary()?,
-        mishaps_permille: *u.choose(&[0, 20, 200])?,
+        fault_permille: *u.choose(&[0, 20, 200])?,
         abandon_after: u
             .arbitrary::<bool>()?
             .then_some(Duration::from_millis(1_000)),
-        ..cluster::WorldPlan::default()
+        ..cluster::ClusterOptions::default()
     };
     let mut callers = Vec::new();
     for mark in 1..=u.int_in_range(2..=7_u32)? {
@@ -497,48 +516,47 @@
     }
     let mut timed_faults = Vec::new();
     for _ in 0..u.int_in_range(0..=5_u8)? {
-        timed_faults.push(faults::TimedFault::draw(u, &plan)?);
+        timed_faults.push(faults::TimedFault::draw(u, &options)?);
     }
     if std::env::var_os("FLOW_SEED").is_some() {
-        eprintln!("{plan:#?}\n{callers:#?}\n{timed_faults:#?}");
+        eprintln!("{options:#?}\n{callers:#?}\n{timed_faults:#?}");
     }
-    cluster::history(async move {
-        let world = sync::Arc::new(cluster::World::new(&plan));
-        let ledger = sync::Arc::new(Ledger::default());
-        for plane in &world.planes {
+    cluster::run_paused(async move {
+        let cluster = sync::Arc::new(cluster::TestCluster::new(&options));
+        let oracle = sync::Arc::new(Oracle::default());
+        for plane in &cluster.planes {
             tokio::spawn(plane.clone().run_jobs());
         }
         for fault in &timed_faults {
-            tokio::spawn(fault.happen(world.clone()));
+            tokio::spawn(fault.happen(cluster.clone()));
         }
-        let mut acts = task::JoinSet::new();
+        let mut runs = task::JoinSet::new();
         for caller in callers {
-            acts.spawn(act(world.clone(), ledger.clone(), caller));
+            runs.spawn(run_caller(cluster.clone(), oracle.clone(), caller));
         }
-        // Somebody replaces what died, or deferrable work would wait for ever, rightly.
-        let healed = world.clone();
+        // Without engines that restart, deferrable work would correctly wait forever.
+        let restarted = cluster.clone();
         tokio::spawn(async move {
-            time::sleep(REPLACED_AFTER).await;
-            healed
+            time::sleep(ENGINE_RESTART_DELAY).await;
+            restarted
                 .engines
                 .iter()
                 .for_each(stand::engine::EngineHandle::restart);
         });
-        while let Some(ended) = acts.join_next().await {
+        while let Some(ended) = runs.join_next().await {
             if let Err(failure) = ended {
                 std::panic::resume_unwind(failure.into_panic());
             }
         }
-        // Whatever is still on its way arrives.
+        // Lets everything that is still in flight arrive.
         time::sleep(Duration::from_mins(2)).await;
-        ledger.check(&world);
+        oracle.check(&cluster);
     });
     Ok(())
 }
 
-/// Symptom: any promise broken by some history of faults.
-/// Sequence: drawn from the seed that is printed.
-/// Cause: to be found by running that seed alone (`FLOW_SEED`).
+/// Guards against histories of faults that break a promise. A failure prints the seed of its
+/// history, which `FLOW_SEED` runs alone.
 #[test]
 fn promises_hold_under_any_faults() {
     if let Ok(seed) = std::env::var("FLOW_SEED") {
@@ -549,9 +567,9 @@
     let histories = std::env::var("FLOW_HISTORIES").ok();
     let histories = histories.map_or(HISTORIES, |count| count.parse().unwrap());
     std::thread::scope(|scope| {
-        for worker in 0..WORKERS {
+        for worker in 0..WORKER_THREADS {
             scope.spawn(move || {
-                for number in (worker..histories).step_by(WORKERS as usize) {
+                for number in (worker..histories).step_by(WORKER_THREADS as usize) {
                     run_numbered(number);
                 }
             });
--- a/crates/flow/tests/plane/main.rs
+++ b/crates/flow/tests/plane/main.rs
@@ -1,4 +1,4 @@
-//! The real request plane against in-process stand-ins, on a paused clock.
+//! Tests of the request plane against in-process stand-ins, on a paused clock.
 
 mod callers;
 mod calls;
--- a/crates/flow/tests/plane/streams.rs
+++ b/crates/flow/tests/plane/streams.rs
@@ -10,7 +10,7 @@
 use crate::{callers, cluster};
 
 async fn stream(
-    plane: &sync::Arc<cluster::WorldPlane>,
+    plane: &sync::Arc<cluster::ClusterPlane>,
     mark: u32,
     tokens: u32,
 ) -> plane::StreamReply {
@@ -21,7 +21,7 @@
 }
 
 /// The engine that runs something now.
-fn busy(world: &cluster::World) -> &engine::EngineHandle {
+fn busy(world: &cluster::TestCluster) -> &engine::EngineHandle {
     let mut engines = world.engines.iter();
     engines
         .find(|engine| engine.is_up() && engine.report().running > 0)
@@ -33,8 +33,8 @@
 // Cause: nobody asked again over a fresh one.
 #[test]
 fn a_silent_connection_is_replaced_within_a_second() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let mut reply = stream(&world.planes[0], 1, 200).await;
         let mut transcript = callers::Transcript::default();
         transcript.read(&mut reply.stream, 10).await;
@@ -58,8 +58,8 @@
 // Cause: the start was taken for failed and repeated elsewhere.
 #[test]
 fn a_start_whose_answer_was_lost_is_found_again() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         for engine in &world.engines {
             engine.apply(&engine::EngineFault::LoseAnswers { count: 1 });
         }
@@ -77,8 +77,8 @@
 // Cause: a restart after the first token, or none before it.
 #[test]
 fn a_dead_engine_is_replaced_before_the_first_token_only() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let begins = stream(&world.planes[0], 3, 50);
         let dies = async {
             time::sleep(Duration::from_millis(5)).await;
@@ -105,8 +105,8 @@
 // Cause: what is held here was not taken for what has not left.
 #[test]
 fn a_whole_answer_is_begun_again_when_its_engine_dies() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let asks = callers::generate(&world.planes[0], callers::chat(4, 60, false, ""));
         let dies = async {
             time::sleep(Duration::from_millis(300)).await;
@@ -117,7 +117,7 @@
             panic!("no answer: {reply:?}");
         };
         let mut transcript = callers::Transcript::default();
-        transcript.whole(&body);
+        transcript.read_complete(&body);
         transcript.check(4, 60);
         assert_eq!(world.chaos.starts(4), 2);
     });
@@ -128,8 +128,8 @@
 // Cause: the generation was not cancelled.
 #[test]
 fn a_gone_callers_generation_is_freed() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let reply = stream(&world.planes[0], 5, 200).await;
         let engine = busy(&world).clone();
         drop(reply);
@@ -144,8 +144,8 @@
 // Cause: the first one cancelled the generation under the second.
 #[test]
 fn a_stream_goes_on_at_another_entry_vm() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let mut reply = stream(&world.planes[0], 6, 200).await;
         let mut transcript = callers::Transcript::default();
         transcript.read(&mut reply.stream, 10).await;
@@ -165,8 +165,8 @@
 // Cause: what ran was neither waited for nor handed over.
 #[test]
 fn a_graceful_stop_finishes_or_hands_over() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let mut short = stream(&world.planes[0], 7, 20).await;
         let mut long = stream(&world.planes[0], 8, 200).await;
         let grace = Duration::from_secs(1);
@@ -201,15 +201,15 @@
 // Cause: a place that was granted before, or a scheduler that learns of it later.
 #[test]
 fn a_leaving_engine_gets_no_new_work() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let mut running = Vec::new();
         for mark in 10..16 {
             running.push(stream(&world.planes[0], mark, 30).await);
         }
         let before = world.engines[0].report().running;
         assert!(before > 0);
-        world.leave(0);
+        world.mark_leaving(0);
         for mark in 16..22 {
             running.push(stream(&world.planes[1], mark, 30).await);
         }
@@ -228,8 +228,8 @@
 // Cause: its answer was held for it without bound.
 #[test]
 fn a_caller_that_stops_reading_is_given_up() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let mut reply = stream(&world.planes[0], 30, 200).await;
         time::sleep(Duration::from_secs(20)).await;
         assert_eq!(world.planes[0].gate().running(), 0);
@@ -245,8 +245,8 @@
 // Cause: another try was started before the first one was settled.
 #[test]
 fn a_frozen_engines_try_is_settled_before_another_starts() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let begins = stream(&world.planes[0], 40, 20);
         let freezes = async {
             time::sleep(Duration::from_millis(5)).await;
@@ -271,8 +271,8 @@
 // Cause: "not held" was taken for "did not run".
 #[test]
 fn a_restarted_engine_proves_nothing() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         for engine in world.engines.clone() {
             engine.apply(&engine::EngineFault::Slow { factor: 1e5 });
             tokio::spawn(async move {
@@ -301,8 +301,8 @@
 // Cause: the token was taken for the right to use it.
 #[test]
 fn a_token_is_of_no_use_to_another_organisation() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let reply = stream(&world.planes[0], 50, 100).await;
         let mut headers = callers::headers();
         headers.api_key = Some(cluster::OTHER_API_KEY.to_owned());
--- a/crates/flow/tests/plane/thin.rs
+++ b/crates/flow/tests/plane/thin.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn a_stream_arrives_whole() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let reply = callers::generate(&world.planes[0], callers::chat(7, 20, true, "")).await;
         let Ok(plane::GenerationReply::Stream(mut reply)) = reply else {
             panic!("no stream: {reply:?}");
@@ -21,22 +21,22 @@
 
 #[test]
 fn a_whole_answer_arrives_whole() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let reply = callers::generate(&world.planes[0], callers::chat(8, 20, false, "")).await;
         let Ok(plane::GenerationReply::Complete { body, .. }) = reply else {
             panic!("no answer: {reply:?}");
         };
         let mut transcript = callers::Transcript::default();
-        transcript.whole(&body);
+        transcript.read_complete(&body);
         transcript.check(8, 20);
     });
 }
 
 #[test]
 fn an_unknown_key_is_refused_as_not_run() {
-    cluster::history(async {
-        let world = cluster::World::new(&cluster::WorldPlan::default());
+    cluster::run_paused(async {
+        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let mut headers = callers::headers();
         headers.api_key = Some("nobody's".to_owned());
         let body = callers::chat(9, 5, true, "");
