--- a/crates/flow/src/attempt.rs
+++ b/crates/flow/src/attempt.rs
@@ -257,7 +257,7 @@
             let Some(events) = self.events.as_mut() else {
                 match self.reconnect().await {
                     Ok(()) => continue,
-                    Err(loss) => return self.lost(loss),
+                    Err(loss) => return self.fail(loss),
                 }
             };
             let event = tokio::select! {
@@ -308,7 +308,7 @@
             cursor::CursorStep::Finished(report) => return Some(self.finished(report)),
             cursor::CursorStep::Contradiction => {
                 let cause = "the engine reports fewer tokens than it sent";
-                return Some(self.lost(AttemptLoss {
+                return Some(self.fail(AttemptLoss {
                     kind: LossKind::Ended,
                     cause: cause.to_owned(),
                 }));
@@ -323,7 +323,7 @@
                 self.released = true;
                 AttemptStep::Finished(report)
             }
-            port::FinishReason::Cancelled | port::FinishReason::Error => self.lost(AttemptLoss {
+            port::FinishReason::Cancelled | port::FinishReason::Error => self.fail(AttemptLoss {
                 kind: LossKind::Ended,
                 cause: format!(
                     "the engine ended the generation as {}",
@@ -333,7 +333,7 @@
         }
     }
 
-    fn lost(&mut self, loss: AttemptLoss) -> AttemptStep {
+    fn fail(&mut self, loss: AttemptLoss) -> AttemptStep {
         self.events = None;
         let process_ended = match loss.kind {
             LossKind::ServerDied => true,
@@ -368,7 +368,7 @@
     /// Opens a new connection to the same generation.
     async fn reconnect(&mut self) -> Result<(), AttemptLoss> {
         // The first reconnect is immediate. After it, a connection that opens but delivers no event
-        // counts as failed, like one that does not open.
+        // counts as failed, like one that does not open, and the reconnect timeout keeps running.
         let mut immediate = self.broken_at.is_none();
         let broken_at = *self.broken_at.get_or_insert_with(time::Instant::now);
         let give_up_at = broken_at + self.reconnect_timeout;
@@ -389,7 +389,7 @@
             let resume = engines.resume(target, generation, self.cursor.next());
             match time::timeout(self.shared.settings.call_timeout, resume).await {
                 Ok(Ok(events)) => {
-                    self.opened(events);
+                    self.connection_opened(events);
                     return Ok(());
                 }
                 Ok(Err(fault @ fault::ResumeFault::Refused { .. })) => {
@@ -403,7 +403,7 @@
         }
     }
 
-    fn opened(&mut self, events: LinkEvents<P>) {
+    fn connection_opened(&mut self, events: LinkEvents<P>) {
         self.events = Some(events);
         self.gauge.alive(time::Instant::now());
         let give_up_at = self.gauge.give_up_at();
--- a/crates/flow/src/classify.rs
+++ b/crates/flow/src/classify.rs
@@ -57,7 +57,7 @@
             kind::EventKind::RequestClassified {
                 class,
                 reason: requested
-                    .map_or("rules", |_| "rules, class asked for")
+                    .map_or("rules", |_| "rules, class requested by the caller")
                     .to_owned(),
             },
         );
--- a/crates/flow/src/collect.rs
+++ b/crates/flow/src/collect.rs
@@ -33,7 +33,7 @@
     let mut opened = opened;
     loop {
         match collect_one(&mut opened).await {
-            Ok(whole) => return Ok((opened, whole)),
+            Ok(answer) => return Ok((opened, answer)),
             Err(loss) => opened = opener.reopen(opened, loss).await?,
         }
     }
--- a/crates/flow/src/deduplicate.rs
+++ b/crates/flow/src/deduplicate.rs
@@ -176,7 +176,7 @@
     retry_after_ms: u64,
 ) -> filter::EarlyEnd {
     let body = refusal::RefusalBody::not_run(code, message).retry_after_ms(retry_after_ms);
-    refused::Refused::of_claim(body, outcome::RanState::Unknown).into()
+    refused::Refused::for_repeat(body, outcome::RanState::Unknown).into()
 }
 
 /// Parses the time in a key and checks that it lies within the deduplication window.
--- a/crates/flow/src/jobs.rs
+++ b/crates/flow/src/jobs.rs
@@ -278,7 +278,7 @@
             return Err(refusal::RefusalBody::not_run(code, message));
         };
         let known = arrived.advance(|_| request::Authenticated { organisation });
-        let end = async { self.whole(self.open(known).await?).await };
+        let end = async { self.collect_answer(self.open(known).await?).await };
         end.await.map_err(|end| self.refused(job.request, end).body)
     }
 }
@@ -297,7 +297,7 @@
 
 /// A refusal to say anything about a job: whether the job ran is not known by it.
 fn of_job(body: refusal::RefusalBody) -> refused::Refused {
-    refused::Refused::of_claim(body, outcome::RanState::Unknown)
+    refused::Refused::for_repeat(body, outcome::RanState::Unknown)
 }
 
 fn maybe_accepted(job: id::RequestId) -> refusal::RefusalBody {
--- a/crates/flow/src/opening.rs
+++ b/crates/flow/src/opening.rs
@@ -97,7 +97,7 @@
             let Some(mark) = mark else {
                 drop((admitted.grant, probe));
                 time::sleep(PROBE_CONFLICT_DELAY).await;
-                routed = self.place(facts, permit, claimed).await?;
+                routed = self.acquire_slot(facts, permit, claimed).await?;
                 continue;
             };
             let fraction = facts.view.config.rules().retries.budget_fraction;
@@ -155,10 +155,10 @@
         } = opened;
         // The time limit applies to the first token, so a new generation gets a new deadline.
         claimed.terms.due_at = time::Instant::now() + claimed.terms.time_limit;
-        let until = claimed.terms.due_at;
+        let deadline = claimed.terms.due_at;
         let end = match loss {
-            Some(loss) => running.settle(&self.shared, loss, until).await,
-            None => running.preempt(&self.shared, facts.id, until).await,
+            Some(loss) => running.settle(&self.shared, loss, deadline).await,
+            None => running.preempt(&self.shared, facts.id, deadline).await,
         };
         let routed = self.retry(facts, claimed, end).await?;
         self.open(routed).await
@@ -204,13 +204,13 @@
                     },
                 );
                 facts.avoid.push(server);
-                self.place(facts, permit, claimed).await
+                self.acquire_slot(facts, permit, claimed).await
             }
         }
     }
 
     /// Acquires a slot for another attempt.
-    async fn place(
+    async fn acquire_slot(
         &self,
         facts: request::RequestFacts<request::GenerationWork>,
         permit: proof::StartPermit,
--- a/crates/flow/src/plane.rs
+++ b/crates/flow/src/plane.rs
@@ -166,7 +166,7 @@
             return Ok(GenerationReply::Stream(self.stream(opened, pass)));
         }
         let request = opened.facts.id;
-        let text = self.whole(opened).await?;
+        let text = self.collect_answer(opened).await?;
         Ok(GenerationReply::Complete {
             request,
             body: Bytes::from(text),
@@ -187,7 +187,7 @@
         let request = arrived.facts.id;
         match self.call_arrived(arrived).await {
             Ok(answer) | Err(filter::EarlyEnd::Stored(answer)) => {
-                self.shared.record(request, called(answer.status));
+                self.shared.record(request, call_finished(answer.status));
                 Ok(ServiceReply { request, answer })
             }
             Err(end) => Err(self.refused(request, end)),
@@ -310,20 +310,20 @@
     }
 
     /// Collects a complete answer as JSON text.
-    pub(crate) async fn whole(
+    pub(crate) async fn collect_answer(
         &self,
         opened: opening::OpenedRequest<P>,
     ) -> Result<String, filter::EarlyEnd> {
         self.record_first_token(&opened.facts, &opened.running.live);
-        let (opened, whole) = collect::collect(&self.opener, opened).await?;
+        let (opened, answer) = collect::collect(&self.opener, opened).await?;
         let facts = &opened.facts;
         let text = chunk::whole_answer(
             facts.work.body.api,
             facts.id,
             &facts.work.body.model,
             self.shared.now_ms() / 1_000,
-            &whole.text,
-            &whole.report,
+            &answer.text,
+            &answer.report,
         );
         let content = facts.work.content;
         self.shared
@@ -332,12 +332,12 @@
         self.shared.record(
             facts.id,
             kind::EventKind::RequestFinished {
-                tokens: whole.report.produced,
+                tokens: answer.report.produced,
                 after_ms: shared::millis_since(facts.arrived_at),
-                finish: chunk::finish_name(whole.report.finish).to_owned(),
+                finish: chunk::finish_name(answer.report.finish).to_owned(),
             },
         );
-        opened.running.grant.finished(whole.report.produced);
+        opened.running.grant.finished(answer.report.produced);
         Ok(text)
     }
 
@@ -414,7 +414,7 @@
         .ran(outcome::RanState::Unknown)
 }
 
-fn called(status: u16) -> kind::EventKind {
+fn call_finished(status: u16) -> kind::EventKind {
     kind::EventKind::RequestFinished {
         tokens: 0,
         after_ms: 0,
--- a/crates/flow/src/proof.rs
+++ b/crates/flow/src/proof.rs
@@ -1,7 +1,7 @@
 //! Evidence of whether a request's attempts ran, as types that are moved and never copied.
 //!
-//! Without them a lost answer could be mistaken for "did not run": the caller is told so or the
-//! call is sent again, and a pass is charged twice, which only the accounts would reveal. Here only
+//! Without them a lost answer could be mistaken for "did not run": the caller would be told so or
+//! the call sent again, and a pass charged twice, which only the accounts would reveal. Here only
 //! the holder of a [`NotRunProof`] can report "not run". Sending consumes the proof, and it is
 //! restored only by evidence of a specific kind.
 
@@ -18,18 +18,18 @@
 #[derive(Debug)]
 #[must_use = "a dropped proof cannot be restored"]
 pub struct NotRunProof {
-    _made_here: (),
+    _private: (),
 }
 
 impl NotRunProof {
     /// Creates the proof for a request of which nothing has been sent.
     pub(crate) const fn at_arrival() -> Self {
-        Self { _made_here: () }
+        Self { _private: () }
     }
 
     /// Creates a refusal that guarantees "not run".
     pub fn refused(self, body: refusal::RefusalBody) -> refused::Refused {
-        refused::Refused::known(body, outcome::RanState::No)
+        refused::Refused::with_evidence(body, outcome::RanState::No)
     }
 }
 
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 #[must_use = "a permit must be used for sending or returned"]
 pub struct SendPermit {
-    _made_here: (),
+    _private: (),
 }
 
 impl SendPermit {
@@ -46,14 +46,14 @@
     /// Only links may call this, and only in these two cases. A timeout after the first byte, a reset
     /// or an answer of any kind is not evidence that the attempt was never sent.
     pub const fn never_sent(self) -> NeverSent {
-        NeverSent { _made_here: () }
+        NeverSent { _private: () }
     }
 }
 
 /// Evidence that one attempt was never sent.
 #[derive(Debug)]
 pub struct NeverSent {
-    _made_here: (),
+    _private: (),
 }
 
 /// Right to start an attempt: the first one, or another after the earlier ones were settled.
@@ -89,7 +89,7 @@
             seen_running: false,
             kind: marker::PhantomData,
         };
-        (SendPermit { _made_here: () }, ticket)
+        (SendPermit { _private: () }, ticket)
     }
 
     /// Whether the request ran so far, as far as it is known.
@@ -100,7 +100,7 @@
 
     /// Ends the request; reports "not run" only if every attempt is proved not to have run.
     pub fn refused(self, body: refusal::RefusalBody) -> refused::Refused {
-        refused::Refused::known(body, self.ran)
+        refused::Refused::with_evidence(body, self.ran)
     }
 }
 
@@ -146,11 +146,11 @@
 
     /// Ends the request when the attempt can neither be settled nor continued.
     pub fn refused(self, body: refusal::RefusalBody) -> refused::Refused {
-        let ran = self.earlier.and(self.known());
-        refused::Refused::known(body, ran)
+        let ran = self.earlier.and(self.observed());
+        refused::Refused::with_evidence(body, ran)
     }
 
-    const fn known(&self) -> outcome::RanState {
+    const fn observed(&self) -> outcome::RanState {
         if self.seen_running {
             outcome::RanState::Yes
         } else {
@@ -160,7 +160,7 @@
 
     fn settled(self) -> StartPermit {
         StartPermit {
-            ran: self.earlier.and(self.known()),
+            ran: self.earlier.and(self.observed()),
         }
     }
 }
@@ -173,7 +173,7 @@
 }
 
 impl AttemptTicket<GenerationKind> {
-    /// Records that the server delivered a token of this attempt.
+    /// Records that the server delivered a token or the end of this attempt.
     pub const fn saw_running(&mut self) {
         self.seen_running = true;
     }
@@ -209,7 +209,7 @@
     /// Converts the ticket when a token is sent to the caller: no other generation may be started
     /// from here on.
     pub const fn into_relayed(self) -> RelayedAttempt {
-        RelayedAttempt { _made_here: () }
+        RelayedAttempt { _private: () }
     }
 }
 
@@ -220,18 +220,18 @@
 #[derive(Debug)]
 #[must_use = "an answer that has started must be ended"]
 pub struct RelayedAttempt {
-    _made_here: (),
+    _private: (),
 }
 
 impl RelayedAttempt {
     /// Resumes a generation that another entry VM, or this one earlier, started to relay.
     pub(crate) const fn continued() -> Self {
-        Self { _made_here: () }
+        Self { _private: () }
     }
 
     /// Creates a refusal that ends this stream before the rest of the answer.
     pub fn refused(&self, body: refusal::RefusalBody) -> refused::Refused {
-        refused::Refused::known(body, outcome::RanState::Yes)
+        refused::Refused::with_evidence(body, outcome::RanState::Yes)
     }
 }
 
@@ -261,12 +261,12 @@
 /// Permission by the rules to repeat this call.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatPermit {
-    _made_here: (),
+    _private: (),
 }
 
 impl RepeatPermit {
     /// Creates the permit for a call that was classified as idempotent.
     pub(crate) const fn idempotent() -> Self {
-        Self { _made_here: () }
+        Self { _private: () }
     }
 }
--- a/crates/flow/src/quota.rs
+++ b/crates/flow/src/quota.rs
@@ -59,7 +59,7 @@
         let refused = |input: request::Request<W, request::Terms>, body| {
             if is_repeat {
                 // This call did not run, but the answer must hold for the first call.
-                refused::Refused::of_claim(body, outcome::RanState::Unknown)
+                refused::Refused::for_repeat(body, outcome::RanState::Unknown)
             } else {
                 input.refused(body)
             }
--- a/crates/flow/src/refused.rs
+++ b/crates/flow/src/refused.rs
@@ -12,7 +12,7 @@
 
 impl Refused {
     /// Creates a refusal whose `ran` state claims no more than both the evidence and `body` support.
-    pub(crate) fn known(body: refusal::RefusalBody, ran: outcome::RanState) -> Self {
+    pub(crate) fn with_evidence(body: refusal::RefusalBody, ran: outcome::RanState) -> Self {
         let ran = ran.and(body.ran);
         Self {
             body: body.ran(ran),
@@ -20,8 +20,8 @@
     }
 
     /// Creates a refusal for the repeat of a keyed call whose first call has the state `ran`.
-    pub(crate) fn of_claim(body: refusal::RefusalBody, ran: outcome::RanState) -> Self {
-        Self::known(body, ran)
+    pub(crate) fn for_repeat(body: refusal::RefusalBody, ran: outcome::RanState) -> Self {
+        Self::with_evidence(body, ran)
     }
 
     /// Body that is sent to the caller.
--- a/crates/flow/src/settle.rs
+++ b/crates/flow/src/settle.rs
@@ -23,7 +23,7 @@
 
 impl LostAttempt {
     /// Repeats the cancel request until it is answered, the server process is found to have ended, or
-    /// `until` is reached. Only the first two permit another attempt, unless
+    /// `deadline` is reached. Only the first two permit another attempt, unless
     /// [`abandon_after`](crate::settings::PlaneSettings::abandon_after) is set and has passed.
     ///
     /// Otherwise the first generation would run beside the second, and engines would work on answers
@@ -37,7 +37,7 @@
         self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
         loss: attempt::LossKind,
-        until: time::Instant,
+        deadline: time::Instant,
     ) -> Result<proof::StartPermit, proof::AttemptTicket<proof::GenerationKind>> {
         if loss == attempt::LossKind::ServerDied {
             return Ok(self.ticket.server_died());
@@ -56,7 +56,7 @@
             }
             let now = time::Instant::now();
             let abandoned = abandon_at.is_some_and(|abandon_at| abandon_at <= now);
-            if abandoned || until <= now {
+            if abandoned || deadline <= now {
                 shared.cancel_in_background(self.target, self.generation);
                 return if abandoned {
                     Ok(self.ticket.abandoned())
--- a/crates/flow/src/shared.rs
+++ b/crates/flow/src/shared.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns the event for content whose standing changed with a server's death.
+    /// Returns the time line event for content that a server's death made suspect or quarantined.
     fn quarantine_event(&self, content: ContentHash, server: &str) -> Option<kind::EventKind> {
         match self.suspects.standing(content, self.now_ms()) {
             ContentStanding::Clear => None,
