--- a/crates/flow/src/calling.rs
+++ b/crates/flow/src/calling.rs
@@ -33,15 +33,15 @@
 #[derive(Clone, Debug)]
 pub struct CallFilter<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
-    placing: opening::PlacementChain<P>,
+    placement: opening::PlacementChain<P>,
 }
 
 impl<P: port::PortSet> CallFilter<P> {
     pub(crate) const fn new(
         shared: sync::Arc<shared::SharedPlane<P>>,
-        placing: opening::PlacementChain<P>,
+        placement: opening::PlacementChain<P>,
     ) -> Self {
-        Self { shared, placing }
+        Self { shared, placement }
     }
 
     /// Sends one attempt and returns which of the three outcomes it had.
@@ -120,7 +120,7 @@
             permit,
             stage: claimed,
         };
-        self.placing.apply(retried).await
+        self.placement.apply(retried).await
     }
 }
 
--- a/crates/flow/src/opening.rs
+++ b/crates/flow/src/opening.rs
@@ -54,19 +54,19 @@
 #[derive(Clone, Debug)]
 pub struct GenerationOpener<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
-    placing: PlacementChain<P>,
+    placement: PlacementChain<P>,
     routing: route::RouteFilter,
 }
 
 impl<P: port::PortSet> GenerationOpener<P> {
     pub(crate) const fn new(
         shared: sync::Arc<shared::SharedPlane<P>>,
-        placing: PlacementChain<P>,
+        placement: PlacementChain<P>,
         routing: route::RouteFilter,
     ) -> Self {
         Self {
             shared,
-            placing,
+            placement,
             routing,
         }
     }
@@ -221,7 +221,7 @@
             permit,
             stage: claimed,
         };
-        self.placing.apply(retried).await
+        self.placement.apply(retried).await
     }
 }
 
--- a/crates/flow/src/plane.rs
+++ b/crates/flow/src/plane.rs
@@ -72,8 +72,8 @@
 pub struct RequestPlane<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
     views: watch::Receiver<sync::Arc<view::PlaneView>>,
-    preparing: PreparationChain<P>,
-    placing: opening::PlacementChain<P>,
+    preparation: PreparationChain<P>,
+    placement: opening::PlacementChain<P>,
     opener: opening::GenerationOpener<P>,
     caller: calling::CallFilter<P>,
 }
@@ -86,24 +86,24 @@
         views: watch::Receiver<sync::Arc<view::PlaneView>>,
     ) -> Self {
         let shared = sync::Arc::new(shared::SharedPlane::new(ports, settings));
-        let placing = || {
+        let placement = || {
             Chain::new(
                 quarantine::QuarantineFilter::new(shared.clone()),
                 admit::AdmitFilter::new(shared.clone()),
             )
             .then(route::RouteFilter::new(views.clone()))
         };
-        let preparing = Chain::new(
+        let preparation = Chain::new(
             classify::ClassifyFilter::new(shared.clone()),
             quota::QuotaFilter::new(shared.clone()),
         )
         .then(deduplicate::DeduplicateFilter::new(shared.clone()));
         let routing = route::RouteFilter::new(views.clone());
         Self {
-            preparing,
-            opener: opening::GenerationOpener::new(shared.clone(), placing(), routing),
-            caller: calling::CallFilter::new(shared.clone(), placing()),
-            placing: placing(),
+            preparation,
+            opener: opening::GenerationOpener::new(shared.clone(), placement(), routing),
+            caller: calling::CallFilter::new(shared.clone(), placement()),
+            placement: placement(),
             shared,
             views,
         }
@@ -200,8 +200,8 @@
     ) -> Result<port::ServiceAnswer, filter::EarlyEnd> {
         let (arrived, _pass) = self.enter(arrived)?;
         let authenticated = authenticate::AuthenticateFilter.apply(arrived).await?;
-        let claimed = self.preparing.apply(authenticated).await?;
-        let routed = self.placing.apply(claimed).await?;
+        let claimed = self.preparation.apply(authenticated).await?;
+        let routed = self.placement.apply(claimed).await?;
         self.caller.apply(routed).await
     }
 
@@ -210,8 +210,8 @@
         &self,
         authenticated: request::Request<request::RawGeneration, request::Authenticated>,
     ) -> Result<opening::OpenedRequest<P>, filter::EarlyEnd> {
-        let claimed = self.preparing.apply(authenticated).await?;
-        let routed = self.placing.apply(claimed).await?;
+        let claimed = self.preparation.apply(authenticated).await?;
+        let routed = self.placement.apply(claimed).await?;
         self.opener.open(routed).await
     }
 
--- a/crates/flow/src/proof.rs
+++ b/crates/flow/src/proof.rs
@@ -158,7 +158,7 @@
         }
     }
 
-    fn settled(self) -> StartPermit {
+    fn into_start_permit(self) -> StartPermit {
         StartPermit {
             ran: self.earlier.and(self.observed()),
         }
@@ -168,7 +168,7 @@
 impl AttemptTicket<CallKind> {
     /// Allows another attempt although this one may have run; only for calls that may be repeated.
     pub fn repeated(self, _permit: RepeatPermit) -> StartPermit {
-        self.settled()
+        self.into_start_permit()
     }
 }
 
@@ -198,12 +198,12 @@
     /// Settles an attempt whose server process has ended: the server refuses connections, so the
     /// attempt no longer runs.
     pub fn server_died(self) -> StartPermit {
-        self.settled()
+        self.into_start_permit()
     }
 
     /// Abandons an attempt without settling it; a background task continues to cancel it.
     pub(crate) fn abandoned(self) -> StartPermit {
-        self.settled()
+        self.into_start_permit()
     }
 
     /// Converts the ticket when a token is sent to the caller: no other generation may be started
@@ -247,7 +247,7 @@
     },
     /// The attempt ran; contains its answer.
     Ran(T),
-    /// The attempt may have run; the ticket allows no other one unless the call may be repeated.
+    /// The attempt may have run; the ticket allows another attempt only for a repeatable call.
     Unknown {
         /// Ticket for a refusal that states this.
         ticket: AttemptTicket<K>,
