--- a/crates/flow/src/admit.rs
+++ b/crates/flow/src/admit.rs
@@ -1,4 +1,4 @@
-//! Filter: wait for a place.
+//! Admission filter: waits until the scheduler grants a slot on a backend server.
 
 use std::{sync, time::Duration};
 
@@ -11,62 +11,61 @@
     quarantine, request, shared,
 };
 
-/// Asks the scheduler for a place and waits for it.
+/// Requests a slot from the scheduler and waits for the grant.
 #[derive(Clone, Debug)]
 pub struct AdmitFilter<P> {
     shared: sync::Arc<shared::SharedPlane<P>>,
 }
 
-/// A place on a backend server.
-pub type PlaceGrant<P> = <<P as port::PortSet>::Schedule as port::Scheduler>::Grant;
+/// Grant of a slot on a backend server.
+pub type SlotGrant<P> = <<P as port::PortSet>::Schedule as port::Scheduler>::Grant;
 
 impl<P: port::PortSet> AdmitFilter<P> {
-    /// The filter of one plane.
+    /// Creates the filter of one request plane.
     #[must_use]
     pub const fn new(shared: sync::Arc<shared::SharedPlane<P>>) -> Self {
         Self { shared }
     }
 
-    /// Waits for a place, for a while elsewhere than at the servers to avoid.
+    /// Waits for a slot and excludes the servers to avoid for at most [`AVOID_TIMEOUT`].
     ///
-    /// What goes wrong when they are avoided for as long as it waits: every other server dies or
-    /// leaves meanwhile, and the request waits beside one that came back. One would notice work
-    /// that waits while an engine is idle.
-    async fn place<W: request::Work>(
+    /// Excluding them for the whole wait would leave a request queued while an engine is idle: all
+    /// other servers may die or leave meanwhile, and an excluded server may have recovered.
+    async fn acquire_slot<W: request::Work>(
         &self,
         facts: &request::RequestFacts<W>,
         terms: &request::Terms,
         alone: bool,
-    ) -> Result<PlaceGrant<P>, refusal::RefusalBody> {
+    ) -> Result<SlotGrant<P>, refusal::RefusalBody> {
         let schedule = self.shared.ports.schedule();
         let mut tried = facts.avoid.as_slice();
         loop {
-            let avoid = avoid_list(facts, tried, self.shared.book.probed(), alone);
-            let picky = !avoid.is_empty();
-            let ask = ask_of(facts, terms, avoid, alone);
-            let admission = schedule.admit(&ask);
-            if !picky {
+            let avoid = avoid_list(facts, tried, self.shared.suspects.probed(), alone);
+            let avoids_servers = !avoid.is_empty();
+            let request = admission_request(facts, terms, avoid, alone);
+            let admission = schedule.admit(&request);
+            if !avoids_servers {
                 return admission.await;
             }
-            match time::timeout(AVOIDED_FOR, admission).await {
+            match time::timeout(AVOID_TIMEOUT, admission).await {
                 Ok(Ok(grant)) => return Ok(grant),
                 Ok(Err(body)) if alone => return Err(body),
                 Ok(Err(_)) | Err(_) => tried = &[],
             }
             if !alone {
                 return schedule
-                    .admit(&ask_of(facts, terms, Vec::new(), alone))
+                    .admit(&admission_request(facts, terms, Vec::new(), alone))
                     .await;
             }
         }
     }
 }
 
-/// Servers are avoided for this long; then any will do.
-const AVOIDED_FOR: Duration = Duration::from_secs(2);
+/// Time after which servers to avoid become acceptable again.
+const AVOID_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The scheduler's question for a request.
-pub(crate) fn ask_of<W: request::Work>(
+/// Builds the scheduler's admission request.
+pub(crate) fn admission_request<W: request::Work>(
     facts: &request::RequestFacts<W>,
     terms: &request::Terms,
     avoid: Vec<id::ServerKey>,
@@ -76,27 +75,28 @@
         request: facts.id,
         organisation: terms.organisation,
         class: terms.class,
-        work: facts.work.asked(),
+        work: facts.work.requested(),
         prompt: facts.work.prompt(),
         deadline: terms.due_at,
         avoid,
         alone,
         buffered: facts.work.buffered(),
-        retry: facts.tries > 0,
+        retry: facts.attempts > 0,
     }
 }
 
-/// Servers that a request must not get, as long as that leaves it one.
+/// Returns the servers to exclude for a request, as long as another candidate remains.
 ///
-/// Servers of its failed tries, and servers where a suspect runs: whatever stands beside that
-/// dies with it. A suspect never joins another suspect, so that a death names one of them.
+/// These are the servers of its failed attempts and the servers that run a suspect, since a crash
+/// caused by a suspect also ends the requests that run beside it. A suspect never shares a server
+/// with another suspect, so that a crash identifies the content that caused it.
 fn avoid_list<W: request::Work>(
     facts: &request::RequestFacts<W>,
     tried: &[id::ServerKey],
     probed: Vec<id::ServerKey>,
     alone: bool,
 ) -> Vec<id::ServerKey> {
-    let leaves_one = |avoid: &[id::ServerKey]| {
+    let leaves_candidate = |avoid: &[id::ServerKey]| {
         let candidates = facts.work.candidates(&facts.view).iter();
         candidates
             .filter(|server| facts.view.takes_work(**server))
@@ -104,18 +104,18 @@
     };
     let mut avoid = probed;
     avoid.extend_from_slice(tried);
-    if leaves_one(&avoid) {
+    if leaves_candidate(&avoid) {
         return avoid;
     }
     avoid.truncate(avoid.len() - tried.len());
-    if !alone && !leaves_one(&avoid) {
+    if !alone && !leaves_candidate(&avoid) {
         avoid.clear();
     }
     avoid
 }
 
 impl<P, W, Q, C>
-    filter::Filter<request::Request<W, request::Cleared<Q, C, Option<quarantine::ProbePass>>>>
+    filter::Filter<request::Request<W, request::Cleared<Q, C, Option<quarantine::ProbePermit>>>>
     for AdmitFilter<P>
 where
     P: port::PortSet,
@@ -124,30 +124,30 @@
     C: Send + Sync,
 {
     type Out =
-        request::Request<W, request::Admitted<Q, C, Option<quarantine::ProbePass>, PlaceGrant<P>>>;
+        request::Request<W, request::Admitted<Q, C, Option<quarantine::ProbePermit>, SlotGrant<P>>>;
 
     async fn apply(
         &self,
-        input: request::Request<W, request::Cleared<Q, C, Option<quarantine::ProbePass>>>,
+        input: request::Request<W, request::Cleared<Q, C, Option<quarantine::ProbePermit>>>,
     ) -> Result<Self::Out, filter::EarlyEnd> {
         let terms = input.stage.claimed.terms;
         let alone = input.stage.probe.is_some();
-        let placed = self.place(&input.facts, &terms, alone);
-        match time::timeout_at(terms.due_at, placed).await {
+        let admission = self.acquire_slot(&input.facts, &terms, alone);
+        match time::timeout_at(terms.due_at, admission).await {
             Ok(Ok(grant)) => Ok(input.advance(|cleared| request::Admitted { cleared, grant })),
             Ok(Err(body)) => Err(input.refused(body).into()),
-            Err(_) => Err(input.refused(late()).into()),
+            Err(_) => Err(input.refused(no_slot_in_time()).into()),
         }
     }
 }
 
-/// When a request that found no place in its time may come back.
-const LATE_RETRY_MS: u64 = 1_000;
+/// Retry delay for a request that got no slot before its deadline, in milliseconds.
+const NO_SLOT_RETRY_MS: u64 = 1_000;
 
-fn late() -> refusal::RefusalBody {
+fn no_slot_in_time() -> refusal::RefusalBody {
     refusal::RefusalBody::not_run(
         refusal::RefusalCode::DeadlineExceeded,
-        "no backend server had a place in time; ask again after the time given",
+        "no backend server had a free slot before the deadline; retry after the given time",
     )
-    .retry_after_ms(LATE_RETRY_MS)
+    .retry_after_ms(NO_SLOT_RETRY_MS)
 }
--- a/crates/flow/src/attempt.rs
+++ b/crates/flow/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a generation: its tokens in order over however many connections it takes.
+//! One attempt of a generation: delivers its tokens in order across reconnections.
 
 use std::{pin, sync, time::Duration};
 
@@ -12,58 +12,58 @@
     proof, shared, silence,
 };
 
-/// First pause between two connections that showed nothing.
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
+/// Initial delay before reconnecting after a connection that delivered no event.
+const INITIAL_RESUME_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest pause between two connections that showed nothing.
-const LONGEST_RESUME_PAUSE: Duration = Duration::from_millis(800);
+/// Maximum delay before reconnecting after a connection that delivered no event.
+const MAX_RESUME_DELAY: Duration = Duration::from_millis(800);
 
-/// What came of waiting for a generation.
+/// Next step of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TryStep {
-    /// Its next token.
+pub enum AttemptStep {
+    /// The next token.
     Token {
-        /// Its number.
+        /// Index of the token.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// It ended whole.
+    /// The generation finished and all its tokens were delivered.
     Finished(port::FinishReport),
-    /// Nothing more will come of this try.
-    Lost(TryLoss),
+    /// The attempt was lost; it delivers nothing more.
+    Lost(AttemptLoss),
 }
 
-/// How a try was lost.
+/// Loss of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TryLoss {
-    /// What is known of the generation.
+pub struct AttemptLoss {
+    /// State of the generation as far as it is known.
     pub kind: LossKind,
-    /// What happened, for people.
+    /// Human-readable cause.
     pub cause: String,
 }
 
-/// What is known of a generation that was lost.
+/// State of a lost generation as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossKind {
-    /// Its server's process is gone.
-    ServerGone,
-    /// Its server answers that it does not hold it.
+    /// The server process that ran it has ended.
+    ServerDied,
+    /// The server answers that it does not hold the generation.
     NotHeld,
-    /// Its server declined to start it.
+    /// The server declined to start it.
     Declined,
-    /// Its server did not answer for as long as was waited.
+    /// The server did not answer within the reconnect timeout.
     Unreachable,
-    /// Its engine ended it, or it contradicts itself.
+    /// The engine ended it, or the finish report contradicts the tokens that were received.
     Ended,
 }
 
 impl LossKind {
-    /// The same for the scheduler.
+    /// The kind of failure that is reported to the scheduler.
     #[must_use]
     pub const fn failure(self) -> port::FailureKind {
         match self {
-            Self::ServerGone | Self::NotHeld => port::FailureKind::Broken,
+            Self::ServerDied | Self::NotHeld => port::FailureKind::Broken,
             Self::Declined => port::FailureKind::Rejected,
             Self::Unreachable => port::FailureKind::Silent,
             Self::Ended => port::FailureKind::Errored,
@@ -75,30 +75,30 @@
 
 /// A generation that runs on a server.
 ///
-/// Dropped before its end, its generation is cancelled.
-pub struct LiveTry<P: port::PortSet> {
+/// Dropping it before the end cancels the generation.
+pub struct LiveAttempt<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
     request: id::RequestId,
     target: port::ServerTarget,
     cursor: cursor::StreamCursor,
     gauge: silence::SilenceGauge,
-    /// Fires at some time before or at the gauge's, which is then looked at again.
-    alarm: pin::Pin<Box<time::Sleep>>,
-    /// The connection; absent while there is none.
+    /// Fires no later than the gauge's deadline, which is then checked again.
+    timer: pin::Pin<Box<time::Sleep>>,
+    /// Events of the open connection; `None` while disconnected.
     events: Option<LinkEvents<P>>,
-    /// When the last connection that showed something broke; absent while one works.
+    /// Time at which the last working connection failed; `None` while one works.
     broken_at: Option<time::Instant>,
-    /// How long a generation that shows nothing is sought.
-    patience: Duration,
-    pause: Duration,
-    /// Whether the server ever showed that it has this generation.
-    held: bool,
-    /// Nothing is left to cancel.
-    over: bool,
+    /// Limit on reconnecting to a generation that delivers no event.
+    reconnect_timeout: Duration,
+    resume_delay: Duration,
+    /// Whether the server ever confirmed that it holds this generation.
+    seen_on_server: bool,
+    /// Whether dropping this must not cancel the generation.
+    released: bool,
 }
 
-impl<P: port::PortSet> LiveTry<P> {
-    /// Sends a generation's start.
+impl<P: port::PortSet> LiveAttempt<P> {
+    /// Sends the start request of a generation.
     pub async fn start(
         shared: sync::Arc<shared::SharedPlane<P>>,
         request: id::RequestId,
@@ -106,46 +106,56 @@
         order: &port::StartOrder,
         permit: proof::StartPermit,
         silent_limit: Duration,
-    ) -> proof::TryOutcome<(Self, proof::TryTicket<proof::GenerationKind>), proof::GenerationKind>
-    {
+    ) -> proof::AttemptOutcome<
+        (Self, proof::AttemptTicket<proof::GenerationKind>),
+        proof::GenerationKind,
+    > {
         let (send, ticket) = permit.send();
-        let limit = shared.settings.call_limit;
+        let limit = shared.settings.call_timeout;
         let answer = {
             let start = shared.ports.engines().start(&target, order, send);
             time::timeout(limit, start).await
         };
-        let patience = shared.settings.opening_patience;
-        let mut live = Self::new(shared, request, target, order.id, 0, silent_limit, patience);
+        let reconnect_timeout = shared.settings.opening_reconnect_timeout;
+        let mut live = Self::new(
+            shared,
+            request,
+            target,
+            order.id,
+            0,
+            silent_limit,
+            reconnect_timeout,
+        );
         match answer {
             Ok(Ok(events)) => {
                 live.events = Some(events);
-                live.held = true;
+                live.seen_on_server = true;
             }
             Ok(Err(fault::StartFault::NeverSent {
                 evidence, cause, ..
             })) => {
-                live.over = true;
-                return proof::TryOutcome::NotRun {
+                live.released = true;
+                return proof::AttemptOutcome::NotRun {
                     permit: ticket.never_sent(evidence),
                     cause,
                 };
             }
             Ok(Err(declined @ fault::StartFault::Declined { status, .. })) => {
-                // Settled by whoever reads this outcome; a second cancel would be too many.
-                live.over = true;
-                return proof::TryOutcome::Unknown {
+                // The caller settles this outcome, which cancels; a second cancel would be redundant.
+                live.released = true;
+                return proof::AttemptOutcome::Unknown {
                     ticket,
                     cause: declined.to_string(),
-                    hopeless: hopeless(status),
+                    permanent_refusal: permanent_refusal(status),
                 };
             }
-            // It may have started: it is sought there before anything else is done.
+            // It may have started, so the first step is to reconnect to it.
             Ok(Err(fault::StartFault::Lost { .. })) | Err(_) => {}
         }
-        proof::TryOutcome::Ran((live, ticket))
+        proof::AttemptOutcome::Ran((live, ticket))
     }
 
-    /// A generation that runs already, from token `from` on.
+    /// Attaches to a generation that already runs, from token `from` on.
     pub(crate) fn continued(
         shared: sync::Arc<shared::SharedPlane<P>>,
         request: id::RequestId,
@@ -154,7 +164,7 @@
         from: u32,
         limits: (Duration, Duration),
     ) -> Self {
-        let (silent_limit, patience) = limits;
+        let (silent_limit, reconnect_timeout) = limits;
         Self::new(
             shared,
             request,
@@ -162,7 +172,7 @@
             generation,
             from,
             silent_limit,
-            patience,
+            reconnect_timeout,
         )
     }
 
@@ -173,85 +183,88 @@
         generation: id::GenerationId,
         from: u32,
         silent_limit: Duration,
-        patience: Duration,
+        reconnect_timeout: Duration,
     ) -> Self {
         let now = time::Instant::now();
-        let gauge = silence::SilenceGauge::new(shared.settings.silence_floor, silent_limit, now);
+        let gauge =
+            silence::SilenceGauge::new(shared.settings.min_silence_timeout, silent_limit, now);
         Self {
             shared,
             request,
             target,
             cursor: cursor::StreamCursor::new(generation, from),
-            alarm: Box::pin(time::sleep_until(gauge.give_up_at())),
+            timer: Box::pin(time::sleep_until(gauge.give_up_at())),
             gauge,
             events: None,
             broken_at: None,
-            patience,
-            pause: RESUME_PAUSE,
-            held: false,
-            over: false,
+            reconnect_timeout,
+            resume_delay: INITIAL_RESUME_DELAY,
+            seen_on_server: false,
+            released: false,
         }
     }
 
-    /// The server.
+    /// The server that runs the generation.
     #[must_use]
     pub const fn target(&self) -> &port::ServerTarget {
         &self.target
     }
 
-    /// The generation.
+    /// Identifier of the generation.
     #[must_use]
     pub const fn generation(&self) -> id::GenerationId {
         self.cursor.generation()
     }
 
-    /// Number of the token that comes next.
+    /// Index of the next token.
     #[must_use]
     pub const fn next_index(&self) -> u32 {
         self.cursor.next()
     }
 
-    /// Seeks the generation for longer, or less long, from here on.
-    pub const fn set_patience(&mut self, patience: Duration) {
-        self.patience = patience;
+    /// Changes the limit on reconnecting to the generation.
+    pub const fn set_reconnect_timeout(&mut self, reconnect_timeout: Duration) {
+        self.reconnect_timeout = reconnect_timeout;
     }
 
-    /// Closes the connection; the generation goes on.
+    /// Closes the connection; the generation continues to run.
     pub fn disconnect(&mut self) {
         self.events = None;
     }
 
-    /// Nothing is left to cancel, or somebody else will.
+    /// Disables the cancellation on drop: the generation has ended or is cancelled elsewhere.
     pub const fn release(&mut self) {
-        self.over = true;
+        self.released = true;
     }
 
-    /// Opens a connection, if there is none.
+    /// Opens a connection unless one is open.
     ///
     /// # Errors
     ///
-    /// The loss of the try.
-    pub async fn connect(&mut self) -> Result<(), TryLoss> {
+    /// Returns the loss of the attempt.
+    pub async fn connect(&mut self) -> Result<(), AttemptLoss> {
         if self.events.is_some() {
             return Ok(());
         }
         self.reconnect().await
     }
 
-    /// The next token, the end, or the loss. Nothing is lost when the future is dropped.
-    pub async fn next(&mut self) -> TryStep {
+    /// Waits for the next token, the end, or the loss of the attempt.
+    ///
+    /// Cancel safe: dropping the future loses no event.
+    pub async fn next(&mut self) -> AttemptStep {
         loop {
             let Some(events) = self.events.as_mut() else {
                 match self.reconnect().await {
                     Ok(()) => continue,
-                    Err(loss) => return self.lost(loss),
+                    Err(loss) => return self.fail(loss),
                 }
             };
             let event = tokio::select! {
                 biased;
                 event = events.next() => event,
-                () = self.alarm.as_mut() => {
-                    self.alarm_rang();
+                () = self.timer.as_mut() => {
+                    self.timer_fired();
                     continue;
                 }
             };
@@ -261,41 +274,41 @@
                         return step;
                     }
                 }
-                Err(fault) => self.broke(&fault.to_string()),
+                Err(fault) => self.connection_failed(&fault.to_string()),
             }
         }
     }
 
-    /// The alarm is set anew only when it rings: a token costs no timer.
-    fn alarm_rang(&mut self) {
+    /// Resets the timer only when it fires, so that a token costs no timer operation.
+    fn timer_fired(&mut self) {
         let give_up_at = self.gauge.give_up_at();
         if give_up_at <= time::Instant::now() {
-            self.broke("silent");
+            self.connection_failed("silent");
         } else {
-            self.alarm.as_mut().reset(give_up_at);
+            self.timer.as_mut().reset(give_up_at);
         }
     }
 
-    fn accept(&mut self, tagged: port::TaggedEvent) -> Option<TryStep> {
+    fn accept(&mut self, tagged: port::TaggedEvent) -> Option<AttemptStep> {
         let now = time::Instant::now();
         match self.cursor.accept(tagged) {
             cursor::CursorStep::Deliver { index, text } => {
-                self.works();
+                self.mark_working();
                 self.gauge.token(now);
-                return Some(TryStep::Token { index, text });
+                return Some(AttemptStep::Token { index, text });
             }
             cursor::CursorStep::Alive | cursor::CursorStep::Repeated => {
-                self.works();
+                self.mark_working();
                 self.gauge.alive(now);
             }
             cursor::CursorStep::Foreign => {
                 metrics::counter!("pollenchute_flow_foreign_events_total").increment(1);
             }
-            cursor::CursorStep::Gap => self.broke("tokens are missing"),
+            cursor::CursorStep::Gap => self.connection_failed("tokens are missing"),
             cursor::CursorStep::Finished(report) => return Some(self.finished(report)),
             cursor::CursorStep::Contradiction => {
-                let cause = "its engine says that it made fewer tokens than it sent";
-                return Some(self.lost(TryLoss {
+                let cause = "the engine reports fewer tokens than it sent";
+                return Some(self.fail(AttemptLoss {
                     kind: LossKind::Ended,
                     cause: cause.to_owned(),
                 }));
@@ -304,42 +317,42 @@
         None
     }
 
-    fn finished(&mut self, report: port::FinishReport) -> TryStep {
+    fn finished(&mut self, report: port::FinishReport) -> AttemptStep {
         match report.finish {
             port::FinishReason::Stop | port::FinishReason::Length => {
-                self.over = true;
-                TryStep::Finished(report)
+                self.released = true;
+                AttemptStep::Finished(report)
             }
-            port::FinishReason::Cancelled | port::FinishReason::Error => self.lost(TryLoss {
+            port::FinishReason::Cancelled | port::FinishReason::Error => self.fail(AttemptLoss {
                 kind: LossKind::Ended,
                 cause: format!(
-                    "its engine ended it as {}",
+                    "the engine ended the generation as {}",
                     crate::chunk::finish_name(report.finish)
                 ),
             }),
         }
     }
 
-    fn lost(&mut self, loss: TryLoss) -> TryStep {
+    fn fail(&mut self, loss: AttemptLoss) -> AttemptStep {
         self.events = None;
         let process_ended = match loss.kind {
-            LossKind::ServerGone => true,
-            LossKind::NotHeld => self.held,
+            LossKind::ServerDied => true,
+            LossKind::NotHeld => self.seen_on_server,
             LossKind::Declined | LossKind::Unreachable | LossKind::Ended => false,
         };
         if process_ended {
-            self.shared.note_death(&self.target, &loss.cause);
+            self.shared.record_server_death(&self.target, &loss.cause);
         }
-        TryStep::Lost(loss)
+        AttemptStep::Lost(loss)
     }
 
-    const fn works(&mut self) {
-        self.held = true;
+    const fn mark_working(&mut self) {
+        self.seen_on_server = true;
         self.broken_at = None;
-        self.pause = RESUME_PAUSE;
+        self.resume_delay = INITIAL_RESUME_DELAY;
     }
 
-    fn broke(&mut self, reason: &str) {
+    fn connection_failed(&mut self, reason: &str) {
         self.events = None;
         metrics::counter!("pollenchute_flow_connections_given_up_total").increment(1);
         self.shared.record(
@@ -352,32 +365,35 @@
         );
     }
 
-    /// Opens a fresh connection to the same generation.
-    async fn reconnect(&mut self) -> Result<(), TryLoss> {
-        // The first goes out at once; after that a connection that opens and shows nothing
-        // counts as no better than one that does not open.
-        let mut at_once = self.broken_at.is_none();
+    /// Opens a new connection to the same generation.
+    async fn reconnect(&mut self) -> Result<(), AttemptLoss> {
+        // The first reconnect is immediate. After it, a connection that opens but delivers no event
+        // counts as failed, like one that does not open, and the reconnect timeout keeps running.
+        let mut immediate = self.broken_at.is_none();
         let broken_at = *self.broken_at.get_or_insert_with(time::Instant::now);
-        let give_up_at = broken_at + self.patience;
+        let give_up_at = broken_at + self.reconnect_timeout;
         loop {
-            if !std::mem::take(&mut at_once) {
+            if !std::mem::take(&mut immediate) {
                 if time::Instant::now() >= give_up_at {
-                    let cause = format!("{} showed nothing for too long", self.target.name);
+                    let cause = format!(
+                        "{} sent no event before the reconnect timeout",
+                        self.target.name
+                    );
                     return Err(loss_of(LossKind::Unreachable, cause));
                 }
-                time::sleep(self.pause).await;
-                self.pause = (self.pause * 2).min(LONGEST_RESUME_PAUSE);
+                time::sleep(self.resume_delay).await;
+                self.resume_delay = (self.resume_delay * 2).min(MAX_RESUME_DELAY);
             }
             let (target, generation) = (&self.target, self.cursor.generation());
             let engines = self.shared.ports.engines();
             let resume = engines.resume(target, generation, self.cursor.next());
-            match time::timeout(self.shared.settings.call_limit, resume).await {
+            match time::timeout(self.shared.settings.call_timeout, resume).await {
                 Ok(Ok(events)) => {
-                    self.opened(events);
+                    self.connection_opened(events);
                     return Ok(());
                 }
                 Ok(Err(fault @ fault::ResumeFault::Refused { .. })) => {
-                    return Err(loss_of(LossKind::ServerGone, fault.to_string()));
+                    return Err(loss_of(LossKind::ServerDied, fault.to_string()));
                 }
                 Ok(Err(fault @ fault::ResumeFault::NotHeld { .. })) => {
                     return Err(loss_of(LossKind::NotHeld, fault.to_string()));
@@ -387,16 +403,16 @@
         }
     }
 
-    fn opened(&mut self, events: LinkEvents<P>) {
+    fn connection_opened(&mut self, events: LinkEvents<P>) {
         self.events = Some(events);
         self.gauge.alive(time::Instant::now());
         let give_up_at = self.gauge.give_up_at();
-        self.alarm.as_mut().reset(give_up_at);
+        self.timer.as_mut().reset(give_up_at);
     }
 }
 
-/// What an engine says of the request itself, so that every other engine will say the same.
-const fn hopeless(status: u16) -> Option<refusal::RefusalCode> {
+/// Maps statuses that reject the request itself, so that every engine would answer the same.
+const fn permanent_refusal(status: u16) -> Option<refusal::RefusalCode> {
     match status {
         400 | 422 => Some(refusal::RefusalCode::BadRequest),
         413 => Some(refusal::RefusalCode::TooLarge),
@@ -404,13 +420,13 @@
     }
 }
 
-const fn loss_of(kind: LossKind, cause: String) -> TryLoss {
-    TryLoss { kind, cause }
+const fn loss_of(kind: LossKind, cause: String) -> AttemptLoss {
+    AttemptLoss { kind, cause }
 }
 
-impl<P: port::PortSet> Drop for LiveTry<P> {
+impl<P: port::PortSet> Drop for LiveAttempt<P> {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.released {
             self.shared
                 .cancel_in_background(self.target.clone(), self.cursor.generation());
         }
--- a/crates/flow/src/body.rs
+++ b/crates/flow/src/body.rs
@@ -1,61 +1,61 @@
-//! Requests for generations in the shape that client libraries of the field speak.
+//! Bodies of generation requests in the format of common client libraries.
 
 use std::fmt::Write as _;
 
 use base::fingerprint;
 use snafu::{ResultExt as _, Snafu};
 
-/// A request's body cannot be served.
+/// Error in a request body.
 #[derive(Debug, Snafu)]
-pub enum BodyFault {
-    /// It is not JSON of the expected shape.
-    #[snafu(display("the request body is not understood: {source}; correct it"))]
+pub enum BodyError {
+    /// The body is not JSON of the expected shape.
+    #[snafu(display("the request body is malformed: {source}; correct it"))]
     Malformed {
-        /// What the parser said, with line and column.
+        /// Error of the parser, with line and column.
         source: serde_json::Error,
     },
-    /// There is nothing to generate from.
-    #[snafu(display("the request body has no text in `{field}`; give at least one"))]
+    /// The prompt is empty.
+    #[snafu(display("the request body has no text in `{field}`; send at least one"))]
     Empty {
-        /// The field.
+        /// Name of the empty field.
         field: String,
     },
-    /// More than one answer is asked for.
-    #[snafu(display("`n` is {count}; send one request for each answer that is wanted"))]
-    ManyAnswers {
-        /// Answers that were asked for.
+    /// More than one answer was requested.
+    #[snafu(display("`n` is {count}; send one request per answer"))]
+    MultipleChoices {
+        /// Number of answers requested.
         count: u32,
     },
-    /// No token may be produced.
-    #[snafu(display("`max_tokens` is 0; give at least 1, or leave it out"))]
-    NoTokens,
+    /// The limit of tokens is 0.
+    #[snafu(display("`max_tokens` is 0; send at least 1, or omit it"))]
+    ZeroMaxTokens,
 }
 
-/// Which of the two faces a caller used.
+/// Completion API that a caller used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallerFace {
+pub enum CompletionApi {
     /// `POST /v1/chat/completions`.
     Chat,
     /// `POST /v1/completions`.
     Completion,
 }
 
-/// What a caller asks for.
+/// Parsed body of a generation request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GenerationBody {
-    /// The face that it came by; answers take the same shape.
-    pub face: CallerFace,
-    /// The model as the caller names it: `model` or `model:adapter`.
+    /// API of the request; the answer uses the format of the same API.
+    pub api: CompletionApi,
+    /// Model as named by the caller: `model` or `model:adapter`.
     pub model: String,
-    /// The whole prompt.
+    /// Complete prompt.
     pub prompt: String,
-    /// Most tokens to produce; absent: what the model's context leaves.
+    /// Maximum number of tokens to produce; `None`: what the model's context leaves.
     pub max_tokens: Option<u32>,
-    /// Seed of the sampling.
+    /// Sampling seed.
     pub seed: Option<u64>,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether a streamed answer ends with a chunk of its own for the usage.
+    /// Whether a streamed answer ends with a separate usage chunk.
     pub include_usage: bool,
 }
 
@@ -114,23 +114,23 @@
 }
 
 impl GenerationBody {
-    /// Parses a body; fields that are not known are ignored, as clients send many.
+    /// Parses a body. Unknown fields are ignored, since clients send many.
     ///
     /// # Errors
     ///
-    /// [`BodyFault`] names what is wrong and what to do.
-    pub fn parse(face: CallerFace, body: &[u8]) -> Result<Self, BodyFault> {
+    /// Returns a [`BodyError`] that states the problem and how to correct it.
+    pub fn parse(api: CompletionApi, body: &[u8]) -> Result<Self, BodyError> {
         let raw: RawBody = serde_json::from_slice(body).context(MalformedSnafu)?;
         let count = raw.n.unwrap_or(1);
-        snafu::ensure!(count == 1, ManyAnswersSnafu { count });
+        snafu::ensure!(count == 1, MultipleChoicesSnafu { count });
         let max_tokens = raw.max_completion_tokens.or(raw.max_tokens);
-        snafu::ensure!(max_tokens != Some(0), NoTokensSnafu);
-        let prompt = match face {
-            CallerFace::Chat => chat_prompt(&raw.messages)?,
-            CallerFace::Completion => plain_prompt(raw.prompt)?,
+        snafu::ensure!(max_tokens != Some(0), ZeroMaxTokensSnafu);
+        let prompt = match api {
+            CompletionApi::Chat => chat_prompt(&raw.messages)?,
+            CompletionApi::Completion => plain_prompt(raw.prompt)?,
         };
         Ok(Self {
-            face,
+            api,
             model: raw.model,
             prompt,
             max_tokens,
@@ -142,15 +142,15 @@
         })
     }
 
-    /// Fingerprint of what an engine is given to work on; a caller's repeat has the same.
+    /// Fingerprint of the engine's input; a repeated request has the same one.
     #[must_use]
     pub fn fingerprint(&self) -> fingerprint::ContentHash {
         fingerprint::ContentHash::of_parts(&[self.model.as_bytes(), self.prompt.as_bytes()])
     }
 }
 
-/// One line for each message, then the answer's beginning.
-fn chat_prompt(messages: &[RawMessage]) -> Result<String, BodyFault> {
+/// Renders one line per message, followed by the start of the answer.
+fn chat_prompt(messages: &[RawMessage]) -> Result<String, BodyError> {
     let mut prompt = String::new();
     let mut has_text = false;
     for message in messages {
@@ -175,13 +175,13 @@
     Ok(prompt)
 }
 
-fn plain_prompt(raw: Option<RawPrompt>) -> Result<String, BodyFault> {
+fn plain_prompt(raw: Option<RawPrompt>) -> Result<String, BodyError> {
     let prompt = match raw {
         Some(RawPrompt::Text(text)) => text,
         Some(RawPrompt::Texts(texts)) if texts.len() == 1 => texts.concat(),
         Some(RawPrompt::Texts(texts)) if texts.len() > 1 => {
             let count = u32::try_from(texts.len()).unwrap_or(u32::MAX);
-            return ManyAnswersSnafu { count }.fail();
+            return MultipleChoicesSnafu { count }.fail();
         }
         Some(RawPrompt::Texts(_)) | None => String::new(),
     };
--- a/crates/flow/src/budget.rs
+++ b/crates/flow/src/budget.rs
@@ -1,90 +1,89 @@
-//! Retry budget: retries are a fraction of first tries.
+//! Retry budget: limits retries to a fraction of first attempts.
 //!
-//! What goes wrong without it: when everything is slow, each caller's retries come on top of the
-//! first tries of all others, and the load that they make keeps everything slow after its cause
-//! is gone. One would notice more tries than requests. Here retries end when they pass their
-//! fraction of what callers sent.
+//! Without a limit, a slowdown causes a retry storm: retries add to the first attempts, and the
+//! extra load keeps the servers slow after the original cause has ended, with more attempts than
+//! requests. Retries stop when they exceed their fraction of the requests that callers sent.
 
 use std::time::Duration;
 
 use tokio::time;
 
-/// Tries are counted over this long.
+/// Number of slots in the sliding window.
 const WINDOW_SLOTS: usize = 10;
 
-/// Length of one slot of the window.
-const SLOT: Duration = Duration::from_secs(1);
+/// Duration of one slot of the window.
+const SLOT_DURATION: Duration = Duration::from_secs(1);
 
-/// Retries that are always allowed in one window, so that a quiet site can retry at all.
-const FLOOR: f64 = 10.0;
+/// Retries that are always allowed in one window, so that a site with little traffic can retry.
+const MIN_RETRIES: f64 = 10.0;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct BudgetSlot {
-    first_tries: u32,
+    first_attempts: u32,
     retries: u32,
 }
 
-/// Counts tries over a sliding window.
+/// Counts first attempts and retries over a sliding window.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     slots: [BudgetSlot; WINDOW_SLOTS],
-    /// Begin of the newest slot.
-    slot_began_at: time::Instant,
+    /// Start of the newest slot.
+    slot_started_at: time::Instant,
     newest: usize,
 }
 
 impl RetryBudget {
-    /// An empty window.
+    /// Creates a budget with an empty window.
     #[must_use]
     pub fn new(now: time::Instant) -> Self {
         Self {
             slots: [BudgetSlot::default(); WINDOW_SLOTS],
-            slot_began_at: now,
+            slot_started_at: now,
             newest: 0,
         }
     }
 
-    /// A first try is made.
-    pub fn first_try(&mut self, now: time::Instant) {
-        self.turn(now);
-        self.slots[self.newest].first_tries += 1;
+    /// Counts a first attempt.
+    pub fn record_first_attempt(&mut self, now: time::Instant) {
+        self.advance(now);
+        self.slots[self.newest].first_attempts += 1;
     }
 
-    /// Takes one retry, when retries are under `fraction` of first tries.
+    /// Takes one retry if retries are below `fraction` of first attempts.
     ///
     /// # Errors
     ///
-    /// How long until the oldest retries leave the window.
+    /// Returns the time until the oldest retries leave the window.
     pub fn take_retry(&mut self, fraction: f64, now: time::Instant) -> Result<(), Duration> {
-        self.turn(now);
-        let first_tries: u32 = self.slots.iter().map(|slot| slot.first_tries).sum();
+        self.advance(now);
+        let first_attempts: u32 = self.slots.iter().map(|slot| slot.first_attempts).sum();
         let retries: u32 = self.slots.iter().map(|slot| slot.retries).sum();
-        let allowed = FLOOR.max(f64::from(first_tries) * fraction);
+        let allowed = MIN_RETRIES.max(f64::from(first_attempts) * fraction);
         if f64::from(retries) + 1.0 > allowed {
-            return Err(self.until_relief(now));
+            return Err(self.time_until_retry(now));
         }
         self.slots[self.newest].retries += 1;
         Ok(())
     }
 
     /// Time until the oldest slot that holds a retry leaves the window.
-    fn until_relief(&self, now: time::Instant) -> Duration {
+    fn time_until_retry(&self, now: time::Instant) -> Duration {
         let held = (1..=WINDOW_SLOTS)
             .position(|age| self.slots[(self.newest + age) % WINDOW_SLOTS].retries > 0)
             .unwrap_or(0);
         let slots = u32::try_from(held + 1).unwrap_or(1);
-        (self.slot_began_at + SLOT * slots).saturating_duration_since(now)
+        (self.slot_started_at + SLOT_DURATION * slots).saturating_duration_since(now)
     }
 
-    fn turn(&mut self, now: time::Instant) {
+    fn advance(&mut self, now: time::Instant) {
         let passed = now
-            .saturating_duration_since(self.slot_began_at)
+            .saturating_duration_since(self.slot_started_at)
             .as_millis()
-            / SLOT.as_millis();
+            / SLOT_DURATION.as_millis();
         for _ in 0..passed.min(WINDOW_SLOTS as u128) {
             self.newest = (self.newest + 1) % WINDOW_SLOTS;
             self.slots[self.newest] = BudgetSlot::default();
         }
-        self.slot_began_at += SLOT * u32::try_from(passed).unwrap_or(u32::MAX);
+        self.slot_started_at += SLOT_DURATION * u32::try_from(passed).unwrap_or(u32::MAX);
     }
 }
--- a/crates/flow/src/calling.rs
+++ b/crates/flow/src/calling.rs
@@ -1,5 +1,5 @@
-//! Filter, the last one for plain service calls: call, and call again only where that is proved
-//! or allowed.
+//! Call filter, the last one for plain service calls: sends the call, and retries it only if it is
+//! proved not to have run or is idempotent.
 
 use std::{sync, time::Duration};
 
@@ -15,43 +15,43 @@
     proof, quota, request, route, shared,
 };
 
-/// When to come back after a call did not run.
-const NOT_RUN_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay after a call that failed.
+const FAILED_CALL_RETRY: Duration = Duration::from_secs(1);
 
-/// What a call's request holds before it has a place.
+/// Stage of a call that has not been granted a slot.
 type CallClaimed<P> = request::Claimed<quota::QuotaPermit<P>, Option<claim::HeldClaim<P>>>;
 
-/// A call's request with a place.
+/// A call with a granted slot and the address of its server.
 pub type CallRouted<P> = route::RoutedRequest<
     request::CallWork,
     quota::QuotaPermit<P>,
     Option<claim::HeldClaim<P>>,
-    admit::PlaceGrant<P>,
+    admit::SlotGrant<P>,
 >;
 
 /// Calls plain services.
 #[derive(Clone, Debug)]
 pub struct CallFilter<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
-    placing: opening::PlacingChain<P>,
+    placement: opening::PlacementChain<P>,
 }
 
 impl<P: port::PortSet> CallFilter<P> {
     pub(crate) const fn new(
         shared: sync::Arc<shared::SharedPlane<P>>,
-        placing: opening::PlacingChain<P>,
+        placement: opening::PlacementChain<P>,
     ) -> Self {
-        Self { shared, placing }
+        Self { shared, placement }
     }
 
-    /// Sends one try and says which of the three it was.
+    /// Sends one attempt and returns which of the three outcomes it had.
     async fn send(
         &self,
         facts: &request::RequestFacts<request::CallWork>,
-        until: time::Instant,
+        deadline: time::Instant,
         target: &port::ServerTarget,
         permit: proof::StartPermit,
-    ) -> proof::TryOutcome<port::ServiceAnswer, proof::CallKind> {
+    ) -> proof::AttemptOutcome<port::ServiceAnswer, proof::CallKind> {
         let raw = &facts.work.raw;
         let call = port::ServiceCall {
             request: facts.id,
@@ -61,7 +61,7 @@
             content_type: raw.content_type.clone(),
             body: raw.body.clone(),
         };
-        let time_left = until.saturating_duration_since(time::Instant::now());
+        let time_left = deadline.saturating_duration_since(time::Instant::now());
         let (send, ticket) = permit.send();
         let answer = {
             let called = self
@@ -69,31 +69,31 @@
                 .ports
                 .services()
                 .call(target, &call, time_left, send);
-            time::timeout_at(until, called).await
+            time::timeout_at(deadline, called).await
         };
         match answer {
-            Ok(Ok(answer)) => proof::TryOutcome::Ran(answer),
+            Ok(Ok(answer)) => proof::AttemptOutcome::Ran(answer),
             Ok(Err(fault::CallFault::NeverSent {
                 evidence, cause, ..
-            })) => proof::TryOutcome::NotRun {
+            })) => proof::AttemptOutcome::NotRun {
                 permit: ticket.never_sent(evidence),
                 cause,
             },
-            Ok(Err(lost @ fault::CallFault::Lost { .. })) => proof::TryOutcome::Unknown {
+            Ok(Err(lost @ fault::CallFault::Lost { .. })) => proof::AttemptOutcome::Unknown {
                 ticket,
                 cause: lost.to_string(),
-                hopeless: None,
+                permanent_refusal: None,
             },
-            Err(_) => proof::TryOutcome::Unknown {
+            Err(_) => proof::AttemptOutcome::Unknown {
                 ticket,
                 cause: format!("{} did not answer in time", target.name),
-                hopeless: None,
+                permanent_refusal: None,
             },
         }
     }
 
-    /// Another place for a call that may be tried again.
-    async fn place_again(
+    /// Acquires another slot for a call that may be retried.
+    async fn retry(
         &self,
         mut facts: request::RequestFacts<request::CallWork>,
         claimed: CallClaimed<P>,
@@ -102,25 +102,25 @@
         cause: &str,
     ) -> Result<CallRouted<P>, filter::EarlyEnd> {
         let rules = &facts.view.config.rules().retries;
-        if facts.tries >= rules.max_tries {
-            return Err(permit.refused(opening::used_up(cause)).into());
+        if facts.attempts >= rules.max_tries {
+            return Err(permit.refused(opening::attempts_exhausted(cause)).into());
         }
         self.shared.record(
             facts.id,
             kind::EventKind::RequestRetried {
                 server: server.name.clone(),
-                attempt: facts.tries,
+                attempt: facts.attempts,
                 ran: permit.ran(),
                 reason: cause.to_owned(),
             },
         );
         facts.avoid.push(server.key);
-        let again = request::Request {
+        let retried = request::Request {
             facts,
             permit,
             stage: claimed,
         };
-        self.placing.apply(again).await
+        self.placement.apply(retried).await
     }
 }
 
@@ -138,34 +138,36 @@
             let request::Routed { admitted, target } = stage;
             let mut claimed = admitted.cleared.claimed;
             let fraction = facts.view.config.rules().retries.budget_fraction;
-            if let Err(delay) = self.shared.take_try(facts.tries, fraction) {
-                return Err(permit.refused(opening::over_budget(delay)).into());
+            if let Err(delay) = self.shared.take_attempt(facts.attempts, fraction) {
+                return Err(permit
+                    .refused(opening::retry_budget_exhausted(delay))
+                    .into());
             }
-            facts.tries += 1;
+            facts.attempts += 1;
             let due_at = claimed.terms.due_at;
-            let until = try_until(&facts, due_at);
+            let deadline = attempt_deadline(&facts, due_at);
             if let Some(claim) = claimed.claim.as_mut()
-                && !claim.leave(time::Instant::now())
+                && !claim.begin_send(time::Instant::now())
             {
                 return Err(permit.refused(lapsed()).into());
             }
-            let outcome = self.send(&facts, until, &target, permit).await;
+            let outcome = self.send(&facts, deadline, &target, permit).await;
             let (permit, cause) = match outcome {
-                proof::TryOutcome::Ran(answer) => {
+                proof::AttemptOutcome::Ran(answer) => {
                     admitted.grant.finished(0);
                     if let Some(claim) = claimed.claim.take() {
                         claim.settle(port::ClaimEnd::Answered(answer.clone()));
                     }
                     return Ok(answer);
                 }
-                proof::TryOutcome::NotRun { permit, cause } => {
+                proof::AttemptOutcome::NotRun { permit, cause } => {
                     admitted.grant.failed(port::FailureKind::Broken);
                     if let Some(claim) = claimed.claim.as_mut() {
-                        claim.came_back();
+                        claim.mark_not_run();
                     }
                     (permit, cause)
                 }
-                proof::TryOutcome::Unknown { ticket, cause, .. } => {
+                proof::AttemptOutcome::Unknown { ticket, cause, .. } => {
                     admitted.grant.failed(port::FailureKind::Silent);
                     match facts.work.repeat {
                         Some(repeat) if time::Instant::now() < due_at => {
@@ -175,23 +177,21 @@
                     }
                 }
             };
-            routed = self
-                .place_again(facts, claimed, permit, &target, &cause)
-                .await?;
+            routed = self.retry(facts, claimed, permit, &target, &cause).await?;
         }
     }
 }
 
-/// Until when one try may take.
+/// Deadline of one attempt.
 ///
-/// A call that may be repeated leaves half of its time for another server: one that hangs would
-/// take it all otherwise.
-fn try_until(
+/// An attempt of an idempotent call, unless it is the last one, gets half of the remaining time, so
+/// that a hanging server leaves time for another one.
+fn attempt_deadline(
     facts: &request::RequestFacts<request::CallWork>,
     due_at: time::Instant,
 ) -> time::Instant {
     let now = time::Instant::now();
-    let is_last = facts.tries >= facts.view.config.rules().retries.max_tries;
+    let is_last = facts.attempts >= facts.view.config.rules().retries.max_tries;
     if is_last || facts.work.repeat.is_none() {
         return due_at;
     }
@@ -199,21 +199,22 @@
 }
 
 fn lapsed() -> refusal::RefusalBody {
-    let message = "the claim on the idempotency key lapsed before the call could leave; repeat it \
-                   after the time given";
-    shared::come_back(
+    let message = "the claim on the idempotency key lapsed before the call was sent; repeat it \
+                   after the given time";
+    shared::retryable_refusal(
         refusal::RefusalCode::DeadlineExceeded,
         message,
-        NOT_RUN_RETRY,
+        FAILED_CALL_RETRY,
     )
 }
 
 fn may_have_run(cause: &str, repeat: Option<proof::RepeatPermit>) -> refusal::RefusalBody {
     let code = refusal::RefusalCode::BackendFault;
     if repeat.is_some() {
-        let message = format!("{cause}; ask again after the time given");
-        return shared::come_back(code, message, NOT_RUN_RETRY);
+        let message = format!("{cause}; retry after the given time");
+        return shared::retryable_refusal(code, message, FAILED_CALL_RETRY);
     }
-    let message = format!("{cause}; look up whether it did before calling again with another key");
+    let message =
+        format!("{cause}; look up whether the call ran before calling again with another key");
     refusal::RefusalBody::not_run(code, message)
 }
--- a/crates/flow/src/claim.rs
+++ b/crates/flow/src/claim.rs
@@ -1,4 +1,4 @@
-//! A claim in the hands of one request.
+//! A claim on an idempotency key, held by one request.
 
 use std::{sync, time::Duration};
 
@@ -9,20 +9,21 @@
     shared,
 };
 
-/// Storing how a call ended is tried for this long.
-const STORE_FOR: Duration = Duration::from_secs(30);
+/// Time limit for storing the outcome of a call.
+const STORE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// First pause between two tries to store.
-const STORE_PAUSE: Duration = Duration::from_millis(100);
+/// Initial delay between two attempts to store an outcome; it doubles each time.
+const INITIAL_STORE_DELAY: Duration = Duration::from_millis(100);
 
-/// A claim that this request holds. Dropped before the call leaves, it is given back: the key
-/// may then be claimed again.
+/// A claim that this request holds.
+///
+/// Dropping it before the call is sent releases it, so that the key may be claimed again.
 #[derive(Debug)]
 pub struct HeldClaim<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
-    /// Taken when the claim is settled.
+    /// `None` once the claim has been settled.
     hold: Option<port::ClaimHold>,
-    /// What a drop means: nothing was sent yet, or the call may have run.
+    /// Outcome to store on drop: nothing was sent yet, or the call may have run.
     end_on_drop: port::ClaimEnd,
 }
 
@@ -38,25 +39,26 @@
         }
     }
 
-    /// Whether a try may leave now; if so, a drop means from here on that it may have run.
+    /// Returns whether an attempt may be sent now. If so, dropping the claim from here on records
+    /// that the call may have run.
     ///
-    /// What goes wrong without the look at the clock: a process that was paused between its
-    /// claim and its call sends after others have taken the claim for lapsed. One would notice a
-    /// call that arrives after a repeat was told "unknown".
-    pub(crate) fn leave(&mut self, now: time::Instant) -> bool {
-        let leaves = self.hold.as_ref().is_some_and(|hold| now < hold.deadline);
-        if leaves {
+    /// The clock is checked because a process that was paused between claim and call would
+    /// otherwise send after others consider the claim lapsed: the call would run after a repeat
+    /// was answered as unknown.
+    pub(crate) fn begin_send(&mut self, now: time::Instant) -> bool {
+        let is_valid = self.hold.as_ref().is_some_and(|hold| now < hold.deadline);
+        if is_valid {
             self.end_on_drop = port::ClaimEnd::Unknown;
         }
-        leaves
+        is_valid
     }
 
-    /// The try that left was proved not to have run.
-    pub(crate) fn came_back(&mut self) {
+    /// Records that the attempt that was sent is proved not to have run.
+    pub(crate) fn mark_not_run(&mut self) {
         self.end_on_drop = port::ClaimEnd::NotRun;
     }
 
-    /// Settles the claim; the end is stored in the background, which a graceful stop waits for.
+    /// Settles the claim. The outcome is stored in the background; a graceful shutdown waits for it.
     pub(crate) fn settle(mut self, end: port::ClaimEnd) {
         self.end_on_drop = end;
     }
@@ -83,16 +85,16 @@
     hold: port::ClaimHold,
     end: port::ClaimEnd,
 ) {
-    let give_up_at = time::Instant::now() + STORE_FOR;
-    let mut pause = STORE_PAUSE;
+    let give_up_at = time::Instant::now() + STORE_TIMEOUT;
+    let mut delay = INITIAL_STORE_DELAY;
     loop {
         let store = shared.ports.claims().store(hold.clone(), end.clone());
         match store.await {
             Ok(()) => return,
             Err(_) if time::Instant::now() >= give_up_at => break,
-            Err(_) => time::sleep(pause).await,
+            Err(_) => time::sleep(delay).await,
         }
-        pause *= 2;
+        delay *= 2;
     }
     metrics::counter!("pollenchute_flow_claim_ends_lost_total").increment(1);
 }
--- a/crates/flow/src/classify.rs
+++ b/crates/flow/src/classify.rs
@@ -1,4 +1,4 @@
-//! Filter: what is asked for, how long may it wait, and until when?
+//! Classification filter: parses the work and determines its traffic class and deadline.
 
 use std::{sync, time::Duration};
 
@@ -12,28 +12,28 @@
     shared,
 };
 
-/// Understands the work and applies the rules to it.
+/// Parses the work and applies the rules to it.
 #[derive(Clone, Debug)]
 pub struct ClassifyFilter<P> {
     shared: sync::Arc<shared::SharedPlane<P>>,
 }
 
 impl<P: port::PortSet> ClassifyFilter<P> {
-    /// The filter of one plane.
+    /// Creates the filter of one request plane.
     #[must_use]
     pub const fn new(shared: sync::Arc<shared::SharedPlane<P>>) -> Self {
         Self { shared }
     }
 }
 
-impl<P: port::PortSet, W: RawWork> filter::Filter<request::Request<W, request::Known>>
+impl<P: port::PortSet, W: RawWork> filter::Filter<request::Request<W, request::Authenticated>>
     for ClassifyFilter<P>
 {
     type Out = request::Request<W::Parsed, request::Terms>;
 
     async fn apply(
         &self,
-        input: request::Request<W, request::Known>,
+        input: request::Request<W, request::Authenticated>,
     ) -> Result<Self::Out, filter::EarlyEnd> {
         let request::Request {
             facts,
@@ -47,9 +47,9 @@
         let config = &facts.view.config;
         let requested = facts.headers.requested_class;
         let class = config.class_of(stage.organisation, work.target(), requested);
-        let by_rules = work.time_limit(&facts.view, class);
-        let by_caller = facts.headers.time_limit_ms.map(Duration::from_millis);
-        let time_limit = by_caller.map_or(by_rules, |limit| limit.min(by_rules));
+        let default_limit = work.time_limit(&facts.view, class);
+        let caller_limit = facts.headers.time_limit_ms.map(Duration::from_millis);
+        let time_limit = caller_limit.map_or(default_limit, |limit| limit.min(default_limit));
         let taken = taken(config, stage.organisation, work.target());
         self.shared.record(facts.id, taken);
         self.shared.record(
@@ -57,7 +57,7 @@
             kind::EventKind::RequestClassified {
                 class,
                 reason: requested
-                    .map_or("rules", |_| "rules, class asked for")
+                    .map_or("rules", |_| "rules, class requested by the caller")
                     .to_owned(),
             },
         );
@@ -73,7 +73,7 @@
             arrived_at: facts.arrived_at,
             view: facts.view,
             headers: facts.headers,
-            tries: facts.tries,
+            attempts: facts.attempts,
             avoid: facts.avoid,
         };
         Ok(request::Request {
@@ -84,7 +84,7 @@
     }
 }
 
-/// The first event of a request: who asks for what.
+/// Builds the first event of a request: its organisation and its target.
 fn taken(
     config: &snapshot::ConfigSnapshot,
     organisation: id::OrganisationKey,
--- a/crates/flow/src/collect.rs
+++ b/crates/flow/src/collect.rs
@@ -1,55 +1,55 @@
-//! Collecting a whole answer, of one generation, over as many generations as that takes.
+//! Collects a complete answer of one generation and restarts generations that are lost.
 
 use crate::{
     attempt, filter, flowing, opening,
     port::{self, Grant as _, QuotaPermit as _},
 };
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeText {
-    /// All tokens of one generation.
+pub struct CompleteText {
+    /// Text of all tokens of one generation.
     pub text: String,
-    /// How it ended.
+    /// Finish report of the generation.
     pub report: port::FinishReport,
 }
 
-/// What came next of a generation that is collected.
+/// Next step of a generation that is being collected.
 enum CollectStep {
-    Step(attempt::TryStep),
+    Step(attempt::AttemptStep),
     Preempted,
 }
 
-/// Collects to the end. A generation that is lost on the way is thrown away whole, and another
-/// begins from nothing: none of it has left for the caller.
+/// Collects the answer to its end. If a generation is lost, all its tokens are discarded and another
+/// one starts from the beginning, since none of them has been sent to the caller.
 ///
 /// # Errors
 ///
-/// An honest refusal that says what is known of the tries.
+/// Returns a refusal that states whether any attempt ran.
 pub async fn collect<P: port::PortSet>(
     opener: &opening::GenerationOpener<P>,
     opened: opening::OpenedRequest<P>,
-) -> Result<(opening::OpenedRequest<P>, WholeText), filter::EarlyEnd> {
+) -> Result<(opening::OpenedRequest<P>, CompleteText), filter::EarlyEnd> {
     let mut opened = opened;
     loop {
         match collect_one(&mut opened).await {
-            Ok(whole) => return Ok((opened, whole)),
+            Ok(answer) => return Ok((opened, answer)),
             Err(loss) => opened = opener.reopen(opened, loss).await?,
         }
     }
 }
 
-/// Collects one generation; `Err(None)`: the scheduler stopped it.
+/// Collects one generation; `Err(None)` means that the scheduler preempted it.
 async fn collect_one<P: port::PortSet>(
     opened: &mut opening::OpenedRequest<P>,
-) -> Result<WholeText, Option<attempt::TryLoss>> {
+) -> Result<CompleteText, Option<attempt::AttemptLoss>> {
     let mut text = String::new();
     let mut unreported = 0;
     let mut step = opened.step.clone();
     let running = &mut opened.running;
     loop {
         match step {
-            attempt::TryStep::Token { text: token, .. } => {
+            attempt::AttemptStep::Token { text: token, .. } => {
                 text.push_str(&token);
                 opened.claimed.quota.charge(1);
                 unreported += 1;
@@ -57,8 +57,8 @@
                     running.grant.progress(std::mem::take(&mut unreported));
                 }
             }
-            attempt::TryStep::Finished(report) => return Ok(WholeText { text, report }),
-            attempt::TryStep::Lost(loss) => return Err(Some(loss)),
+            attempt::AttemptStep::Finished(report) => return Ok(CompleteText { text, report }),
+            attempt::AttemptStep::Lost(loss) => return Err(Some(loss)),
         }
         let next = tokio::select! {
             biased;
--- a/crates/flow/src/continuation.rs
+++ b/crates/flow/src/continuation.rs
@@ -57,14 +57,16 @@
         let silent_limit = running::silent_limit(&known.facts.view);
         let live = self.connect(&facts, target, from, silent_limit).await?;
         let (writer_end, stream) = pipe::pipe();
-        let mark = shared.book.begin(live.target().key, facts.content, false);
+        let mark = shared
+            .suspects
+            .begin(live.target().key, facts.content, false);
         let relay = flowing::FlowingStream {
             shared: shared.clone(),
             request: facts.request,
             content: facts.content,
             arrived_at: known.facts.arrived_at,
             live,
-            flowing: proof::FlowingTry::continued(),
+            flowing: proof::RelayedAttempt::continued(),
             charge: flowing::StreamCharge {
                 grant: None,
                 quota: None,
@@ -94,10 +96,10 @@
         target: port::ServerTarget,
         from: u32,
         silent_limit: Duration,
-    ) -> Result<attempt::LiveTry<P>, refused::Refused> {
+    ) -> Result<attempt::LiveAttempt<P>, refused::Refused> {
         let shared = self.shared();
-        let limits = (silent_limit, shared.settings.opening_patience);
-        let mut live = attempt::LiveTry::continued(
+        let limits = (silent_limit, shared.settings.opening_reconnect_timeout);
+        let mut live = attempt::LiveAttempt::continued(
             shared.clone(),
             facts.request,
             target,
@@ -107,13 +109,13 @@
         );
         match live.connect().await {
             Ok(()) => {
-                live.set_patience(plane::RESUME_PATIENCE);
+                live.set_reconnect_timeout(plane::MAX_RECONNECT_TIMEOUT);
                 Ok(live)
             }
             Err(loss) => {
                 // Another may still read it, and this caller may come back for it.
                 live.release();
-                Err(proof::FlowingTry::continued().refused(not_continued(&loss)))
+                Err(proof::RelayedAttempt::continued().refused(not_continued(&loss)))
             }
         }
     }
@@ -121,7 +123,7 @@
     /// The facts of a token that this caller may use, and the generation's server.
     fn resolve(
         &self,
-        known: &request::Request<(), request::Known>,
+        known: &request::Request<(), request::Authenticated>,
         token: &str,
     ) -> Result<(token::ContinuationFacts, port::ServerTarget), refusal::RefusalBody> {
         let shared = self.shared();
@@ -143,7 +145,11 @@
                 let message = "this entry VM does not know the generation's server yet; ask \
                                again after the time given";
                 let code = refusal::RefusalCode::NotReady;
-                Err(shared::come_back(code, message, UNKNOWN_SERVER_RETRY))
+                Err(shared::retryable_refusal(
+                    code,
+                    message,
+                    UNKNOWN_SERVER_RETRY,
+                ))
             }
             None => Err(lost("its backend server is no longer in the inventory")),
         }
@@ -160,14 +166,14 @@
     )
 }
 
-fn not_continued(loss: &attempt::TryLoss) -> refusal::RefusalBody {
+fn not_continued(loss: &attempt::AttemptLoss) -> refusal::RefusalBody {
     match loss.kind {
         attempt::LossKind::Unreachable => {
             let message = format!("{}; ask again, or another entry VM", loss.cause);
             let code = refusal::RefusalCode::Unavailable;
-            shared::come_back(code, message, UNKNOWN_SERVER_RETRY)
+            shared::retryable_refusal(code, message, UNKNOWN_SERVER_RETRY)
         }
-        attempt::LossKind::ServerGone
+        attempt::LossKind::ServerDied
         | attempt::LossKind::NotHeld
         | attempt::LossKind::Declined
         | attempt::LossKind::Ended => lost(&loss.cause),
@@ -176,5 +182,5 @@
 
 fn lost(cause: &str) -> refusal::RefusalBody {
     let message = format!("the generation is lost: {cause}; send the request anew");
-    shared::come_back(refusal::RefusalCode::GenerationLost, message, LOST_RETRY)
+    shared::retryable_refusal(refusal::RefusalCode::GenerationLost, message, LOST_RETRY)
 }
--- a/crates/flow/src/flowing.rs
+++ b/crates/flow/src/flowing.rs
@@ -21,13 +21,13 @@
 /// What a stream holds besides its generation.
 pub struct StreamCharge<P: port::PortSet> {
     /// Its place; absent when another entry VM holds it.
-    pub grant: Option<admit::PlaceGrant<P>>,
+    pub grant: Option<admit::SlotGrant<P>>,
     /// Its share of its organisation's limits.
     pub quota: Option<quota::QuotaPermit<P>>,
     /// Marks its content as running.
     pub mark: Option<crashes::RunMark>,
     /// Held by a suspect.
-    pub probe: Option<quarantine::ProbePass>,
+    pub probe: Option<quarantine::ProbePermit>,
 }
 
 /// A generation on its way to a caller.
@@ -36,9 +36,9 @@
     pub(crate) request: id::RequestId,
     pub(crate) content: fingerprint::ContentHash,
     pub(crate) arrived_at: time::Instant,
-    pub(crate) live: attempt::LiveTry<P>,
+    pub(crate) live: attempt::LiveAttempt<P>,
     /// Nothing but the same generation may follow.
-    pub(crate) flowing: proof::FlowingTry,
+    pub(crate) flowing: proof::RelayedAttempt,
     pub(crate) charge: StreamCharge<P>,
     pub(crate) writer: chunk::ChunkWriter,
     pub(crate) pipe: pipe::PipeWriter,
@@ -51,7 +51,7 @@
     /// Whole.
     Finished(port::FinishReport),
     /// The rest is not coming.
-    Lost(attempt::TryLoss),
+    Lost(attempt::AttemptLoss),
     /// The caller is gone.
     CallerGone,
     /// The caller reads nothing.
@@ -62,14 +62,14 @@
 
 impl<P: port::PortSet> FlowingStream<P> {
     /// Relays to the end, beginning with `first` when it is there already.
-    pub async fn run(mut self, first: Option<attempt::TryStep>) {
+    pub async fn run(mut self, first: Option<attempt::AttemptStep>) {
         let end = self.relay(first).await;
         self.finish(end);
     }
 
-    async fn relay(&mut self, first: Option<attempt::TryStep>) -> StreamEnd {
+    async fn relay(&mut self, first: Option<attempt::AttemptStep>) -> StreamEnd {
         let mut unreported = 0;
-        let mut beat = Box::pin(time::sleep(self.shared.settings.heartbeat));
+        let mut beat = Box::pin(time::sleep(self.shared.settings.heartbeat_interval));
         let mut step = match first {
             Some(step) => step,
             None => match self.wait(beat.as_mut()).await {
@@ -79,7 +79,7 @@
         };
         loop {
             let has_space = match step {
-                attempt::TryStep::Token { index, text } => {
+                attempt::AttemptStep::Token { index, text } => {
                     unreported += 1;
                     if unreported == PROGRESS_LOT || index == 0 {
                         self.report(std::mem::take(&mut unreported));
@@ -87,16 +87,16 @@
                     let writer = &self.writer;
                     self.pipe.append(|out| writer.token(out, index, &text))
                 }
-                attempt::TryStep::Finished(report) => {
+                attempt::AttemptStep::Finished(report) => {
                     self.report(unreported);
                     return StreamEnd::Finished(report);
                 }
-                attempt::TryStep::Lost(loss) => return StreamEnd::Lost(loss),
+                attempt::AttemptStep::Lost(loss) => return StreamEnd::Lost(loss),
             };
             match has_space {
                 Ok(true) => {}
                 Ok(false) => {
-                    let limit = self.shared.settings.caller_stall;
+                    let limit = self.shared.settings.caller_stall_timeout;
                     if let Err(end) = caller_reads(&self.pipe, limit).await {
                         return end;
                     }
@@ -114,11 +114,11 @@
     async fn wait(
         &mut self,
         mut beat: pin::Pin<&mut time::Sleep>,
-    ) -> Result<attempt::TryStep, StreamEnd> {
-        if self.shared.gate.hands_over() {
+    ) -> Result<attempt::AttemptStep, StreamEnd> {
+        if self.shared.gate.is_handing_over() {
             return Err(StreamEnd::HandedOver);
         }
-        let heartbeat = self.shared.settings.heartbeat;
+        let heartbeat = self.shared.settings.heartbeat_interval;
         let mut shown_at = time::Instant::now();
         let next = self.live.next();
         tokio::pin!(next);
@@ -129,7 +129,7 @@
                 () = self.pipe.gone() => return Err(StreamEnd::CallerGone),
                 () = beat.as_mut() => {}
             }
-            if self.shared.gate.hands_over() {
+            if self.shared.gate.is_handing_over() {
                 return Err(StreamEnd::HandedOver);
             }
             // The beat is set anew only when it rings, so that a token costs no timer.
@@ -162,7 +162,7 @@
                 let writer = &self.writer;
                 let _ = self.pipe.append(|out| writer.finish(out, &report));
                 self.shared
-                    .book
+                    .suspects
                     .ended_well(self.content, self.shared.now_ms());
                 if let Some(grant) = self.charge.grant.take() {
                     grant.finished(report.produced);
@@ -197,7 +197,7 @@
         }
     }
 
-    fn end_lost(mut self, loss: attempt::TryLoss) {
+    fn end_lost(mut self, loss: attempt::AttemptLoss) {
         metrics::counter!("pollenchute_flow_generations_lost_total").increment(1);
         let message = format!(
             "the generation was lost after token {}: {}; send the request anew",
@@ -219,7 +219,7 @@
 
     /// Tells the caller that no more comes by this stream, and whether the rest may be had.
     fn end_early(&self, code: refusal::RefusalCode, message: String, lives: bool) {
-        let body = shared::come_back(code, message, LOST_RETRY);
+        let body = shared::retryable_refusal(code, message, LOST_RETRY);
         let refused = self.flowing.refused(body);
         let body = refused.body();
         self.shared.record(
--- a/crates/flow/src/jobs.rs
+++ b/crates/flow/src/jobs.rs
@@ -44,7 +44,7 @@
     pub async fn accept_job(
         &self,
         headers: request::CallerHeaders,
-        face: body::CallerFace,
+        face: body::CompletionApi,
         body: Bytes,
     ) -> Result<id::RequestId, plane::RefusedRequest> {
         let arrived = self.arrive(headers, ());
@@ -58,7 +58,7 @@
     async fn accept_arrived(
         &self,
         arrived: request::Request<(), request::Arrived>,
-        face: body::CallerFace,
+        face: body::CompletionApi,
         body: Bytes,
     ) -> Result<(), filter::EarlyEnd> {
         let (arrived, _pass) = self.enter(arrived)?;
@@ -82,13 +82,13 @@
     /// Finds what is wrong with a job before it is accepted.
     fn check_job(
         &self,
-        known: &request::Request<(), request::Known>,
-        face: body::CallerFace,
+        known: &request::Request<(), request::Authenticated>,
+        face: body::CompletionApi,
         body: &Bytes,
     ) -> Result<port::JobRecord, refusal::RefusalBody> {
         let facts = &known.facts;
         let raw = request::RawGeneration {
-            face,
+            api: face,
             body: body.clone(),
             job: true,
         };
@@ -104,12 +104,12 @@
             self.shared()
                 .ports
                 .quotas()
-                .take(organisation, rule, &work.asked(), now)?,
+                .take(organisation, rule, &work.requested(), now)?,
         );
         Ok(port::JobRecord {
             request: facts.id,
             organisation: view.map(|view| view.name.clone()).unwrap_or_default(),
-            chat: face == body::CallerFace::Chat,
+            chat: face == body::CompletionApi::Chat,
             body: String::from_utf8_lossy(body).into_owned(),
             accepted_ms: self.shared().now_ms(),
         })
@@ -157,7 +157,7 @@
     /// Takes jobs and runs them until this entry VM leaves. Spawn it once.
     pub async fn run_jobs(self: sync::Arc<Self>) {
         let places = sync::Arc::new(tokio::sync::Semaphore::new(
-            self.shared().settings.jobs_at_once,
+            self.shared().settings.max_concurrent_jobs,
         ));
         while !self.gate().is_closed() {
             let Ok(place) = places.clone().acquire_owned().await else {
@@ -256,12 +256,12 @@
 
     async fn run_once(&self, job: &port::JobRecord) -> Result<String, refusal::RefusalBody> {
         let face = if job.chat {
-            body::CallerFace::Chat
+            body::CompletionApi::Chat
         } else {
-            body::CallerFace::Completion
+            body::CompletionApi::Completion
         };
         let raw = request::RawGeneration {
-            face,
+            api: face,
             body: Bytes::from(job.body.clone()),
             job: true,
         };
@@ -277,8 +277,8 @@
             let code = refusal::RefusalCode::Forbidden;
             return Err(refusal::RefusalBody::not_run(code, message));
         };
-        let known = arrived.advance(|_| request::Known { organisation });
-        let end = async { self.whole(self.open(known).await?).await };
+        let known = arrived.advance(|_| request::Authenticated { organisation });
+        let end = async { self.collect_answer(self.open(known).await?).await };
         end.await.map_err(|end| self.refused(job.request, end).body)
     }
 }
@@ -297,7 +297,7 @@
 
 /// A refusal to say anything about a job: whether the job ran is not known by it.
 fn of_job(body: refusal::RefusalBody) -> refused::Refused {
-    refused::Refused::of_claim(body, outcome::RanState::Unknown)
+    refused::Refused::for_repeat(body, outcome::RanState::Unknown)
 }
 
 fn maybe_accepted(job: id::RequestId) -> refusal::RefusalBody {
--- a/crates/flow/src/plane.rs
+++ b/crates/flow/src/plane.rs
@@ -1,4 +1,4 @@
-//! The request plane as a daemon calls it.
+//! Public interface of the request plane.
 
 use std::{sync, time::Duration};
 
@@ -15,54 +15,54 @@
     proof, quarantine, quota, request, route, settings, shared, token, view,
 };
 
-/// A stream that broke is sought for this long at most, or for its class's time limit.
-pub(crate) const RESUME_PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum time for reconnecting to a stream; a shorter time limit of its class takes precedence.
+pub(crate) const MAX_RECONNECT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a caller is sent.
+/// Answer to a generation request.
 #[derive(Debug)]
 pub enum GenerationReply {
-    /// A whole answer.
-    Whole {
-        /// The caller's request, for `x-request-id`.
+    /// A complete answer.
+    Complete {
+        /// Request identifier, for `x-request-id`.
         request: id::RequestId,
-        /// The body, JSON.
+        /// JSON body.
         body: Bytes,
     },
-    /// A stream that has begun.
+    /// A stream that has started.
     Stream(StreamReply),
 }
 
-/// A stream that has begun.
+/// A stream that has started.
 #[derive(Debug)]
 pub struct StreamReply {
-    /// The caller's request, for `x-request-id`.
+    /// Request identifier, for `x-request-id`.
     pub request: id::RequestId,
-    /// For `x-generation-token`.
+    /// Continuation token, for `x-generation-token`.
     pub token: String,
     /// Server-sent events.
     pub stream: pipe::CallerStream,
 }
 
-/// A request that was refused, and its identifier.
+/// A refused request and its identifier.
 #[derive(Debug)]
 pub struct RefusedRequest {
-    /// For `x-request-id`.
+    /// Request identifier, for `x-request-id`.
     pub request: id::RequestId,
-    /// The body of the answer.
+    /// Body of the answer.
     pub body: refusal::RefusalBody,
 }
 
-/// A plain service's answer.
+/// Answer of a plain service.
 #[derive(Debug)]
 pub struct ServiceReply {
-    /// The caller's request, for `x-request-id`.
+    /// Request identifier, for `x-request-id`.
     pub request: id::RequestId,
-    /// The answer.
+    /// Answer of the service.
     pub answer: port::ServiceAnswer,
 }
 
-/// Filters from the known organisation up to the claim.
-type KnownChain<P> = Chain<
+/// Filters from classification to the claim on the idempotency key.
+type PreparationChain<P> = Chain<
     Chain<classify::ClassifyFilter<P>, quota::QuotaFilter<P>>,
     deduplicate::DeduplicateFilter<P>,
 >;
@@ -72,80 +72,80 @@
 pub struct RequestPlane<P: port::PortSet> {
     shared: sync::Arc<shared::SharedPlane<P>>,
     views: watch::Receiver<sync::Arc<view::PlaneView>>,
-    known: KnownChain<P>,
-    placing: opening::PlacingChain<P>,
+    preparation: PreparationChain<P>,
+    placement: opening::PlacementChain<P>,
     opener: opening::GenerationOpener<P>,
     caller: calling::CallFilter<P>,
 }
 
 impl<P: port::PortSet> RequestPlane<P> {
-    /// A plane that goes by the newest of `views`.
+    /// Creates a plane that uses the newest of `views`.
     pub fn new(
         ports: P,
         settings: settings::PlaneSettings,
         views: watch::Receiver<sync::Arc<view::PlaneView>>,
     ) -> Self {
         let shared = sync::Arc::new(shared::SharedPlane::new(ports, settings));
-        let placing = || {
+        let placement = || {
             Chain::new(
                 quarantine::QuarantineFilter::new(shared.clone()),
                 admit::AdmitFilter::new(shared.clone()),
             )
             .then(route::RouteFilter::new(views.clone()))
         };
-        let known = Chain::new(
+        let preparation = Chain::new(
             classify::ClassifyFilter::new(shared.clone()),
             quota::QuotaFilter::new(shared.clone()),
         )
         .then(deduplicate::DeduplicateFilter::new(shared.clone()));
         let routing = route::RouteFilter::new(views.clone());
         Self {
-            known,
-            opener: opening::GenerationOpener::new(shared.clone(), placing(), routing),
-            caller: calling::CallFilter::new(shared.clone(), placing()),
-            placing: placing(),
+            preparation,
+            opener: opening::GenerationOpener::new(shared.clone(), placement(), routing),
+            caller: calling::CallFilter::new(shared.clone(), placement()),
+            placement: placement(),
             shared,
             views,
         }
     }
 
-    /// What runs, and a graceful end.
+    /// Gate that counts running requests and drains them.
     #[must_use]
     pub fn gate(&self) -> &gate::FlowGate {
         &self.shared.gate
     }
 
-    /// Content that crashes backend servers.
+    /// Record of content that crashes backend servers.
     #[must_use]
     pub fn suspects(&self) -> &crashes::SuspectBook {
-        &self.shared.book
+        &self.shared.suspects
     }
 
-    /// The ports.
+    /// Ports of this plane.
     #[must_use]
     pub fn ports(&self) -> &P {
         &self.shared.ports
     }
 
-    /// Another entry VM goes on with a generation that this one began to relay.
+    /// Records that another entry VM has taken over a generation that this one relayed first.
     pub fn adopted_elsewhere(&self, generation: id::GenerationId) {
         self.shared.readers.adopted_elsewhere(generation);
     }
 
-    /// A call of `/v1/chat/completions` or `/v1/completions`. Returns a stream once its first
-    /// token is there. Dropping the future gives the request up.
+    /// Handles `/v1/chat/completions` and `/v1/completions`. Returns a stream once its first token
+    /// has arrived. Dropping the future abandons the request.
     ///
     /// # Errors
     ///
-    /// An honest refusal.
+    /// Returns a refusal that states whether the request ran.
     pub async fn generate(
         &self,
         headers: request::CallerHeaders,
-        face: body::CallerFace,
+        api: body::CompletionApi,
         body: Bytes,
     ) -> Result<GenerationReply, RefusedRequest> {
         let raw = request::RawGeneration {
-            face,
+            api,
             body,
             job: false,
         };
@@ -160,24 +160,24 @@
         arrived: request::Request<request::RawGeneration, request::Arrived>,
     ) -> Result<GenerationReply, filter::EarlyEnd> {
         let (arrived, pass) = self.enter(arrived)?;
-        let known = authenticate::AuthenticateFilter.apply(arrived).await?;
-        let opened = self.open(known).await?;
+        let authenticated = authenticate::AuthenticateFilter.apply(arrived).await?;
+        let opened = self.open(authenticated).await?;
         if opened.facts.work.body.stream {
             return Ok(GenerationReply::Stream(self.stream(opened, pass)));
         }
         let request = opened.facts.id;
-        let text = self.whole(opened).await?;
-        Ok(GenerationReply::Whole {
+        let text = self.collect_answer(opened).await?;
+        Ok(GenerationReply::Complete {
             request,
             body: Bytes::from(text),
         })
     }
 
-    /// A call of `/v1/services/<service>/<path>`. Dropping the future gives the request up.
+    /// Handles `/v1/services/<service>/<path>`. Dropping the future abandons the request.
     ///
     /// # Errors
     ///
-    /// An honest refusal.
+    /// Returns a refusal that states whether the call ran.
     pub async fn call_service(
         &self,
         headers: request::CallerHeaders,
@@ -187,7 +187,7 @@
         let request = arrived.facts.id;
         match self.call_arrived(arrived).await {
             Ok(answer) | Err(filter::EarlyEnd::Stored(answer)) => {
-                self.shared.record(request, called(answer.status));
+                self.shared.record(request, call_finished(answer.status));
                 Ok(ServiceReply { request, answer })
             }
             Err(end) => Err(self.refused(request, end)),
@@ -199,23 +199,23 @@
         arrived: request::Request<request::RawCall, request::Arrived>,
     ) -> Result<port::ServiceAnswer, filter::EarlyEnd> {
         let (arrived, _pass) = self.enter(arrived)?;
-        let known = authenticate::AuthenticateFilter.apply(arrived).await?;
-        let claimed = self.known.apply(known).await?;
-        let routed = self.placing.apply(claimed).await?;
+        let authenticated = authenticate::AuthenticateFilter.apply(arrived).await?;
+        let claimed = self.preparation.apply(authenticated).await?;
+        let routed = self.placement.apply(claimed).await?;
         self.caller.apply(routed).await
     }
 
-    /// Runs a known organisation's generation to its first step.
+    /// Runs the generation of an authenticated request to its first step.
     pub(crate) async fn open(
         &self,
-        known: request::Request<request::RawGeneration, request::Known>,
+        authenticated: request::Request<request::RawGeneration, request::Authenticated>,
     ) -> Result<opening::OpenedRequest<P>, filter::EarlyEnd> {
-        let claimed = self.known.apply(known).await?;
-        let routed = self.placing.apply(claimed).await?;
+        let claimed = self.preparation.apply(authenticated).await?;
+        let routed = self.placement.apply(claimed).await?;
         self.opener.open(routed).await
     }
 
-    /// Lets a request in, unless this entry VM is leaving.
+    /// Admits a request unless this entry VM is leaving.
     pub(crate) fn enter<W>(
         &self,
         arrived: request::Request<W, request::Arrived>,
@@ -230,7 +230,7 @@
         &self.shared
     }
 
-    /// The newest view.
+    /// Returns the newest view.
     pub(crate) fn view(&self) -> view::PlaneView {
         view::PlaneView::clone(&self.views.borrow())
     }
@@ -246,7 +246,7 @@
             view: self.view(),
             headers,
             work,
-            tries: 0,
+            attempts: 0,
             avoid: Vec::new(),
         };
         request::Request {
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Begins to relay a stream in a task of its own.
+    /// Starts to relay a stream in a separate task.
     fn stream(&self, opened: opening::OpenedRequest<P>, pass: gate::GatePass) -> StreamReply {
         let opening::OpenedRequest {
             facts,
@@ -269,7 +269,7 @@
         let work = &facts.work;
         let token = self.token_of(&facts, &claimed.terms, &running.live, created_s);
         let writer = chunk::ChunkWriter::new(
-            work.body.face,
+            work.body.api,
             facts.id,
             &work.body.model,
             created_s,
@@ -277,7 +277,7 @@
         );
         self.record_first_token(&facts, &running.live);
         let mut live = running.live;
-        live.set_patience(claimed.terms.time_limit.min(RESUME_PATIENCE));
+        live.set_reconnect_timeout(claimed.terms.time_limit.min(MAX_RECONNECT_TIMEOUT));
         let flowing = flowing::FlowingStream {
             reader: self.shared.readers.enter(live.generation()),
             shared: self.shared.clone(),
@@ -285,7 +285,7 @@
             content: work.content,
             arrived_at: facts.arrived_at,
             live,
-            flowing: running.ticket.flowing(),
+            flowing: running.ticket.into_relayed(),
             charge: flowing::StreamCharge {
                 grant: Some(running.grant),
                 quota: Some(claimed.quota),
@@ -309,33 +309,35 @@
         reply
     }
 
-    /// Collects a whole answer, as JSON text.
-    pub(crate) async fn whole(
+    /// Collects a complete answer as JSON text.
+    pub(crate) async fn collect_answer(
         &self,
         opened: opening::OpenedRequest<P>,
     ) -> Result<String, filter::EarlyEnd> {
         self.record_first_token(&opened.facts, &opened.running.live);
-        let (opened, whole) = collect::collect(&self.opener, opened).await?;
+        let (opened, answer) = collect::collect(&self.opener, opened).await?;
         let facts = &opened.facts;
         let text = chunk::whole_answer(
-            facts.work.body.face,
+            facts.work.body.api,
             facts.id,
             &facts.work.body.model,
             self.shared.now_ms() / 1_000,
-            &whole.text,
-            &whole.report,
+            &answer.text,
+            &answer.report,
         );
         let content = facts.work.content;
-        self.shared.book.ended_well(content, self.shared.now_ms());
+        self.shared
+            .suspects
+            .ended_well(content, self.shared.now_ms());
         self.shared.record(
             facts.id,
             kind::EventKind::RequestFinished {
-                tokens: whole.report.produced,
+                tokens: answer.report.produced,
                 after_ms: shared::millis_since(facts.arrived_at),
-                finish: chunk::finish_name(whole.report.finish).to_owned(),
+                finish: chunk::finish_name(answer.report.finish).to_owned(),
             },
         );
-        opened.running.grant.finished(whole.report.produced);
+        opened.running.grant.finished(answer.report.produced);
         Ok(text)
     }
 
@@ -343,11 +345,11 @@
         &self,
         facts: &request::RequestFacts<request::GenerationWork>,
         terms: &request::Terms,
-        live: &attempt::LiveTry<P>,
+        live: &attempt::LiveAttempt<P>,
         created_s: u64,
     ) -> String {
         let organisation = facts.view.config.organisation(terms.organisation);
-        let kept = self.shared.settings.token_kept;
+        let kept = self.shared.settings.token_ttl;
         let kept_ms = u64::try_from(kept.as_millis()).unwrap_or(u64::MAX);
         self.shared
             .settings
@@ -362,7 +364,7 @@
                 vm: self.shared.settings.vm.clone(),
                 content: facts.work.content,
                 revision: facts.view.config.revision(),
-                chat: facts.work.body.face == body::CallerFace::Chat,
+                chat: facts.work.body.api == body::CompletionApi::Chat,
                 model: facts.work.body.model.clone(),
                 created_s,
                 include_usage: facts.work.body.include_usage,
@@ -373,7 +375,7 @@
     fn record_first_token(
         &self,
         facts: &request::RequestFacts<request::GenerationWork>,
-        live: &attempt::LiveTry<P>,
+        live: &attempt::LiveAttempt<P>,
     ) {
         self.shared.record(
             facts.id,
@@ -384,7 +386,7 @@
         );
     }
 
-    /// A refusal as the caller and the time line are told.
+    /// Records a refusal on the time line and returns it for the caller.
     pub(crate) fn refused(&self, request: id::RequestId, end: filter::EarlyEnd) -> RefusedRequest {
         let body = match end {
             filter::EarlyEnd::Refused(refused) => refused.into_body(),
@@ -404,14 +406,15 @@
     }
 }
 
-/// A generation holds no claim, so that no stored answer can belong to one.
+/// Refusal for a stored answer at a generation, which holds no claim and so cannot have one.
 fn misplaced_answer() -> refusal::RefusalBody {
-    let message = "a stored service answer came up for a generation; report this fault";
+    let message =
+        "internal error: a generation got the stored answer of a service call; report this error";
     refusal::RefusalBody::not_run(refusal::RefusalCode::Internal, message)
         .ran(outcome::RanState::Unknown)
 }
 
-fn called(status: u16) -> kind::EventKind {
+fn call_finished(status: u16) -> kind::EventKind {
     kind::EventKind::RequestFinished {
         tokens: 0,
         after_ms: 0,
--- a/crates/flow/src/settle.rs
+++ b/crates/flow/src/settle.rs
@@ -1,4 +1,4 @@
-//! Settling a lost try, so that another may be started.
+//! Settles a lost attempt, so that another one may be started.
 
 use std::sync;
 
@@ -7,39 +7,40 @@
 
 use crate::{attempt, port, proof, shared};
 
-/// Pause between two orders to cancel.
-const SETTLE_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
+/// Interval between two cancel requests.
+const CANCEL_RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(100);
 
-/// A try that is to be settled.
+/// A lost attempt that must be settled.
 #[derive(Debug)]
-pub struct LostTry {
-    /// Its server.
+pub struct LostAttempt {
+    /// Server of the attempt.
     pub target: port::ServerTarget,
-    /// Its generation.
+    /// Generation of the attempt.
     pub generation: id::GenerationId,
-    /// What stayed here.
-    pub ticket: proof::TryTicket<proof::GenerationKind>,
+    /// Ticket of the attempt.
+    pub ticket: proof::AttemptTicket<proof::GenerationKind>,
 }
 
-impl LostTry {
-    /// Cancels the generation until that is answered, its server's process is found gone, or
-    /// `until`. Only then is there a permit for another.
+impl LostAttempt {
+    /// Repeats the cancel request until it is answered, the server process is found to have ended, or
+    /// `deadline` is reached. Only the first two permit another attempt, unless
+    /// [`abandon_after`](crate::settings::PlaneSettings::abandon_after) is set and has passed.
     ///
-    /// What goes wrong otherwise: the first generation runs on beside the second. One would
-    /// notice engines that work on answers which nobody reads, most of all when they are short
-    /// of memory.
+    /// Otherwise the first generation would run beside the second, and engines would work on answers
+    /// that nobody reads, which hurts most when they are short of memory.
     ///
     /// # Errors
     ///
-    /// The ticket, when the try could not be settled; a standing order to cancel it remains.
+    /// Returns the ticket if the attempt could not be settled; a background task continues to cancel
+    /// it.
     pub async fn settle<P: port::PortSet>(
         self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
         loss: attempt::LossKind,
-        until: time::Instant,
-    ) -> Result<proof::StartPermit, proof::TryTicket<proof::GenerationKind>> {
-        if loss == attempt::LossKind::ServerGone {
-            return Ok(self.ticket.server_gone());
+        deadline: time::Instant,
+    ) -> Result<proof::StartPermit, proof::AttemptTicket<proof::GenerationKind>> {
+        if loss == attempt::LossKind::ServerDied {
+            return Ok(self.ticket.server_died());
         }
         let abandon_at = shared
             .settings
@@ -50,12 +51,12 @@
                 Ok(Some(answer)) => {
                     return Ok(self.ticket.cancelled(&answer));
                 }
-                Ok(None) => return Ok(self.ticket.server_gone()),
+                Ok(None) => return Ok(self.ticket.server_died()),
                 Err(_) => {}
             }
             let now = time::Instant::now();
             let abandoned = abandon_at.is_some_and(|abandon_at| abandon_at <= now);
-            if abandoned || until <= now {
+            if abandoned || deadline <= now {
                 shared.cancel_in_background(self.target, self.generation);
                 return if abandoned {
                     Ok(self.ticket.abandoned())
@@ -63,17 +64,17 @@
                     Err(self.ticket)
                 };
             }
-            time::sleep(SETTLE_PAUSE).await;
+            time::sleep(CANCEL_RETRY_INTERVAL).await;
         }
     }
 }
 
-/// What a caller is told when a try could be neither continued nor settled.
+/// Refusal for an attempt that could be neither continued nor settled.
 pub(crate) fn unsettled(cause: &str) -> refusal::RefusalBody {
-    let message = format!("{cause}; it may have run there; ask again after the time given");
+    let message = format!("{cause}; the generation may have run there; retry after the given time");
     refusal::RefusalBody::not_run(refusal::RefusalCode::BackendFault, message)
         .retry_after_ms(UNSETTLED_RETRY_MS)
 }
 
-/// When to come back after a try was lost.
+/// Retry delay after an attempt that could not be settled, in milliseconds.
 const UNSETTLED_RETRY_MS: u64 = 1_000;
--- a/crates/flow/tests/plane/main.rs
+++ b/crates/flow/tests/plane/main.rs
@@ -1,11 +1,11 @@
-//! The real request plane against in-process stand-ins, on a paused clock.
+//! Tests of the request plane against in-process stand-ins, on a paused clock.
 
 mod callers;
 mod calls;
+mod cluster;
 mod crashing;
 mod faults;
 mod fuzz;
 mod links;
 mod streams;
 mod thin;
-mod world;
