--- a/crates/flow/benches/relay/main.rs
+++ b/crates/flow/benches/relay/main.rs
@@ -9,7 +9,7 @@
 
 use base::id;
 use bytes::BytesMut;
-use flow::{body, chunk, fault, port, proof, sse};
+use flow::{body, chunk, link_error, port, proof, sse};
 use futures_util::StreamExt as _;
 
 /// Nothing listens there.
@@ -87,7 +87,7 @@
 }
 
 impl port::EngineEvents for ReadyEvents {
-    async fn next(&mut self) -> Result<port::TaggedEvent, fault::StreamFault> {
+    async fn next(&mut self) -> Result<port::TaggedEvent, link_error::StreamFault> {
         if self.next == self.tokens && self.hangs {
             future::pending::<()>().await;
         }
@@ -122,7 +122,7 @@
         _target: &port::ServerTarget,
         order: &port::StartOrder,
         _permit: proof::SendPermit,
-    ) -> Result<ReadyEvents, fault::StartFault> {
+    ) -> Result<ReadyEvents, link_error::StartFault> {
         Ok(ReadyEvents {
             generation: order.id,
             reader: sse::EventReader::default(),
@@ -137,7 +137,7 @@
         _target: &port::ServerTarget,
         _generation: id::GenerationId,
         _from: u32,
-    ) -> Result<ReadyEvents, fault::ResumeFault> {
+    ) -> Result<ReadyEvents, link_error::ResumeFault> {
         future::pending().await
     }
 
@@ -145,7 +145,7 @@
         &self,
         _target: &port::ServerTarget,
         _generation: id::GenerationId,
-    ) -> Result<port::CancelAnswer, fault::CancelFault> {
+    ) -> Result<port::CancelAnswer, link_error::CancelFault> {
         Ok(port::CancelAnswer::Remembered)
     }
 }
--- a/crates/flow/benches/relay/ports.rs
+++ b/crates/flow/benches/relay/ports.rs
@@ -4,7 +4,9 @@
 
 use base::fingerprint;
 use conf::{document, inventory, snapshot};
-use flow::{body, books, fault, memory, plane, port, proof, request, settings, token, view};
+use flow::{
+    body, link_error, memory, memory_store, plane, port, proof, request, settings, token, view,
+};
 use tokio::sync::watch;
 
 /// No plain services.
@@ -17,7 +19,7 @@
         _call: &port::ServiceCall,
         _time_left: Duration,
         _permit: proof::SendPermit,
-    ) -> Result<port::ServiceAnswer, fault::CallFault> {
+    ) -> Result<port::ServiceAnswer, link_error::CallFault> {
         future::pending().await
     }
 }
@@ -26,8 +28,8 @@
 pub struct BenchPorts<E> {
     engines: E,
     schedule: memory::MemorySchedule,
-    claims: books::MemoryClaims,
-    jobs: books::MemoryJobs,
+    claims: memory_store::MemoryClaims,
+    jobs: memory_store::MemoryJobs,
 }
 
 impl<E: port::EngineLink> port::PortSet for BenchPorts<E> {
@@ -35,8 +37,8 @@
     type Services = NoServices;
     type Schedule = memory::MemorySchedule;
     type Quotas = memory::NoQuotas;
-    type Claims = books::MemoryClaims;
-    type Jobs = books::MemoryJobs;
+    type Claims = memory_store::MemoryClaims;
+    type Jobs = memory_store::MemoryJobs;
     type Events = memory::NoEvents;
     type Clock = memory::SystemClock;
     type Ids = memory::RandomIds;
@@ -54,10 +56,10 @@
     fn quotas(&self) -> &memory::NoQuotas {
         &memory::NoQuotas
     }
-    fn claims(&self) -> &books::MemoryClaims {
+    fn claims(&self) -> &memory_store::MemoryClaims {
         &self.claims
     }
-    fn jobs(&self) -> &books::MemoryJobs {
+    fn jobs(&self) -> &memory_store::MemoryJobs {
         &self.jobs
     }
     fn events(&self) -> &memory::NoEvents {
@@ -122,8 +124,8 @@
     let ports = BenchPorts {
         engines,
         schedule: memory::MemorySchedule::new(views.subscribe(), usize::MAX),
-        claims: books::MemoryClaims::default(),
-        jobs: books::MemoryJobs::default(),
+        claims: memory_store::MemoryClaims::default(),
+        jobs: memory_store::MemoryJobs::default(),
     };
     let key = token::TokenKey {
         id: 1,
--- a/crates/flow/src/attempt.rs
+++ b/crates/flow/src/attempt.rs
@@ -7,7 +7,7 @@
 use trace::kind;
 
 use crate::{
-    cursor, fault,
+    cursor, link_error,
     port::{self, EngineEvents as _, EngineLink as _},
     proof, shared, silence,
 };
@@ -121,7 +121,7 @@
                 live.events = Some(events);
                 live.held = true;
             }
-            Ok(Err(fault::StartFault::NeverSent {
+            Ok(Err(link_error::StartFault::NeverSent {
                 evidence, cause, ..
             })) => {
                 live.over = true;
@@ -130,7 +130,7 @@
                     cause,
                 };
             }
-            Ok(Err(declined @ fault::StartFault::Declined { status, .. })) => {
+            Ok(Err(declined @ link_error::StartFault::Declined { status, .. })) => {
                 // Settled by whoever reads this outcome; a second cancel would be too many.
                 live.over = true;
                 return proof::TryOutcome::Unknown {
@@ -140,7 +140,7 @@
                 };
             }
             // It may have started: it is sought there before anything else is done.
-            Ok(Err(fault::StartFault::Lost { .. })) | Err(_) => {}
+            Ok(Err(link_error::StartFault::Lost { .. })) | Err(_) => {}
         }
         proof::TryOutcome::Ran((live, ticket))
     }
@@ -376,13 +376,13 @@
                     self.opened(events);
                     return Ok(());
                 }
-                Ok(Err(fault @ fault::ResumeFault::Refused { .. })) => {
+                Ok(Err(fault @ link_error::ResumeFault::Refused { .. })) => {
                     return Err(loss_of(LossKind::ServerGone, fault.to_string()));
                 }
-                Ok(Err(fault @ fault::ResumeFault::NotHeld { .. })) => {
+                Ok(Err(fault @ link_error::ResumeFault::NotHeld { .. })) => {
                     return Err(loss_of(LossKind::NotHeld, fault.to_string()));
                 }
-                Ok(Err(fault::ResumeFault::Lost { .. })) | Err(_) => {}
+                Ok(Err(link_error::ResumeFault::Lost { .. })) | Err(_) => {}
             }
         }
     }
--- a/crates/flow/src/calling.rs
+++ b/crates/flow/src/calling.rs
@@ -8,9 +8,9 @@
 use trace::kind;
 
 use crate::{
-    admit, claim, fault,
+    admit, claim,
     filter::{self, Filter as _},
-    opening,
+    link_error, opening,
     port::{self, Grant as _, ServiceLink as _},
     proof, quota, request, route, shared,
 };
@@ -73,13 +73,13 @@
         };
         match answer {
             Ok(Ok(answer)) => proof::TryOutcome::Ran(answer),
-            Ok(Err(fault::CallFault::NeverSent {
+            Ok(Err(link_error::CallFault::NeverSent {
                 evidence, cause, ..
             })) => proof::TryOutcome::NotRun {
                 permit: ticket.never_sent(evidence),
                 cause,
             },
-            Ok(Err(lost @ fault::CallFault::Lost { .. })) => proof::TryOutcome::Unknown {
+            Ok(Err(lost @ link_error::CallFault::Lost { .. })) => proof::TryOutcome::Unknown {
                 ticket,
                 cause: lost.to_string(),
                 hopeless: None,
--- a/crates/flow/src/collect.rs
+++ b/crates/flow/src/collect.rs
@@ -1,8 +1,9 @@
 //! Collecting a whole answer, of one generation, over as many generations as that takes.
 
 use crate::{
-    attempt, filter, flowing, opening,
+    attempt, filter, opening,
     port::{self, Grant as _, QuotaPermit as _},
+    relay,
 };
 
 /// A whole answer.
@@ -53,7 +54,7 @@
                 text.push_str(&token);
                 opened.claimed.quota.charge(1);
                 unreported += 1;
-                if unreported == flowing::PROGRESS_LOT {
+                if unreported == relay::PROGRESS_LOT {
                     running.grant.progress(std::mem::take(&mut unreported));
                 }
             }
--- a/crates/flow/src/continuation.rs
+++ b/crates/flow/src/continuation.rs
@@ -7,9 +7,9 @@
 use crate::{
     attempt, authenticate, chunk,
     filter::{self, Filter as _},
-    flowing, pipe, plane,
+    pipe, plane,
     port::{self, PeerLink as _},
-    proof, refused, request, running, shared, token,
+    proof, refused, relay, request, running, shared, token,
 };
 
 /// When to come back to an entry VM that does not know the generation's server yet.
@@ -58,14 +58,14 @@
         let live = self.connect(&facts, target, from, silent_limit).await?;
         let (writer_end, stream) = pipe::pipe();
         let mark = shared.book.begin(live.target().key, facts.content, false);
-        let relay = flowing::FlowingStream {
+        let relay = relay::FlowingStream {
             shared: shared.clone(),
             request: facts.request,
             content: facts.content,
             arrived_at: known.facts.arrived_at,
             live,
             flowing: proof::FlowingTry::continued(),
-            charge: flowing::StreamCharge {
+            charge: relay::StreamCharge {
                 grant: None,
                 quota: None,
                 mark,
--- a/crates/flow/src/http.rs
+++ b/crates/flow/src/http.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use reqwest::header;
 
-use crate::{fault, port, proof, sse};
+use crate::{link_error, port, proof, sse};
 
 /// A connection that does not open within this is given up.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
@@ -119,25 +119,25 @@
         target: &port::ServerTarget,
         order: &port::StartOrder,
         permit: proof::SendPermit,
-    ) -> Result<HttpEvents, fault::StartFault> {
+    ) -> Result<HttpEvents, link_error::StartFault> {
         let url = format!("http://{}/v1/generations", target.address);
         let server = || target.name.clone();
         match self.pooled.post(url).json(order).send().await {
             Ok(response) if response.status().is_success() => {
                 Ok(events_of(response, target, order.id))
             }
-            Ok(response) => Err(fault::StartFault::Declined {
+            Ok(response) => Err(link_error::StartFault::Declined {
                 server: server(),
                 status: response.status().as_u16(),
             }),
             Err(failure) if failure.is_connect() || failure.is_builder() => {
-                Err(fault::StartFault::NeverSent {
+                Err(link_error::StartFault::NeverSent {
                     evidence: permit.never_sent(),
                     server: server(),
                     cause: failure.to_string(),
                 })
             }
-            Err(failure) => Err(fault::StartFault::Lost {
+            Err(failure) => Err(link_error::StartFault::Lost {
                 server: server(),
                 cause: failure.to_string(),
             }),
@@ -149,7 +149,7 @@
         target: &port::ServerTarget,
         generation: id::GenerationId,
         from: u32,
-    ) -> Result<HttpEvents, fault::ResumeFault> {
+    ) -> Result<HttpEvents, link_error::ResumeFault> {
         let url = format!("{}?from={from}", generation_url(target, generation));
         let server = target.name.clone();
         match self.fresh.get(url).send().await {
@@ -157,14 +157,16 @@
                 Ok(events_of(response, target, generation))
             }
             Ok(response) if response.status() == reqwest::StatusCode::NOT_FOUND => {
-                Err(fault::ResumeFault::NotHeld { server })
+                Err(link_error::ResumeFault::NotHeld { server })
             }
-            Ok(response) => Err(fault::ResumeFault::Lost {
+            Ok(response) => Err(link_error::ResumeFault::Lost {
                 server,
                 cause: response.status().to_string(),
             }),
-            Err(failure) if is_refused(&failure) => Err(fault::ResumeFault::Refused { server }),
-            Err(failure) => Err(fault::ResumeFault::Lost {
+            Err(failure) if is_refused(&failure) => {
+                Err(link_error::ResumeFault::Refused { server })
+            }
+            Err(failure) => Err(link_error::ResumeFault::Lost {
                 server,
                 cause: failure.to_string(),
             }),
@@ -175,9 +177,9 @@
         &self,
         target: &port::ServerTarget,
         generation: id::GenerationId,
-    ) -> Result<port::CancelAnswer, fault::CancelFault> {
+    ) -> Result<port::CancelAnswer, link_error::CancelFault> {
         let server = target.name.clone();
-        let lost = |cause: String| fault::CancelFault::Lost {
+        let lost = |cause: String| link_error::CancelFault::Lost {
             server: target.name.clone(),
             cause,
         };
@@ -195,7 +197,9 @@
                 Ok(port::CancelAnswer::Remembered)
             }
             Ok(response) => Err(lost(response.status().to_string())),
-            Err(failure) if is_refused(&failure) => Err(fault::CancelFault::Refused { server }),
+            Err(failure) if is_refused(&failure) => {
+                Err(link_error::CancelFault::Refused { server })
+            }
             Err(failure) => Err(lost(failure.to_string())),
         }
     }
@@ -210,7 +214,7 @@
 }
 
 impl port::EngineEvents for HttpEvents {
-    async fn next(&mut self) -> Result<port::TaggedEvent, fault::StreamFault> {
+    async fn next(&mut self) -> Result<port::TaggedEvent, link_error::StreamFault> {
         let server = || self.server.clone();
         loop {
             match self.reader.take() {
@@ -222,7 +226,7 @@
                 }
                 Ok(None) => {}
                 Err(fault) => {
-                    return Err(fault::StreamFault::Nonsense {
+                    return Err(link_error::StreamFault::Nonsense {
                         server: server(),
                         cause: fault.to_string(),
                     });
@@ -236,7 +240,7 @@
                 Ok(None) => "it ended without a finish".to_owned(),
                 Err(failure) => failure.to_string(),
             };
-            return Err(fault::StreamFault::Cut {
+            return Err(link_error::StreamFault::Cut {
                 server: server(),
                 cause,
             });
@@ -294,12 +298,12 @@
         call: &port::ServiceCall,
         time_left: Duration,
         permit: proof::SendPermit,
-    ) -> Result<port::ServiceAnswer, fault::CallFault> {
+    ) -> Result<port::ServiceAnswer, link_error::CallFault> {
         let server = target.name.clone();
         let request = match self.request(target, call, time_left) {
             Ok(request) => request,
             Err(cause) => {
-                return Err(fault::CallFault::NeverSent {
+                return Err(link_error::CallFault::NeverSent {
                     evidence: permit.never_sent(),
                     server,
                     cause,
@@ -309,15 +313,15 @@
         match request.send().await {
             Ok(response) => answer_of(response, call)
                 .await
-                .map_err(|cause| fault::CallFault::Lost { server, cause }),
+                .map_err(|cause| link_error::CallFault::Lost { server, cause }),
             Err(failure) if failure.is_connect() || failure.is_builder() => {
-                Err(fault::CallFault::NeverSent {
+                Err(link_error::CallFault::NeverSent {
                     evidence: permit.never_sent(),
                     server,
                     cause: failure.to_string(),
                 })
             }
-            Err(failure) => Err(fault::CallFault::Lost {
+            Err(failure) => Err(link_error::CallFault::Lost {
                 server,
                 cause: failure.to_string(),
             }),
--- a/crates/flow/src/plane.rs
+++ b/crates/flow/src/plane.rs
@@ -8,11 +8,12 @@
 use trace::kind;
 
 use crate::{
-    admit, attempt, authenticate, body, calling, chunk, classify, collect, crashes, deduplicate,
+    admit, attempt, authenticate, body, calling, chunk, classify, collect, crash_tracker,
+    deduplicate,
     filter::{self, Chain, Filter as _},
-    flowing, gate, opening, pipe,
+    gate, opening, pipe,
     port::{self, Grant as _, IdSource as _},
-    proof, quarantine, quota, request, route, settings, shared, token, view,
+    proof, quarantine, quota, relay, request, route, settings, shared, token, view,
 };
 
 /// A stream that broke is sought for this long at most, or for its class's time limit.
@@ -117,7 +118,7 @@
 
     /// Content that crashes backend servers.
     #[must_use]
-    pub fn suspects(&self) -> &crashes::SuspectBook {
+    pub fn suspects(&self) -> &crash_tracker::SuspectBook {
         &self.shared.book
     }
 
@@ -278,7 +279,7 @@
         self.record_first_token(&facts, &running.live);
         let mut live = running.live;
         live.set_patience(claimed.terms.time_limit.min(RESUME_PATIENCE));
-        let flowing = flowing::FlowingStream {
+        let flowing = relay::FlowingStream {
             reader: self.shared.readers.enter(live.generation()),
             shared: self.shared.clone(),
             request: facts.id,
@@ -286,7 +287,7 @@
             arrived_at: facts.arrived_at,
             live,
             flowing: running.ticket.flowing(),
-            charge: flowing::StreamCharge {
+            charge: relay::StreamCharge {
                 grant: Some(running.grant),
                 quota: Some(claimed.quota),
                 mark: Some(running.mark),
--- a/crates/flow/src/port.rs
+++ b/crates/flow/src/port.rs
@@ -10,7 +10,7 @@
 use tokio::time;
 use trace::kind;
 
-use crate::{fault, proof};
+use crate::{link_error, proof};
 
 /// A backend server as links address it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -122,7 +122,8 @@
 /// Events of one generation over one connection.
 pub trait EngineEvents: Send + 'static {
     /// The next event; nothing is lost when the future is dropped.
-    fn next(&mut self) -> impl Future<Output = Result<TaggedEvent, fault::StreamFault>> + Send;
+    fn next(&mut self)
+    -> impl Future<Output = Result<TaggedEvent, link_error::StreamFault>> + Send;
 }
 
 /// Calls to model engines.
@@ -136,7 +137,7 @@
         target: &ServerTarget,
         order: &StartOrder,
         permit: proof::SendPermit,
-    ) -> impl Future<Output = Result<Self::Events, fault::StartFault>> + Send;
+    ) -> impl Future<Output = Result<Self::Events, link_error::StartFault>> + Send;
 
     /// Streams a generation from token `from` on, always over a fresh connection.
     fn resume(
@@ -144,14 +145,14 @@
         target: &ServerTarget,
         generation: id::GenerationId,
         from: u32,
-    ) -> impl Future<Output = Result<Self::Events, fault::ResumeFault>> + Send;
+    ) -> impl Future<Output = Result<Self::Events, link_error::ResumeFault>> + Send;
 
     /// Cancels a generation, always over a fresh connection.
     fn cancel(
         &self,
         target: &ServerTarget,
         generation: id::GenerationId,
-    ) -> impl Future<Output = Result<CancelAnswer, fault::CancelFault>> + Send;
+    ) -> impl Future<Output = Result<CancelAnswer, link_error::CancelFault>> + Send;
 }
 
 /// A call of a plain service.
@@ -191,7 +192,7 @@
         call: &ServiceCall,
         time_left: Duration,
         permit: proof::SendPermit,
-    ) -> impl Future<Output = Result<ServiceAnswer, fault::CallFault>> + Send;
+    ) -> impl Future<Output = Result<ServiceAnswer, link_error::CallFault>> + Send;
 }
 
 /// What a request needs a place for.
--- a/crates/flow/src/flowing.rs
+++ b/crates/flow/src/relay.rs
@@ -7,7 +7,7 @@
 use trace::kind;
 
 use crate::{
-    admit, attempt, chunk, crashes, pipe,
+    admit, attempt, chunk, crash_tracker, pipe,
     port::{self, Grant as _, QuotaPermit as _},
     proof, quarantine, quota, readers, shared,
 };
@@ -25,7 +25,7 @@
     /// Its share of its organisation's limits.
     pub quota: Option<quota::QuotaPermit<P>>,
     /// Marks its content as running.
-    pub mark: Option<crashes::RunMark>,
+    pub mark: Option<crash_tracker::RunMark>,
     /// Held by a suspect.
     pub probe: Option<quarantine::ProbePass>,
 }
--- a/crates/flow/src/running.rs
+++ b/crates/flow/src/running.rs
@@ -7,7 +7,7 @@
 use trace::kind;
 
 use crate::{
-    admit, attempt, crashes,
+    admit, attempt, crash_tracker,
     port::{self, Grant as _},
     proof, quarantine, refused, request, settle, shared, view,
 };
@@ -19,7 +19,7 @@
 pub(crate) struct TryPlace<P: port::PortSet> {
     pub(crate) target: port::ServerTarget,
     pub(crate) grant: admit::PlaceGrant<P>,
-    pub(crate) mark: crashes::RunMark,
+    pub(crate) mark: crash_tracker::RunMark,
     pub(crate) probe: Option<quarantine::ProbePass>,
 }
 
@@ -32,7 +32,7 @@
     /// Its place.
     pub grant: admit::PlaceGrant<P>,
     /// Marks its content as running there.
-    pub mark: crashes::RunMark,
+    pub mark: crash_tracker::RunMark,
     /// Held by a suspect.
     pub probe: Option<quarantine::ProbePass>,
 }
--- a/crates/flow/tests/http.rs
+++ b/crates/flow/tests/http.rs
@@ -5,7 +5,7 @@
 use base::id;
 use bytes::Bytes;
 use flow::{
-    fault, http,
+    http, link_error,
     port::{self, EngineEvents as _, EngineLink as _, ServiceLink as _},
     proof,
 };
@@ -78,7 +78,10 @@
         .unwrap();
     assert_eq!(read(events).await.0, [4, 5]);
     let unknown = engines.resume(&target, id::GenerationId(2), 0).await;
-    assert!(matches!(unknown, Err(fault::ResumeFault::NotHeld { .. })));
+    assert!(matches!(
+        unknown,
+        Err(link_error::ResumeFault::NotHeld { .. })
+    ));
     let answer = engines.cancel(&target, id::GenerationId(1)).await.unwrap();
     assert!(matches!(
         answer,
@@ -94,7 +97,7 @@
         .await;
     assert!(matches!(
         late,
-        Err(fault::StartFault::Declined { status: 409, .. })
+        Err(link_error::StartFault::Declined { status: 409, .. })
     ));
 }
 
@@ -106,11 +109,20 @@
     let gone = target(nowhere().await);
     let engines = http::HttpEngines::new().unwrap();
     let started = engines.start(&gone, &order(3, "x"), permit()).await;
-    assert!(matches!(started, Err(fault::StartFault::NeverSent { .. })));
+    assert!(matches!(
+        started,
+        Err(link_error::StartFault::NeverSent { .. })
+    ));
     let resumed = engines.resume(&gone, id::GenerationId(3), 0).await;
-    assert!(matches!(resumed, Err(fault::ResumeFault::Refused { .. })));
+    assert!(matches!(
+        resumed,
+        Err(link_error::ResumeFault::Refused { .. })
+    ));
     let cancelled = engines.cancel(&gone, id::GenerationId(3)).await;
-    assert!(matches!(cancelled, Err(fault::CancelFault::Refused { .. })));
+    assert!(matches!(
+        cancelled,
+        Err(link_error::CancelFault::Refused { .. })
+    ));
 
     let handle = service::ServiceHandle::new(service::ServiceProfile::default());
     let any = net::SocketAddr::from(([127, 0, 0, 1], 0));
@@ -126,7 +138,10 @@
     };
     let limit = time::Duration::from_secs(20);
     let refused = services.call(&gone, &call, limit, permit()).await;
-    assert!(matches!(refused, Err(fault::CallFault::NeverSent { .. })));
+    assert!(matches!(
+        refused,
+        Err(link_error::CallFault::NeverSent { .. })
+    ));
     let answer = services
         .call(&target(server.address()), &call, limit, permit())
         .await
@@ -138,6 +153,6 @@
     let lost = services
         .call(&target(server.address()), &call, limit, permit())
         .await;
-    assert!(matches!(lost, Err(fault::CallFault::Lost { .. })));
+    assert!(matches!(lost, Err(link_error::CallFault::Lost { .. })));
     assert_eq!(handle.counts().total, 2);
 }
--- a/crates/flow/tests/plane/links.rs
+++ b/crates/flow/tests/plane/links.rs
@@ -3,7 +3,7 @@
 use std::{collections, future, sync, time::Duration};
 
 use base::{fingerprint, id, refusal};
-use flow::{books, fault, port, proof};
+use flow::{link_error, memory_store, port, proof};
 use stand::{engine, service};
 use tokio::{sync::watch, time};
 
@@ -172,7 +172,7 @@
         target: &port::ServerTarget,
         order: &port::StartOrder,
         permit: proof::SendPermit,
-    ) -> Result<StandEvents, fault::StartFault> {
+    ) -> Result<StandEvents, link_error::StartFault> {
         self.switch.pass().await;
         let call = engine::StartCall {
             id: order.id,
@@ -191,16 +191,16 @@
         self.switch.pass().await;
         match started {
             Ok(stream) => Ok(self.events(stream, order.id)),
-            Err(engine::EngineError::Down) => Err(fault::StartFault::NeverSent {
+            Err(engine::EngineError::Down) => Err(link_error::StartFault::NeverSent {
                 evidence: permit.never_sent(),
                 server,
                 cause: "refused".to_owned(),
             }),
-            Err(engine::EngineError::AnswerLost) => Err(fault::StartFault::Lost {
+            Err(engine::EngineError::AnswerLost) => Err(link_error::StartFault::Lost {
                 server,
                 cause: "cut".to_owned(),
             }),
-            Err(_) => Err(fault::StartFault::Declined {
+            Err(_) => Err(link_error::StartFault::Declined {
                 server,
                 status: 409,
             }),
@@ -212,14 +212,16 @@
         target: &port::ServerTarget,
         generation: id::GenerationId,
         from: u32,
-    ) -> Result<StandEvents, fault::ResumeFault> {
+    ) -> Result<StandEvents, link_error::ResumeFault> {
         self.switch.pass().await;
         let server = target.name.clone();
         match self.handles[&target.key].resume(generation, from).await {
             Ok(stream) => Ok(self.events(stream, generation)),
-            Err(engine::EngineError::Down) => Err(fault::ResumeFault::Refused { server }),
-            Err(engine::EngineError::NotHeld { .. }) => Err(fault::ResumeFault::NotHeld { server }),
-            Err(_) => Err(fault::ResumeFault::Lost {
+            Err(engine::EngineError::Down) => Err(link_error::ResumeFault::Refused { server }),
+            Err(engine::EngineError::NotHeld { .. }) => {
+                Err(link_error::ResumeFault::NotHeld { server })
+            }
+            Err(_) => Err(link_error::ResumeFault::Lost {
                 server,
                 cause: "cut".to_owned(),
             }),
@@ -230,7 +232,7 @@
         &self,
         target: &port::ServerTarget,
         generation: id::GenerationId,
-    ) -> Result<port::CancelAnswer, fault::CancelFault> {
+    ) -> Result<port::CancelAnswer, link_error::CancelFault> {
         self.switch.pass().await;
         let server = target.name.clone();
         match self.handles[&target.key].cancel(generation).await {
@@ -241,8 +243,8 @@
                 Ok(port::CancelAnswer::Known { ran, produced })
             }
             Ok(engine::call::CancelAnswer::Remembered) => Ok(port::CancelAnswer::Remembered),
-            Err(engine::EngineError::Down) => Err(fault::CancelFault::Refused { server }),
-            Err(_) => Err(fault::CancelFault::Lost {
+            Err(engine::EngineError::Down) => Err(link_error::CancelFault::Refused { server }),
+            Err(_) => Err(link_error::CancelFault::Lost {
                 server,
                 cause: "cut".to_owned(),
             }),
@@ -251,7 +253,7 @@
 }
 
 impl port::EngineEvents for StandEvents {
-    async fn next(&mut self) -> Result<port::TaggedEvent, fault::StreamFault> {
+    async fn next(&mut self) -> Result<port::TaggedEvent, link_error::StreamFault> {
         let server = String::from("stand");
         loop {
             self.switch.pass().await;
@@ -268,11 +270,11 @@
                 }
                 Some(engine::StreamEvent::Nonsense) => {
                     let cause = "nonsense".to_owned();
-                    return Err(fault::StreamFault::Nonsense { server, cause });
+                    return Err(link_error::StreamFault::Nonsense { server, cause });
                 }
                 None => {
                     let cause = "ended".to_owned();
-                    return Err(fault::StreamFault::Cut { server, cause });
+                    return Err(link_error::StreamFault::Cut { server, cause });
                 }
             };
             let tagged = port::TaggedEvent {
@@ -315,7 +317,7 @@
         call: &port::ServiceCall,
         _time_left: Duration,
         permit: proof::SendPermit,
-    ) -> Result<port::ServiceAnswer, fault::CallFault> {
+    ) -> Result<port::ServiceAnswer, link_error::CallFault> {
         self.switch.pass().await;
         let sent = service::ServiceCall {
             method: call.method.clone(),
@@ -333,12 +335,12 @@
                 content_type: None,
                 body: serde_json::to_vec(&answer).unwrap().into(),
             }),
-            Err(service::handle::ServiceError::Refused) => Err(fault::CallFault::NeverSent {
+            Err(service::handle::ServiceError::Refused) => Err(link_error::CallFault::NeverSent {
                 evidence: permit.never_sent(),
                 server,
                 cause: "refused".to_owned(),
             }),
-            Err(service::handle::ServiceError::Broken) => Err(fault::CallFault::Lost {
+            Err(service::handle::ServiceError::Broken) => Err(link_error::CallFault::Lost {
                 server,
                 cause: "cut".to_owned(),
             }),
@@ -349,7 +351,7 @@
 /// Claims that all entry VMs share, with outages and late answers.
 #[derive(Clone, Debug)]
 pub struct SharedClaims {
-    pub book: sync::Arc<books::MemoryClaims>,
+    pub book: sync::Arc<memory_store::MemoryClaims>,
     pub down: watch::Sender<bool>,
     /// The next claims are made and their answers come this late.
     pub late: sync::Arc<sync::Mutex<Duration>>,
@@ -405,7 +407,7 @@
 /// Jobs that all entry VMs share, with outages.
 #[derive(Clone, Debug)]
 pub struct SharedJobs {
-    pub book: sync::Arc<books::MemoryJobs>,
+    pub book: sync::Arc<memory_store::MemoryJobs>,
     pub down: watch::Sender<bool>,
     pub switch: ProcessSwitch,
 }
--- a/crates/flow/tests/plane/world.rs
+++ b/crates/flow/tests/plane/world.rs
@@ -4,7 +4,7 @@
 
 use base::{fingerprint, id};
 use conf::{document, inventory, rules, snapshot};
-use flow::{books, memory, plane, port, settings, suspect, token, view};
+use flow::{memory, memory_store, plane, port, settings, suspect, token, view};
 use stand::{engine, service};
 use tokio::sync::watch;
 
@@ -246,8 +246,8 @@
         engines: &collections::BTreeMap<id::ServerKey, engine::EngineHandle>,
         services: &collections::BTreeMap<id::ServerKey, service::ServiceHandle>,
     ) {
-        let claims = sync::Arc::new(books::MemoryClaims::default());
-        let jobs = sync::Arc::new(books::MemoryJobs::default());
+        let claims = sync::Arc::new(memory_store::MemoryClaims::default());
+        let jobs = sync::Arc::new(memory_store::MemoryJobs::default());
         let peers = PeerBoard::default();
         for entry in 0..plan.entries {
             let switch = links::ProcessSwitch::new();
