--- a/crates/entry/src/adapt/claims.rs
+++ b/crates/entry/src/adapt/claims.rs
@@ -45,8 +45,8 @@
     }
 }
 
-impl port::ClaimBook for LogClaims {
-    async fn claim(&self, ask: port::ClaimAsk) -> port::ClaimAnswer {
+impl port::ClaimStore for LogClaims {
+    async fn claim(&self, ask: port::ClaimRequest) -> port::ClaimAnswer {
         let call = permit::ClaimCall {
             organisation: ask.organisation.clone(),
             key: ask.key.clone(),
@@ -57,7 +57,7 @@
                 let hold = port::ClaimHold {
                     record: permit.claim(),
                     deadline: permit.deadline(),
-                    ask,
+                    claim: ask,
                 };
                 self.permits().insert(hold.record, permit);
                 port::ClaimAnswer::Fresh(hold)
--- a/crates/entry/src/adapt/jobs.rs
+++ b/crates/entry/src/adapt/jobs.rs
@@ -78,7 +78,7 @@
     }
 }
 
-impl port::JobBook for LogJobs {
+impl port::JobStore for LogJobs {
     async fn accept(&self, job: port::JobRecord) -> port::AcceptAnswer {
         let kept_ms = self.book.snapshot().rules().time_limits.result_kept_ms;
         let Ok(body) = serde_json::to_vec(&job) else {
@@ -129,7 +129,7 @@
         Some(renewed)
     }
 
-    async fn give_back(&self, lease: &port::JobLease) {
+    async fn release(&self, lease: &port::JobLease) {
         let ticket = self.tickets().remove(&lease.record);
         if let Some(ticket) = ticket {
             self.router.release(ticket).await;
--- a/crates/entry/src/adapt/quota.rs
+++ b/crates/entry/src/adapt/quota.rs
@@ -19,14 +19,14 @@
     fn charge(&mut self, _tokens: u32) {}
 }
 
-impl flow::port::QuotaBook for CoreQuota {
+impl flow::port::QuotaLimiter for CoreQuota {
     type Permit = CorePermit;
 
     fn take(
         &self,
         _organisation: id::OrganisationKey,
         _rule: &rules::OrganisationRule,
-        _work: &flow::port::AskedWork,
+        _work: &flow::port::RequestedWork,
         _now: time::Instant,
     ) -> Result<CorePermit, refusal::RefusalBody> {
         Ok(CorePermit)
--- a/crates/entry/src/adapt/schedule.rs
+++ b/crates/entry/src/adapt/schedule.rs
@@ -53,8 +53,11 @@
         Ok(PlaneGrant::Engine(grant))
     }
 
-    fn generation_ask(&self, asked: &port::AdmissionAsk) -> Result<ask::Ask, refusal::RefusalBody> {
-        let port::AskedWork::Generation {
+    fn generation_ask(
+        &self,
+        asked: &port::AdmissionRequest,
+    ) -> Result<ask::Ask, refusal::RefusalBody> {
+        let port::RequestedWork::Generation {
             model: name,
             adapter,
             prompt_tokens,
@@ -98,7 +101,7 @@
     async fn admit_call(
         &self,
         service: &str,
-        asked: &port::AdmissionAsk,
+        asked: &port::AdmissionRequest,
     ) -> Result<PlaneGrant, refusal::RefusalBody> {
         loop {
             let candidates = self.candidates(service, &asked.avoid);
@@ -174,22 +177,25 @@
 impl port::Scheduler for PlaneScheduler {
     type Grant = PlaneGrant;
 
-    fn early_refusal(&self, ask: &port::AdmissionAsk) -> Option<refusal::RefusalBody> {
+    fn early_refusal(&self, ask: &port::AdmissionRequest) -> Option<refusal::RefusalBody> {
         match &ask.work {
-            port::AskedWork::Generation { .. } => self.generation_ask(ask).err(),
-            port::AskedWork::Service { service } => self
+            port::RequestedWork::Generation { .. } => self.generation_ask(ask).err(),
+            port::RequestedWork::Service { service } => self
                 .candidates(service, &ask.avoid)
                 .is_empty()
                 .then(|| no_server("no server of this service takes work now; ask again")),
         }
     }
 
-    async fn admit(&self, ask: &port::AdmissionAsk) -> Result<PlaneGrant, refusal::RefusalBody> {
+    async fn admit(
+        &self,
+        ask: &port::AdmissionRequest,
+    ) -> Result<PlaneGrant, refusal::RefusalBody> {
         match &ask.work {
-            port::AskedWork::Generation { .. } => {
+            port::RequestedWork::Generation { .. } => {
                 self.admit_generation(self.generation_ask(ask)?).await
             }
-            port::AskedWork::Service { service } => self.admit_call(service, ask).await,
+            port::RequestedWork::Service { service } => self.admit_call(service, ask).await,
         }
     }
 }
@@ -218,13 +224,13 @@
         }
     }
 
-    fn reason(&self) -> port::PlaceReason {
+    fn reason(&self) -> port::PlacementReason {
         match self {
-            Self::Engine(grant) => port::PlaceReason {
+            Self::Engine(grant) => port::PlacementReason {
                 candidates: u32::from(grant.why().candidates),
                 text: grant.why().to_string(),
             },
-            Self::Service(_) => port::PlaceReason {
+            Self::Service(_) => port::PlacementReason {
                 candidates: 0,
                 text: "least busy of its service".to_owned(),
             },
--- a/crates/flow/benches/relay/main.rs
+++ b/crates/flow/benches/relay/main.rs
@@ -87,7 +87,7 @@
 }
 
 impl port::EngineEvents for ReadyEvents {
-    async fn next(&mut self) -> Result<port::TaggedEvent, link_error::StreamFault> {
+    async fn next(&mut self) -> Result<port::TaggedEvent, link_error::StreamError> {
         if self.next == self.tokens && self.hangs {
             future::pending::<()>().await;
         }
@@ -122,7 +122,7 @@
         _target: &port::ServerTarget,
         order: &port::StartOrder,
         _permit: proof::SendPermit,
-    ) -> Result<ReadyEvents, link_error::StartFault> {
+    ) -> Result<ReadyEvents, link_error::StartError> {
         Ok(ReadyEvents {
             generation: order.id,
             reader: sse::EventReader::default(),
@@ -137,7 +137,7 @@
         _target: &port::ServerTarget,
         _generation: id::GenerationId,
         _from: u32,
-    ) -> Result<ReadyEvents, link_error::ResumeFault> {
+    ) -> Result<ReadyEvents, link_error::ResumeError> {
         future::pending().await
     }
 
@@ -145,7 +145,7 @@
         &self,
         _target: &port::ServerTarget,
         _generation: id::GenerationId,
-    ) -> Result<port::CancelAnswer, link_error::CancelFault> {
+    ) -> Result<port::CancelAnswer, link_error::CancelError> {
         Ok(port::CancelAnswer::Remembered)
     }
 }
--- a/crates/flow/benches/relay/ports.rs
+++ b/crates/flow/benches/relay/ports.rs
@@ -19,7 +19,7 @@
         _call: &port::ServiceCall,
         _time_left: Duration,
         _permit: proof::SendPermit,
-    ) -> Result<port::ServiceAnswer, link_error::CallFault> {
+    ) -> Result<port::ServiceAnswer, link_error::CallError> {
         future::pending().await
     }
 }
--- a/crates/flow/src/admit.rs
+++ b/crates/flow/src/admit.rs
@@ -71,8 +71,8 @@
     terms: &request::Terms,
     avoid: Vec<id::ServerKey>,
     alone: bool,
-) -> port::AdmissionAsk {
-    port::AdmissionAsk {
+) -> port::AdmissionRequest {
+    port::AdmissionRequest {
         request: facts.id,
         organisation: terms.organisation,
         class: terms.class,
--- a/crates/flow/src/attempt.rs
+++ b/crates/flow/src/attempt.rs
@@ -81,7 +81,7 @@
     request: id::RequestId,
     target: port::ServerTarget,
     cursor: cursor::StreamCursor,
-    gauge: silence::SilenceGauge,
+    gauge: silence::SilenceDetector,
     /// Fires at some time before or at the gauge's, which is then looked at again.
     alarm: pin::Pin<Box<time::Sleep>>,
     /// The connection; absent while there is none.
@@ -121,7 +121,7 @@
                 live.events = Some(events);
                 live.held = true;
             }
-            Ok(Err(link_error::StartFault::NeverSent {
+            Ok(Err(link_error::StartError::NeverSent {
                 evidence, cause, ..
             })) => {
                 live.over = true;
@@ -130,7 +130,7 @@
                     cause,
                 };
             }
-            Ok(Err(declined @ link_error::StartFault::Declined { status, .. })) => {
+            Ok(Err(declined @ link_error::StartError::Declined { status, .. })) => {
                 // Settled by whoever reads this outcome; a second cancel would be too many.
                 live.over = true;
                 return proof::TryOutcome::Unknown {
@@ -140,7 +140,7 @@
                 };
             }
             // It may have started: it is sought there before anything else is done.
-            Ok(Err(link_error::StartFault::Lost { .. })) | Err(_) => {}
+            Ok(Err(link_error::StartError::Lost { .. })) | Err(_) => {}
         }
         proof::TryOutcome::Ran((live, ticket))
     }
@@ -176,7 +176,7 @@
         patience: Duration,
     ) -> Self {
         let now = time::Instant::now();
-        let gauge = silence::SilenceGauge::new(shared.settings.silence_floor, silent_limit, now);
+        let gauge = silence::SilenceDetector::new(shared.settings.silence_floor, silent_limit, now);
         Self {
             shared,
             request,
@@ -376,13 +376,13 @@
                     self.opened(events);
                     return Ok(());
                 }
-                Ok(Err(fault @ link_error::ResumeFault::Refused { .. })) => {
+                Ok(Err(fault @ link_error::ResumeError::Refused { .. })) => {
                     return Err(loss_of(LossKind::ServerGone, fault.to_string()));
                 }
-                Ok(Err(fault @ link_error::ResumeFault::NotHeld { .. })) => {
+                Ok(Err(fault @ link_error::ResumeError::NotHeld { .. })) => {
                     return Err(loss_of(LossKind::NotHeld, fault.to_string()));
                 }
-                Ok(Err(link_error::ResumeFault::Lost { .. })) | Err(_) => {}
+                Ok(Err(link_error::ResumeError::Lost { .. })) | Err(_) => {}
             }
         }
     }
--- a/crates/flow/src/calling.rs
+++ b/crates/flow/src/calling.rs
@@ -73,13 +73,13 @@
         };
         match answer {
             Ok(Ok(answer)) => proof::TryOutcome::Ran(answer),
-            Ok(Err(link_error::CallFault::NeverSent {
+            Ok(Err(link_error::CallError::NeverSent {
                 evidence, cause, ..
             })) => proof::TryOutcome::NotRun {
                 permit: ticket.never_sent(evidence),
                 cause,
             },
-            Ok(Err(lost @ link_error::CallFault::Lost { .. })) => proof::TryOutcome::Unknown {
+            Ok(Err(lost @ link_error::CallError::Lost { .. })) => proof::TryOutcome::Unknown {
                 ticket,
                 cause: lost.to_string(),
                 hopeless: None,
--- a/crates/flow/src/chunk.rs
+++ b/crates/flow/src/chunk.rs
@@ -129,7 +129,7 @@
 
 /// Where the rest of an answer is to be had.
 #[derive(Clone, Copy, Debug)]
-pub struct ContinuePlace<'a> {
+pub struct ContinuationLink<'a> {
     /// The continuation token.
     pub token: &'a str,
     /// Number of the first token that was not sent.
@@ -141,13 +141,13 @@
 pub fn write_refusal(
     out: &mut BytesMut,
     body: &refusal::RefusalBody,
-    rest: Option<ContinuePlace<'_>>,
+    rest: Option<ContinuationLink<'_>>,
 ) {
     out.put_slice(b"data: {\"error\":");
     let mut writer = out.writer();
     // Writing into memory does not fail.
     let _ = serde_json::to_writer(&mut writer, body);
-    if let Some(ContinuePlace { token, from }) = rest {
+    if let Some(ContinuationLink { token, from }) = rest {
         let _ = write!(
             writer,
             ",\"pollenchute\":{{\"continue\":\"/v1/generations/{token}?from={from}\"}}"
@@ -161,7 +161,7 @@
 
 /// A whole answer.
 #[must_use]
-pub fn whole_answer(
+pub fn complete_answer(
     face: body::CallerFace,
     request: id::RequestId,
     model: &str,
--- a/crates/flow/src/claim.rs
+++ b/crates/flow/src/claim.rs
@@ -5,7 +5,7 @@
 use tokio::time;
 
 use crate::{
-    port::{self, ClaimBook as _},
+    port::{self, ClaimStore as _},
     shared,
 };
 
--- a/crates/flow/src/continuation.rs
+++ b/crates/flow/src/continuation.rs
@@ -58,14 +58,14 @@
         let live = self.connect(&facts, target, from, silent_limit).await?;
         let (writer_end, stream) = pipe::pipe();
         let mark = shared.book.begin(live.target().key, facts.content, false);
-        let relay = relay::FlowingStream {
+        let relay = relay::StreamRelay {
             shared: shared.clone(),
             request: facts.request,
             content: facts.content,
             arrived_at: known.facts.arrived_at,
             live,
             flowing: proof::FlowingTry::continued(),
-            charge: relay::StreamCharge {
+            resources: relay::StreamResources {
                 grant: None,
                 quota: None,
                 mark,
--- a/crates/flow/src/crash_tracker.rs
+++ b/crates/flow/src/crash_tracker.rs
@@ -10,7 +10,7 @@
 const INNOCENTS_KEPT: usize = 4096;
 
 #[derive(Debug, Default)]
-struct BookState {
+struct TrackerState {
     table: suspect::SuspectTable,
     /// What runs, with how often; an entry is never 0.
     running: collections::BTreeMap<(id::ServerKey, ContentHash), u32>,
@@ -24,20 +24,20 @@
 
 /// The suspects of one process; shared by all requests.
 #[derive(Debug, Default)]
-pub struct SuspectBook {
-    state: sync::Mutex<BookState>,
+pub struct CrashTracker {
+    state: sync::Mutex<TrackerState>,
 }
 
 /// Marks content as running on a server for as long as it is held.
 #[derive(Debug)]
-pub struct RunMark {
-    book: sync::Arc<SuspectBook>,
+pub struct RunGuard {
+    book: sync::Arc<CrashTracker>,
     server: id::ServerKey,
     content: ContentHash,
     probe: bool,
 }
 
-impl Drop for RunMark {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         let mut state = self.book.lock();
         let place = (self.server, self.content);
@@ -53,13 +53,13 @@
     }
 }
 
-impl SuspectBook {
+impl CrashTracker {
     /// An empty book.
     #[must_use]
     pub fn new(limits: suspect::SuspectLimits) -> Self {
-        let state = BookState {
+        let state = TrackerState {
             table: suspect::SuspectTable::new(limits),
-            ..BookState::default()
+            ..TrackerState::default()
         };
         Self {
             state: sync::Mutex::new(state),
@@ -73,14 +73,14 @@
         server: id::ServerKey,
         content: ContentHash,
         probe: bool,
-    ) -> Option<RunMark> {
+    ) -> Option<RunGuard> {
         let mut state = self.lock();
         if probe && !state.probed.insert(server) {
             return None;
         }
         *state.running.entry((server, content)).or_default() += 1;
         drop(state);
-        Some(RunMark {
+        Some(RunGuard {
             book: self.clone(),
             server,
             content,
@@ -95,7 +95,7 @@
     }
 
     /// Content ended well: what crashes each server that runs it cannot do that.
-    pub fn ended_well(&self, content: ContentHash, now_ms: u64) {
+    pub fn record_success(&self, content: ContentHash, now_ms: u64) {
         let mut state = self.lock();
         if state.innocents.insert(content) {
             state.innocent_order.push_back(content);
@@ -111,7 +111,7 @@
     }
 
     /// A server's process is gone. Returns what became suspect, when that is news.
-    pub fn died(&self, server: id::ServerKey, name: &str, now_ms: u64) -> Vec<ContentHash> {
+    pub fn record_death(&self, server: id::ServerKey, name: &str, now_ms: u64) -> Vec<ContentHash> {
         let mut state = self.lock();
         let contents: collections::BTreeSet<ContentHash> = state
             .running
@@ -130,7 +130,7 @@
             contents: contents.clone(),
         };
         state.table.expire(now_ms);
-        let learnt = state.table.died(record);
+        let learnt = state.table.record_death(record);
         drop(state);
         if learnt {
             contents.into_iter().collect()
@@ -178,7 +178,7 @@
         held && state.table.clear(content, now_ms)
     }
 
-    fn lock(&self) -> sync::MutexGuard<'_, BookState> {
+    fn lock(&self) -> sync::MutexGuard<'_, TrackerState> {
         self.state
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner)
--- a/crates/flow/src/deduplicate.rs
+++ b/crates/flow/src/deduplicate.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     claim, filter,
-    port::{self, ClaimBook as _},
+    port::{self, ClaimStore as _},
     refused, request, shared,
 };
 
@@ -40,7 +40,7 @@
         &self,
         facts: &request::RequestFacts<W>,
         terms: &request::Terms,
-    ) -> Result<Option<port::ClaimAsk>, refusal::RefusalBody> {
+    ) -> Result<Option<port::ClaimRequest>, refusal::RefusalBody> {
         let Some(once) = facts.work.run_once() else {
             return Ok(None);
         };
@@ -53,7 +53,7 @@
         let window_ms = facts.view.config.rules().time_limits.idempotency_window_ms;
         let key_made_ms = key_time(key, self.shared.now_ms(), window_ms)?;
         let organisation = facts.view.config.organisation(terms.organisation);
-        Ok(Some(port::ClaimAsk {
+        Ok(Some(port::ClaimRequest {
             request: facts.id,
             organisation: organisation
                 .map(|view| view.name.clone())
@@ -75,7 +75,7 @@
     /// although nothing ran. In its own task the claim comes to its holder, or is given back.
     async fn claim(
         &self,
-        ask: port::ClaimAsk,
+        ask: port::ClaimRequest,
         due_at: time::Instant,
     ) -> Result<claim::HeldClaim<P>, port::ClaimAnswer> {
         let shared = self.shared.clone();
--- a/crates/flow/src/http.rs
+++ b/crates/flow/src/http.rs
@@ -119,25 +119,25 @@
         target: &port::ServerTarget,
         order: &port::StartOrder,
         permit: proof::SendPermit,
-    ) -> Result<HttpEvents, link_error::StartFault> {
+    ) -> Result<HttpEvents, link_error::StartError> {
         let url = format!("http://{}/v1/generations", target.address);
         let server = || target.name.clone();
         match self.pooled.post(url).json(order).send().await {
             Ok(response) if response.status().is_success() => {
                 Ok(events_of(response, target, order.id))
             }
-            Ok(response) => Err(link_error::StartFault::Declined {
+            Ok(response) => Err(link_error::StartError::Declined {
                 server: server(),
                 status: response.status().as_u16(),
             }),
             Err(failure) if failure.is_connect() || failure.is_builder() => {
-                Err(link_error::StartFault::NeverSent {
+                Err(link_error::StartError::NeverSent {
                     evidence: permit.never_sent(),
                     server: server(),
                     cause: failure.to_string(),
                 })
             }
-            Err(failure) => Err(link_error::StartFault::Lost {
+            Err(failure) => Err(link_error::StartError::Lost {
                 server: server(),
                 cause: failure.to_string(),
             }),
@@ -149,7 +149,7 @@
         target: &port::ServerTarget,
         generation: id::GenerationId,
         from: u32,
-    ) -> Result<HttpEvents, link_error::ResumeFault> {
+    ) -> Result<HttpEvents, link_error::ResumeError> {
         let url = format!("{}?from={from}", generation_url(target, generation));
         let server = target.name.clone();
         match self.fresh.get(url).send().await {
@@ -157,16 +157,16 @@
                 Ok(events_of(response, target, generation))
             }
             Ok(response) if response.status() == reqwest::StatusCode::NOT_FOUND => {
-                Err(link_error::ResumeFault::NotHeld { server })
+                Err(link_error::ResumeError::NotHeld { server })
             }
-            Ok(response) => Err(link_error::ResumeFault::Lost {
+            Ok(response) => Err(link_error::ResumeError::Lost {
                 server,
                 cause: response.status().to_string(),
             }),
             Err(failure) if is_refused(&failure) => {
-                Err(link_error::ResumeFault::Refused { server })
+                Err(link_error::ResumeError::Refused { server })
             }
-            Err(failure) => Err(link_error::ResumeFault::Lost {
+            Err(failure) => Err(link_error::ResumeError::Lost {
                 server,
                 cause: failure.to_string(),
             }),
@@ -177,9 +177,9 @@
         &self,
         target: &port::ServerTarget,
         generation: id::GenerationId,
-    ) -> Result<port::CancelAnswer, link_error::CancelFault> {
+    ) -> Result<port::CancelAnswer, link_error::CancelError> {
         let server = target.name.clone();
-        let lost = |cause: String| link_error::CancelFault::Lost {
+        let lost = |cause: String| link_error::CancelError::Lost {
             server: target.name.clone(),
             cause,
         };
@@ -198,7 +198,7 @@
             }
             Ok(response) => Err(lost(response.status().to_string())),
             Err(failure) if is_refused(&failure) => {
-                Err(link_error::CancelFault::Refused { server })
+                Err(link_error::CancelError::Refused { server })
             }
             Err(failure) => Err(lost(failure.to_string())),
         }
@@ -214,7 +214,7 @@
 }
 
 impl port::EngineEvents for HttpEvents {
-    async fn next(&mut self) -> Result<port::TaggedEvent, link_error::StreamFault> {
+    async fn next(&mut self) -> Result<port::TaggedEvent, link_error::StreamError> {
         let server = || self.server.clone();
         loop {
             match self.reader.take() {
@@ -226,7 +226,7 @@
                 }
                 Ok(None) => {}
                 Err(fault) => {
-                    return Err(link_error::StreamFault::Nonsense {
+                    return Err(link_error::StreamError::Nonsense {
                         server: server(),
                         cause: fault.to_string(),
                     });
@@ -240,7 +240,7 @@
                 Ok(None) => "it ended without a finish".to_owned(),
                 Err(failure) => failure.to_string(),
             };
-            return Err(link_error::StreamFault::Cut {
+            return Err(link_error::StreamError::Cut {
                 server: server(),
                 cause,
             });
@@ -298,12 +298,12 @@
         call: &port::ServiceCall,
         time_left: Duration,
         permit: proof::SendPermit,
-    ) -> Result<port::ServiceAnswer, link_error::CallFault> {
+    ) -> Result<port::ServiceAnswer, link_error::CallError> {
         let server = target.name.clone();
         let request = match self.request(target, call, time_left) {
             Ok(request) => request,
             Err(cause) => {
-                return Err(link_error::CallFault::NeverSent {
+                return Err(link_error::CallError::NeverSent {
                     evidence: permit.never_sent(),
                     server,
                     cause,
@@ -313,15 +313,15 @@
         match request.send().await {
             Ok(response) => answer_of(response, call)
                 .await
-                .map_err(|cause| link_error::CallFault::Lost { server, cause }),
+                .map_err(|cause| link_error::CallError::Lost { server, cause }),
             Err(failure) if failure.is_connect() || failure.is_builder() => {
-                Err(link_error::CallFault::NeverSent {
+                Err(link_error::CallError::NeverSent {
                     evidence: permit.never_sent(),
                     server,
                     cause: failure.to_string(),
                 })
             }
-            Err(failure) => Err(link_error::CallFault::Lost {
+            Err(failure) => Err(link_error::CallError::Lost {
                 server,
                 cause: failure.to_string(),
             }),
--- a/crates/flow/src/jobs.rs
+++ b/crates/flow/src/jobs.rs
@@ -10,7 +10,7 @@
     authenticate, body,
     filter::{self, Filter as _},
     gate, plane,
-    port::{self, JobBook as _, QuotaBook as _},
+    port::{self, JobStore as _, QuotaLimiter as _},
     proof, refused,
     request::{self, RawWork as _, Work as _},
 };
@@ -202,7 +202,7 @@
             }
         };
         let Some(result) = result else {
-            self.shared().ports.jobs().give_back(&lease).await;
+            self.shared().ports.jobs().release(&lease).await;
             return;
         };
         self.store(&lease, result).await;
--- a/crates/flow/src/link_error.rs
+++ b/crates/flow/src/link_error.rs
@@ -7,7 +7,7 @@
 /// A generation was not started, or it is not known whether it was.
 #[derive(Debug, Snafu)]
 #[snafu(module)]
-pub enum StartFault {
+pub enum StartError {
     /// The connection was refused or no byte was sent.
     #[snafu(display("{server} could not be reached: {cause}; check that its process runs"))]
     NeverSent {
@@ -39,7 +39,7 @@
 /// A generation could not be continued.
 #[derive(Debug, Snafu)]
 #[snafu(module)]
-pub enum ResumeFault {
+pub enum ResumeError {
     /// Nothing listens there: the process that held the generation is gone.
     #[snafu(display("{server} refuses connections; its generations are lost with its process"))]
     Refused {
@@ -65,7 +65,7 @@
 /// A generation could not be cancelled, or it is not known whether it was.
 #[derive(Debug, Snafu)]
 #[snafu(module)]
-pub enum CancelFault {
+pub enum CancelError {
     /// Nothing listens there: the process that held the generation is gone.
     #[snafu(display("{server} refuses connections; its generations are lost with its process"))]
     Refused {
@@ -85,7 +85,7 @@
 /// A stream of events broke.
 #[derive(Debug, Snafu)]
 #[snafu(module)]
-pub enum StreamFault {
+pub enum StreamError {
     /// It ended without a finish.
     #[snafu(display("the stream of {server} was cut: {cause}; the generation is resumed"))]
     Cut {
@@ -107,7 +107,7 @@
 /// A plain service call has no answer.
 #[derive(Debug, Snafu)]
 #[snafu(module)]
-pub enum CallFault {
+pub enum CallError {
     /// The connection was refused or no byte was sent.
     #[snafu(display("{server} could not be reached: {cause}; check that its process runs"))]
     NeverSent {
--- a/crates/flow/src/memory.rs
+++ b/crates/flow/src/memory.rs
@@ -46,7 +46,7 @@
 pub struct MemoryGrant {
     state: sync::Arc<ScheduleState>,
     server: id::ServerKey,
-    ask: port::AdmissionAsk,
+    request: port::AdmissionRequest,
 }
 
 impl MemorySchedule {
@@ -66,18 +66,18 @@
 }
 
 impl ScheduleState {
-    fn place(&self, ask: &port::AdmissionAsk) -> Option<id::ServerKey> {
+    fn place(&self, request: &port::AdmissionRequest) -> Option<id::ServerKey> {
         let view = self.views.borrow().clone();
-        let candidates = match &ask.work {
-            port::AskedWork::Generation { model, .. } => view.config.servers_of_model(model),
-            port::AskedWork::Service { service } => view.config.servers_of_service(service),
+        let candidates = match &request.work {
+            port::RequestedWork::Generation { model, .. } => view.config.servers_of_model(model),
+            port::RequestedWork::Service { service } => view.config.servers_of_service(service),
         };
         let now = time::Instant::now();
         let mut loads = locked(&self.loads);
-        let at_once = if ask.alone { 1 } else { self.at_once };
+        let at_once = if request.alone { 1 } else { self.at_once };
         let server = candidates
             .iter()
-            .filter(|server| view.takes_work(**server) && !ask.avoid.contains(server))
+            .filter(|server| view.takes_work(**server) && !request.avoid.contains(server))
             .map(|server| (loads.get(server).copied().unwrap_or_default(), *server))
             .filter(|(load, _)| load.running < at_once && !load.alone)
             .min_by_key(|(load, server)| {
@@ -87,16 +87,16 @@
             .map(|(_, server)| server)?;
         let load = loads.entry(server).or_default();
         load.running += 1;
-        load.alone = ask.alone;
+        load.alone = request.alone;
         Some(server)
     }
 
-    async fn wait(&self, ask: &port::AdmissionAsk) -> id::ServerKey {
+    async fn wait(&self, request: &port::AdmissionRequest) -> id::ServerKey {
         loop {
             let freed = self.freed.notified();
             tokio::pin!(freed);
             freed.as_mut().enable();
-            if let Some(server) = self.place(ask) {
+            if let Some(server) = self.place(request) {
                 return server;
             }
             // The view may change without a place becoming free.
@@ -120,16 +120,19 @@
 impl port::Scheduler for MemorySchedule {
     type Grant = MemoryGrant;
 
-    fn early_refusal(&self, _ask: &port::AdmissionAsk) -> Option<refusal::RefusalBody> {
+    fn early_refusal(&self, _ask: &port::AdmissionRequest) -> Option<refusal::RefusalBody> {
         None
     }
 
-    async fn admit(&self, ask: &port::AdmissionAsk) -> Result<MemoryGrant, refusal::RefusalBody> {
-        let server = self.state.wait(ask).await;
+    async fn admit(
+        &self,
+        request: &port::AdmissionRequest,
+    ) -> Result<MemoryGrant, refusal::RefusalBody> {
+        let server = self.state.wait(request).await;
         Ok(MemoryGrant {
             state: self.state.clone(),
             server,
-            ask: ask.clone(),
+            request: request.clone(),
         })
     }
 }
@@ -140,7 +143,7 @@
     }
 
     fn priority(&self) -> u8 {
-        u8::try_from(self.ask.class.index()).unwrap_or(0)
+        u8::try_from(self.request.class.index()).unwrap_or(0)
     }
 
     fn progress(&self, _count: u32) {}
@@ -156,7 +159,7 @@
 
     async fn requeue(mut self) -> Result<Self, refusal::RefusalBody> {
         self.state.free(self.server, false);
-        self.server = self.state.wait(&self.ask).await;
+        self.server = self.state.wait(&self.request).await;
         Ok(self)
     }
 }
@@ -179,14 +182,14 @@
     fn charge(&mut self, _tokens: u32) {}
 }
 
-impl port::QuotaBook for NoQuotas {
+impl port::QuotaLimiter for NoQuotas {
     type Permit = NoPermit;
 
     fn take(
         &self,
         _organisation: id::OrganisationKey,
         _rule: &rules::OrganisationRule,
-        _work: &port::AskedWork,
+        _work: &port::RequestedWork,
         _now: time::Instant,
     ) -> Result<NoPermit, refusal::RefusalBody> {
         Ok(NoPermit)
--- a/crates/flow/src/memory_store.rs
+++ b/crates/flow/src/memory_store.rs
@@ -23,13 +23,13 @@
 /// When to ask again while a call is under way.
 const IN_PROGRESS_RETRY_MS: u64 = 500;
 
-impl port::ClaimBook for MemoryClaims {
-    async fn claim(&self, ask: port::ClaimAsk) -> port::ClaimAnswer {
+impl port::ClaimStore for MemoryClaims {
+    async fn claim(&self, claim: port::ClaimRequest) -> port::ClaimAnswer {
         let now = time::Instant::now();
         let mut entries = locked(&self.entries);
-        let place = (ask.organisation.clone(), ask.key.clone());
+        let place = (claim.organisation.clone(), claim.key.clone());
         if let Some(entry) = entries.get(&place) {
-            if entry.hold.ask.content != ask.content {
+            if entry.hold.claim.content != claim.content {
                 return port::ClaimAnswer::Mismatch;
             }
             match &entry.end {
@@ -47,9 +47,9 @@
             }
         }
         let hold = port::ClaimHold {
-            record: id::RecordId(ask.request.0),
-            deadline: now + ask.holds_for,
-            ask,
+            record: id::RecordId(claim.request.0),
+            deadline: now + claim.holds_for,
+            claim,
         };
         let entry = ClaimEntry {
             hold: hold.clone(),
@@ -64,7 +64,7 @@
         hold: port::ClaimHold,
         end: port::ClaimEnd,
     ) -> Result<(), refusal::RefusalBody> {
-        let place = (hold.ask.organisation.clone(), hold.ask.key.clone());
+        let place = (hold.claim.organisation.clone(), hold.claim.key.clone());
         if let Some(entry) = locked(&self.entries).get_mut(&place)
             && entry.hold.record == hold.record
             && entry.end.is_none()
@@ -126,7 +126,7 @@
     }
 }
 
-impl port::JobBook for MemoryJobs {
+impl port::JobStore for MemoryJobs {
     async fn accept(&self, job: port::JobRecord) -> port::AcceptAnswer {
         let entry = JobEntry {
             job,
@@ -176,7 +176,7 @@
         .flatten()
     }
 
-    async fn give_back(&self, lease: &port::JobLease) {
+    async fn release(&self, lease: &port::JobLease) {
         self.with_entry(lease, |entry| {
             if id::RecordId(entry.lease) == lease.record {
                 entry.leased_until = None;
--- a/crates/flow/src/opening.rs
+++ b/crates/flow/src/opening.rs
@@ -10,7 +10,7 @@
     admit, attempt, claim,
     filter::{self, Filter as _},
     port, proof, quarantine, quota, request, route,
-    running::{self, TryEnd},
+    running::{self, AttemptEnd},
     shared, view,
 };
 
@@ -45,7 +45,7 @@
     /// What it holds.
     pub claimed: GenerationClaimed<P>,
     /// Its try.
-    pub running: running::RunningTry<P>,
+    pub running: running::RunningAttempt<P>,
     /// The first step: a token, or the end.
     pub step: attempt::TryStep,
 }
@@ -102,7 +102,7 @@
                 return Err(permit.refused(over_budget(delay)).into());
             }
             facts.tries += 1;
-            let place = running::TryPlace {
+            let place = running::AttemptPlacement {
                 target,
                 grant: admitted.grant,
                 mark,
@@ -124,11 +124,11 @@
 
     async fn run_one(
         &self,
-        place: running::TryPlace<P>,
+        place: running::AttemptPlacement<P>,
         facts: &request::RequestFacts<request::GenerationWork>,
         terms: &request::Terms,
         permit: proof::StartPermit,
-    ) -> Result<(running::RunningTry<P>, attempt::TryStep), TryEnd<P>> {
+    ) -> Result<(running::RunningAttempt<P>, attempt::TryStep), AttemptEnd<P>> {
         let running = place.start(&self.shared, facts, terms, permit).await?;
         running.first_step(&self.shared, facts, terms.due_at).await
     }
@@ -164,11 +164,11 @@
         &self,
         mut facts: request::RequestFacts<request::GenerationWork>,
         claimed: GenerationClaimed<P>,
-        end: TryEnd<P>,
+        end: AttemptEnd<P>,
     ) -> Result<GenerationRouted<P>, filter::EarlyEnd> {
         match end {
-            TryEnd::Refused(refused) => Err(refused.into()),
-            TryEnd::Moved {
+            AttemptEnd::Refused(refused) => Err(refused.into()),
+            AttemptEnd::Moved {
                 permit,
                 grant,
                 probe,
@@ -182,7 +182,7 @@
                 };
                 self.routing.apply(moved).await
             }
-            TryEnd::Again {
+            AttemptEnd::Again {
                 permit,
                 server,
                 cause,
--- a/crates/flow/src/pipe.rs
+++ b/crates/flow/src/pipe.rs
@@ -15,7 +15,7 @@
 
 /// The caller's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallerGone;
+pub struct CallerDisconnected;
 
 #[derive(Debug, Default)]
 struct PipeState {
@@ -23,7 +23,7 @@
     /// The relay ended: what is gathered is the rest.
     ended: bool,
     /// The connection is closed.
-    gone: bool,
+    disconnected: bool,
     reader: Option<task::Waker>,
     writer: Option<task::Waker>,
 }
@@ -48,7 +48,7 @@
 }
 
 /// The caller's end: a stream of bytes to send. Dropping it tells the relay that the caller is
-/// gone.
+/// disconnected.
 #[derive(Debug)]
 pub struct CallerStream {
     shared: sync::Arc<SharedPipe>,
@@ -70,12 +70,12 @@
     ///
     /// # Errors
     ///
-    /// [`CallerGone`] when nobody will read it.
-    pub fn append<F: FnOnce(&mut BytesMut)>(&self, write: F) -> Result<bool, CallerGone> {
+    /// [`CallerDisconnected`] when nobody will read it.
+    pub fn append<F: FnOnce(&mut BytesMut)>(&self, write: F) -> Result<bool, CallerDisconnected> {
         let (reader, has_space) = {
             let mut state = self.shared.lock();
-            if state.gone {
-                return Err(CallerGone);
+            if state.disconnected {
+                return Err(CallerDisconnected);
             }
             write(&mut state.gathered);
             (state.reader.take(), state.gathered.len() < PIPE_LIMIT_BYTES)
@@ -90,12 +90,12 @@
     ///
     /// # Errors
     ///
-    /// [`CallerGone`] when nobody will read.
-    pub async fn space(&self) -> Result<(), CallerGone> {
+    /// [`CallerDisconnected`] when nobody will read.
+    pub async fn space(&self) -> Result<(), CallerDisconnected> {
         future::poll_fn(|context| {
             let mut state = self.shared.lock();
-            if state.gone {
-                return task::Poll::Ready(Err(CallerGone));
+            if state.disconnected {
+                return task::Poll::Ready(Err(CallerDisconnected));
             }
             if state.gathered.len() < PIPE_LIMIT_BYTES {
                 return task::Poll::Ready(Ok(()));
@@ -106,11 +106,11 @@
         .await
     }
 
-    /// Completes when the caller is gone.
-    pub async fn gone(&self) {
+    /// Completes when the caller is disconnected.
+    pub async fn disconnected(&self) {
         future::poll_fn(|context| {
             let mut state = self.shared.lock();
-            if state.gone {
+            if state.disconnected {
                 return task::Poll::Ready(());
             }
             state.writer = Some(context.waker().clone());
@@ -162,7 +162,7 @@
     fn drop(&mut self) {
         let writer = {
             let mut state = self.shared.lock();
-            state.gone = true;
+            state.disconnected = true;
             state.gathered = BytesMut::new();
             state.writer.take()
         };
--- a/crates/flow/src/plane.rs
+++ b/crates/flow/src/plane.rs
@@ -118,7 +118,7 @@
 
     /// Content that crashes backend servers.
     #[must_use]
-    pub fn suspects(&self) -> &crash_tracker::SuspectBook {
+    pub fn suspects(&self) -> &crash_tracker::CrashTracker {
         &self.shared.book
     }
 
@@ -279,7 +279,7 @@
         self.record_first_token(&facts, &running.live);
         let mut live = running.live;
         live.set_patience(claimed.terms.time_limit.min(RESUME_PATIENCE));
-        let flowing = relay::FlowingStream {
+        let flowing = relay::StreamRelay {
             reader: self.shared.readers.enter(live.generation()),
             shared: self.shared.clone(),
             request: facts.id,
@@ -287,7 +287,7 @@
             arrived_at: facts.arrived_at,
             live,
             flowing: running.ticket.flowing(),
-            charge: relay::StreamCharge {
+            resources: relay::StreamResources {
                 grant: Some(running.grant),
                 quota: Some(claimed.quota),
                 mark: Some(running.mark),
@@ -318,7 +318,7 @@
         self.record_first_token(&opened.facts, &opened.running.live);
         let (opened, whole) = collect::collect(&self.opener, opened).await?;
         let facts = &opened.facts;
-        let text = chunk::whole_answer(
+        let text = chunk::complete_answer(
             facts.work.body.face,
             facts.id,
             &facts.work.body.model,
@@ -327,7 +327,9 @@
             &whole.report,
         );
         let content = facts.work.content;
-        self.shared.book.ended_well(content, self.shared.now_ms());
+        self.shared
+            .book
+            .record_success(content, self.shared.now_ms());
         self.shared.record(
             facts.id,
             kind::EventKind::RequestFinished {
--- a/crates/flow/src/port.rs
+++ b/crates/flow/src/port.rs
@@ -123,7 +123,7 @@
 pub trait EngineEvents: Send + 'static {
     /// The next event; nothing is lost when the future is dropped.
     fn next(&mut self)
-    -> impl Future<Output = Result<TaggedEvent, link_error::StreamFault>> + Send;
+    -> impl Future<Output = Result<TaggedEvent, link_error::StreamError>> + Send;
 }
 
 /// Calls to model engines.
@@ -137,7 +137,7 @@
         target: &ServerTarget,
         order: &StartOrder,
         permit: proof::SendPermit,
-    ) -> impl Future<Output = Result<Self::Events, link_error::StartFault>> + Send;
+    ) -> impl Future<Output = Result<Self::Events, link_error::StartError>> + Send;
 
     /// Streams a generation from token `from` on, always over a fresh connection.
     fn resume(
@@ -145,14 +145,14 @@
         target: &ServerTarget,
         generation: id::GenerationId,
         from: u32,
-    ) -> impl Future<Output = Result<Self::Events, link_error::ResumeFault>> + Send;
+    ) -> impl Future<Output = Result<Self::Events, link_error::ResumeError>> + Send;
 
     /// Cancels a generation, always over a fresh connection.
     fn cancel(
         &self,
         target: &ServerTarget,
         generation: id::GenerationId,
-    ) -> impl Future<Output = Result<CancelAnswer, link_error::CancelFault>> + Send;
+    ) -> impl Future<Output = Result<CancelAnswer, link_error::CancelError>> + Send;
 }
 
 /// A call of a plain service.
@@ -192,12 +192,12 @@
         call: &ServiceCall,
         time_left: Duration,
         permit: proof::SendPermit,
-    ) -> impl Future<Output = Result<ServiceAnswer, link_error::CallFault>> + Send;
+    ) -> impl Future<Output = Result<ServiceAnswer, link_error::CallError>> + Send;
 }
 
 /// What a request needs a place for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AskedWork {
+pub enum RequestedWork {
     /// A generation.
     Generation {
         /// The model's name.
@@ -218,7 +218,7 @@
 
 /// A request that wants a place on a backend server.
 #[derive(Clone, Debug)]
-pub struct AdmissionAsk {
+pub struct AdmissionRequest {
     /// The caller's request.
     pub request: id::RequestId,
     /// Who asks.
@@ -226,7 +226,7 @@
     /// How long it may wait.
     pub class: class::TrafficClass,
     /// What it needs.
-    pub work: AskedWork,
+    pub work: RequestedWork,
     /// The prompt, for prefix affinity; empty for a plain service call.
     pub prompt: std::sync::Arc<str>,
     /// Refused when it has no place by then.
@@ -256,7 +256,7 @@
 
 /// Why a request got its place, for the time line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PlaceReason {
+pub struct PlacementReason {
     /// Backend servers that were weighed.
     pub candidates: u32,
     /// What decided, and what it waited for.
@@ -272,8 +272,8 @@
     fn priority(&self) -> u8;
 
     /// Why there, for the time line.
-    fn reason(&self) -> PlaceReason {
-        PlaceReason::default()
+    fn reason(&self) -> PlacementReason {
+        PlacementReason::default()
     }
 
     /// `count` further tokens arrived, the first included.
@@ -300,12 +300,12 @@
     type Grant: Grant;
 
     /// A refusal that is certain before anything is queued or claimed.
-    fn early_refusal(&self, ask: &AdmissionAsk) -> Option<refusal::RefusalBody>;
+    fn early_refusal(&self, request: &AdmissionRequest) -> Option<refusal::RefusalBody>;
 
     /// Waits for a place; dropping the future withdraws the request.
     fn admit(
         &self,
-        ask: &AdmissionAsk,
+        request: &AdmissionRequest,
     ) -> impl Future<Output = Result<Self::Grant, refusal::RefusalBody>> + Send;
 }
 
@@ -316,7 +316,7 @@
 }
 
 /// Limits of organisations.
-pub trait QuotaBook: Send + Sync + 'static {
+pub trait QuotaLimiter: Send + Sync + 'static {
     /// What a request holds while it runs.
     type Permit: QuotaPermit;
 
@@ -325,14 +325,14 @@
         &self,
         organisation: id::OrganisationKey,
         rule: &rules::OrganisationRule,
-        work: &AskedWork,
+        work: &RequestedWork,
         now: time::Instant,
     ) -> Result<Self::Permit, refusal::RefusalBody>;
 }
 
 /// A call that may not run twice.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The caller's request.
     pub request: id::RequestId,
     /// Name of the organisation; keys of two organisations are different keys.
@@ -355,7 +355,7 @@
     /// The record that won.
     pub record: id::RecordId,
     /// What was claimed.
-    pub ask: ClaimAsk,
+    pub claim: ClaimRequest,
     /// The call may leave before this only; by this process's monotonic clock, counted from
     /// before the append.
     pub deadline: time::Instant,
@@ -393,9 +393,9 @@
 }
 
 /// Claims on idempotency keys, on the log.
-pub trait ClaimBook: Send + Sync + 'static {
+pub trait ClaimStore: Send + Sync + 'static {
     /// Claims a key. `Fresh` only when the claim is durable and first.
-    fn claim(&self, ask: ClaimAsk) -> impl Future<Output = ClaimAnswer> + Send;
+    fn claim(&self, claim: ClaimRequest) -> impl Future<Output = ClaimAnswer> + Send;
 
     /// Stores how a claimed call ended; the first end in the order of the log stands.
     fn store(
@@ -480,7 +480,7 @@
 }
 
 /// Deferrable work, on the log.
-pub trait JobBook: Send + Sync + 'static {
+pub trait JobStore: Send + Sync + 'static {
     /// Accepts a job.
     fn accept(&self, job: JobRecord) -> impl Future<Output = AcceptAnswer> + Send;
 
@@ -494,7 +494,7 @@
     fn renew(&self, lease: &JobLease) -> impl Future<Output = Option<JobLease>> + Send;
 
     /// Gives a lease back, so that another may take the job at once.
-    fn give_back(&self, lease: &JobLease) -> impl Future<Output = ()> + Send;
+    fn release(&self, lease: &JobLease) -> impl Future<Output = ()> + Send;
 
     /// Stores a result; the first in the order of the log stands.
     fn store(
@@ -538,11 +538,11 @@
     /// Placement.
     type Schedule: Scheduler;
     /// Limits.
-    type Quotas: QuotaBook;
+    type Quotas: QuotaLimiter;
     /// Claims.
-    type Claims: ClaimBook;
+    type Claims: ClaimStore;
     /// Deferrable work.
-    type Jobs: JobBook;
+    type Jobs: JobStore;
     /// Time line.
     type Events: EventSink;
     /// Wall clock.
--- a/crates/flow/src/quota.rs
+++ b/crates/flow/src/quota.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     admit, filter,
-    port::{self, ClaimBook as _, QuotaBook as _, Scheduler as _},
+    port::{self, ClaimStore as _, QuotaLimiter as _, Scheduler as _},
     refused, request, shared,
 };
 
@@ -40,7 +40,7 @@
 }
 
 /// What a request holds of its organisation's limits.
-pub type QuotaPermit<P> = <<P as port::PortSet>::Quotas as port::QuotaBook>::Permit;
+pub type QuotaPermit<P> = <<P as port::PortSet>::Quotas as port::QuotaLimiter>::Permit;
 
 impl<P: port::PortSet, W: request::Work> filter::Filter<request::Request<W, request::Terms>>
     for QuotaFilter<P>
--- a/crates/flow/src/readers.rs
+++ b/crates/flow/src/readers.rs
@@ -25,16 +25,16 @@
 
 /// Counts one relay of a generation for as long as it is held.
 #[derive(Debug)]
-pub struct ReaderPass {
+pub struct ReaderGuard {
     table: sync::Arc<ReaderTable>,
     generation: id::GenerationId,
 }
 
 impl ReaderTable {
     /// A relay begins.
-    pub fn enter(self: &sync::Arc<Self>, generation: id::GenerationId) -> ReaderPass {
+    pub fn enter(self: &sync::Arc<Self>, generation: id::GenerationId) -> ReaderGuard {
         self.lock().entry(generation).or_default().readers += 1;
-        ReaderPass {
+        ReaderGuard {
             table: self.clone(),
             generation,
         }
@@ -54,7 +54,7 @@
     }
 }
 
-impl ReaderPass {
+impl ReaderGuard {
     /// Whether nobody else relays the generation: only then may it be cancelled.
     #[must_use]
     pub fn is_last(&self) -> bool {
@@ -65,7 +65,7 @@
     }
 }
 
-impl Drop for ReaderPass {
+impl Drop for ReaderGuard {
     fn drop(&mut self) {
         let mut entries = self.table.lock();
         if let Some(entry) = entries.get_mut(&self.generation) {
--- a/crates/flow/src/relay.rs
+++ b/crates/flow/src/relay.rs
@@ -19,19 +19,19 @@
 const LOST_RETRY: Duration = Duration::from_millis(100);
 
 /// What a stream holds besides its generation.
-pub struct StreamCharge<P: port::PortSet> {
+pub struct StreamResources<P: port::PortSet> {
     /// Its place; absent when another entry VM holds it.
     pub grant: Option<admit::PlaceGrant<P>>,
     /// Its share of its organisation's limits.
     pub quota: Option<quota::QuotaPermit<P>>,
     /// Marks its content as running.
-    pub mark: Option<crash_tracker::RunMark>,
+    pub mark: Option<crash_tracker::RunGuard>,
     /// Held by a suspect.
     pub probe: Option<quarantine::ProbePass>,
 }
 
 /// A generation on its way to a caller.
-pub struct FlowingStream<P: port::PortSet> {
+pub struct StreamRelay<P: port::PortSet> {
     pub(crate) shared: sync::Arc<shared::SharedPlane<P>>,
     pub(crate) request: id::RequestId,
     pub(crate) content: fingerprint::ContentHash,
@@ -39,10 +39,10 @@
     pub(crate) live: attempt::LiveTry<P>,
     /// Nothing but the same generation may follow.
     pub(crate) flowing: proof::FlowingTry,
-    pub(crate) charge: StreamCharge<P>,
+    pub(crate) resources: StreamResources<P>,
     pub(crate) writer: chunk::ChunkWriter,
     pub(crate) pipe: pipe::PipeWriter,
-    pub(crate) reader: readers::ReaderPass,
+    pub(crate) reader: readers::ReaderGuard,
     pub(crate) token: String,
 }
 
@@ -53,14 +53,14 @@
     /// The rest is not coming.
     Lost(attempt::TryLoss),
     /// The caller is gone.
-    CallerGone,
+    CallerDisconnected,
     /// The caller reads nothing.
     CallerStalled,
     /// Another entry VM goes on.
     HandedOver,
 }
 
-impl<P: port::PortSet> FlowingStream<P> {
+impl<P: port::PortSet> StreamRelay<P> {
     /// Relays to the end, beginning with `first` when it is there already.
     pub async fn run(mut self, first: Option<attempt::TryStep>) {
         let end = self.relay(first).await;
@@ -101,7 +101,7 @@
                         return end;
                     }
                 }
-                Err(pipe::CallerGone) => return StreamEnd::CallerGone,
+                Err(pipe::CallerDisconnected) => return StreamEnd::CallerDisconnected,
             }
             step = match self.wait(beat.as_mut()).await {
                 Ok(step) => step,
@@ -126,7 +126,7 @@
             tokio::select! {
                 biased;
                 step = &mut next => return Ok(step),
-                () = self.pipe.gone() => return Err(StreamEnd::CallerGone),
+                () = self.pipe.disconnected() => return Err(StreamEnd::CallerDisconnected),
                 () = beat.as_mut() => {}
             }
             if self.shared.gate.hands_over() {
@@ -140,7 +140,7 @@
                     .pipe
                     .append(|out| out.extend_from_slice(chunk::HEARTBEAT));
                 if shown.is_err() {
-                    return Err(StreamEnd::CallerGone);
+                    return Err(StreamEnd::CallerDisconnected);
                 }
             }
             beat.as_mut().reset(shown_at + heartbeat);
@@ -148,10 +148,10 @@
     }
 
     fn report(&mut self, tokens: u32) {
-        if let Some(grant) = &self.charge.grant {
+        if let Some(grant) = &self.resources.grant {
             grant.progress(tokens);
         }
-        if let Some(quota) = &mut self.charge.quota {
+        if let Some(quota) = &mut self.resources.quota {
             quota.charge(tokens);
         }
     }
@@ -163,8 +163,8 @@
                 let _ = self.pipe.append(|out| writer.finish(out, &report));
                 self.shared
                     .book
-                    .ended_well(self.content, self.shared.now_ms());
-                if let Some(grant) = self.charge.grant.take() {
+                    .record_success(self.content, self.shared.now_ms());
+                if let Some(grant) = self.resources.grant.take() {
                     grant.finished(report.produced);
                 }
                 self.shared.record(
@@ -193,7 +193,7 @@
                 );
                 self.linger();
             }
-            StreamEnd::CallerGone => self.linger(),
+            StreamEnd::CallerDisconnected => self.linger(),
         }
     }
 
@@ -207,7 +207,7 @@
         // One that could not be reached from here may be reached from another entry VM.
         let lives = loss.kind == attempt::LossKind::Unreachable;
         self.end_early(refusal::RefusalCode::GenerationLost, message, lives);
-        if let Some(grant) = self.charge.grant.take() {
+        if let Some(grant) = self.resources.grant.take() {
             grant.failed(loss.kind.failure());
         }
         if lives {
@@ -231,7 +231,7 @@
                 reason: body.message.clone(),
             },
         );
-        let rest = lives.then(|| chunk::ContinuePlace {
+        let rest = lives.then(|| chunk::ContinuationLink {
             token: &self.token,
             from: self.live.next_index(),
         });
@@ -249,12 +249,12 @@
         let pass = shared.gate.extend();
         let Self {
             live,
-            charge,
+            resources,
             reader,
             ..
         } = self;
         tokio::spawn(async move {
-            let _held = (charge, pass);
+            let _held = (resources, pass);
             let mut live = live;
             live.disconnect();
             time::sleep(linger).await;
@@ -278,7 +278,7 @@
 async fn caller_reads(pipe: &pipe::PipeWriter, limit: Duration) -> Result<(), StreamEnd> {
     match time::timeout(limit, pipe.space()).await {
         Ok(Ok(())) => Ok(()),
-        Ok(Err(pipe::CallerGone)) => Err(StreamEnd::CallerGone),
+        Ok(Err(pipe::CallerDisconnected)) => Err(StreamEnd::CallerDisconnected),
         Err(_) => Err(StreamEnd::CallerStalled),
     }
 }
--- a/crates/flow/src/request.rs
+++ b/crates/flow/src/request.rs
@@ -43,7 +43,7 @@
     fn target(&self) -> snapshot::RequestTarget<'_>;
 
     /// What it needs a place for.
-    fn asked(&self) -> port::AskedWork;
+    fn asked(&self) -> port::RequestedWork;
 
     /// Its prompt; empty for a plain service call.
     fn prompt(&self) -> sync::Arc<str>;
@@ -276,8 +276,8 @@
         snapshot::RequestTarget::Model(&self.model)
     }
 
-    fn asked(&self) -> port::AskedWork {
-        port::AskedWork::Generation {
+    fn asked(&self) -> port::RequestedWork {
+        port::RequestedWork::Generation {
             model: self.model.clone(),
             adapter: self.adapter.clone(),
             prompt_tokens: self.prompt_tokens,
@@ -376,8 +376,8 @@
         snapshot::RequestTarget::Service(&self.raw.service)
     }
 
-    fn asked(&self) -> port::AskedWork {
-        port::AskedWork::Service {
+    fn asked(&self) -> port::RequestedWork {
+        port::RequestedWork::Service {
             service: self.raw.service.clone(),
         }
     }
--- a/crates/flow/src/running.rs
+++ b/crates/flow/src/running.rs
@@ -16,15 +16,15 @@
 const LATE_RETRY: Duration = Duration::from_secs(1);
 
 /// Where a try is to run.
-pub(crate) struct TryPlace<P: port::PortSet> {
+pub(crate) struct AttemptPlacement<P: port::PortSet> {
     pub(crate) target: port::ServerTarget,
     pub(crate) grant: admit::PlaceGrant<P>,
-    pub(crate) mark: crash_tracker::RunMark,
+    pub(crate) mark: crash_tracker::RunGuard,
     pub(crate) probe: Option<quarantine::ProbePass>,
 }
 
 /// A try that is under way.
-pub struct RunningTry<P: port::PortSet> {
+pub struct RunningAttempt<P: port::PortSet> {
     /// The generation.
     pub live: attempt::LiveTry<P>,
     /// What stays here while it runs.
@@ -32,13 +32,13 @@
     /// Its place.
     pub grant: admit::PlaceGrant<P>,
     /// Marks its content as running there.
-    pub mark: crash_tracker::RunMark,
+    pub mark: crash_tracker::RunGuard,
     /// Held by a suspect.
     pub probe: Option<quarantine::ProbePass>,
 }
 
 /// What follows a try that ended without an answer.
-pub(crate) enum TryEnd<P: port::PortSet> {
+pub(crate) enum AttemptEnd<P: port::PortSet> {
     /// Another may be started.
     Again {
         permit: proof::StartPermit,
@@ -56,7 +56,7 @@
     Refused(refused::Refused),
 }
 
-impl<P: port::PortSet> TryEnd<P> {
+impl<P: port::PortSet> AttemptEnd<P> {
     /// Another try, if the lost one could be settled.
     fn settled(
         settled: Result<proof::StartPermit, proof::TryTicket<proof::GenerationKind>>,
@@ -76,7 +76,7 @@
 
 type Facts = request::RequestFacts<request::GenerationWork>;
 
-impl<P: port::PortSet> TryPlace<P> {
+impl<P: port::PortSet> AttemptPlacement<P> {
     /// Sends one start.
     pub(crate) async fn start(
         self,
@@ -84,7 +84,7 @@
         facts: &Facts,
         terms: &request::Terms,
         permit: proof::StartPermit,
-    ) -> Result<RunningTry<P>, TryEnd<P>> {
+    ) -> Result<RunningAttempt<P>, AttemptEnd<P>> {
         shared.record(
             facts.id,
             dispatched(facts, &self.target, self.grant.reason()),
@@ -100,7 +100,7 @@
         );
         let server = self.target.key;
         match outcome.await {
-            proof::TryOutcome::Ran((live, ticket)) => Ok(RunningTry {
+            proof::TryOutcome::Ran((live, ticket)) => Ok(RunningAttempt {
                 live,
                 ticket,
                 grant: self.grant,
@@ -109,7 +109,7 @@
             }),
             proof::TryOutcome::NotRun { permit, cause } => {
                 self.grant.failed(port::FailureKind::Broken);
-                Err(TryEnd::Again {
+                Err(AttemptEnd::Again {
                     permit,
                     server,
                     cause,
@@ -131,23 +131,23 @@
                 Err(match (settled, hopeless) {
                     (Ok(permit), Some(code)) => {
                         let body = refusal::RefusalBody::not_run(code, cause);
-                        TryEnd::Refused(permit.refused(body))
+                        AttemptEnd::Refused(permit.refused(body))
                     }
-                    (settled, _) => TryEnd::settled(settled, server, cause),
+                    (settled, _) => AttemptEnd::settled(settled, server, cause),
                 })
             }
         }
     }
 }
 
-impl<P: port::PortSet> RunningTry<P> {
+impl<P: port::PortSet> RunningAttempt<P> {
     /// Waits for the first token or the end.
     pub(crate) async fn first_step(
         mut self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
         facts: &Facts,
         due_at: time::Instant,
-    ) -> Result<(Self, attempt::TryStep), TryEnd<P>> {
+    ) -> Result<(Self, attempt::TryStep), AttemptEnd<P>> {
         let step = {
             let Self { live, grant, .. } = &mut self;
             tokio::select! {
@@ -168,12 +168,12 @@
     }
 
     /// Nothing came in time: dropping the try cancels its generation.
-    fn too_late(self) -> TryEnd<P> {
+    fn too_late(self) -> AttemptEnd<P> {
         let message = "the first token did not come in time; ask again after the time given";
         let code = refusal::RefusalCode::DeadlineExceeded;
         self.grant.failed(port::FailureKind::Silent);
         let body = shared::come_back(code, message, LATE_RETRY);
-        TryEnd::Refused(self.ticket.refused(body))
+        AttemptEnd::Refused(self.ticket.refused(body))
     }
 
     /// Settles it after it was lost.
@@ -182,11 +182,11 @@
         shared: &sync::Arc<shared::SharedPlane<P>>,
         loss: attempt::TryLoss,
         until: time::Instant,
-    ) -> TryEnd<P> {
+    ) -> AttemptEnd<P> {
         let server = self.live.target().key;
         let settled = settle_live(shared, self.live, self.ticket, loss.kind, until).await;
         self.grant.failed(loss.kind.failure());
-        TryEnd::settled(settled, server, loss.cause)
+        AttemptEnd::settled(settled, server, loss.cause)
     }
 
     /// Stops it to make room, then waits for another place.
@@ -195,7 +195,7 @@
         shared: &sync::Arc<shared::SharedPlane<P>>,
         request: id::RequestId,
         until: time::Instant,
-    ) -> TryEnd<P> {
+    ) -> AttemptEnd<P> {
         shared.record(
             request,
             kind::EventKind::RequestPreempted {
@@ -212,22 +212,22 @@
             Err(ticket) => {
                 self.grant.failed(port::FailureKind::Silent);
                 let cause = "a generation that was to be moved could not be stopped";
-                return TryEnd::Refused(ticket.refused(settle::unsettled(cause)));
+                return AttemptEnd::Refused(ticket.refused(settle::unsettled(cause)));
             }
         };
         match time::timeout_at(until, self.grant.requeue()).await {
-            Ok(Ok(grant)) => TryEnd::Moved {
+            Ok(Ok(grant)) => AttemptEnd::Moved {
                 permit,
                 grant,
                 probe: self.probe,
             },
-            Ok(Err(body)) => TryEnd::Refused(permit.refused(body)),
+            Ok(Err(body)) => AttemptEnd::Refused(permit.refused(body)),
             Err(_) => {
                 let message = "it was stopped to make room and found no other place in time; ask \
                                again after the time given";
                 let code = refusal::RefusalCode::DeadlineExceeded;
                 let body = shared::come_back(code, message, LATE_RETRY);
-                TryEnd::Refused(permit.refused(body))
+                AttemptEnd::Refused(permit.refused(body))
             }
         }
     }
@@ -270,7 +270,7 @@
 fn dispatched(
     facts: &Facts,
     target: &port::ServerTarget,
-    reason: port::PlaceReason,
+    reason: port::PlacementReason,
 ) -> kind::EventKind {
     kind::EventKind::RequestDispatched {
         server: target.name.clone(),
--- a/crates/flow/src/settings.rs
+++ b/crates/flow/src/settings.rs
@@ -54,7 +54,7 @@
             caller_stall: Duration::from_secs(10),
             heartbeat: Duration::from_secs(1),
             call_limit: Duration::from_millis(800),
-            silence_floor: silence::PING_INTERVAL + silence::PING_LATENESS,
+            silence_floor: silence::PING_INTERVAL + silence::PING_TOLERANCE,
             opening_patience: Duration::from_millis(800),
             abandon_after: None,
             cancel_for: Duration::from_mins(1),
--- a/crates/flow/src/shared.rs
+++ b/crates/flow/src/shared.rs
@@ -25,7 +25,7 @@
     pub(crate) ports: P,
     pub(crate) settings: settings::PlaneSettings,
     pub(crate) gate: gate::FlowGate,
-    pub(crate) book: sync::Arc<crash_tracker::SuspectBook>,
+    pub(crate) book: sync::Arc<crash_tracker::CrashTracker>,
     pub(crate) readers: sync::Arc<readers::ReaderTable>,
     pub(crate) budget: sync::Mutex<budget::RetryBudget>,
     /// One permit for each server that suspects may have to themselves.
@@ -37,7 +37,7 @@
         Self {
             ports,
             gate: gate::FlowGate::default(),
-            book: sync::Arc::new(crash_tracker::SuspectBook::new(settings.suspects)),
+            book: sync::Arc::new(crash_tracker::CrashTracker::new(settings.suspects)),
             readers: sync::Arc::default(),
             budget: sync::Mutex::new(budget::RetryBudget::new(time::Instant::now())),
             probes: sync::Arc::new(tokio::sync::Semaphore::new(settings.probe_servers)),
@@ -74,7 +74,9 @@
 
     /// A server's process is gone: what ran there becomes suspect.
     pub(crate) fn note_death(&self, target: &port::ServerTarget, reason: &str) {
-        let contents = self.book.died(target.key, &target.name, self.now_ms());
+        let contents = self
+            .book
+            .record_death(target.key, &target.name, self.now_ms());
         if contents.is_empty() {
             return;
         }
@@ -149,7 +151,7 @@
         let cancel = self.ports.engines().cancel(target, generation);
         match time::timeout(self.settings.call_limit, cancel).await {
             Ok(Ok(answer)) => Ok(Some(answer)),
-            Ok(Err(crate::link_error::CancelFault::Refused { .. })) => Ok(None),
+            Ok(Err(crate::link_error::CancelError::Refused { .. })) => Ok(None),
             Ok(Err(fault)) => Err(fault.to_string()),
             Err(_) => Err(format!("{} did not answer a cancel in time", target.name)),
         }
--- a/crates/flow/src/silence.rs
+++ b/crates/flow/src/silence.rs
@@ -12,11 +12,11 @@
 
 /// A ping may be late by this much. A false alarm costs one connection and no token: the same
 /// generation goes on over the new one.
-pub const PING_LATENESS: Duration = Duration::from_millis(300);
+pub const PING_TOLERANCE: Duration = Duration::from_millis(300);
 
 /// Expects the next sign of life of one connection.
 #[derive(Clone, Copy, Debug)]
-pub struct SilenceGauge {
+pub struct SilenceDetector {
     /// Limit of an engine whose steps take no time.
     shortest: Duration,
     /// The rules' limit; no expectation makes the limit longer.
@@ -27,7 +27,7 @@
     last_sign_at: time::Instant,
 }
 
-impl SilenceGauge {
+impl SilenceDetector {
     /// A gauge of a connection opened at `now`.
     #[must_use]
     pub const fn new(shortest: Duration, longest: Duration, now: time::Instant) -> Self {
--- a/crates/flow/src/sse.rs
+++ b/crates/flow/src/sse.rs
@@ -10,7 +10,7 @@
 
 /// A stream carries something that is no event.
 #[derive(Debug, Snafu)]
-pub enum EventFault {
+pub enum EventError {
     /// A line does not end.
     #[snafu(display(
         "a line is longer than {LONGEST_LINE_BYTES} bytes; check what is served there"
@@ -60,8 +60,8 @@
     ///
     /// # Errors
     ///
-    /// [`EventFault`] when the stream makes no sense; nothing after it can be trusted.
-    pub fn take(&mut self) -> Result<Option<port::EngineEvent>, EventFault> {
+    /// [`EventError`] when the stream makes no sense; nothing after it can be trusted.
+    pub fn take(&mut self) -> Result<Option<port::EngineEvent>, EventError> {
         loop {
             let end = self.bytes[self.scanned..]
                 .iter()
@@ -83,7 +83,7 @@
 }
 
 /// A comment is a ping; empty lines and fields other than `data` are nothing.
-fn parse_line(line: &[u8]) -> Result<Option<port::EngineEvent>, EventFault> {
+fn parse_line(line: &[u8]) -> Result<Option<port::EngineEvent>, EventError> {
     if line.first() == Some(&b':') {
         return Ok(Some(port::EngineEvent::Ping));
     }
--- a/crates/flow/src/suspect.rs
+++ b/crates/flow/src/suspect.rs
@@ -109,7 +109,7 @@
     }
 
     /// A server died. Whether anything new was learnt.
-    pub fn died(&mut self, record: DeathRecord) -> bool {
+    pub fn record_death(&mut self, record: DeathRecord) -> bool {
         let learnt = self.take_in(record);
         if learnt {
             self.index();
--- a/crates/flow/tests/http.rs
+++ b/crates/flow/tests/http.rs
@@ -80,7 +80,7 @@
     let unknown = engines.resume(&target, id::GenerationId(2), 0).await;
     assert!(matches!(
         unknown,
-        Err(link_error::ResumeFault::NotHeld { .. })
+        Err(link_error::ResumeError::NotHeld { .. })
     ));
     let answer = engines.cancel(&target, id::GenerationId(1)).await.unwrap();
     assert!(matches!(
@@ -97,7 +97,7 @@
         .await;
     assert!(matches!(
         late,
-        Err(link_error::StartFault::Declined { status: 409, .. })
+        Err(link_error::StartError::Declined { status: 409, .. })
     ));
 }
 
@@ -111,17 +111,17 @@
     let started = engines.start(&gone, &order(3, "x"), permit()).await;
     assert!(matches!(
         started,
-        Err(link_error::StartFault::NeverSent { .. })
+        Err(link_error::StartError::NeverSent { .. })
     ));
     let resumed = engines.resume(&gone, id::GenerationId(3), 0).await;
     assert!(matches!(
         resumed,
-        Err(link_error::ResumeFault::Refused { .. })
+        Err(link_error::ResumeError::Refused { .. })
     ));
     let cancelled = engines.cancel(&gone, id::GenerationId(3)).await;
     assert!(matches!(
         cancelled,
-        Err(link_error::CancelFault::Refused { .. })
+        Err(link_error::CancelError::Refused { .. })
     ));
 
     let handle = service::ServiceHandle::new(service::ServiceProfile::default());
@@ -140,7 +140,7 @@
     let refused = services.call(&gone, &call, limit, permit()).await;
     assert!(matches!(
         refused,
-        Err(link_error::CallFault::NeverSent { .. })
+        Err(link_error::CallError::NeverSent { .. })
     ));
     let answer = services
         .call(&target(server.address()), &call, limit, permit())
@@ -153,6 +153,6 @@
     let lost = services
         .call(&target(server.address()), &call, limit, permit())
         .await;
-    assert!(matches!(lost, Err(link_error::CallFault::Lost { .. })));
+    assert!(matches!(lost, Err(link_error::CallError::Lost { .. })));
     assert_eq!(handle.counts().total, 2);
 }
--- a/crates/flow/tests/plane/links.rs
+++ b/crates/flow/tests/plane/links.rs
@@ -172,7 +172,7 @@
         target: &port::ServerTarget,
         order: &port::StartOrder,
         permit: proof::SendPermit,
-    ) -> Result<StandEvents, link_error::StartFault> {
+    ) -> Result<StandEvents, link_error::StartError> {
         self.switch.pass().await;
         let call = engine::StartCall {
             id: order.id,
@@ -191,16 +191,16 @@
         self.switch.pass().await;
         match started {
             Ok(stream) => Ok(self.events(stream, order.id)),
-            Err(engine::EngineError::Down) => Err(link_error::StartFault::NeverSent {
+            Err(engine::EngineError::Down) => Err(link_error::StartError::NeverSent {
                 evidence: permit.never_sent(),
                 server,
                 cause: "refused".to_owned(),
             }),
-            Err(engine::EngineError::AnswerLost) => Err(link_error::StartFault::Lost {
+            Err(engine::EngineError::AnswerLost) => Err(link_error::StartError::Lost {
                 server,
                 cause: "cut".to_owned(),
             }),
-            Err(_) => Err(link_error::StartFault::Declined {
+            Err(_) => Err(link_error::StartError::Declined {
                 server,
                 status: 409,
             }),
@@ -212,16 +212,16 @@
         target: &port::ServerTarget,
         generation: id::GenerationId,
         from: u32,
-    ) -> Result<StandEvents, link_error::ResumeFault> {
+    ) -> Result<StandEvents, link_error::ResumeError> {
         self.switch.pass().await;
         let server = target.name.clone();
         match self.handles[&target.key].resume(generation, from).await {
             Ok(stream) => Ok(self.events(stream, generation)),
-            Err(engine::EngineError::Down) => Err(link_error::ResumeFault::Refused { server }),
+            Err(engine::EngineError::Down) => Err(link_error::ResumeError::Refused { server }),
             Err(engine::EngineError::NotHeld { .. }) => {
-                Err(link_error::ResumeFault::NotHeld { server })
+                Err(link_error::ResumeError::NotHeld { server })
             }
-            Err(_) => Err(link_error::ResumeFault::Lost {
+            Err(_) => Err(link_error::ResumeError::Lost {
                 server,
                 cause: "cut".to_owned(),
             }),
@@ -232,7 +232,7 @@
         &self,
         target: &port::ServerTarget,
         generation: id::GenerationId,
-    ) -> Result<port::CancelAnswer, link_error::CancelFault> {
+    ) -> Result<port::CancelAnswer, link_error::CancelError> {
         self.switch.pass().await;
         let server = target.name.clone();
         match self.handles[&target.key].cancel(generation).await {
@@ -243,8 +243,8 @@
                 Ok(port::CancelAnswer::Known { ran, produced })
             }
             Ok(engine::call::CancelAnswer::Remembered) => Ok(port::CancelAnswer::Remembered),
-            Err(engine::EngineError::Down) => Err(link_error::CancelFault::Refused { server }),
-            Err(_) => Err(link_error::CancelFault::Lost {
+            Err(engine::EngineError::Down) => Err(link_error::CancelError::Refused { server }),
+            Err(_) => Err(link_error::CancelError::Lost {
                 server,
                 cause: "cut".to_owned(),
             }),
@@ -253,7 +253,7 @@
 }
 
 impl port::EngineEvents for StandEvents {
-    async fn next(&mut self) -> Result<port::TaggedEvent, link_error::StreamFault> {
+    async fn next(&mut self) -> Result<port::TaggedEvent, link_error::StreamError> {
         let server = String::from("stand");
         loop {
             self.switch.pass().await;
@@ -270,11 +270,11 @@
                 }
                 Some(engine::StreamEvent::Nonsense) => {
                     let cause = "nonsense".to_owned();
-                    return Err(link_error::StreamFault::Nonsense { server, cause });
+                    return Err(link_error::StreamError::Nonsense { server, cause });
                 }
                 None => {
                     let cause = "ended".to_owned();
-                    return Err(link_error::StreamFault::Cut { server, cause });
+                    return Err(link_error::StreamError::Cut { server, cause });
                 }
             };
             let tagged = port::TaggedEvent {
@@ -317,7 +317,7 @@
         call: &port::ServiceCall,
         _time_left: Duration,
         permit: proof::SendPermit,
-    ) -> Result<port::ServiceAnswer, link_error::CallFault> {
+    ) -> Result<port::ServiceAnswer, link_error::CallError> {
         self.switch.pass().await;
         let sent = service::ServiceCall {
             method: call.method.clone(),
@@ -335,12 +335,12 @@
                 content_type: None,
                 body: serde_json::to_vec(&answer).unwrap().into(),
             }),
-            Err(service::handle::ServiceError::Refused) => Err(link_error::CallFault::NeverSent {
+            Err(service::handle::ServiceError::Refused) => Err(link_error::CallError::NeverSent {
                 evidence: permit.never_sent(),
                 server,
                 cause: "refused".to_owned(),
             }),
-            Err(service::handle::ServiceError::Broken) => Err(link_error::CallFault::Lost {
+            Err(service::handle::ServiceError::Broken) => Err(link_error::CallError::Lost {
                 server,
                 cause: "cut".to_owned(),
             }),
@@ -369,14 +369,14 @@
     .retry_after_ms(500)
 }
 
-impl port::ClaimBook for SharedClaims {
-    async fn claim(&self, mut ask: port::ClaimAsk) -> port::ClaimAnswer {
+impl port::ClaimStore for SharedClaims {
+    async fn claim(&self, mut claim: port::ClaimRequest) -> port::ClaimAnswer {
         self.switch.pass().await;
-        ask.holds_for = ask.holds_for.min(CLAIM_HOLDS_FOR);
+        claim.holds_for = claim.holds_for.min(CLAIM_HOLDS_FOR);
         if *self.down.borrow() {
             return port::ClaimAnswer::Refused(log_down());
         }
-        let answer = self.book.claim(ask).await;
+        let answer = self.book.claim(claim).await;
         let late = *self.late.lock().unwrap();
         time::sleep(late).await;
         self.switch.pass().await;
@@ -412,7 +412,7 @@
     pub switch: ProcessSwitch,
 }
 
-impl port::JobBook for SharedJobs {
+impl port::JobStore for SharedJobs {
     async fn accept(&self, job: port::JobRecord) -> port::AcceptAnswer {
         self.switch.pass().await;
         if *self.down.borrow() {
@@ -438,9 +438,9 @@
         self.book.renew(lease).await
     }
 
-    async fn give_back(&self, lease: &port::JobLease) {
+    async fn release(&self, lease: &port::JobLease) {
         self.switch.pass().await;
-        self.book.give_back(lease).await;
+        self.book.release(lease).await;
     }
 
     async fn store(
--- a/crates/flow/tests/pure.rs
+++ b/crates/flow/tests/pure.rs
@@ -50,13 +50,13 @@
         let mut straight = suspect::SuspectTable::new(limits);
         let (mut left, mut right) = (straight.clone(), straight.clone());
         for death in &deaths {
-            straight.died(death.clone());
+            straight.record_death(death.clone());
             let half = if u.arbitrary()? {
                 &mut left
             } else {
                 &mut right
             };
-            half.died(death.clone());
+            half.record_death(death.clone());
         }
         let (from_left, from_right) = (left.digest(), right.digest());
         left.merge(from_right.clone());
@@ -86,7 +86,7 @@
                 }
             }
             let server = format!("engine-{at_ms}");
-            table.died(suspect::DeathRecord {
+            table.record_death(suspect::DeathRecord {
                 server,
                 at_ms,
                 contents: contents.clone(),
