--- a/crates/flow/src/collect.rs
+++ b/crates/flow/src/collect.rs
@@ -54,7 +54,7 @@
                 text.push_str(&token);
                 opened.claimed.quota.charge(1);
                 unreported += 1;
-                if unreported == relay::PROGRESS_LOT {
+                if unreported == relay::PROGRESS_BATCH {
                     running.grant.progress(std::mem::take(&mut unreported));
                 }
             }
--- a/crates/flow/src/continuation.rs
+++ b/crates/flow/src/continuation.rs
@@ -1,4 +1,4 @@
-//! Going on with a stream that broke, by its token, on any entry VM.
+//! Continuation of a broken stream on any entry VM, identified by its continuation token.
 
 use std::time::Duration;
 
@@ -12,19 +12,19 @@
     proof, refused, relay, request, running, shared, token,
 };
 
-/// When to come back to an entry VM that does not know the generation's server yet.
+/// Retry delay given when this entry VM does not know the generation's server yet.
 const UNKNOWN_SERVER_RETRY: Duration = Duration::from_secs(1);
 
-/// When to come back after a generation was lost: a new one can start at once.
+/// Retry delay given after a generation was lost; short, because a new one can start at once.
 const LOST_RETRY: Duration = Duration::from_millis(100);
 
 impl<P: port::PortSet> plane::RequestPlane<P> {
-    /// A call of `GET /v1/generations/<token>?from=N`: streams the same generation from token
+    /// Serves `GET /v1/generations/<token>?from=N`: streams the same generation from token
     /// number `from` on.
     ///
     /// # Errors
     ///
-    /// An honest refusal; `generation_lost` when there is nothing to go on with.
+    /// A refusal with the known run state; `generation_lost` when the generation no longer exists.
     pub async fn continue_generation(
         &self,
         headers: request::CallerHeaders,
@@ -87,7 +87,7 @@
         })
     }
 
-    /// A connection to a generation that runs already.
+    /// Connects to a generation that is already running.
     async fn connect(
         &self,
         facts: &token::ContinuationFacts,
@@ -111,14 +111,15 @@
                 Ok(live)
             }
             Err(loss) => {
-                // Another may still read it, and this caller may come back for it.
+                // Another relay may still read the generation, and this caller may retry.
                 live.release();
                 Err(proof::FlowingTry::continued().refused(not_continued(&loss)))
             }
         }
     }
 
-    /// The facts of a token that this caller may use, and the generation's server.
+    /// Verifies the token, checks that the caller's organisation owns it and looks up the
+    /// generation's server.
     fn resolve(
         &self,
         known: &request::Request<(), request::Known>,
@@ -131,17 +132,17 @@
         if organisation.is_none_or(|organisation| organisation.name != facts.organisation) {
             return Err(refusal::RefusalBody::not_run(
                 refusal::RefusalCode::Forbidden,
-                "the continuation token is another organisation's; use the key that the request \
-                 was sent with",
+                "the continuation token belongs to another organisation; use the API key that the \
+                 request was sent with",
             ));
         }
         let key = view.config.server_key(&facts.server);
         match key.and_then(|key| view.target(key)) {
             Some(target) => Ok((facts, target)),
-            // A token of a newer configuration than this entry VM has: it will have it soon.
+            // The token was issued under a newer configuration, which this entry VM will soon get.
             None if facts.revision > view.config.revision() => {
-                let message = "this entry VM does not know the generation's server yet; ask \
-                               again after the time given";
+                let message = "this entry VM does not know the generation's server yet; retry \
+                               after the given time";
                 let code = refusal::RefusalCode::NotReady;
                 Err(shared::come_back(code, message, UNKNOWN_SERVER_RETRY))
             }
@@ -163,7 +164,7 @@
 fn not_continued(loss: &attempt::TryLoss) -> refusal::RefusalBody {
     match loss.kind {
         attempt::LossKind::Unreachable => {
-            let message = format!("{}; ask again, or another entry VM", loss.cause);
+            let message = format!("{}; retry here or at another entry VM", loss.cause);
             let code = refusal::RefusalCode::Unavailable;
             shared::come_back(code, message, UNKNOWN_SERVER_RETRY)
         }
@@ -175,6 +176,6 @@
 }
 
 fn lost(cause: &str) -> refusal::RefusalBody {
-    let message = format!("the generation is lost: {cause}; send the request anew");
+    let message = format!("the generation is lost: {cause}; send the request again");
     shared::come_back(refusal::RefusalCode::GenerationLost, message, LOST_RETRY)
 }
--- a/crates/flow/src/crash_tracker.rs
+++ b/crates/flow/src/crash_tracker.rs
@@ -1,4 +1,4 @@
-//! What runs on which server, and what to do with it when the server dies.
+//! Tracks which content runs on which server and makes it suspect when the server crashes.
 
 use std::{collections, sync};
 
@@ -6,32 +6,32 @@
 
 use crate::suspect;
 
-/// Content that ended well is remembered until this many others did.
-const INNOCENTS_KEPT: usize = 4096;
+/// Maximum number of contents remembered as completed; the oldest is dropped first.
+const MAX_COMPLETED: usize = 4096;
 
 #[derive(Debug, Default)]
 struct TrackerState {
     table: suspect::SuspectTable,
-    /// What runs, with how often; an entry is never 0.
+    /// Number of runs of each content on each server; never 0.
     running: collections::BTreeMap<(id::ServerKey, ContentHash), u32>,
-    /// Oldest first.
-    innocent_order: collections::VecDeque<ContentHash>,
-    /// The same as `innocent_order`.
-    innocents: collections::BTreeSet<ContentHash>,
-    /// Servers where a suspect runs.
+    /// Completed contents, oldest first.
+    completed_order: collections::VecDeque<ContentHash>,
+    /// The contents of `completed_order`, for lookup.
+    completed: collections::BTreeSet<ContentHash>,
+    /// Servers on which a suspect runs alone.
     probed: collections::BTreeSet<id::ServerKey>,
 }
 
-/// The suspects of one process; shared by all requests.
+/// Crash suspects known to one process; shared by all requests.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
     state: sync::Mutex<TrackerState>,
 }
 
-/// Marks content as running on a server for as long as it is held.
+/// Counts content as running on a server until dropped.
 #[derive(Debug)]
 pub struct RunGuard {
-    book: sync::Arc<CrashTracker>,
+    tracker: sync::Arc<CrashTracker>,
     server: id::ServerKey,
     content: ContentHash,
     probe: bool,
@@ -39,12 +39,12 @@
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        let mut state = self.book.lock();
-        let place = (self.server, self.content);
-        if let Some(count) = state.running.get_mut(&place) {
+        let mut state = self.tracker.lock();
+        let key = (self.server, self.content);
+        if let Some(count) = state.running.get_mut(&key) {
             *count -= 1;
             if *count == 0 {
-                state.running.remove(&place);
+                state.running.remove(&key);
             }
         }
         if self.probe {
@@ -54,7 +54,7 @@
 }
 
 impl CrashTracker {
-    /// An empty book.
+    /// Creates a tracker without suspects.
     #[must_use]
     pub fn new(limits: suspect::SuspectLimits) -> Self {
         let state = TrackerState {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Content begins to run on a server, as a suspect when `probe`. `None`: another suspect
-    /// runs there, and of two a death would name neither.
+    /// Records that content starts to run on a server, as a suspect if `probe` is set. Returns
+    /// `None` if another suspect runs there: with two, a crash would identify neither.
     pub fn begin(
         self: &sync::Arc<Self>,
         server: id::ServerKey,
@@ -81,28 +81,29 @@
         *state.running.entry((server, content)).or_default() += 1;
         drop(state);
         Some(RunGuard {
-            book: self.clone(),
+            tracker: self.clone(),
             server,
             content,
             probe,
         })
     }
 
-    /// Servers where a suspect runs: nobody else should go there.
+    /// Servers on which a suspect runs; no other request should be placed there.
     #[must_use]
     pub fn probed(&self) -> Vec<id::ServerKey> {
         self.lock().probed.iter().copied().collect()
     }
 
-    /// Content ended well: what crashes each server that runs it cannot do that.
+    /// Records that content completed, which clears it: content that crashes every server that
+    /// runs it never completes.
     pub fn record_success(&self, content: ContentHash, now_ms: u64) {
         let mut state = self.lock();
-        if state.innocents.insert(content) {
-            state.innocent_order.push_back(content);
-            if state.innocent_order.len() > INNOCENTS_KEPT
-                && let Some(oldest) = state.innocent_order.pop_front()
+        if state.completed.insert(content) {
+            state.completed_order.push_back(content);
+            if state.completed_order.len() > MAX_COMPLETED
+                && let Some(oldest) = state.completed_order.pop_front()
             {
-                state.innocents.remove(&oldest);
+                state.completed.remove(&oldest);
             }
         }
         if state.table.standing(content, now_ms) != suspect::ContentStanding::Clear {
@@ -110,14 +111,15 @@
         }
     }
 
-    /// A server's process is gone. Returns what became suspect, when that is news.
+    /// Records the death of a server's process. Returns the contents that became suspect, or
+    /// nothing if the record adds nothing.
     pub fn record_death(&self, server: id::ServerKey, name: &str, now_ms: u64) -> Vec<ContentHash> {
         let mut state = self.lock();
         let contents: collections::BTreeSet<ContentHash> = state
             .running
             .keys()
             .filter(|(running_on, content)| {
-                *running_on == server && !state.innocents.contains(content)
+                *running_on == server && !state.completed.contains(content)
             })
             .map(|(_, content)| *content)
             .collect();
@@ -130,22 +132,22 @@
             contents: contents.clone(),
         };
         state.table.expire(now_ms);
-        let learnt = state.table.record_death(record);
+        let is_new = state.table.record_death(record);
         drop(state);
-        if learnt {
+        if is_new {
             contents.into_iter().collect()
         } else {
             Vec::new()
         }
     }
 
-    /// What to do with content.
+    /// Whether content may run freely, runs alone as a suspect, or is quarantined.
     #[must_use]
     pub fn standing(&self, content: ContentHash, now_ms: u64) -> suspect::ContentStanding {
         self.lock().table.standing(content, now_ms)
     }
 
-    /// What other entry VMs should know.
+    /// All records, for other entry VMs; expired ones are dropped first.
     #[must_use]
     pub fn digest(&self, now_ms: u64) -> suspect::SuspectDigest {
         let mut state = self.lock();
@@ -153,29 +155,29 @@
         state.table.digest()
     }
 
-    /// What other entry VMs should know of what happened at `since_ms` or later: those that heard
-    /// of the rest already.
+    /// Records of `since_ms` or later, for entry VMs that already received the older ones.
     #[must_use]
     pub fn digest_since(&self, since_ms: u64) -> suspect::SuspectDigest {
         self.lock().table.digest_since(since_ms)
     }
 
-    /// Takes in what another entry VM knows. Whether anything new was learnt.
+    /// Merges the records of another entry VM. Returns whether any of them was new.
     pub fn merge(&self, digest: suspect::SuspectDigest) -> bool {
         self.lock().table.merge(digest)
     }
 
-    /// Everything that is suspected or quarantined.
+    /// Lists all suspected and quarantined contents.
     #[must_use]
     pub fn list(&self, now_ms: u64) -> Vec<ops::QuarantineStatus> {
         self.lock().table.list(now_ms)
     }
 
-    /// An operator lifts content's quarantine. Whether it was held against it at all.
+    /// Lifts the quarantine or suspicion of content for an operator. Returns false if there was
+    /// none.
     pub fn lift(&self, content: ContentHash, now_ms: u64) -> bool {
         let mut state = self.lock();
-        let held = state.table.standing(content, now_ms) != suspect::ContentStanding::Clear;
-        held && state.table.clear(content, now_ms)
+        let is_listed = state.table.standing(content, now_ms) != suspect::ContentStanding::Clear;
+        is_listed && state.table.clear(content, now_ms)
     }
 
     fn lock(&self) -> sync::MutexGuard<'_, TrackerState> {
--- a/crates/flow/src/cursor.rs
+++ b/crates/flow/src/cursor.rs
@@ -1,10 +1,10 @@
-//! Which events of a stream count: each token once, in order, of one generation.
+//! Filters a stream's events so that each token of one generation is delivered once, in order.
 
 use base::id;
 
 use crate::port;
 
-/// What an event means for the answer.
+/// Effect of an event on the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CursorStep {
     /// The next token.
@@ -14,17 +14,18 @@
         /// Its text.
         text: String,
     },
-    /// The generation lives, nothing else.
+    /// A ping: the generation is still running.
     Alive,
-    /// A repeat of a token that was delivered.
+    /// A repeat of a delivered token.
     Repeated,
-    /// It belongs to another generation: an abandoned try, or a crossed answer.
+    /// The event belongs to another generation: an abandoned attempt, or an answer sent on the
+    /// wrong connection.
     Foreign,
-    /// Tokens before it are missing: this connection cannot be trusted further.
+    /// Tokens before the event are missing, so the rest of this connection is not used.
     Gap,
-    /// The generation ended and every token of it was delivered.
+    /// The generation ended and all its tokens were delivered.
     Finished(port::FinishReport),
-    /// It says that it ended with fewer tokens than were delivered.
+    /// The finish reports fewer tokens than were delivered.
     Contradiction,
 }
 
@@ -32,34 +33,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamCursor {
     generation: id::GenerationId,
-    /// Number of the token that comes next; all before it were delivered.
+    /// Number of the next token; all before it were delivered.
     next: u32,
 }
 
 impl StreamCursor {
-    /// A cursor in `generation` before token number `next`.
+    /// Creates a cursor in `generation` before token number `next`.
     #[must_use]
     pub const fn new(generation: id::GenerationId, next: u32) -> Self {
         Self { generation, next }
     }
 
-    /// Number of the token that comes next.
+    /// Number of the next token.
     #[must_use]
     pub const fn next(&self) -> u32 {
         self.next
     }
 
-    /// The generation.
+    /// Generation whose events the cursor accepts.
     #[must_use]
     pub const fn generation(&self) -> id::GenerationId {
         self.generation
     }
 
-    /// Takes in one event.
+    /// Processes one event.
     ///
-    /// Events carry the generation that they belong to. What goes wrong otherwise: an answer of
-    /// an abandoned try that comes late, or one that crossed with another's, continues this
-    /// answer with a text that is not its own; one would notice only by reading it.
+    /// Events carry their generation. Without this check, a late answer of an abandoned attempt,
+    /// or one sent on the wrong connection, would add another generation's text to this answer,
+    /// which only a reader of the text would notice.
     pub fn accept(&mut self, tagged: port::TaggedEvent) -> CursorStep {
         if tagged.generation != self.generation {
             return CursorStep::Foreign;
--- a/crates/flow/src/relay.rs
+++ b/crates/flow/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying a generation to a caller, token by token.
+//! Relays a generation to a caller, token by token.
 
 use std::{pin, sync, time::Duration};
 
@@ -12,32 +12,32 @@
     proof, quarantine, quota, readers, shared,
 };
 
-/// Tokens are reported to the scheduler in lots of this many.
-pub(crate) const PROGRESS_LOT: u32 = 16;
+/// Number of tokens that are reported to the scheduler together.
+pub(crate) const PROGRESS_BATCH: u32 = 16;
 
-/// When to come back after a generation was lost: a new one can start at once.
+/// Retry delay given after a generation was lost; short, because a new one can start at once.
 const LOST_RETRY: Duration = Duration::from_millis(100);
 
-/// What a stream holds besides its generation.
+/// Resources that a stream holds besides its generation.
 pub struct StreamResources<P: port::PortSet> {
-    /// Its place; absent when another entry VM holds it.
+    /// Its slot on the server; absent if another entry VM holds it.
     pub grant: Option<admit::PlaceGrant<P>>,
-    /// Its share of its organisation's limits.
+    /// Its part of its organisation's quota.
     pub quota: Option<quota::QuotaPermit<P>>,
-    /// Marks its content as running.
+    /// Counts its content as running.
     pub mark: Option<crash_tracker::RunGuard>,
-    /// Held by a suspect.
+    /// Held if the content is a suspect, which runs alone.
     pub probe: Option<quarantine::ProbePass>,
 }
 
-/// A generation on its way to a caller.
+/// Relays one generation to one caller.
 pub struct StreamRelay<P: port::PortSet> {
     pub(crate) shared: sync::Arc<shared::SharedPlane<P>>,
     pub(crate) request: id::RequestId,
     pub(crate) content: fingerprint::ContentHash,
     pub(crate) arrived_at: time::Instant,
     pub(crate) live: attempt::LiveTry<P>,
-    /// Nothing but the same generation may follow.
+    /// Proof that tokens were delivered: only the same generation may continue the answer.
     pub(crate) flowing: proof::FlowingTry,
     pub(crate) resources: StreamResources<P>,
     pub(crate) writer: chunk::ChunkWriter,
@@ -48,20 +48,20 @@
 
 /// How a stream ended.
 enum StreamEnd {
-    /// Whole.
+    /// All tokens were delivered.
     Finished(port::FinishReport),
-    /// The rest is not coming.
+    /// The generation cannot be continued from here.
     Lost(attempt::TryLoss),
-    /// The caller is gone.
+    /// The caller closed its connection.
     CallerDisconnected,
-    /// The caller reads nothing.
+    /// The caller stopped reading.
     CallerStalled,
-    /// Another entry VM goes on.
+    /// This entry VM is shutting down and another one continues the stream.
     HandedOver,
 }
 
 impl<P: port::PortSet> StreamRelay<P> {
-    /// Relays to the end, beginning with `first` when it is there already.
+    /// Relays to the end, starting with `first` if it has already arrived.
     pub async fn run(mut self, first: Option<attempt::TryStep>) {
         let end = self.relay(first).await;
         self.finish(end);
@@ -69,10 +69,10 @@
 
     async fn relay(&mut self, first: Option<attempt::TryStep>) -> StreamEnd {
         let mut unreported = 0;
-        let mut beat = Box::pin(time::sleep(self.shared.settings.heartbeat));
+        let mut heartbeat = Box::pin(time::sleep(self.shared.settings.heartbeat));
         let mut step = match first {
             Some(step) => step,
-            None => match self.wait(beat.as_mut()).await {
+            None => match self.wait(heartbeat.as_mut()).await {
                 Ok(step) => step,
                 Err(end) => return end,
             },
@@ -81,7 +81,7 @@
             let has_space = match step {
                 attempt::TryStep::Token { index, text } => {
                     unreported += 1;
-                    if unreported == PROGRESS_LOT || index == 0 {
+                    if unreported == PROGRESS_BATCH || index == 0 {
                         self.report(std::mem::take(&mut unreported));
                     }
                     let writer = &self.writer;
@@ -97,29 +97,29 @@
                 Ok(true) => {}
                 Ok(false) => {
                     let limit = self.shared.settings.caller_stall;
-                    if let Err(end) = caller_reads(&self.pipe, limit).await {
+                    if let Err(end) = wait_for_space(&self.pipe, limit).await {
                         return end;
                     }
                 }
                 Err(pipe::CallerDisconnected) => return StreamEnd::CallerDisconnected,
             }
-            step = match self.wait(beat.as_mut()).await {
+            step = match self.wait(heartbeat.as_mut()).await {
                 Ok(step) => step,
                 Err(end) => return end,
             };
         }
     }
 
-    /// The next step; shows the caller a sign of life while there is none.
+    /// Waits for the next step and sends the caller heartbeats meanwhile.
     async fn wait(
         &mut self,
-        mut beat: pin::Pin<&mut time::Sleep>,
+        mut timer: pin::Pin<&mut time::Sleep>,
     ) -> Result<attempt::TryStep, StreamEnd> {
         if self.shared.gate.hands_over() {
             return Err(StreamEnd::HandedOver);
         }
         let heartbeat = self.shared.settings.heartbeat;
-        let mut shown_at = time::Instant::now();
+        let mut sent_at = time::Instant::now();
         let next = self.live.next();
         tokio::pin!(next);
         loop {
@@ -127,23 +127,23 @@
                 biased;
                 step = &mut next => return Ok(step),
                 () = self.pipe.disconnected() => return Err(StreamEnd::CallerDisconnected),
-                () = beat.as_mut() => {}
+                () = timer.as_mut() => {}
             }
             if self.shared.gate.hands_over() {
                 return Err(StreamEnd::HandedOver);
             }
-            // The beat is set anew only when it rings, so that a token costs no timer.
+            // The timer is reset only when it fires, so that a token costs no timer operation.
             let now = time::Instant::now();
-            if shown_at + heartbeat <= now {
-                shown_at = now;
-                let shown = self
+            if sent_at + heartbeat <= now {
+                sent_at = now;
+                let sent = self
                     .pipe
                     .append(|out| out.extend_from_slice(chunk::HEARTBEAT));
-                if shown.is_err() {
+                if sent.is_err() {
                     return Err(StreamEnd::CallerDisconnected);
                 }
             }
-            beat.as_mut().reset(shown_at + heartbeat);
+            timer.as_mut().reset(sent_at + heartbeat);
         }
     }
 
@@ -178,13 +178,13 @@
             }
             StreamEnd::Lost(loss) => self.end_lost(loss),
             StreamEnd::HandedOver => {
-                let message = "this entry VM is leaving; go on at another with the request in \
-                               `pollenchute.continue`";
+                let message = "this entry VM is shutting down; continue at another one with the \
+                               request in `pollenchute.continue`";
                 self.end_early(refusal::RefusalCode::NotReady, message.to_owned(), true);
                 self.live.release();
             }
             StreamEnd::CallerStalled => {
-                let message = "nothing was read for too long; go on with the request in \
+                let message = "the caller did not read in time; continue with the request in \
                                `pollenchute.continue`";
                 self.end_early(
                     refusal::RefusalCode::DeadlineExceeded,
@@ -200,25 +200,25 @@
     fn end_lost(mut self, loss: attempt::TryLoss) {
         metrics::counter!("pollenchute_flow_generations_lost_total").increment(1);
         let message = format!(
-            "the generation was lost after token {}: {}; send the request anew",
+            "the generation was lost after token {}: {}; send the request again",
             self.live.next_index(),
             loss.cause
         );
-        // One that could not be reached from here may be reached from another entry VM.
-        let lives = loss.kind == attempt::LossKind::Unreachable;
-        self.end_early(refusal::RefusalCode::GenerationLost, message, lives);
+        // A server that is unreachable from here may be reachable from another entry VM.
+        let can_continue = loss.kind == attempt::LossKind::Unreachable;
+        self.end_early(refusal::RefusalCode::GenerationLost, message, can_continue);
         if let Some(grant) = self.resources.grant.take() {
             grant.failed(loss.kind.failure());
         }
-        if lives {
+        if can_continue {
             self.linger();
         } else if !self.reader.is_last() {
             self.live.release();
         }
     }
 
-    /// Tells the caller that no more comes by this stream, and whether the rest may be had.
-    fn end_early(&self, code: refusal::RefusalCode, message: String, lives: bool) {
+    /// Ends the caller's stream with a refusal, which links to the rest if `can_continue`.
+    fn end_early(&self, code: refusal::RefusalCode, message: String, can_continue: bool) {
         let body = shared::come_back(code, message, LOST_RETRY);
         let refused = self.flowing.refused(body);
         let body = refused.body();
@@ -231,21 +231,22 @@
                 reason: body.message.clone(),
             },
         );
-        let rest = lives.then(|| chunk::ContinuationLink {
+        let rest = can_continue.then(|| chunk::ContinuationLink {
             token: &self.token,
             from: self.live.next_index(),
         });
-        // A caller that is gone meanwhile is told nothing.
+        // The caller may have disconnected meanwhile.
         let _ = self
             .pipe
             .append(|out| chunk::write_refusal(out, body, rest));
     }
 
-    /// Keeps the generation of a gone caller for a while, to be continued here or elsewhere.
+    /// Keeps the generation of a disconnected caller for a while, so that the caller can continue
+    /// it here or at another entry VM.
     fn linger(self) {
         let linger = self.shared.settings.linger;
         let (request, shared) = (self.request, self.shared.clone());
-        // Neither the pipe nor the connection is needed any longer.
+        // The pipe and the connection are no longer needed.
         let pass = shared.gate.extend();
         let Self {
             live,
@@ -266,16 +267,16 @@
                 request,
                 kind::EventKind::RequestCancelled {
                     ran: outcome::RanState::Yes,
-                    reason: "its caller is gone".to_owned(),
+                    reason: "its caller disconnected".to_owned(),
                 },
             );
-            // Dropping the try cancels its generation.
+            // Dropping `live` cancels its generation.
         });
     }
 }
 
-/// Waits for space in the pipe, as long as a caller may take to read.
-async fn caller_reads(pipe: &pipe::PipeWriter, limit: Duration) -> Result<(), StreamEnd> {
+/// Waits until the caller has read enough to leave space in the pipe, at most for `limit`.
+async fn wait_for_space(pipe: &pipe::PipeWriter, limit: Duration) -> Result<(), StreamEnd> {
     match time::timeout(limit, pipe.space()).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(pipe::CallerDisconnected)) => Err(StreamEnd::CallerDisconnected),
--- a/crates/flow/src/running.rs
+++ b/crates/flow/src/running.rs
@@ -1,4 +1,4 @@
-//! One try of a generation with what it holds: its start, its first step, and its end.
+//! One attempt of a generation with the resources it holds: its start, first step and end.
 
 use std::{sync, time::Duration};
 
@@ -12,10 +12,10 @@
     proof, quarantine, refused, request, settle, shared, view,
 };
 
-/// When to come back after nothing came in time.
-const LATE_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay given when the deadline passed without a first token.
+const DEADLINE_RETRY: Duration = Duration::from_secs(1);
 
-/// Where a try is to run.
+/// Placement of an attempt that is about to start.
 pub(crate) struct AttemptPlacement<P: port::PortSet> {
     pub(crate) target: port::ServerTarget,
     pub(crate) grant: admit::PlaceGrant<P>,
@@ -23,41 +23,41 @@
     pub(crate) probe: Option<quarantine::ProbePass>,
 }
 
-/// A try that is under way.
+/// A started attempt.
 pub struct RunningAttempt<P: port::PortSet> {
     /// The generation.
     pub live: attempt::LiveTry<P>,
-    /// What stays here while it runs.
+    /// Records that the attempt was sent and is not settled yet.
     pub ticket: proof::TryTicket<proof::GenerationKind>,
-    /// Its place.
+    /// Its slot on the server.
     pub grant: admit::PlaceGrant<P>,
-    /// Marks its content as running there.
+    /// Counts its content as running on the server.
     pub mark: crash_tracker::RunGuard,
-    /// Held by a suspect.
+    /// Held if the content is a suspect, which runs alone.
     pub probe: Option<quarantine::ProbePass>,
 }
 
-/// What follows a try that ended without an answer.
+/// Result of an attempt that ended without an answer.
 pub(crate) enum AttemptEnd<P: port::PortSet> {
-    /// Another may be started.
+    /// Another attempt may be started.
     Again {
         permit: proof::StartPermit,
-        /// Where it was lost.
+        /// The server on which the attempt was lost.
         server: id::ServerKey,
         cause: String,
     },
-    /// The scheduler stopped it; it has a place again.
+    /// The scheduler preempted it and has placed it again.
     Moved {
         permit: proof::StartPermit,
         grant: admit::PlaceGrant<P>,
         probe: Option<quarantine::ProbePass>,
     },
-    /// The request ends here.
+    /// The request is refused.
     Refused(refused::Refused),
 }
 
 impl<P: port::PortSet> AttemptEnd<P> {
-    /// Another try, if the lost one could be settled.
+    /// Allows another attempt if the lost one could be settled, or refuses the request.
     fn settled(
         settled: Result<proof::StartPermit, proof::TryTicket<proof::GenerationKind>>,
         server: id::ServerKey,
@@ -77,7 +77,7 @@
 type Facts = request::RequestFacts<request::GenerationWork>;
 
 impl<P: port::PortSet> AttemptPlacement<P> {
-    /// Sends one start.
+    /// Starts the generation on the server.
     pub(crate) async fn start(
         self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
@@ -141,7 +141,7 @@
 }
 
 impl<P: port::PortSet> RunningAttempt<P> {
-    /// Waits for the first token or the end.
+    /// Waits for the first token or the end of the generation.
     pub(crate) async fn first_step(
         mut self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
@@ -154,7 +154,7 @@
                 biased;
                 step = live.next() => Some(step),
                 () = grant.preempted() => None,
-                () = time::sleep_until(due_at) => return Err(self.too_late()),
+                () = time::sleep_until(due_at) => return Err(self.deadline_exceeded()),
             }
         };
         match step {
@@ -167,16 +167,17 @@
         }
     }
 
-    /// Nothing came in time: dropping the try cancels its generation.
-    fn too_late(self) -> AttemptEnd<P> {
-        let message = "the first token did not come in time; ask again after the time given";
+    /// Refuses the request because no first token arrived before the deadline. Dropping the
+    /// attempt cancels its generation.
+    fn deadline_exceeded(self) -> AttemptEnd<P> {
+        let message = "the first token did not arrive in time; retry after the given time";
         let code = refusal::RefusalCode::DeadlineExceeded;
         self.grant.failed(port::FailureKind::Silent);
-        let body = shared::come_back(code, message, LATE_RETRY);
+        let body = shared::come_back(code, message, DEADLINE_RETRY);
         AttemptEnd::Refused(self.ticket.refused(body))
     }
 
-    /// Settles it after it was lost.
+    /// Settles the attempt after its generation was lost.
     pub(crate) async fn settle(
         self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
@@ -189,7 +190,7 @@
         AttemptEnd::settled(settled, server, loss.cause)
     }
 
-    /// Stops it to make room, then waits for another place.
+    /// Stops the generation to free engine memory, then waits for another placement.
     pub(crate) async fn preempt(
         self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
@@ -211,7 +212,7 @@
             Ok(permit) => permit,
             Err(ticket) => {
                 self.grant.failed(port::FailureKind::Silent);
-                let cause = "a generation that was to be moved could not be stopped";
+                let cause = "the preempted generation could not be stopped";
                 return AttemptEnd::Refused(ticket.refused(settle::unsettled(cause)));
             }
         };
@@ -223,10 +224,10 @@
             },
             Ok(Err(body)) => AttemptEnd::Refused(permit.refused(body)),
             Err(_) => {
-                let message = "it was stopped to make room and found no other place in time; ask \
-                               again after the time given";
+                let message = "the request was preempted to free memory and could not be placed \
+                               again in time; retry after the given time";
                 let code = refusal::RefusalCode::DeadlineExceeded;
-                let body = shared::come_back(code, message, LATE_RETRY);
+                let body = shared::come_back(code, message, DEADLINE_RETRY);
                 AttemptEnd::Refused(permit.refused(body))
             }
         }
@@ -246,7 +247,7 @@
         ticket,
     };
     let settled = lost.settle(shared, loss, until).await;
-    // Not before: a request that is given up meanwhile must still cancel its generation.
+    // Released only now: a request that is dropped during settling must still cancel its generation.
     live.release();
     settled
 }
--- a/crates/flow/src/silence.rs
+++ b/crates/flow/src/silence.rs
@@ -1,68 +1,68 @@
-//! When a connection that shows nothing is given up.
+//! Detects silent connections to model engines.
 //!
-//! Engines show a sign of life every 500 ms at the least. A connection that something between
-//! the two ends has lost track of shows nothing for good, while a new one works.
+//! Engines send a token or a ping at least every 500 ms. If a middlebox loses a connection's
+//! state, the connection stays silent for good, while a new one works.
 
 use std::time::Duration;
 
 use tokio::time;
 
-/// Engines ping at least this often.
+/// Maximum interval between two pings of an engine.
 pub const PING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A ping may be late by this much. A false alarm costs one connection and no token: the same
-/// generation goes on over the new one.
+/// Tolerance for a late ping. A false alarm costs one connection and no token: the same generation
+/// continues over a new connection.
 pub const PING_TOLERANCE: Duration = Duration::from_millis(300);
 
-/// Expects the next sign of life of one connection.
+/// Computes the time by which one connection must show its next token or ping.
 #[derive(Clone, Copy, Debug)]
 pub struct SilenceDetector {
-    /// Limit of an engine whose steps take no time.
-    shortest: Duration,
-    /// The rules' limit; no expectation makes the limit longer.
-    longest: Duration,
-    /// Mean gap between tokens, decayed; absent before the second token.
-    mean_gap: Option<Duration>,
+    /// Timeout for an engine whose steps take no time.
+    min_timeout: Duration,
+    /// Upper bound of the timeout, set by the rules.
+    max_timeout: Duration,
+    /// Exponential moving average of the interval between tokens; absent before the second token.
+    mean_interval: Option<Duration>,
     last_token_at: Option<time::Instant>,
-    last_sign_at: time::Instant,
+    last_activity_at: time::Instant,
 }
 
 impl SilenceDetector {
-    /// A gauge of a connection opened at `now`.
+    /// Creates a detector for a connection opened at `now`.
     #[must_use]
-    pub const fn new(shortest: Duration, longest: Duration, now: time::Instant) -> Self {
+    pub const fn new(min_timeout: Duration, max_timeout: Duration, now: time::Instant) -> Self {
         Self {
-            shortest,
-            longest,
-            mean_gap: None,
+            min_timeout,
+            max_timeout,
+            mean_interval: None,
             last_token_at: None,
-            last_sign_at: now,
+            last_activity_at: now,
         }
     }
 
-    /// A sign of life that is no token, or a fresh connection.
+    /// Records a ping or a fresh connection.
     pub const fn alive(&mut self, now: time::Instant) {
-        self.last_sign_at = now;
+        self.last_activity_at = now;
     }
 
-    /// A token.
+    /// Records a token.
     pub fn token(&mut self, now: time::Instant) {
         if let Some(last) = self.last_token_at {
-            let gap = now.saturating_duration_since(last);
-            self.mean_gap = Some(match self.mean_gap {
-                Some(mean) => (mean * 7 + gap) / 8,
-                None => gap,
+            let interval = now.saturating_duration_since(last);
+            self.mean_interval = Some(match self.mean_interval {
+                Some(mean) => (mean * 7 + interval) / 8,
+                None => interval,
             });
         }
         self.last_token_at = Some(now);
-        self.last_sign_at = now;
+        self.last_activity_at = now;
     }
 
-    /// When the connection is given up if it shows nothing more.
+    /// Time at which the connection is abandoned if nothing arrives before it.
     #[must_use]
     pub fn give_up_at(&self) -> time::Instant {
-        // An engine that is busy with a step shows its ping after it.
-        let expected = self.shortest + self.mean_gap.unwrap_or_default();
-        self.last_sign_at + expected.min(self.longest)
+        // An engine sends its ping only after the step that it is running.
+        let expected = self.min_timeout + self.mean_interval.unwrap_or_default();
+        self.last_activity_at + expected.min(self.max_timeout)
     }
 }
--- a/crates/flow/src/suspect.rs
+++ b/crates/flow/src/suspect.rs
@@ -1,28 +1,28 @@
-//! Which content crashes backend servers.
+//! Identifies content that crashes backend servers.
 //!
-//! Each death makes suspects of what ran there. Suspects run alone, so that a second death names
-//! one of them. The verdict is a pure function of the set of deaths, whatever order they are
-//! learnt in: tables of several entry VMs merge by uniting their records.
+//! When a server dies, all content that ran there becomes suspect. Suspects run alone, so that a
+//! second death identifies the one that caused it. The result depends only on the set of deaths
+//! and not on the order in which they arrive: entry VMs merge their tables by set union.
 
 use std::{collections, time::Duration};
 
 use base::{fingerprint::ContentHash, ops};
 
-/// Records of one server's death that are at most this far apart are of the same death.
-const SAME_DEATH_MS: u64 = 1_500;
+/// Records of the same server's death at most this far apart describe one death.
+const SAME_DEATH_WINDOW_MS: u64 = 1_500;
 
-/// Deaths that are remembered; the oldest goes first.
-const DEATHS_KEPT: usize = 128;
+/// Maximum number of deaths kept; the oldest is dropped first.
+const MAX_DEATHS: usize = 128;
 
-/// Fingerprints kept of one death.
-const SUSPECTS_KEPT: usize = 512;
+/// Maximum number of fingerprints kept for one death.
+const MAX_SUSPECTS_PER_DEATH: usize = 512;
 
-/// How long things are remembered.
+/// Durations of suspicion and quarantine.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspectLimits {
-    /// Content that ran at one death is run alone for this long.
+    /// Time for which content that ran at one death runs alone.
     pub suspected_for: Duration,
-    /// Content that was found out is refused for this long.
+    /// Time for which content identified as the cause of deaths is refused.
     pub quarantined_for: Duration,
 }
 
@@ -41,40 +41,40 @@
 pub struct DeathRecord {
     /// Name of the server.
     pub server: String,
-    /// When it was noticed, milliseconds since 1970.
+    /// Time of detection, milliseconds since 1970.
     pub at_ms: u64,
-    /// What ran there.
+    /// Contents that ran there.
     pub contents: collections::BTreeSet<ContentHash>,
 }
 
-/// A statement that content is innocent.
+/// Clears content of deaths up to a point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ClearedRecord {
     /// The content.
     pub content: ContentHash,
-    /// Deaths before this no longer speak against it, milliseconds since 1970.
+    /// Deaths up to this time no longer count against it, milliseconds since 1970.
     pub at_ms: u64,
 }
 
-/// What is to be told to other entry VMs.
+/// Records exchanged between entry VMs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct SuspectDigest {
     /// Deaths.
     pub deaths: Vec<DeathRecord>,
-    /// Content that ran alone to its end, or that an operator lifted.
+    /// Content that ran to completion, or whose quarantine an operator lifted.
     pub cleared: Vec<ClearedRecord>,
 }
 
-/// What to do with content.
+/// How content may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContentStanding {
-    /// Nothing speaks against it.
+    /// It runs without restriction.
     Clear,
-    /// It runs alone.
+    /// It runs alone on a server.
     Suspect {
-        /// Deaths at which it was there.
+        /// Deaths during which it was running.
         deaths: u32,
     },
     /// It is refused.
@@ -84,22 +84,22 @@
     },
 }
 
-/// Deaths and what ran at them.
+/// Deaths of servers with the contents that ran there, and what follows from them.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectTable {
     limits: SuspectLimits,
-    /// At most [`DEATHS_KEPT`], in order of learning.
+    /// At most [`MAX_DEATHS`], in the order in which they were recorded.
     deaths: collections::VecDeque<DeathRecord>,
     cleared: collections::BTreeMap<ContentHash, u64>,
-    /// Places in `deaths` that speak against content: it was there, and was not cleared since.
-    /// Follows from the two above, like `culprits`.
+    /// Indices into `deaths` that count against each content: it ran there and has not been
+    /// cleared since. Derived from the two fields above, like `culprits`.
     against: collections::BTreeMap<ContentHash, Vec<usize>>,
-    /// What explains each of `deaths`.
+    /// The content identified as the cause of each of `deaths`.
     culprits: Vec<Option<ContentHash>>,
 }
 
 impl SuspectTable {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(limits: SuspectLimits) -> Self {
         Self {
@@ -108,17 +108,17 @@
         }
     }
 
-    /// A server died. Whether anything new was learnt.
+    /// Records a server's death. Returns whether the record was new or added contents.
     pub fn record_death(&mut self, record: DeathRecord) -> bool {
-        let learnt = self.take_in(record);
-        if learnt {
+        let is_new = self.insert_death(record);
+        if is_new {
             self.index();
         }
-        learnt
+        is_new
     }
 
-    fn take_in(&mut self, mut record: DeathRecord) -> bool {
-        while record.contents.len() > SUSPECTS_KEPT {
+    fn insert_death(&mut self, mut record: DeathRecord) -> bool {
+        while record.contents.len() > MAX_SUSPECTS_PER_DEATH {
             record.contents.pop_last();
         }
         if let Some(held) = self.same_death(&record) {
@@ -127,51 +127,52 @@
             held.at_ms = held.at_ms.min(record.at_ms);
             return held.contents.len() > before;
         }
-        if self.deaths.len() == DEATHS_KEPT {
+        if self.deaths.len() == MAX_DEATHS {
             self.deaths.pop_front();
         }
         self.deaths.push_back(record);
         true
     }
 
-    /// Content ran alone to its end, or an operator lifted it. Whether that is news.
+    /// Clears content that ran to completion or whose quarantine an operator lifted. Returns
+    /// whether this is newer than the last such record.
     pub fn clear(&mut self, content: ContentHash, at_ms: u64) -> bool {
-        let newer = self.take_in_cleared(content, at_ms);
+        let newer = self.insert_cleared(content, at_ms);
         if newer {
             self.index();
         }
         newer
     }
 
-    fn take_in_cleared(&mut self, content: ContentHash, at_ms: u64) -> bool {
+    fn insert_cleared(&mut self, content: ContentHash, at_ms: u64) -> bool {
         let held = self.cleared.entry(content).or_default();
         let newer = *held < at_ms;
         *held = at_ms.max(*held);
         newer
     }
 
-    /// Unites another's records with these. Whether anything new was learnt.
+    /// Merges the records of another table. Returns whether any of them was new.
     pub fn merge(&mut self, digest: SuspectDigest) -> bool {
-        let mut learnt = false;
+        let mut is_new = false;
         for record in digest.deaths {
-            learnt |= self.take_in(record);
+            is_new |= self.insert_death(record);
         }
         for record in digest.cleared {
-            learnt |= self.take_in_cleared(record.content, record.at_ms);
+            is_new |= self.insert_cleared(record.content, record.at_ms);
         }
-        if learnt {
+        if is_new {
             self.index();
         }
-        learnt
+        is_new
     }
 
-    /// Everything that others should know.
+    /// All records, for other entry VMs.
     #[must_use]
     pub fn digest(&self) -> SuspectDigest {
         self.digest_since(0)
     }
 
-    /// What others should know of what happened at `since_ms` or later.
+    /// Records of `since_ms` or later, for other entry VMs.
     #[must_use]
     pub fn digest_since(&self, since_ms: u64) -> SuspectDigest {
         let deaths = self.deaths.iter().filter(|death| death.at_ms >= since_ms);
@@ -187,31 +188,31 @@
         }
     }
 
-    /// Drops what is too old to matter.
+    /// Drops records older than both durations of [`SuspectLimits`].
     pub fn expire(&mut self, now_ms: u64) {
-        let kept_ms = millis(self.limits.quarantined_for.max(self.limits.suspected_for));
+        let retention_ms = millis(self.limits.quarantined_for.max(self.limits.suspected_for));
         let before = self.deaths.len();
         self.deaths
-            .retain(|death| death.at_ms.saturating_add(kept_ms) > now_ms);
+            .retain(|death| death.at_ms.saturating_add(retention_ms) > now_ms);
         self.cleared
-            .retain(|_, at_ms| at_ms.saturating_add(kept_ms) > now_ms);
+            .retain(|_, at_ms| at_ms.saturating_add(retention_ms) > now_ms);
         if self.deaths.len() < before {
             self.index();
         }
     }
 
-    /// What to do with `content`.
+    /// Whether `content` may run freely, runs alone as a suspect, or is quarantined.
     #[must_use]
     pub fn standing(&self, content: ContentHash, now_ms: u64) -> ContentStanding {
         let mut deaths = 0;
-        let mut open_deaths = 0;
+        let mut unexplained_deaths = 0;
         let mut newest_ms = 0;
-        let mut convicted = false;
+        let mut is_culprit = false;
         for (death, culprit) in self.against(content) {
             deaths += 1;
             newest_ms = newest_ms.max(death.at_ms);
-            convicted |= culprit == Some(content);
-            open_deaths += u32::from(culprit.is_none());
+            is_culprit |= culprit == Some(content);
+            unexplained_deaths += u32::from(culprit.is_none());
         }
         let left_ms = |limit: Duration| {
             newest_ms
@@ -219,18 +220,18 @@
                 .saturating_sub(now_ms)
         };
         let quarantine_ms = left_ms(self.limits.quarantined_for);
-        if convicted && quarantine_ms > 0 {
+        if is_culprit && quarantine_ms > 0 {
             return ContentStanding::Quarantined {
                 left_ms: quarantine_ms,
             };
         }
-        if open_deaths > 0 && left_ms(self.limits.suspected_for) > 0 {
+        if unexplained_deaths > 0 && left_ms(self.limits.suspected_for) > 0 {
             return ContentStanding::Suspect { deaths };
         }
         ContentStanding::Clear
     }
 
-    /// Everything that is suspected or quarantined, for operators.
+    /// Lists all suspected and quarantined contents, for operators.
     #[must_use]
     pub fn list(&self, now_ms: u64) -> Vec<ops::QuarantineStatus> {
         let contents = self.against.keys();
@@ -265,39 +266,40 @@
         })
     }
 
-    /// Deaths that speak against `content`, each with what explains it.
+    /// Deaths that count against `content`, each with its identified cause.
     fn against(
         &self,
         content: ContentHash,
     ) -> impl Iterator<Item = (&DeathRecord, Option<ContentHash>)> {
-        let places = self.against.get(&content).into_iter().flatten();
-        places.map(|place| (&self.deaths[*place], self.culprits[*place]))
+        let indices = self.against.get(&content).into_iter().flatten();
+        indices.map(|index| (&self.deaths[*index], self.culprits[*index]))
     }
 
-    /// Works out what follows from the records.
+    /// Recomputes `against` and `culprits` from the records.
     fn index(&mut self) {
         self.against.clear();
-        for (place, death) in self.deaths.iter().enumerate() {
+        for (index, death) in self.deaths.iter().enumerate() {
             for content in &death.contents {
                 let cleared_ms = self.cleared.get(content);
                 if cleared_ms.is_none_or(|cleared_ms| *cleared_ms < death.at_ms) {
-                    self.against.entry(*content).or_default().push(place);
+                    self.against.entry(*content).or_default().push(index);
                 }
             }
         }
-        let places = self.deaths.iter().enumerate();
-        self.culprits = places
-            .map(|(place, death)| self.culprit(place, death))
+        let deaths = self.deaths.iter().enumerate();
+        self.culprits = deaths
+            .map(|(index, death)| self.culprit(index, death))
             .collect();
     }
 
-    /// The one content that explains a death: the only one there that was at another death too.
+    /// The content that caused a death: the only one there that also ran at another death.
     ///
-    /// Two such contents explain nothing yet: convicting both would refuse an innocent one.
-    fn culprit(&self, place: usize, death: &DeathRecord) -> Option<ContentHash> {
+    /// With two such contents no cause is identified yet: quarantining both would refuse an
+    /// innocent one.
+    fn culprit(&self, index: usize, death: &DeathRecord) -> Option<ContentHash> {
         let mut repeated = death.contents.iter().filter(|content| {
-            let places = self.against.get(*content);
-            places.is_some_and(|places| places.len() > 1 && places.contains(&place))
+            let indices = self.against.get(*content);
+            indices.is_some_and(|indices| indices.len() > 1 && indices.contains(&index))
         });
         match (repeated.next(), repeated.next()) {
             (Some(content), None) => Some(*content),
@@ -307,7 +309,8 @@
 
     fn same_death(&mut self, record: &DeathRecord) -> Option<&mut DeathRecord> {
         self.deaths.iter_mut().find(|held| {
-            held.server == record.server && held.at_ms.abs_diff(record.at_ms) <= SAME_DEATH_MS
+            held.server == record.server
+                && held.at_ms.abs_diff(record.at_ms) <= SAME_DEATH_WINDOW_MS
         })
     }
 }
