--- a/crates/flow/src/jobs.rs
+++ b/crates/flow/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Deferrable work: accepted durably, run to a whole answer, fetched from any entry VM.
+//! Deferrable work: accepted durably, run to a complete answer, fetched from any entry VM.
 
 use std::{sync, time::Duration};
 
@@ -15,32 +15,32 @@
     request::{self, RawWork as _, Work as _},
 };
 
-/// Shortest pause before a job that found no place is tried again.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum delay before a refused job is retried or a failed store is repeated.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest pause before a job that found no place is tried again.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+/// Maximum delay before a refused job is retried or a failed store is repeated.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
-/// Quarantines of one job after which it is tried again.
-const QUARANTINES_OUTLASTED: u32 = 2;
+/// Maximum number of quarantines after which a job is retried.
+const MAX_QUARANTINE_RETRIES: u32 = 2;
 
-/// What a caller is told of its job.
+/// State of a job as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobReply {
     /// Accepted, not finished.
     Waiting,
-    /// Finished: the whole answer, JSON.
+    /// Finished: the complete answer, JSON.
     Answer(String),
-    /// It cannot be done.
+    /// The job is refused for good.
     Refused(refusal::RefusalBody),
 }
 
 impl<P: port::PortSet> plane::RequestPlane<P> {
-    /// A call with `Prefer: respond-async`: returns once the work is durable.
+    /// Accepts a call with `Prefer: respond-async`; returns once the work is durable.
     ///
     /// # Errors
     ///
-    /// An honest refusal.
+    /// A refusal with the known run state.
     pub async fn accept_job(
         &self,
         headers: request::CallerHeaders,
@@ -72,14 +72,14 @@
             port::AcceptAnswer::Accepted => Ok(()),
             port::AcceptAnswer::Refused(body) => Err(known.refused(body).into()),
             port::AcceptAnswer::Unknown => {
-                // Its record may be on the log: a runner that finds it there will run it.
+                // The record may be on the log: an entry VM that finds it there will run the job.
                 let (_, ticket) = known.permit.send::<proof::CallKind>();
-                Err(ticket.refused(maybe_accepted(id)).into())
+                Err(ticket.refused(unknown_acceptance(id)).into())
             }
         }
     }
 
-    /// Finds what is wrong with a job before it is accepted.
+    /// Validates a job before it is accepted.
     fn check_job(
         &self,
         known: &request::Request<(), request::Known>,
@@ -99,7 +99,7 @@
         let default = &config.rules().default_organisation;
         let rule = view.map_or(default, |view| &view.rule);
         let now = time::Instant::now();
-        // What the job takes of the limits while it runs is taken when it runs.
+        // Only checks the quota: the job is charged against it when it runs.
         drop(
             self.shared()
                 .ports
@@ -115,11 +115,11 @@
         })
     }
 
-    /// A call of `GET /v1/requests/<id>`.
+    /// Serves `GET /v1/requests/<id>`.
     ///
     /// # Errors
     ///
-    /// An honest refusal.
+    /// A refusal.
     pub async fn fetch_job(
         &self,
         headers: request::CallerHeaders,
@@ -145,22 +145,22 @@
                 port::JobResult::Answer(text) => JobReply::Answer(text),
                 port::JobResult::Refused(body) => JobReply::Refused(body),
             }),
-            port::JobState::Unreadable(body) => Err(of_job(body).into()),
+            port::JobState::Unreadable(body) => Err(refuse_fetch(body).into()),
             port::JobState::Absent | port::JobState::Waiting(_) | port::JobState::Done(..) => {
-                let message = "no such request is kept; its result's time may be up";
+                let message = "no such request is stored; its result may have expired";
                 let code = refusal::RefusalCode::NotFound;
-                Err(of_job(refusal::RefusalBody::not_run(code, message)).into())
+                Err(refuse_fetch(refusal::RefusalBody::not_run(code, message)).into())
             }
         }
     }
 
-    /// Takes jobs and runs them until this entry VM leaves. Spawn it once.
+    /// Takes jobs and runs them until this entry VM shuts down. Spawned once per process.
     pub async fn run_jobs(self: sync::Arc<Self>) {
-        let places = sync::Arc::new(tokio::sync::Semaphore::new(
+        let slots = sync::Arc::new(tokio::sync::Semaphore::new(
             self.shared().settings.jobs_at_once,
         ));
         while !self.gate().is_closed() {
-            let Ok(place) = places.clone().acquire_owned().await else {
+            let Ok(slot) = slots.clone().acquire_owned().await else {
                 return;
             };
             let taken = tokio::select! {
@@ -173,7 +173,7 @@
             let plane = self.clone();
             tokio::spawn(async move {
                 plane.run_lease(lease, pass).await;
-                drop(place);
+                drop(slot);
             });
         }
     }
@@ -192,8 +192,8 @@
                 biased;
                 result = &mut run => break result,
                 () = time::sleep(left / 2) => {
-                    // A lease that was lost is another's: two runs would only waste an engine,
-                    // as the first result in the order of the log stands.
+                    // A lost lease belongs to another process: a second run would only waste
+                    // engine time, because the first result on the log is the one that counts.
                     match self.shared().ports.jobs().renew(&lease).await {
                         Some(renewed) => lease = renewed,
                         None => return,
@@ -209,7 +209,7 @@
     }
 
     async fn store(&self, lease: &port::JobLease, result: port::JobResult) {
-        let mut pause = SHORTEST_PAUSE;
+        let mut delay = MIN_RETRY_DELAY;
         loop {
             let stored = self
                 .shared()
@@ -220,14 +220,14 @@
             if stored.is_ok() {
                 return;
             }
-            // The log is down. Nothing is lost by waiting; if this process dies, the job is run
-            // again by another, from its beginning.
-            time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            // The log is down. Waiting loses nothing; if this process dies, another one runs the
+            // job again from the start.
+            time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    /// `None`: this entry VM leaves before the job was begun.
+    /// Runs a job until it has a final result. Returns `None` if this entry VM shuts down first.
     async fn run_until_done(&self, job: &port::JobRecord) -> Option<port::JobResult> {
         let mut quarantines = 0;
         loop {
@@ -235,22 +235,22 @@
                 Ok(text) => return Some(port::JobResult::Answer(text)),
                 Err(body) => body,
             };
-            // Servers that died by chance can convict innocent content. Nobody waits for a job,
-            // so it outlasts its quarantine and is tried again before it is given up.
+            // Unrelated server deaths can quarantine innocent content. Nobody waits for a job, so
+            // it waits until its quarantine ends and is retried before it is refused for good.
             quarantines += u32::from(body.code == refusal::RefusalCode::Quarantined);
-            if is_final(body.code) || quarantines > QUARANTINES_OUTLASTED {
+            if is_final(body.code) || quarantines > MAX_QUARANTINE_RETRIES {
                 return Some(port::JobResult::Refused(body));
             }
             if self.gate().is_closed() {
                 return None;
             }
-            let longest = if body.code == refusal::RefusalCode::Quarantined {
+            let max_delay = if body.code == refusal::RefusalCode::Quarantined {
                 self.shared().settings.suspects.quarantined_for
             } else {
-                LONGEST_PAUSE
+                MAX_RETRY_DELAY
             };
-            let pause = Duration::from_millis(body.retry_after_ms.unwrap_or(0));
-            time::sleep(pause.clamp(SHORTEST_PAUSE, longest)).await;
+            let delay = Duration::from_millis(body.retry_after_ms.unwrap_or(0));
+            time::sleep(delay.clamp(MIN_RETRY_DELAY, max_delay)).await;
         }
     }
 
@@ -273,7 +273,7 @@
         arrived.facts.id = job.request;
         let config = arrived.facts.view.config.clone();
         let Some(organisation) = config.organisation_key(&job.organisation) else {
-            let message = "the organisation is no longer in the inventory; add it and send anew";
+            let message = "the organisation is no longer in the inventory; add it and send again";
             let code = refusal::RefusalCode::Forbidden;
             return Err(refusal::RefusalBody::not_run(code, message));
         };
@@ -283,7 +283,7 @@
     }
 }
 
-/// Whether trying again is no use.
+/// Whether the refusal is permanent, so that a retry cannot succeed.
 const fn is_final(code: refusal::RefusalCode) -> bool {
     matches!(
         code,
@@ -295,18 +295,18 @@
     )
 }
 
-/// A refusal to say anything about a job: whether the job ran is not known by it.
-fn of_job(body: refusal::RefusalBody) -> refused::Refused {
+/// Refusal of a fetch, which does not tell whether the job ran.
+fn refuse_fetch(body: refusal::RefusalBody) -> refused::Refused {
     refused::Refused::of_claim(body, outcome::RanState::Unknown)
 }
 
-fn maybe_accepted(job: id::RequestId) -> refusal::RefusalBody {
+fn unknown_acceptance(job: id::RequestId) -> refusal::RefusalBody {
     let message = format!(
-        "the log did not answer whether the work was accepted; GET /v1/requests/{job} tells later"
+        "the log did not confirm that the work was accepted; check later with GET /v1/requests/{job}"
     );
     let code = refusal::RefusalCode::Unavailable;
-    refusal::RefusalBody::not_run(code, message).retry_after_ms(MAYBE_RETRY_MS)
+    refusal::RefusalBody::not_run(code, message).retry_after_ms(UNKNOWN_ACCEPTANCE_RETRY_MS)
 }
 
-/// When to ask whether work was accepted after all.
-const MAYBE_RETRY_MS: u64 = 2_000;
+/// Delay after which the caller should check whether its work was accepted.
+const UNKNOWN_ACCEPTANCE_RETRY_MS: u64 = 2_000;
--- a/crates/flow/src/memory.rs
+++ b/crates/flow/src/memory.rs
@@ -1,4 +1,4 @@
-//! Ports that keep everything in this process: for tests, and for a plane without a log.
+//! In-memory implementations of ports, for tests and for a plane without a log.
 
 use std::{collections, sync, time::Duration};
 
@@ -12,8 +12,8 @@
 
 use crate::{port, view};
 
-/// A server that failed is left alone for this long when there is another.
-const SHUN_FOR: Duration = Duration::from_secs(1);
+/// Time for which a server that failed is avoided if another one is available.
+const FAILED_SERVER_BACKOFF: Duration = Duration::from_secs(1);
 
 pub(crate) fn locked<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
@@ -22,15 +22,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerLoad {
     running: usize,
-    /// A suspect has it to itself.
+    /// A suspect runs on it alone.
     alone: bool,
-    shunned_until: Option<time::Instant>,
+    avoided_until: Option<time::Instant>,
 }
 
 #[derive(Debug)]
 struct ScheduleState {
     views: watch::Receiver<sync::Arc<view::PlaneView>>,
-    at_once: usize,
+    max_concurrent: usize,
     loads: sync::Mutex<collections::BTreeMap<id::ServerKey, ServerLoad>>,
     freed: Notify,
 }
@@ -41,7 +41,7 @@
     state: sync::Arc<ScheduleState>,
 }
 
-/// A place of a [`MemorySchedule`].
+/// A slot granted by a [`MemorySchedule`].
 #[derive(Debug)]
 pub struct MemoryGrant {
     state: sync::Arc<ScheduleState>,
@@ -50,12 +50,12 @@
 }
 
 impl MemorySchedule {
-    /// At most `at_once` requests on each server.
+    /// Creates a scheduler that runs at most `max_concurrent` requests on each server.
     #[must_use]
-    pub fn new(views: watch::Receiver<sync::Arc<view::PlaneView>>, at_once: usize) -> Self {
+    pub fn new(views: watch::Receiver<sync::Arc<view::PlaneView>>, max_concurrent: usize) -> Self {
         let state = ScheduleState {
             views,
-            at_once,
+            max_concurrent,
             loads: sync::Mutex::default(),
             freed: Notify::new(),
         };
@@ -74,15 +74,19 @@
         };
         let now = time::Instant::now();
         let mut loads = locked(&self.loads);
-        let at_once = if request.alone { 1 } else { self.at_once };
+        let max_concurrent = if request.alone {
+            1
+        } else {
+            self.max_concurrent
+        };
         let server = candidates
             .iter()
             .filter(|server| view.takes_work(**server) && !request.avoid.contains(server))
             .map(|server| (loads.get(server).copied().unwrap_or_default(), *server))
-            .filter(|(load, _)| load.running < at_once && !load.alone)
+            .filter(|(load, _)| load.running < max_concurrent && !load.alone)
             .min_by_key(|(load, server)| {
-                let shunned = load.shunned_until.is_some_and(|until| now < until);
-                (shunned, load.running, *server)
+                let avoided = load.avoided_until.is_some_and(|until| now < until);
+                (avoided, load.running, *server)
             })
             .map(|(_, server)| server)?;
         let load = loads.entry(server).or_default();
@@ -99,8 +103,8 @@
             if let Some(server) = self.place(request) {
                 return server;
             }
-            // The view may change without a place becoming free.
-            let _ = time::timeout(SHUN_FOR, freed).await;
+            // The view may change without a slot becoming free.
+            let _ = time::timeout(FAILED_SERVER_BACKOFF, freed).await;
         }
     }
 
@@ -110,7 +114,7 @@
         load.running = load.running.saturating_sub(1);
         load.alone = false;
         if failed {
-            load.shunned_until = Some(time::Instant::now() + SHUN_FOR);
+            load.avoided_until = Some(time::Instant::now() + FAILED_SERVER_BACKOFF);
         }
         drop(loads);
         self.freed.notify_waiters();
@@ -154,7 +158,7 @@
         locked(&self.state.loads)
             .entry(self.server)
             .or_default()
-            .shunned_until = Some(time::Instant::now() + SHUN_FOR);
+            .avoided_until = Some(time::Instant::now() + FAILED_SERVER_BACKOFF);
     }
 
     async fn requeue(mut self) -> Result<Self, refusal::RefusalBody> {
@@ -170,11 +174,11 @@
     }
 }
 
-/// No limits.
+/// Quota limiter without limits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoQuotas;
 
-/// A share of no limits.
+/// Permit of [`NoQuotas`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoPermit;
 
@@ -196,7 +200,7 @@
     }
 }
 
-/// No time line.
+/// Event sink that discards all events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoEvents;
 
@@ -204,7 +208,7 @@
     fn record(&self, _request: Option<id::RequestId>, _kind: kind::EventKind) {}
 }
 
-/// No other entry VMs.
+/// Peer link of a plane without other entry VMs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoPeers;
 
@@ -212,7 +216,7 @@
     fn adopted(&self, _vm: &str, _generation: id::GenerationId) {}
 }
 
-/// The machine's wall clock.
+/// The system's wall clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -225,7 +229,7 @@
     }
 }
 
-/// A wall clock that goes with the runtime's, which tests pause.
+/// A wall clock that follows the runtime's clock, which tests pause.
 #[derive(Clone, Copy, Debug)]
 pub struct RuntimeClock {
     origin: time::Instant,
@@ -233,7 +237,7 @@
 }
 
 impl RuntimeClock {
-    /// A clock that shows `origin_ms` now.
+    /// Creates a clock that reads `origin_ms` now.
     #[must_use]
     pub fn new(origin_ms: u64) -> Self {
         Self {
--- a/crates/flow/src/memory_store.rs
+++ b/crates/flow/src/memory_store.rs
@@ -1,4 +1,4 @@
-//! Claims and jobs of one process, kept in its memory: for tests, and for a plane without a log.
+//! In-memory stores of claims and jobs, for tests and for a plane without a log.
 
 use std::{collections, sync, time::Duration};
 
@@ -7,28 +7,28 @@
 
 use crate::{memory::locked, port};
 
-/// Where one key stands.
+/// State of one idempotency key.
 #[derive(Clone, Debug)]
 struct ClaimEntry {
     hold: port::ClaimHold,
     end: Option<port::ClaimEnd>,
 }
 
-/// Claims of one process.
+/// Claim store of one process.
 #[derive(Debug, Default)]
 pub struct MemoryClaims {
     entries: sync::Mutex<collections::BTreeMap<(String, String), ClaimEntry>>,
 }
 
-/// When to ask again while a call is under way.
+/// Retry delay given while a call with the same key is running.
 const IN_PROGRESS_RETRY_MS: u64 = 500;
 
 impl port::ClaimStore for MemoryClaims {
     async fn claim(&self, claim: port::ClaimRequest) -> port::ClaimAnswer {
         let now = time::Instant::now();
         let mut entries = locked(&self.entries);
-        let place = (claim.organisation.clone(), claim.key.clone());
-        if let Some(entry) = entries.get(&place) {
+        let key = (claim.organisation.clone(), claim.key.clone());
+        if let Some(entry) = entries.get(&key) {
             if entry.hold.claim.content != claim.content {
                 return port::ClaimAnswer::Mismatch;
             }
@@ -55,7 +55,7 @@
             hold: hold.clone(),
             end: None,
         };
-        entries.insert(place, entry);
+        entries.insert(key, entry);
         port::ClaimAnswer::Fresh(hold)
     }
 
@@ -64,8 +64,8 @@
         hold: port::ClaimHold,
         end: port::ClaimEnd,
     ) -> Result<(), refusal::RefusalBody> {
-        let place = (hold.claim.organisation.clone(), hold.claim.key.clone());
-        if let Some(entry) = locked(&self.entries).get_mut(&place)
+        let key = (hold.claim.organisation.clone(), hold.claim.key.clone());
+        if let Some(entry) = locked(&self.entries).get_mut(&key)
             && entry.hold.record == hold.record
             && entry.end.is_none()
         {
@@ -75,24 +75,24 @@
     }
 
     fn seen(&self, organisation: &str, key: &str) -> bool {
-        let place = (organisation.to_owned(), key.to_owned());
-        locked(&self.entries).contains_key(&place)
+        let key = (organisation.to_owned(), key.to_owned());
+        locked(&self.entries).contains_key(&key)
     }
 }
 
-/// A lease of a job lasts this long.
-const LEASE_FOR: Duration = Duration::from_secs(5);
+/// Duration of a job's lease.
+const LEASE_DURATION: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
 struct JobEntry {
     job: port::JobRecord,
     leased_until: Option<time::Instant>,
-    /// Counts leases, so that an old one is known.
+    /// Number of the current lease; a lease with a lower number is outdated.
     lease: u128,
     result: Option<port::JobResult>,
 }
 
-/// Jobs of one process.
+/// Job store of one process.
 #[derive(Debug, Default)]
 pub struct MemoryJobs {
     entries: sync::Mutex<collections::BTreeMap<id::RequestId, JobEntry>>,
@@ -107,11 +107,11 @@
             entry.result.is_none() && entry.leased_until.is_none_or(|until| until <= now)
         })?;
         entry.lease += 1;
-        entry.leased_until = Some(now + LEASE_FOR);
+        entry.leased_until = Some(now + LEASE_DURATION);
         Some(port::JobLease {
             record: id::RecordId(entry.lease),
             job: entry.job.clone(),
-            deadline: now + LEASE_FOR,
+            deadline: now + LEASE_DURATION,
         })
     }
 
@@ -156,8 +156,8 @@
             if let Some(lease) = self.lease_one() {
                 return lease;
             }
-            // A lease may lapse without anything being accepted.
-            let _ = time::timeout(LEASE_FOR / 10, self.accepted.notified()).await;
+            // A lease may expire without a new job being accepted.
+            let _ = time::timeout(LEASE_DURATION / 10, self.accepted.notified()).await;
         }
     }
 
@@ -166,9 +166,9 @@
         self.with_entry(lease, |entry| {
             let held = id::RecordId(entry.lease) == lease.record && entry.result.is_none();
             held.then(|| {
-                entry.leased_until = Some(now + LEASE_FOR);
+                entry.leased_until = Some(now + LEASE_DURATION);
                 port::JobLease {
-                    deadline: now + LEASE_FOR,
+                    deadline: now + LEASE_DURATION,
                     ..lease.clone()
                 }
             })
--- a/crates/flow/src/token.rs
+++ b/crates/flow/src/token.rs
@@ -1,15 +1,15 @@
-//! Continuation tokens: any entry VM can go on with a stream that another began, and nothing
-//! about it is stored anywhere.
+//! Continuation tokens: they hold all that an entry VM needs to continue a stream that another one
+//! started, so that nothing about streams is stored.
 
 use base::{fingerprint, id, refusal};
 use hmac::{KeyInit as _, Mac as _};
 
 use crate::body;
 
-/// Longest token that is looked at.
-const LONGEST_TOKEN_BYTES: usize = 4096;
+/// Maximum length of a token; a longer one is rejected without being decoded.
+const MAX_TOKEN_BYTES: usize = 4096;
 
-/// Everything that an entry VM needs to go on with a stream.
+/// Contents of a token: everything that an entry VM needs to continue a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ContinuationFacts {
@@ -17,30 +17,30 @@
     pub request: id::RequestId,
     /// The generation.
     pub generation: id::GenerationId,
-    /// Name of the backend server that holds it.
+    /// Name of the backend server that holds the generation.
     pub server: String,
     /// Name of the organisation; only its keys may use the token.
     pub organisation: String,
-    /// The entry VM that began to relay it.
+    /// The entry VM that first relayed the stream.
     pub vm: String,
-    /// Of the request's content.
+    /// Fingerprint of the request's content.
     pub content: fingerprint::ContentHash,
-    /// Revision of the configuration that it was started under.
+    /// Revision of the configuration under which the generation was started.
     pub revision: u64,
-    /// Whether chunks take the shape of a chat.
+    /// Whether chunks have the chat format.
     pub chat: bool,
     /// The model as the caller named it.
     pub model: String,
-    /// When it was begun, seconds since 1970.
+    /// Start of the stream, seconds since 1970.
     pub created_s: u64,
-    /// Whether the answer ends with a chunk of its own for the usage.
+    /// Whether the answer ends with a separate usage chunk.
     pub include_usage: bool,
-    /// Not honoured from then on, milliseconds since 1970.
+    /// Expiry of the token, milliseconds since 1970.
     pub expires_ms: u64,
 }
 
 impl ContinuationFacts {
-    /// The face that the stream began with.
+    /// The API format in which the stream started.
     #[must_use]
     pub const fn face(&self) -> body::CallerFace {
         if self.chat {
@@ -51,10 +51,10 @@
     }
 }
 
-/// One secret that tokens are authenticated with.
+/// A secret key that authenticates tokens.
 #[derive(Clone)]
 pub struct TokenKey {
-    /// Which of the valid keys it is; travels in the token.
+    /// Identifies the key; part of each token.
     pub id: u8,
     /// The secret.
     pub secret: Vec<u8>,
@@ -66,40 +66,40 @@
     }
 }
 
-/// The keys that are valid at once; while they are rotated there are two.
+/// The currently valid keys; during a rotation there are two.
 #[derive(Clone, Debug)]
 pub struct TokenKeys {
-    /// Signs new tokens.
+    /// Signs and verifies.
     newest: TokenKey,
-    /// Still verifies.
+    /// Only verifies.
     older: Option<TokenKey>,
 }
 
 type TokenMac = hmac::Hmac<sha2::Sha256>;
 
 impl TokenKeys {
-    /// `newest` signs; both verify.
+    /// Creates a key set in which `newest` signs and both keys verify.
     #[must_use]
     pub const fn new(newest: TokenKey, older: Option<TokenKey>) -> Self {
         Self { newest, older }
     }
 
-    /// The token of `facts`: key id, facts and MAC in hexadecimal digits.
+    /// Encodes `facts` as a token: key ID, facts and MAC in hexadecimal digits.
     #[must_use]
     pub fn sign(&self, facts: &ContinuationFacts) -> String {
         let mut bytes = vec![self.newest.id];
-        // Writing into memory does not fail.
+        // Writing to memory cannot fail.
         let _ = serde_json::to_writer(&mut bytes, facts);
         let mac = mac_of(&self.newest, &bytes).finalize().into_bytes();
         bytes.extend_from_slice(&mac);
         hex::encode(bytes)
     }
 
-    /// The facts of a token that one of the valid keys signed and whose time is not up.
+    /// Verifies a token with the valid keys and returns its facts unless it has expired.
     ///
     /// # Errors
     ///
-    /// A refusal that does not tell a wrong MAC from a wrong shape.
+    /// A refusal, which does not distinguish a wrong MAC from a wrong format.
     pub fn verify(
         &self,
         token: &str,
@@ -108,20 +108,20 @@
         let facts = self.open(token).ok_or_else(|| {
             refusal::RefusalBody::not_run(
                 refusal::RefusalCode::BadRequest,
-                "the continuation token is not valid; send x-generation-token as it was given",
+                "the continuation token is not valid; send x-generation-token unchanged",
             )
         })?;
         if facts.expires_ms <= now_ms {
             return Err(refusal::RefusalBody::not_run(
                 refusal::RefusalCode::NotFound,
-                "the continuation token's time is up; send the request anew",
+                "the continuation token has expired; send the request again",
             ));
         }
         Ok(facts)
     }
 
     fn open(&self, token: &str) -> Option<ContinuationFacts> {
-        if token.len() > LONGEST_TOKEN_BYTES {
+        if token.len() > MAX_TOKEN_BYTES {
             return None;
         }
         let bytes = hex::decode(token).ok()?;
