--- a/crates/flow/src/chunk.rs
+++ b/crates/flow/src/chunk.rs
@@ -1,4 +1,4 @@
-//! Answers in the shape that client libraries of the field speak, whole and streamed.
+//! Complete and streamed answers in the format that common client libraries expect.
 
 use std::io::Write as _;
 
@@ -7,16 +7,16 @@
 
 use crate::{body, port};
 
-/// Text that begins every chunk of one stream, written once.
+/// Writes the chunks of one stream, whose common beginning is formatted once.
 #[derive(Clone, Debug)]
 pub struct ChunkWriter {
     face: body::CallerFace,
-    /// Up to and with the opening of the one choice's variable part.
+    /// Beginning of every chunk, up to and including the bracket that opens `choices`.
     head: String,
     include_usage: bool,
 }
 
-/// Usage as the field's clients read it.
+/// Token usage in the format that client libraries expect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 struct UsageBody {
@@ -45,7 +45,7 @@
     }
 }
 
-/// The name of a finish on the wire; only a whole answer has one.
+/// Name of a finish reason on the wire; only complete answers carry one.
 #[must_use]
 pub const fn finish_name(finish: port::FinishReason) -> &'static str {
     match finish {
@@ -57,7 +57,7 @@
 }
 
 impl ChunkWriter {
-    /// A writer for the answer to `request`.
+    /// Creates a writer for the answer to `request`.
     #[must_use]
     pub fn new(
         face: body::CallerFace,
@@ -92,7 +92,7 @@
             (body::CallerFace::Completion, _) => br#"{"index":0,"text":"#.as_slice(),
         });
         let mut writer = out.writer();
-        // Writing into memory does not fail.
+        // Writing to memory cannot fail.
         let _ = serde_json::to_writer(&mut writer, text);
         let close = match self.face {
             body::CallerFace::Chat => "}",
@@ -104,7 +104,7 @@
         );
     }
 
-    /// Writes the end of a whole answer.
+    /// Writes the end of a complete answer.
     pub fn finish(&self, out: &mut BytesMut, report: &port::FinishReport) {
         let usage = serde_json::to_string(&UsageBody::of(report)).unwrap_or_default();
         let name = finish_name(report.finish);
@@ -127,7 +127,7 @@
     }
 }
 
-/// Where the rest of an answer is to be had.
+/// Where the caller can continue an answer that ended early.
 #[derive(Clone, Copy, Debug)]
 pub struct ContinuationLink<'a> {
     /// The continuation token.
@@ -136,8 +136,7 @@
     pub from: u32,
 }
 
-/// Writes an honest end in the middle of a stream, perhaps with where the rest is to be had; no
-/// `[DONE]` follows.
+/// Ends a stream early with a refusal and, if given, a link to the rest; no `[DONE]` follows.
 pub fn write_refusal(
     out: &mut BytesMut,
     body: &refusal::RefusalBody,
@@ -145,7 +144,7 @@
 ) {
     out.put_slice(b"data: {\"error\":");
     let mut writer = out.writer();
-    // Writing into memory does not fail.
+    // Writing to memory cannot fail.
     let _ = serde_json::to_writer(&mut writer, body);
     if let Some(ContinuationLink { token, from }) = rest {
         let _ = write!(
@@ -156,10 +155,10 @@
     out.put_slice(b"}\n\n");
 }
 
-/// A comment that keeps the caller's connection known to what lies between.
+/// Server-sent comment that keeps proxies and other middleboxes from closing an idle connection.
 pub const HEARTBEAT: &[u8] = b": ping\n\n";
 
-/// A whole answer.
+/// Formats a complete answer.
 #[must_use]
 pub fn complete_answer(
     face: body::CallerFace,
--- a/crates/flow/src/http.rs
+++ b/crates/flow/src/http.rs
@@ -1,8 +1,8 @@
 //! Links to backend servers over HTTP.
 //!
-//! Starts may use a pooled connection. All else opens a fresh one: a resume or a cancel follows
-//! upon a connection that went silent, and a pooled one may have gone silent with it; and a call
-//! of a plain service is proved not to have run only by a connection that never opened.
+//! Starts may use a pooled connection. All other calls open a fresh one. A resume or a cancel
+//! follows a connection that went silent, and pooled ones may have gone silent with it. And only a
+//! connection that never opened proves that a plain service call did not run.
 
 use std::{error, io, time::Duration};
 
@@ -12,40 +12,40 @@
 
 use crate::{link_error, port, proof, sse};
 
-/// A connection that does not open within this is given up.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A pooled connection is used again only for this long: the older, the likelier it has gone
-/// silent unnoticed.
-const POOLED_FOR: Duration = Duration::from_secs(2);
+/// Time for which an idle pooled connection may be reused: the longer it is idle, the likelier it
+/// has gone silent unnoticed.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest answer of a plain service.
-const ANSWER_LIMIT_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum size of a plain service's answer.
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Header that names the generation of a stream; an engine that sends it lets a crossed answer
-/// be told apart.
+/// Header that names the generation of a stream. If an engine sends it, an answer that belongs to
+/// another call is recognised.
 const GENERATION_HEADER: &str = "x-generation-id";
 
-/// Header that carries the caller's request.
+/// Header that carries the ID of the caller's request.
 const REQUEST_HEADER: &str = "x-request-id";
 
 fn client(pooled: usize) -> reqwest::Result<reqwest::Client> {
     reqwest::Client::builder()
         .no_proxy()
         .redirect(reqwest::redirect::Policy::none())
-        // A client that sends again by itself would run a call twice.
+        // A client that retries by itself could run a call twice.
         .retry(reqwest::retry::never())
         .referer(false)
         .tcp_nodelay(true)
-        .connect_timeout(CONNECT_LIMIT)
-        .pool_idle_timeout(POOLED_FOR)
+        .connect_timeout(CONNECT_TIMEOUT)
+        .pool_idle_timeout(POOL_IDLE_TIMEOUT)
         .pool_max_idle_per_host(pooled)
         .build()
 }
 
-/// Whether the far end answered that nothing listens there: its process is gone.
+/// Whether the connection was refused, which shows that the server's process is not running.
 ///
-/// A connection that merely does not open in time says nothing of the kind.
+/// A connection that does not open in time does not show this.
 fn is_refused(failure: &reqwest::Error) -> bool {
     let mut cause: Option<&(dyn error::Error + 'static)> = error::Error::source(failure);
     while let Some(inner) = cause {
@@ -60,7 +60,7 @@
     false
 }
 
-/// Model engines over HTTP.
+/// Calls to model engines over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpEngines {
     pooled: reqwest::Client,
@@ -97,7 +97,7 @@
 fn events_of(
     response: reqwest::Response,
     target: &port::ServerTarget,
-    asked: id::GenerationId,
+    requested: id::GenerationId,
 ) -> HttpEvents {
     let named = response
         .headers()
@@ -106,7 +106,7 @@
     HttpEvents {
         response,
         reader: sse::EventReader::default(),
-        generation: named.unwrap_or(asked),
+        generation: named.unwrap_or(requested),
         server: target.name.clone(),
     }
 }
@@ -186,7 +186,7 @@
         let sent = self.fresh.delete(generation_url(target, generation)).send();
         match sent.await {
             Ok(response) if response.status().is_success() => {
-                let known: Result<KnownBody, _> = response.json().await;
+                let known: Result<CancelBody, _> = response.json().await;
                 let known = known.map_err(|failure| lost(failure.to_string()))?;
                 Ok(port::CancelAnswer::Known {
                     ran: known.ran,
@@ -207,7 +207,7 @@
 
 /// Body of an answer to a cancel of a generation that the engine holds.
 #[derive(serde::Deserialize)]
-struct KnownBody {
+struct CancelBody {
     ran: bool,
     #[serde(default)]
     produced: u32,
@@ -225,10 +225,10 @@
                     });
                 }
                 Ok(None) => {}
-                Err(fault) => {
+                Err(error) => {
                     return Err(link_error::StreamError::Nonsense {
                         server: server(),
-                        cause: fault.to_string(),
+                        cause: error.to_string(),
                     });
                 }
             }
@@ -237,7 +237,7 @@
                     self.reader.push(&piece);
                     continue;
                 }
-                Ok(None) => "it ended without a finish".to_owned(),
+                Ok(None) => "it ended without a finish event".to_owned(),
                 Err(failure) => failure.to_string(),
             };
             return Err(link_error::StreamError::Cut {
@@ -248,7 +248,7 @@
     }
 }
 
-/// Plain services over HTTP.
+/// Calls to plain services over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpServices {
     fresh: reqwest::Client,
@@ -329,7 +329,7 @@
     }
 }
 
-/// The whole answer, if it is this call's.
+/// Reads the complete answer and checks that it belongs to this call.
 async fn answer_of(
     mut response: reqwest::Response,
     call: &port::ServiceCall,
@@ -340,17 +340,17 @@
     };
     let is_crossed = header(REQUEST_HEADER).is_some_and(|named| named != call.request.to_string());
     if is_crossed {
-        return Err("the answer names another request".to_owned());
+        return Err("the answer belongs to another request".to_owned());
     }
     let status = response.status().as_u16();
     let content_type = header(header::CONTENT_TYPE.as_str());
     let mut body = BytesMut::new();
     loop {
         match response.chunk().await {
-            Ok(Some(piece)) if body.len() + piece.len() <= ANSWER_LIMIT_BYTES => {
+            Ok(Some(piece)) if body.len() + piece.len() <= MAX_ANSWER_BYTES => {
                 body.extend_from_slice(&piece);
             }
-            Ok(Some(_)) => return Err(format!("its answer is over {ANSWER_LIMIT_BYTES} bytes")),
+            Ok(Some(_)) => return Err(format!("the answer exceeds {MAX_ANSWER_BYTES} bytes")),
             Ok(None) => break,
             Err(failure) => return Err(failure.to_string()),
         }
--- a/crates/flow/src/jobs.rs
+++ b/crates/flow/src/jobs.rs
@@ -18,7 +18,8 @@
 /// Minimum delay before a refused job is retried or a failed store is repeated.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Maximum delay before a refused job is retried or a failed store is repeated.
+/// Maximum delay before a refused job is retried or a failed store is repeated; a quarantined job
+/// may wait for the whole quarantine instead.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// Maximum number of quarantines after which a job is retried.
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,8 +1,9 @@
-//! The request plane: filter chain, tries and their outcomes, stream relay and continuation.
+//! The request plane: filter chain, attempts and their outcomes, stream relay and continuation.
 //!
-//! [`plane::RequestPlane`] takes a caller's bytes and gives back an answer, a stream of bytes or
-//! an honest refusal. What it needs of the rest of the system it asks through [`port`]; what it
-//! knows of its own tries it keeps in types of [`proof`] that are moved, never copied.
+//! [`plane::RequestPlane`] takes a caller's request and returns an answer, a stream of bytes or a
+//! refusal that states whether the request ran. It reaches the rest of the system through the
+//! traits of [`port`]. What it knows of its own attempts is held in types of [`proof`], which are
+//! moved, never copied.
 
 pub mod admit;
 pub mod attempt;
--- a/crates/flow/src/link_error.rs
+++ b/crates/flow/src/link_error.rs
@@ -1,32 +1,34 @@
-//! How a call to a backend server can fail, as far as the caller of the link must tell apart.
+//! Errors of calls to backend servers, one type per call, as far as callers must distinguish them.
 
 use snafu::Snafu;
 
 use crate::proof;
 
-/// A generation was not started, or it is not known whether it was.
+/// Error of a start: the generation was not started, or it is unknown whether it was.
 #[derive(Debug, Snafu)]
 #[snafu(module)]
 pub enum StartError {
     /// The connection was refused or no byte was sent.
     #[snafu(display("{server} could not be reached: {cause}; check that its process runs"))]
     NeverSent {
-        /// For another try.
+        /// Proof that no byte was sent, which allows another attempt.
         evidence: proof::NeverSent,
         /// The server.
         server: String,
-        /// What the transport said.
+        /// Error of the transport.
         cause: String,
     },
-    /// It was sent and no answer came.
-    #[snafu(display("{server} did not answer a start: {cause}; the try is settled by cancelling"))]
+    /// The start was sent and no answer arrived.
+    #[snafu(display(
+        "{server} did not answer a start: {cause}; the attempt is settled by cancelling"
+    ))]
     Lost {
         /// The server.
         server: String,
-        /// What the transport said.
+        /// Error of the transport.
         cause: String,
     },
-    /// The server answered that it will not.
+    /// The server declined the start.
     #[snafu(display("{server} declined a start with status {status}; see its own logs"))]
     Declined {
         /// The server.
@@ -36,94 +38,94 @@
     },
 }
 
-/// A generation could not be continued.
+/// Error of a resume.
 #[derive(Debug, Snafu)]
 #[snafu(module)]
 pub enum ResumeError {
-    /// Nothing listens there: the process that held the generation is gone.
+    /// The connection was refused: the process that held the generation no longer runs.
     #[snafu(display("{server} refuses connections; its generations are lost with its process"))]
     Refused {
         /// The server.
         server: String,
     },
     /// The server does not hold the generation.
-    #[snafu(display("{server} does not hold the generation; it was restarted or forgot it"))]
+    #[snafu(display("{server} does not hold the generation; it restarted or has evicted it"))]
     NotHeld {
         /// The server.
         server: String,
     },
-    /// No answer, or one that makes no sense.
-    #[snafu(display("{server} did not answer a resume: {cause}; it is asked again"))]
+    /// No answer or an invalid one arrived.
+    #[snafu(display("{server} did not answer a resume: {cause}; the resume is retried"))]
     Lost {
         /// The server.
         server: String,
-        /// What the transport said.
+        /// Error of the transport.
         cause: String,
     },
 }
 
-/// A generation could not be cancelled, or it is not known whether it was.
+/// Error of a cancel: the generation was not cancelled, or it is unknown whether it was.
 #[derive(Debug, Snafu)]
 #[snafu(module)]
 pub enum CancelError {
-    /// Nothing listens there: the process that held the generation is gone.
+    /// The connection was refused: the process that held the generation no longer runs.
     #[snafu(display("{server} refuses connections; its generations are lost with its process"))]
     Refused {
         /// The server.
         server: String,
     },
-    /// No answer, or one that makes no sense.
-    #[snafu(display("{server} did not answer a cancel: {cause}; it is asked again"))]
+    /// No answer or an invalid one arrived.
+    #[snafu(display("{server} did not answer a cancel: {cause}; the cancel is retried"))]
     Lost {
         /// The server.
         server: String,
-        /// What the transport said.
+        /// Error of the transport.
         cause: String,
     },
 }
 
-/// A stream of events broke.
+/// Error of a stream of events.
 #[derive(Debug, Snafu)]
 #[snafu(module)]
 pub enum StreamError {
-    /// It ended without a finish.
-    #[snafu(display("the stream of {server} was cut: {cause}; the generation is resumed"))]
+    /// The stream ended without a finish event.
+    #[snafu(display("the stream from {server} broke: {cause}; the generation is resumed"))]
     Cut {
         /// The server.
         server: String,
-        /// What the transport said.
+        /// Error of the transport.
         cause: String,
     },
-    /// It carried something that is no event.
-    #[snafu(display("{server} sent what is no event: {cause}; the generation is resumed"))]
+    /// The stream carried something that is not an event.
+    #[snafu(display("{server} sent an invalid event: {cause}; the generation is resumed"))]
     Nonsense {
         /// The server.
         server: String,
-        /// What was wrong.
+        /// Error of the parser.
         cause: String,
     },
 }
 
-/// A plain service call has no answer.
+/// Error of a plain service call.
 #[derive(Debug, Snafu)]
 #[snafu(module)]
 pub enum CallError {
     /// The connection was refused or no byte was sent.
     #[snafu(display("{server} could not be reached: {cause}; check that its process runs"))]
     NeverSent {
-        /// For another try.
+        /// Proof that no byte was sent, which allows another attempt.
         evidence: proof::NeverSent,
         /// The server.
         server: String,
-        /// What the transport said.
+        /// Error of the transport.
         cause: String,
     },
-    /// It was sent, and its answer did not come or was nonsense.
+    /// The call was sent, and no answer or an invalid one arrived.
     #[snafu(display("{server} did not answer a call: {cause}; it may have run"))]
     Lost {
         /// The server.
         server: String,
-        /// What the transport said.
+        /// Error of the transport.
         cause: String,
     },
 }
--- a/crates/flow/src/path.rs
+++ b/crates/flow/src/path.rs
@@ -1,27 +1,28 @@
-//! Paths of plain service calls, in one spelling.
+//! Canonical form of the paths of plain service calls.
 //!
-//! What goes wrong without it: `free/../charge` or `%63harge` is not listed as non-idempotent,
-//! yet runs what `charge` runs, without a claim. One would notice a charge that was made twice.
+//! Without it, `free/../charge` or `%63harge` would not match the listed non-idempotent path
+//! `charge`, yet would run the same code without a claim, and a charge could be made twice.
 
 use base::refusal;
 
-/// The path without its query, percent-decoded, when it has one spelling only.
+/// Returns the path without its query, percent-decoded, or refuses one that is ambiguous.
 ///
 /// # Errors
 ///
-/// A refusal of empty and dot segments, backslashes and control characters.
+/// A refusal of empty and dot segments, backslashes, `#`, control characters, malformed
+/// percent-encoding, and encoded slashes or percent signs.
 pub fn plain_path(path: &str) -> Result<String, refusal::RefusalBody> {
     let (path, _query) = path.split_once('?').unwrap_or((path, ""));
     let path = path.strip_prefix('/').unwrap_or(path);
     let decoded = decode(path).ok_or_else(ambiguous)?;
-    let has_odd_character = decoded
+    let has_invalid_character = decoded
         .chars()
         .any(|character| character == '\\' || character == '#' || character.is_control());
     let inner = decoded.strip_suffix('/').unwrap_or(&decoded);
-    let has_odd_segment = inner
+    let has_invalid_segment = inner
         .split('/')
         .any(|segment| matches!(segment, "." | "..") || (segment.is_empty() && !inner.is_empty()));
-    if has_odd_character || has_odd_segment {
+    if has_invalid_character || has_invalid_segment {
         return Err(ambiguous());
     }
     Ok(decoded)
@@ -30,12 +31,13 @@
 fn ambiguous() -> refusal::RefusalBody {
     refusal::RefusalBody::not_run(
         refusal::RefusalCode::BadRequest,
-        "the path has empty or dot segments, backslashes or odd characters; spell it plainly",
+        "the path has empty or dot segments, backslashes or invalid characters; send it in \
+         canonical form",
     )
 }
 
-/// Undoes percent encoding once; `None` when it is malformed, or hides a slash or another
-/// percent sign.
+/// Decodes percent-encoding once. Returns `None` if it is malformed or encodes a slash or a percent
+/// sign.
 fn decode(path: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(path.len());
     let mut rest = path.as_bytes();
--- a/crates/flow/src/pipe.rs
+++ b/crates/flow/src/pipe.rs
@@ -1,17 +1,17 @@
 //! The bounded pipe from a relay to its caller's connection.
 //!
-//! The relay appends chunks; the connection takes all that has gathered at once, so that a busy
-//! connection costs one write for many tokens. What goes wrong without the bound: a caller that
-//! stops reading makes the entry VM hold its whole answer; one would notice memory growing with
-//! stalled callers. Here the relay waits for space, and gives the caller up after a limit.
+//! The relay appends chunks; the connection takes all buffered bytes at once, so that a busy
+//! connection costs one write for many tokens. Without the bound, the entry VM would buffer the
+//! complete answer of each caller that stops reading, and its memory would grow with the number of
+//! stalled callers. Instead, the relay waits for space and ends the stream after a time limit.
 
 use std::{future, pin, sync, task};
 
 use bytes::{Bytes, BytesMut};
 use futures_util::Stream;
 
-/// Bytes that may wait for a caller before its relay waits.
-const PIPE_LIMIT_BYTES: usize = 16 * 1024;
+/// Number of buffered bytes from which the relay waits for the caller to read.
+const MAX_BUFFERED_BYTES: usize = 16 * 1024;
 
 /// The caller's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,10 +19,10 @@
 
 #[derive(Debug, Default)]
 struct PipeState {
-    gathered: BytesMut,
-    /// The relay ended: what is gathered is the rest.
+    buffered: BytesMut,
+    /// The relay ended: nothing follows the buffered bytes.
     ended: bool,
-    /// The connection is closed.
+    /// The caller's connection is closed.
     disconnected: bool,
     reader: Option<task::Waker>,
     writer: Option<task::Waker>,
@@ -41,20 +41,20 @@
     }
 }
 
-/// The relay's end; dropping it ends the stream.
+/// The relay's end of the pipe; dropping it ends the stream.
 #[derive(Debug)]
 pub struct PipeWriter {
     shared: sync::Arc<SharedPipe>,
 }
 
-/// The caller's end: a stream of bytes to send. Dropping it tells the relay that the caller is
-/// disconnected.
+/// The caller's end of the pipe: a stream of bytes to send. Dropping it tells the relay that the
+/// caller disconnected.
 #[derive(Debug)]
 pub struct CallerStream {
     shared: sync::Arc<SharedPipe>,
 }
 
-/// A new pipe.
+/// Creates a pipe.
 #[must_use]
 pub fn pipe() -> (PipeWriter, CallerStream) {
     let shared = sync::Arc::new(SharedPipe::default());
@@ -65,20 +65,23 @@
 }
 
 impl PipeWriter {
-    /// Appends what `write` writes, whether there is space or not. Returns whether there still
-    /// is; see [`Self::space`].
+    /// Appends the bytes that `write` writes, also if there is no space. Returns whether there is
+    /// space afterwards; see [`Self::space`].
     ///
     /// # Errors
     ///
-    /// [`CallerDisconnected`] when nobody will read it.
+    /// [`CallerDisconnected`] if the caller's connection is closed.
     pub fn append<F: FnOnce(&mut BytesMut)>(&self, write: F) -> Result<bool, CallerDisconnected> {
         let (reader, has_space) = {
             let mut state = self.shared.lock();
             if state.disconnected {
                 return Err(CallerDisconnected);
             }
-            write(&mut state.gathered);
-            (state.reader.take(), state.gathered.len() < PIPE_LIMIT_BYTES)
+            write(&mut state.buffered);
+            (
+                state.reader.take(),
+                state.buffered.len() < MAX_BUFFERED_BYTES,
+            )
         };
         if let Some(waker) = reader {
             waker.wake();
@@ -90,14 +93,14 @@
     ///
     /// # Errors
     ///
-    /// [`CallerDisconnected`] when nobody will read.
+    /// [`CallerDisconnected`] if the caller's connection is closed.
     pub async fn space(&self) -> Result<(), CallerDisconnected> {
         future::poll_fn(|context| {
             let mut state = self.shared.lock();
             if state.disconnected {
                 return task::Poll::Ready(Err(CallerDisconnected));
             }
-            if state.gathered.len() < PIPE_LIMIT_BYTES {
+            if state.buffered.len() < MAX_BUFFERED_BYTES {
                 return task::Poll::Ready(Ok(()));
             }
             state.writer = Some(context.waker().clone());
@@ -106,7 +109,7 @@
         .await
     }
 
-    /// Completes when the caller is disconnected.
+    /// Completes when the caller's connection is closed.
     pub async fn disconnected(&self) {
         future::poll_fn(|context| {
             let mut state = self.shared.lock();
@@ -141,14 +144,14 @@
         context: &mut task::Context<'_>,
     ) -> task::Poll<Option<Bytes>> {
         let mut state = self.shared.lock();
-        if state.gathered.is_empty() {
+        if state.buffered.is_empty() {
             if state.ended {
                 return task::Poll::Ready(None);
             }
             state.reader = Some(context.waker().clone());
             return task::Poll::Pending;
         }
-        let chunk = state.gathered.split().freeze();
+        let chunk = state.buffered.split().freeze();
         let writer = state.writer.take();
         drop(state);
         if let Some(waker) = writer {
@@ -163,7 +166,7 @@
         let writer = {
             let mut state = self.shared.lock();
             state.disconnected = true;
-            state.gathered = BytesMut::new();
+            state.buffered = BytesMut::new();
             state.writer.take()
         };
         if let Some(waker) = writer {
--- a/crates/flow/src/port.rs
+++ b/crates/flow/src/port.rs
@@ -1,7 +1,7 @@
-//! What the request plane needs of the rest of the system.
+//! Interfaces between the request plane and the rest of the system.
 //!
-//! Links carry calls to backend servers and report what they know, no more: time limits, retries
-//! and cancellation are the plane's. Every future may be dropped at any await.
+//! Links carry calls to backend servers and report only what they know; the plane decides on time
+//! limits, retries and cancellation. Every future may be dropped at any await.
 
 use std::{future, net, time::Duration};
 
@@ -12,51 +12,51 @@
 
 use crate::{link_error, proof};
 
-/// A backend server as links address it.
+/// Identity and address of a backend server, for links.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerTarget {
-    /// Its key in the snapshot.
+    /// Its key in the configuration snapshot.
     pub key: id::ServerKey,
     /// Its name in the inventory.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: net::SocketAddr,
 }
 
-/// A generation to start.
+/// Body of a request to start a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 pub struct StartOrder {
-    /// Drawn for this try alone.
+    /// ID drawn for this attempt alone.
     pub id: id::GenerationId,
     /// The model.
     pub model: String,
-    /// The adapter beside it.
+    /// The model's adapter, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
-    /// The whole prompt.
+    /// The complete prompt.
     pub prompt: String,
-    /// Most tokens to produce.
+    /// Maximum number of tokens to produce.
     pub max_tokens: u32,
-    /// 0 urgent, 1 normal, 2 deferrable.
+    /// Engine priority: 0 urgent, 1 normal, 2 deferrable.
     pub priority: u8,
-    /// Seed of its sampling.
+    /// Seed for sampling.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
 }
 
-/// How a generation ended on its engine.
+/// Reason for which a generation ended on its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// By itself.
+    /// The model ended the answer.
     Stop,
-    /// At its limit of tokens.
+    /// It reached its maximum number of tokens.
     Length,
-    /// Cancelled.
+    /// It was cancelled.
     Cancelled,
-    /// By a fault of the engine.
+    /// The engine failed.
     Error,
 }
 
@@ -64,17 +64,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct FinishReport {
-    /// How it ended.
+    /// Reason for the end.
     pub finish: FinishReason,
-    /// Tokens that it produced in all.
+    /// Total number of tokens that it produced.
     pub produced: u32,
-    /// Tokens of its prompt.
+    /// Number of prompt tokens.
     #[serde(default)]
     pub prompt_tokens: u32,
-    /// Of these, found in the cache.
+    /// Number of prompt tokens found in the cache.
     #[serde(default)]
     pub cached_tokens: u32,
-    /// Times that the engine preempted it.
+    /// Number of times that the engine preempted it.
     #[serde(default)]
     pub preempted: u32,
 }
@@ -89,22 +89,22 @@
         /// Its text.
         text: String,
     },
-    /// The generation lives.
+    /// The generation is still running.
     Ping,
-    /// It ended.
+    /// The generation ended.
     Finish(FinishReport),
 }
 
 /// An event with the generation that it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaggedEvent {
-    /// The generation, as the stream says, not as was asked.
+    /// The generation that the stream names, which may differ from the requested one.
     pub generation: id::GenerationId,
     /// The event.
     pub event: EngineEvent,
 }
 
-/// An engine's answer to a cancel: from then on the generation does not run.
+/// An engine's answer to a cancel, after which the generation does not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelAnswer {
     /// The engine holds the generation.
@@ -114,14 +114,14 @@
         /// Tokens that it produced.
         produced: u32,
     },
-    /// The engine does not hold it, and will refuse a start of it that comes late. Whether it ran
-    /// in an earlier life of the process is not known.
+    /// The engine does not hold the generation and will refuse a start that arrives late. Whether
+    /// it ran in an earlier incarnation of the process is unknown.
     Remembered,
 }
 
 /// Events of one generation over one connection.
 pub trait EngineEvents: Send + 'static {
-    /// The next event; nothing is lost when the future is dropped.
+    /// Waits for the next event; no event is lost if the future is dropped.
     fn next(&mut self)
     -> impl Future<Output = Result<TaggedEvent, link_error::StreamError>> + Send;
 }
@@ -139,7 +139,7 @@
         permit: proof::SendPermit,
     ) -> impl Future<Output = Result<Self::Events, link_error::StartError>> + Send;
 
-    /// Streams a generation from token `from` on, always over a fresh connection.
+    /// Streams a running generation from token `from` on, always over a fresh connection.
     fn resume(
         &self,
         target: &ServerTarget,
@@ -162,9 +162,9 @@
     pub request: id::RequestId,
     /// HTTP method.
     pub method: String,
-    /// Path below the service, with its query.
+    /// Path below the service's prefix, with the query.
     pub path: String,
-    /// Idempotency key, relayed.
+    /// Idempotency key, passed on to the service.
     pub key: Option<String>,
     /// Content type of the body.
     pub content_type: Option<String>,
@@ -185,7 +185,7 @@
 
 /// Calls to plain services.
 pub trait ServiceLink: Send + Sync + 'static {
-    /// Calls once; never sends a second time by itself. `time_left` travels with the call.
+    /// Sends the call once, without retries. `time_left` is sent along with it.
     fn call(
         &self,
         target: &ServerTarget,
@@ -195,18 +195,18 @@
     ) -> impl Future<Output = Result<ServiceAnswer, link_error::CallError>> + Send;
 }
 
-/// What a request needs a place for.
+/// Work for which a request needs a slot on a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestedWork {
     /// A generation.
     Generation {
         /// The model's name.
         model: String,
-        /// The adapter beside it.
+        /// The model's adapter, if any.
         adapter: Option<String>,
-        /// Tokens of its prompt, estimated.
+        /// Estimated number of prompt tokens.
         prompt_tokens: u32,
-        /// Most tokens that it may produce.
+        /// Maximum number of tokens to produce.
         max_tokens: u32,
     },
     /// A plain service call.
@@ -216,111 +216,113 @@
     },
 }
 
-/// A request that wants a place on a backend server.
+/// Request for a slot on a backend server.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
     /// The caller's request.
     pub request: id::RequestId,
-    /// Who asks.
+    /// The caller's organisation.
     pub organisation: id::OrganisationKey,
-    /// How long it may wait.
+    /// Traffic class, which sets priority and waiting time.
     pub class: class::TrafficClass,
-    /// What it needs.
+    /// The work to place.
     pub work: RequestedWork,
     /// The prompt, for prefix affinity; empty for a plain service call.
     pub prompt: std::sync::Arc<str>,
-    /// Refused when it has no place by then.
+    /// Time at which the request is refused if it has no slot.
     pub deadline: time::Instant,
-    /// Servers that it must not get.
+    /// Servers on which the request must not be placed.
     pub avoid: Vec<id::ServerKey>,
-    /// It may crash its server: give it one where nothing else runs, and nothing else beside it.
+    /// Whether the request may crash its server and must therefore run alone on it.
     pub alone: bool,
-    /// Its answer is held here until whole, so that it may be preempted after its first token.
+    /// Whether the answer is buffered here until it is complete, so that the generation may be
+    /// preempted after its first token.
     pub buffered: bool,
-    /// It is a further try: ahead of first tries, not charged to a limit again.
+    /// Whether this is a retry, which goes ahead of first attempts and is not charged to a limit
+    /// again.
     pub retry: bool,
 }
 
-/// How a try failed, for the scheduler.
+/// Kind of failure of an attempt, for the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
     /// The connection was refused or broke.
     Broken,
-    /// Nothing came for too long.
+    /// The server was silent for too long.
     Silent,
-    /// The server declined it.
+    /// The server declined the attempt.
     Rejected,
-    /// The engine ended it with an error of its own.
+    /// The engine reported an error.
     Errored,
 }
 
-/// Why a request got its place, for the time line.
+/// Reason for a placement, for the time line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlacementReason {
-    /// Backend servers that were weighed.
+    /// Number of backend servers that were considered.
     pub candidates: u32,
-    /// What decided, and what it waited for.
+    /// The deciding criterion, and what the request waited for.
     pub text: String,
 }
 
-/// A place on a backend server; dropping it gives the place back as withdrawn.
+/// A slot on a backend server; dropping it releases the slot as withdrawn.
 pub trait Grant: Send + Sync + Sized + 'static {
-    /// Where.
+    /// The server.
     fn server(&self) -> id::ServerKey;
 
-    /// Engine priority to start with.
+    /// Engine priority for the start.
     fn priority(&self) -> u8;
 
-    /// Why there, for the time line.
+    /// Reason for the placement, for the time line.
     fn reason(&self) -> PlacementReason {
         PlacementReason::default()
     }
 
-    /// `count` further tokens arrived, the first included.
+    /// Reports `count` further tokens, including the first one.
     fn progress(&self, count: u32);
 
-    /// Completes when the generation is to be stopped and placed again.
+    /// Completes when the scheduler preempts the generation, which must be stopped and requeued.
     fn preempted(&mut self) -> impl Future<Output = ()> + Send {
         future::pending()
     }
 
-    /// It ended by itself, with `produced` tokens in all.
+    /// Reports that the generation ended normally with `produced` tokens in total.
     fn finished(self, produced: u32);
 
-    /// It failed on its server.
+    /// Reports that the attempt failed on its server.
     fn failed(self, failure: FailureKind);
 
-    /// Gives the place back and waits for another, after the generation was stopped.
+    /// Releases the slot after the generation was stopped, and waits for another one.
     fn requeue(self) -> impl Future<Output = Result<Self, refusal::RefusalBody>> + Send;
 }
 
-/// Decides where and when.
+/// Decides when and on which server a request runs.
 pub trait Scheduler: Send + Sync + 'static {
-    /// A place.
+    /// A slot on a server.
     type Grant: Grant;
 
-    /// A refusal that is certain before anything is queued or claimed.
+    /// Returns a refusal if it is certain before anything is queued or claimed.
     fn early_refusal(&self, request: &AdmissionRequest) -> Option<refusal::RefusalBody>;
 
-    /// Waits for a place; dropping the future withdraws the request.
+    /// Waits for a slot; dropping the future withdraws the request.
     fn admit(
         &self,
         request: &AdmissionRequest,
     ) -> impl Future<Output = Result<Self::Grant, refusal::RefusalBody>> + Send;
 }
 
-/// One request's share of its organisation's limits; frees on drop.
+/// One request's part of its organisation's quota; released on drop.
 pub trait QuotaPermit: Send + Sync + 'static {
     /// Charges generated tokens.
     fn charge(&mut self, tokens: u32);
 }
 
-/// Limits of organisations.
+/// Enforces the quotas of organisations.
 pub trait QuotaLimiter: Send + Sync + 'static {
-    /// What a request holds while it runs.
+    /// Permit that a request holds while it runs.
     type Permit: QuotaPermit;
 
-    /// Takes one request's share, or says when to come back.
+    /// Takes a permit for one request, or refuses it with a retry delay.
     fn take(
         &self,
         organisation: id::OrganisationKey,
@@ -330,74 +332,74 @@
     ) -> Result<Self::Permit, refusal::RefusalBody>;
 }
 
-/// A call that may not run twice.
+/// Claim on an idempotency key for a call that must not run twice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// The caller's request.
     pub request: id::RequestId,
-    /// Name of the organisation; keys of two organisations are different keys.
+    /// Name of the organisation; each organisation has its own key space.
     pub organisation: String,
     /// The service.
     pub service: String,
-    /// The key as the caller wrote it, its time checked.
+    /// The key as the caller sent it; its timestamp is already checked.
     pub key: String,
-    /// The time that the key carries, milliseconds since 1970.
+    /// The timestamp in the key, milliseconds since 1970.
     pub key_made_ms: u64,
-    /// Of method, path and body: a key may not be used again for something else.
+    /// Fingerprint of method, path and body: a key must not be reused for a different call.
     pub content: fingerprint::ContentHash,
-    /// How long the call may take, counted from before the append.
+    /// Maximum duration of the call, counted from before the append.
     pub holds_for: Duration,
 }
 
 /// A claim that this process holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimHold {
-    /// The record that won.
+    /// The record that holds the key.
     pub record: id::RecordId,
-    /// What was claimed.
+    /// The claim.
     pub claim: ClaimRequest,
-    /// The call may leave before this only; by this process's monotonic clock, counted from
-    /// before the append.
+    /// Time before which the call must be sent, by this process's monotonic clock and counted
+    /// from before the append.
     pub deadline: time::Instant,
 }
 
-/// How a claimed call ended.
+/// Outcome of a claimed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEnd {
-    /// It ran and answered.
+    /// The call ran and was answered.
     Answered(ServiceAnswer),
-    /// It is proved that it did not run: the key may be claimed again.
+    /// The call provably did not run, so the key may be claimed again.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// What the book says to a claim.
+/// Answer of the store to a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// It is ours: the call may leave before the deadline.
+    /// This process holds the claim; the call may be sent before the deadline.
     Fresh(ClaimHold),
-    /// An earlier call with this key ended so.
+    /// An earlier call with this key ended with this answer.
     Stored(ServiceAnswer),
-    /// An earlier call with this key is not over yet.
+    /// An earlier call with this key has not ended yet.
     InProgress {
-        /// When it will be.
+        /// Delay after which it is expected to have ended.
         retry_after_ms: u64,
     },
     /// An earlier call with this key may have run.
     Unknown,
     /// The key was used for another call.
     Mismatch,
-    /// The claim was not made; nothing ran by it.
+    /// The claim was not made, so no call ran under it.
     Refused(refusal::RefusalBody),
 }
 
-/// Claims on idempotency keys, on the log.
+/// Store of claims on idempotency keys, on the log.
 pub trait ClaimStore: Send + Sync + 'static {
-    /// Claims a key. `Fresh` only when the claim is durable and first.
+    /// Claims a key. Returns `Fresh` only if the claim is durable and the first one.
     fn claim(&self, claim: ClaimRequest) -> impl Future<Output = ClaimAnswer> + Send;
 
-    /// Stores how a claimed call ended; the first end in the order of the log stands.
+    /// Stores the outcome of a claimed call; the first outcome on the log counts.
     fn store(
         &self,
         hold: ClaimHold,
@@ -408,95 +410,96 @@
     fn seen(&self, organisation: &str, key: &str) -> bool;
 }
 
-/// Deferrable work, as it is kept.
+/// Deferrable work as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct JobRecord {
-    /// The caller's request; the job is fetched by it.
+    /// The caller's request, by which the job is fetched.
     pub request: id::RequestId,
     /// Name of the organisation.
     pub organisation: String,
-    /// Whether it came as a chat.
+    /// Whether the request used the chat format.
     pub chat: bool,
-    /// The request's body as it came.
+    /// The request's body as received.
     pub body: String,
-    /// When it was accepted, milliseconds since 1970.
+    /// Time of acceptance, milliseconds since 1970.
     pub accepted_ms: u64,
 }
 
-/// How a job ended: whole, or refused for good.
+/// Result of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobResult {
-    /// The whole answer, as JSON text.
+    /// The complete answer, as JSON text.
     Answer(String),
-    /// It cannot be done.
+    /// The job is refused for good.
     Refused(refusal::RefusalBody),
 }
 
-/// What is known of a job.
+/// Known state of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// No such job, or its time is up.
+    /// No such job exists, or its result has expired.
     Absent,
     /// Accepted for this organisation, not finished.
     Waiting(String),
     /// Accepted for this organisation and finished.
     Done(String, JobResult),
-    /// The book cannot say now.
+    /// The store cannot be read now.
     Unreadable(refusal::RefusalBody),
 }
 
-/// A job that this process runs.
+/// Lease on a job that this process runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobLease {
-    /// The record that won.
+    /// The record that holds the lease.
     pub record: id::RecordId,
     /// The job.
     pub job: JobRecord,
-    /// Another may take the job over after this, by this process's monotonic clock.
+    /// End of the lease, after which another process may take the job over, by this process's
+    /// monotonic clock.
     pub deadline: time::Instant,
 }
 
-/// What became of work that was to be accepted.
+/// Answer of the store to a job that was submitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AcceptAnswer {
-    /// Its record is on the log.
+    /// The job's record is on the log.
     Accepted,
-    /// It is proved that its record is not on the log and will not be.
+    /// The job's record is provably not on the log and will not be.
     Refused(refusal::RefusalBody),
-    /// Its record may be on the log: it may still be done.
+    /// The job's record may be on the log, so the job may still run.
     Unknown,
 }
 
-/// What became of a result.
+/// Outcome of storing a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoredResult {
-    /// It is the job's result.
+    /// The stored result is the job's result.
     Stored,
-    /// Another result was first; this one is to be thrown away.
+    /// Another result was first; this one must be discarded.
     Superseded,
 }
 
-/// Deferrable work, on the log.
+/// Store of deferrable work, on the log.
 pub trait JobStore: Send + Sync + 'static {
     /// Accepts a job.
     fn accept(&self, job: JobRecord) -> impl Future<Output = AcceptAnswer> + Send;
 
-    /// State of a job, from any entry VM.
+    /// Reads the state of a job; works on any entry VM.
     fn fetch(&self, request: id::RequestId) -> impl Future<Output = JobState> + Send;
 
     /// Waits for a job that this process is to run.
     fn take(&self) -> impl Future<Output = JobLease> + Send;
 
-    /// Makes the lease last longer; `None`: it is lost.
+    /// Extends a lease; returns `None` if it is lost.
     fn renew(&self, lease: &JobLease) -> impl Future<Output = Option<JobLease>> + Send;
 
-    /// Gives a lease back, so that another may take the job at once.
+    /// Releases a lease, so that another process may take the job at once.
     fn release(&self, lease: &JobLease) -> impl Future<Output = ()> + Send;
 
-    /// Stores a result; the first in the order of the log stands.
+    /// Stores a result; the first result on the log counts.
     fn store(
         &self,
         lease: &JobLease,
@@ -504,9 +507,9 @@
     ) -> impl Future<Output = Result<StoredResult, refusal::RefusalBody>> + Send;
 }
 
-/// The time line.
+/// Sink for time line events.
 pub trait EventSink: Send + Sync + 'static {
-    /// Records an event; never waits.
+    /// Records an event without blocking.
     fn record(&self, request: Option<id::RequestId>, kind: kind::EventKind);
 }
 
@@ -516,30 +519,30 @@
     fn unix_ms(&self) -> u64;
 }
 
-/// Where identifiers come from.
+/// Source of identifiers.
 pub trait IdSource: Send + Sync + 'static {
-    /// 128 random bits.
+    /// Draws 128 random bits.
     fn draw(&self) -> u128;
 }
 
 /// Messages to other entry VMs.
 pub trait PeerLink: Send + Sync + 'static {
-    /// Tells the entry VM `vm`, which began to relay `generation`, that this one goes on with
-    /// it: `vm` must not cancel it when its own caller is gone. Best effort.
+    /// Informs the entry VM `vm`, which first relayed `generation`, that this one continues it, so
+    /// that `vm` does not cancel it when its own caller disconnects. Best effort.
     fn adopted(&self, vm: &str, generation: id::GenerationId);
 }
 
 /// All ports of one request plane.
 pub trait PortSet: Send + Sync + 'static {
-    /// Model engines.
+    /// Link to model engines.
     type Engines: EngineLink;
-    /// Plain services.
+    /// Link to plain services.
     type Services: ServiceLink;
-    /// Placement.
+    /// Scheduler.
     type Schedule: Scheduler;
-    /// Limits.
+    /// Quotas of organisations.
     type Quotas: QuotaLimiter;
-    /// Claims.
+    /// Claims on idempotency keys.
     type Claims: ClaimStore;
     /// Deferrable work.
     type Jobs: JobStore;
@@ -547,20 +550,20 @@
     type Events: EventSink;
     /// Wall clock.
     type Clock: WallClock;
-    /// Identifiers.
+    /// Source of identifiers.
     type Ids: IdSource;
-    /// Other entry VMs.
+    /// Link to other entry VMs.
     type Peers: PeerLink;
 
-    /// Model engines.
+    /// Link to model engines.
     fn engines(&self) -> &Self::Engines;
-    /// Plain services.
+    /// Link to plain services.
     fn services(&self) -> &Self::Services;
-    /// Placement.
+    /// Scheduler.
     fn schedule(&self) -> &Self::Schedule;
-    /// Limits.
+    /// Quotas of organisations.
     fn quotas(&self) -> &Self::Quotas;
-    /// Claims.
+    /// Claims on idempotency keys.
     fn claims(&self) -> &Self::Claims;
     /// Deferrable work.
     fn jobs(&self) -> &Self::Jobs;
@@ -568,8 +571,8 @@
     fn events(&self) -> &Self::Events;
     /// Wall clock.
     fn clock(&self) -> &Self::Clock;
-    /// Identifiers.
+    /// Source of identifiers.
     fn ids(&self) -> &Self::Ids;
-    /// Other entry VMs.
+    /// Link to other entry VMs.
     fn peers(&self) -> &Self::Peers;
 }
--- a/crates/flow/src/readers.rs
+++ b/crates/flow/src/readers.rs
@@ -1,9 +1,9 @@
-//! Who relays which generation, so that a gone caller's generation is cancelled only when
-//! nobody else goes on with it.
+//! Counts the relays of each generation, so that the generation of a disconnected caller is
+//! cancelled only if no other relay continues it.
 //!
-//! What goes wrong otherwise: a caller whose connection broke continues by token, here or at
-//! another entry VM; the first relay then notices its gone caller and cancels the generation
-//! under the second. One would notice continued streams that end as cancelled.
+//! Without this, a caller whose connection broke would continue by token, here or at another entry
+//! VM, and the first relay would then notice that its caller disconnected and cancel the generation
+//! that the second one relays: continued streams would end as cancelled.
 
 use std::{collections, sync};
 
@@ -11,9 +11,9 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ReaderEntry {
-    /// Relays of this process.
+    /// Number of relays in this process.
     readers: u32,
-    /// Another entry VM goes on with it.
+    /// Whether another entry VM continues the generation.
     adopted: bool,
 }
 
@@ -23,7 +23,7 @@
     entries: sync::Mutex<collections::HashMap<id::GenerationId, ReaderEntry>>,
 }
 
-/// Counts one relay of a generation for as long as it is held.
+/// Counts one relay of a generation until dropped.
 #[derive(Debug)]
 pub struct ReaderGuard {
     table: sync::Arc<ReaderTable>,
@@ -31,7 +31,7 @@
 }
 
 impl ReaderTable {
-    /// A relay begins.
+    /// Registers a relay.
     pub fn enter(self: &sync::Arc<Self>, generation: id::GenerationId) -> ReaderGuard {
         self.lock().entry(generation).or_default().readers += 1;
         ReaderGuard {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Another entry VM goes on with a generation.
+    /// Records that another entry VM continues a generation.
     pub fn adopted_elsewhere(&self, generation: id::GenerationId) {
         if let Some(entry) = self.lock().get_mut(&generation) {
             entry.adopted = true;
@@ -55,7 +55,7 @@
 }
 
 impl ReaderGuard {
-    /// Whether nobody else relays the generation: only then may it be cancelled.
+    /// Whether no other relay reads the generation; only then may it be cancelled.
     #[must_use]
     pub fn is_last(&self) -> bool {
         self.table
--- a/crates/flow/src/sse.rs
+++ b/crates/flow/src/sse.rs
@@ -1,33 +1,37 @@
-//! Server-sent events of a model engine, read from pieces of a byte stream.
+//! Parser for the server-sent events of a model engine.
 
 use bytes::{Buf as _, BytesMut};
 use snafu::{ResultExt as _, Snafu};
 
 use crate::port;
 
-/// Longest line that is taken; a token's is under a hundred bytes.
-const LONGEST_LINE_BYTES: usize = 64 * 1024;
+/// Maximum length of a line; the line of a token has less than a hundred bytes.
+const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// A stream carries something that is no event.
+/// Error of a stream that carries something other than events.
 #[derive(Debug, Snafu)]
 pub enum EventError {
-    /// A line does not end.
+    /// A line is too long.
     #[snafu(display(
-        "a line is longer than {LONGEST_LINE_BYTES} bytes; check what is served there"
+        "a line is longer than {MAX_LINE_BYTES} bytes; check which server listens at the address"
     ))]
     LineTooLong,
-    /// A line is no JSON event.
-    #[snafu(display("a line is no event: {source}; check what is served there"))]
+    /// A line is not an event in JSON.
+    #[snafu(display(
+        "a line is not a JSON event: {source}; check which server listens at the address"
+    ))]
     NotAnEvent {
-        /// What the parser said.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
     /// An event is neither token nor finish.
-    #[snafu(display("an event is neither token nor finish; check what is served there"))]
-    NeitherNor,
+    #[snafu(display(
+        "an event is neither token nor finish; check which server listens at the address"
+    ))]
+    UnknownEvent,
 }
 
-/// An event as it is on the wire.
+/// Event in its wire format.
 #[derive(serde::Deserialize)]
 struct RawEvent {
     seq: Option<u32>,
@@ -46,21 +50,21 @@
 #[derive(Debug, Default)]
 pub struct EventReader {
     bytes: BytesMut,
-    /// Bytes at the front that are known to hold no end of a line.
+    /// Number of leading bytes that are known to contain no line feed.
     scanned: usize,
 }
 
 impl EventReader {
-    /// Takes in a piece of the stream.
+    /// Appends a piece of the stream.
     pub fn push(&mut self, piece: &[u8]) {
         self.bytes.extend_from_slice(piece);
     }
 
-    /// The next event, if there is a whole one.
+    /// Returns the next event if it has arrived completely.
     ///
     /// # Errors
     ///
-    /// [`EventError`] when the stream makes no sense; nothing after it can be trusted.
+    /// [`EventError`] if the stream is invalid; the rest of it must not be used.
     pub fn take(&mut self) -> Result<Option<port::EngineEvent>, EventError> {
         loop {
             let end = self.bytes[self.scanned..]
@@ -68,7 +72,7 @@
                 .position(|byte| *byte == b'\n');
             let Some(end) = end else {
                 self.scanned = self.bytes.len();
-                snafu::ensure!(self.scanned <= LONGEST_LINE_BYTES, LineTooLongSnafu);
+                snafu::ensure!(self.scanned <= MAX_LINE_BYTES, LineTooLongSnafu);
                 return Ok(None);
             };
             let end = self.scanned + end;
@@ -82,7 +86,7 @@
     }
 }
 
-/// A comment is a ping; empty lines and fields other than `data` are nothing.
+/// Parses one line: a comment is a ping; empty lines and fields other than `data` are ignored.
 fn parse_line(line: &[u8]) -> Result<Option<port::EngineEvent>, EventError> {
     if line.first() == Some(&b':') {
         return Ok(Some(port::EngineEvent::Ping));
@@ -109,6 +113,6 @@
             cached_tokens: raw.cached_tokens,
             preempted: raw.preempted,
         }))),
-        _ => NeitherNorSnafu.fail(),
+        _ => UnknownEventSnafu.fail(),
     }
 }
