--- a/crates/flow/tests/plane/main.rs
+++ b/crates/flow/tests/plane/main.rs
@@ -1,5 +1,6 @@
 //! The real request plane against in-process stand-ins, on a paused clock.
 
+mod basic;
 mod callers;
 mod calls;
 mod crashing;
@@ -7,5 +8,5 @@
 mod fuzz;
 mod links;
 mod streams;
-mod thin;
+
 mod world;
