--- a/crates/flow/tests/http.rs
+++ b/crates/flow/tests/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP links against stand-ins over loopback sockets.
+//! Tests of the HTTP links against stand-in servers over loopback sockets.
 
 use std::net;
 
@@ -36,14 +36,14 @@
     proof::StartPermit::for_tests().send::<proof::CallKind>().0
 }
 
-/// An address where nothing listens.
-async fn nowhere() -> net::SocketAddr {
+/// An address on which nothing listens.
+async fn unused_address() -> net::SocketAddr {
     let any = net::SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = tokio::net::TcpListener::bind(any).await.unwrap();
     listener.local_addr().unwrap()
 }
 
-/// Numbers of the tokens up to the finish.
+/// Reads a stream to its finish and returns the token numbers and the report.
 async fn read(mut events: http::HttpEvents) -> (Vec<u32>, port::FinishReport) {
     let mut numbers = Vec::new();
     loop {
@@ -101,24 +101,24 @@
     ));
 }
 
-// Symptom: a call that ran is told as not run, or one that did not is told as unknown.
-// Sequence: nothing listens there; or the answer is lost after the call took effect.
-// Cause: the two were not told apart by what the connection proves.
+// Guards against reporting a call that ran as not run, or one that did not run as unknown.
+// Only a connection that never opened proves that the call did not run; if the answer is lost
+// after the call was sent, the call may have taken effect.
 #[tokio::test]
-async fn only_a_connection_that_never_opened_proves_anything() {
-    let gone = target(nowhere().await);
+async fn only_a_connection_that_never_opened_proves_a_call_did_not_run() {
+    let unreachable = target(unused_address().await);
     let engines = http::HttpEngines::new().unwrap();
-    let started = engines.start(&gone, &order(3, "x"), permit()).await;
+    let started = engines.start(&unreachable, &order(3, "x"), permit()).await;
     assert!(matches!(
         started,
         Err(link_error::StartError::NeverSent { .. })
     ));
-    let resumed = engines.resume(&gone, id::GenerationId(3), 0).await;
+    let resumed = engines.resume(&unreachable, id::GenerationId(3), 0).await;
     assert!(matches!(
         resumed,
         Err(link_error::ResumeError::Refused { .. })
     ));
-    let cancelled = engines.cancel(&gone, id::GenerationId(3)).await;
+    let cancelled = engines.cancel(&unreachable, id::GenerationId(3)).await;
     assert!(matches!(
         cancelled,
         Err(link_error::CancelError::Refused { .. })
@@ -137,7 +137,7 @@
         body: Bytes::from_static(b"one pass"),
     };
     let limit = time::Duration::from_secs(20);
-    let refused = services.call(&gone, &call, limit, permit()).await;
+    let refused = services.call(&unreachable, &call, limit, permit()).await;
     assert!(matches!(
         refused,
         Err(link_error::CallError::NeverSent { .. })
@@ -146,9 +146,9 @@
         .call(&target(server.address()), &call, limit, permit())
         .await
         .unwrap();
-    let told: service::ServiceAnswer = serde_json::from_slice(&answer.body).unwrap();
-    assert_eq!(told.path, "/charge?day=1");
-    assert_eq!(told.idempotency_key.as_deref(), Some("1-x"));
+    let received: service::ServiceAnswer = serde_json::from_slice(&answer.body).unwrap();
+    assert_eq!(received.path, "/charge?day=1");
+    assert_eq!(received.idempotency_key.as_deref(), Some("1-x"));
     handle.apply(&service::ServiceFault::LoseAnswers { count: 1 });
     let lost = services
         .call(&target(server.address()), &call, limit, permit())
--- a/crates/flow/tests/plane/basic.rs
+++ b/crates/flow/tests/plane/basic.rs
@@ -1,11 +1,11 @@
-//! The path from a caller's bytes to a whole answer, without faults.
+//! Requests through the plane without faults.
 
 use flow::plane;
 
 use crate::{callers, world};
 
 #[test]
-fn a_stream_arrives_whole() {
+fn a_stream_arrives_complete() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
         let reply = callers::generate(&world.planes[0], callers::chat(7, 20, true, "")).await;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_whole_answer_arrives_whole() {
+fn a_non_streamed_answer_arrives_complete() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
         let reply = callers::generate(&world.planes[0], callers::chat(8, 20, false, "")).await;
--- a/crates/flow/tests/plane/faults.rs
+++ b/crates/flow/tests/plane/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a history: each begins at some time, and most of them end.
+//! Faults injected into a test run: each starts at a drawn time, and most of them end.
 
 use std::{sync, time::Duration};
 
@@ -10,33 +10,33 @@
 
 /// A fault of a model engine that the stand-in itself provides.
 #[derive(Clone, Copy, Debug)]
-pub enum EngineTrouble {
-    Stalls,
-    Silent,
+pub enum EngineFaultKind {
+    Stall,
+    Silence,
     Unreachable,
-    StreamsCut { after_tokens: u32 },
-    AnswersLost { count: u32 },
-    Nonsense,
-    Slow { times: u32 },
+    TruncatedStreams { after_tokens: u32 },
+    LostAnswers { count: u32 },
+    InvalidEvents,
+    Slow { factor: u32 },
 }
 
-impl EngineTrouble {
-    const fn ends(self) -> bool {
-        !matches!(self, Self::Silent | Self::AnswersLost { .. })
+impl EngineFaultKind {
+    const fn is_reversible(self) -> bool {
+        !matches!(self, Self::Silence | Self::LostAnswers { .. })
     }
 
-    fn switched(self, on: bool) -> engine::EngineFault {
+    fn to_stand_in_fault(self, on: bool) -> engine::EngineFault {
         match self {
-            Self::Stalls => engine::EngineFault::Stall { on },
-            Self::Silent => engine::EngineFault::Silence,
+            Self::Stall => engine::EngineFault::Stall { on },
+            Self::Silence => engine::EngineFault::Silence,
             Self::Unreachable => engine::EngineFault::Hang { on },
-            Self::StreamsCut { after_tokens } => engine::EngineFault::Truncate {
+            Self::TruncatedStreams { after_tokens } => engine::EngineFault::Truncate {
                 after_tokens: on.then_some(after_tokens),
             },
-            Self::AnswersLost { count } => engine::EngineFault::LoseAnswers { count },
-            Self::Nonsense => engine::EngineFault::Nonsense { on },
-            Self::Slow { times } => engine::EngineFault::Slow {
-                factor: if on { f64::from(times) } else { 1.0 },
+            Self::LostAnswers { count } => engine::EngineFault::LoseAnswers { count },
+            Self::InvalidEvents => engine::EngineFault::Nonsense { on },
+            Self::Slow { factor } => engine::EngineFault::Slow {
+                factor: if on { f64::from(factor) } else { 1.0 },
             },
         }
     }
@@ -44,62 +44,62 @@
 
 /// A fault of a plain service server that the stand-in itself provides.
 #[derive(Clone, Copy, Debug)]
-pub enum ServiceTrouble {
-    Silent,
+pub enum ServiceFaultKind {
+    Silence,
     Unreachable,
-    AnswersLost { count: u32 },
+    LostAnswers { count: u32 },
     Slow,
 }
 
-impl ServiceTrouble {
-    const fn ends(self) -> bool {
+impl ServiceFaultKind {
+    const fn is_reversible(self) -> bool {
         matches!(self, Self::Unreachable | Self::Slow)
     }
 
-    fn switched(self, on: bool, delay_ms: u64) -> service::ServiceFault {
+    fn to_stand_in_fault(self, on: bool, delay_ms: u64) -> service::ServiceFault {
         match self {
-            Self::Silent => service::ServiceFault::Silence,
+            Self::Silence => service::ServiceFault::Silence,
             Self::Unreachable => service::ServiceFault::Hang { on },
-            Self::AnswersLost { count } => service::ServiceFault::LoseAnswers { count },
+            Self::LostAnswers { count } => service::ServiceFault::LoseAnswers { count },
             Self::Slow => service::ServiceFault::Slow { delay_ms },
         }
     }
 }
 
-/// One fault.
+/// A fault of an engine, a service server, the log or an entry VM.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    EngineDies {
+    EngineCrash {
         engine: usize,
-        back: bool,
+        restarts: bool,
     },
     Engine {
         engine: usize,
-        fault: EngineTrouble,
+        fault: EngineFaultKind,
     },
-    ServiceDies {
+    ServiceCrash {
         service: usize,
     },
     Service {
         service: usize,
-        fault: ServiceTrouble,
+        fault: ServiceFaultKind,
     },
-    LogDown,
-    ClaimsLate {
-        by_ms: u64,
+    LogOutage,
+    LateClaims {
+        delay_ms: u64,
     },
-    EntryPaused {
+    EntryPause {
         entry: usize,
     },
-    EntryDies,
+    EntryCrash,
     FirstEngineLeaves,
 }
 
-/// A fault with its times.
+/// A fault with its start and duration.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedFault {
-    pub after_ms: u64,
-    pub lasts_ms: u64,
+    pub start_ms: u64,
+    pub duration_ms: u64,
     pub fault: Fault,
 }
 
@@ -111,91 +111,94 @@
         let engine = u.choose_index(plan.engines)?;
         let service = u.choose_index(plan.services)?;
         let count = u.int_in_range(1..=3)?;
-        let trouble = |fault| Fault::Engine { engine, fault };
-        let call_trouble = |fault| Fault::Service { service, fault };
+        let engine_fault = |fault| Fault::Engine { engine, fault };
+        let service_fault = |fault| Fault::Service { service, fault };
         let fault = match u.int_in_range(0..=18_u8)? {
-            0 | 1 => Fault::EngineDies {
+            0 | 1 => Fault::EngineCrash {
                 engine,
-                back: u.arbitrary()?,
+                restarts: u.arbitrary()?,
             },
-            2 => trouble(EngineTrouble::Stalls),
-            3 => trouble(EngineTrouble::Silent),
-            4 => trouble(EngineTrouble::Unreachable),
-            5 => trouble(EngineTrouble::StreamsCut {
+            2 => engine_fault(EngineFaultKind::Stall),
+            3 => engine_fault(EngineFaultKind::Silence),
+            4 => engine_fault(EngineFaultKind::Unreachable),
+            5 => engine_fault(EngineFaultKind::TruncatedStreams {
                 after_tokens: u.int_in_range(0..=6)?,
             }),
-            6 => trouble(EngineTrouble::AnswersLost { count }),
-            7 => trouble(EngineTrouble::Nonsense),
-            8 => Fault::ServiceDies { service },
-            9 => call_trouble(ServiceTrouble::Silent),
-            10 => call_trouble(ServiceTrouble::Unreachable),
-            11 => call_trouble(ServiceTrouble::AnswersLost { count }),
-            12 => call_trouble(ServiceTrouble::Slow),
-            13 => Fault::LogDown,
-            14 => Fault::ClaimsLate {
-                by_ms: u.int_in_range(100..=20_000)?,
+            6 => engine_fault(EngineFaultKind::LostAnswers { count }),
+            7 => engine_fault(EngineFaultKind::InvalidEvents),
+            8 => Fault::ServiceCrash { service },
+            9 => service_fault(ServiceFaultKind::Silence),
+            10 => service_fault(ServiceFaultKind::Unreachable),
+            11 => service_fault(ServiceFaultKind::LostAnswers { count }),
+            12 => service_fault(ServiceFaultKind::Slow),
+            13 => Fault::LogOutage,
+            14 => Fault::LateClaims {
+                delay_ms: u.int_in_range(100..=20_000)?,
             },
-            15 => Fault::EntryPaused {
+            15 => Fault::EntryPause {
                 entry: u.choose_index(2)?,
             },
-            16 => Fault::EntryDies,
-            17 => trouble(EngineTrouble::Slow {
-                times: u.int_in_range(5..=100)?,
+            16 => Fault::EntryCrash,
+            17 => engine_fault(EngineFaultKind::Slow {
+                factor: u.int_in_range(5..=100)?,
             }),
             _ => Fault::FirstEngineLeaves,
         };
         Ok(Self {
-            after_ms: u.int_in_range(0..=1_500)?,
-            lasts_ms: u.int_in_range(20..=4_000)?,
+            start_ms: u.int_in_range(0..=1_500)?,
+            duration_ms: u.int_in_range(20..=4_000)?,
             fault,
         })
     }
 
-    pub async fn happen(self, world: sync::Arc<world::World>) {
-        time::sleep(Duration::from_millis(self.after_ms)).await;
+    pub async fn inject(self, world: sync::Arc<world::World>) {
+        time::sleep(Duration::from_millis(self.start_ms)).await;
         self.begin(&world);
-        time::sleep(Duration::from_millis(self.lasts_ms)).await;
+        time::sleep(Duration::from_millis(self.duration_ms)).await;
         self.end(&world);
     }
 
     fn begin(self, world: &world::World) {
         match self.fault {
-            Fault::EngineDies { engine, .. } => world.engines[engine].crash(),
-            Fault::ServiceDies { service } => world.services[service].crash(),
-            Fault::LogDown => {
+            Fault::EngineCrash { engine, .. } => world.engines[engine].crash(),
+            Fault::ServiceCrash { service } => world.services[service].crash(),
+            Fault::LogOutage => {
                 world.log_down.send_replace(true);
             }
-            Fault::ClaimsLate { by_ms } => {
-                *world.late_claims.lock().unwrap() = Duration::from_millis(by_ms);
+            Fault::LateClaims { delay_ms } => {
+                *world.late_claims.lock().unwrap() = Duration::from_millis(delay_ms);
             }
-            Fault::EntryPaused { entry } => world.switches[entry].set(false),
-            Fault::EntryDies => world.kill_first_entry(),
+            Fault::EntryPause { entry } => world.switches[entry].set(false),
+            Fault::EntryCrash => world.kill_first_entry(),
             Fault::FirstEngineLeaves => world.leave(0),
             Fault::Engine { engine, fault } => {
-                world.engines[engine].apply(&fault.switched(true));
+                world.engines[engine].apply(&fault.to_stand_in_fault(true));
             }
             Fault::Service { service, fault } => {
-                world.services[service].apply(&fault.switched(true, self.lasts_ms));
+                world.services[service].apply(&fault.to_stand_in_fault(true, self.duration_ms));
             }
         }
     }
 
     fn end(self, world: &world::World) {
         match self.fault {
-            Fault::EngineDies { engine, back: true } => world.engines[engine].restart(),
-            Fault::ServiceDies { service } => world.services[service].restart(),
-            Fault::LogDown => {
+            Fault::EngineCrash {
+                engine,
+                restarts: true,
+            } => world.engines[engine].restart(),
+            Fault::ServiceCrash { service } => world.services[service].restart(),
+            Fault::LogOutage => {
                 world.log_down.send_replace(false);
             }
-            Fault::ClaimsLate { .. } => *world.late_claims.lock().unwrap() = Duration::ZERO,
-            Fault::EntryPaused { entry } if entry > 0 || !world.is_first_entry_dead() => {
+            Fault::LateClaims { .. } => *world.late_claims.lock().unwrap() = Duration::ZERO,
+            Fault::EntryPause { entry } if entry > 0 || !world.is_first_entry_dead() => {
                 world.switches[entry].set(true);
             }
-            Fault::Engine { engine, fault } if fault.ends() => {
-                world.engines[engine].apply(&fault.switched(false));
+            Fault::Engine { engine, fault } if fault.is_reversible() => {
+                world.engines[engine].apply(&fault.to_stand_in_fault(false));
             }
-            Fault::Service { service, fault } if fault.ends() => {
-                world.services[service].apply(&fault.switched(false, 0));
+            Fault::Service { service, fault } if fault.is_reversible() => {
+                world.services[service].apply(&fault.to_stand_in_fault(false, 0));
             }
             _ => {}
         }
--- a/crates/flow/tests/plane/fuzz.rs
+++ b/crates/flow/tests/plane/fuzz.rs
@@ -509,7 +509,7 @@
             tokio::spawn(plane.clone().run_jobs());
         }
         for fault in &timed_faults {
-            tokio::spawn(fault.happen(world.clone()));
+            tokio::spawn(fault.inject(world.clone()));
         }
         let mut acts = task::JoinSet::new();
         for caller in callers {
--- a/crates/flow/tests/plane/links.rs
+++ b/crates/flow/tests/plane/links.rs
@@ -1,4 +1,4 @@
-//! Links over in-process stand-ins, with the mishaps that lie between two processes.
+//! Links to in-process stand-ins, with the faults that occur between two processes.
 
 use std::{collections, future, sync, time::Duration};
 
@@ -7,7 +7,7 @@
 use stand::{engine, service};
 use tokio::{sync::watch, time};
 
-/// What may go wrong on the way, drawn from a seed; equal seeds draw the same.
+/// Injects faults into streams, drawn from a seed; equal seeds draw the same faults.
 #[derive(Clone, Debug)]
 pub struct Chaos {
     state: sync::Arc<sync::Mutex<ChaosState>>,
@@ -15,19 +15,20 @@
 
 #[derive(Debug)]
 struct ChaosState {
-    word: u64,
-    /// Events in a thousand that are repeated, swapped, lost or joined by a foreign one.
+    rng_state: u64,
+    /// Events per thousand that are repeated, reordered, lost or accompanied by an event of
+    /// another generation.
     mishaps_permille: u64,
-    /// Generations that were started, to draw foreign ones from.
+    /// Started generations with their marks, from which events of other generations are drawn.
     started: Vec<(id::GenerationId, u32)>,
-    /// Starts that a live engine took, by mark; false: cancelled before any of it ran.
+    /// Starts that a running engine accepted, by mark; false if cancelled before any of it ran.
     pub may_have_run: collections::BTreeMap<u32, collections::BTreeMap<u128, bool>>,
 }
 
 impl Chaos {
     pub fn new(seed: u64, mishaps_permille: u64) -> Self {
         let state = ChaosState {
-            word: seed | 1,
+            rng_state: seed | 1,
             mishaps_permille,
             started: Vec::new(),
             may_have_run: collections::BTreeMap::new(),
@@ -37,56 +38,56 @@
         }
     }
 
-    /// Whether any try with this mark may have run, as the world outside knows.
+    /// Whether any attempt with this mark may have run, as seen from outside the plane.
     pub fn may_have_run(&self, mark: u32) -> bool {
         let state = self.state.lock().unwrap();
-        let tries = state.may_have_run.get(&mark);
-        tries.is_some_and(|tries| tries.values().any(|ran| *ran))
+        let attempts = state.may_have_run.get(&mark);
+        attempts.is_some_and(|attempts| attempts.values().any(|ran| *ran))
     }
 
-    /// Generations that were started with this mark.
+    /// Number of generations that were started with this mark.
     pub fn starts(&self, mark: u32) -> usize {
         let state = self.state.lock().unwrap();
-        let tries = state.may_have_run.get(&mark);
-        tries.map_or(0, collections::BTreeMap::len)
+        let attempts = state.may_have_run.get(&mark);
+        attempts.map_or(0, collections::BTreeMap::len)
     }
 
     fn started(&self, generation: id::GenerationId, mark: u32) {
         let mut state = self.state.lock().unwrap();
         state.started.push((generation, mark));
-        let tries = state.may_have_run.entry(mark).or_default();
-        tries.insert(generation.0, true);
+        let attempts = state.may_have_run.entry(mark).or_default();
+        attempts.insert(generation.0, true);
     }
 
     fn never_ran(&self, generation: id::GenerationId) {
         let mut state = self.state.lock().unwrap();
-        for tries in state.may_have_run.values_mut() {
-            tries.entry(generation.0).and_modify(|ran| *ran = false);
+        for attempts in state.may_have_run.values_mut() {
+            attempts.entry(generation.0).and_modify(|ran| *ran = false);
         }
     }
 }
 
 impl ChaosState {
     fn draw(&mut self) -> u64 {
-        self.word ^= self.word << 13;
-        self.word ^= self.word >> 7;
-        self.word ^= self.word << 17;
-        self.word
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        self.rng_state
     }
 
-    /// Puts `event` into `line`, perhaps with a mishap.
+    /// Appends `event` to `queue`, possibly with a fault.
     fn deliver(
         &mut self,
-        line: &mut collections::VecDeque<port::TaggedEvent>,
+        queue: &mut collections::VecDeque<port::TaggedEvent>,
         event: port::TaggedEvent,
     ) {
         if self.draw() % 1000 >= self.mishaps_permille {
-            line.push_back(event);
+            queue.push_back(event);
             return;
         }
         match self.draw() % 4 {
-            0 => line.extend([event.clone(), event]),
-            1 => line.push_front(event),
+            0 => queue.extend([event.clone(), event]),
+            1 => queue.push_front(event),
             2 => {}
             _ => {
                 let pick = self.draw() as usize % self.started.len().max(1);
@@ -94,18 +95,18 @@
                     (self.started.get(pick), &event.event)
                 {
                     let text = engine::text::marked_token(*generation, *seq, *mark);
-                    line.push_back(port::TaggedEvent {
+                    queue.push_back(port::TaggedEvent {
                         generation: *generation,
                         event: port::EngineEvent::Token { seq: *seq, text },
                     });
                 }
-                line.push_back(event);
+                queue.push_back(event);
             }
         }
     }
 }
 
-/// Lets nothing out of one entry VM's process while it is down or paused.
+/// Blocks all calls of one entry VM's process while it is down or paused.
 #[derive(Clone, Debug)]
 pub struct ProcessSwitch {
     runs: watch::Sender<bool>,
@@ -141,7 +142,7 @@
 pub struct StandEvents {
     stream: engine::EngineStream,
     generation: id::GenerationId,
-    line: collections::VecDeque<port::TaggedEvent>,
+    queue: collections::VecDeque<port::TaggedEvent>,
     chaos: Chaos,
     switch: ProcessSwitch,
 }
@@ -157,7 +158,7 @@
         StandEvents {
             stream,
             generation,
-            line: collections::VecDeque::new(),
+            queue: collections::VecDeque::new(),
             chaos: self.chaos.clone(),
             switch: self.switch.clone(),
         }
@@ -257,7 +258,7 @@
         let server = String::from("stand");
         loop {
             self.switch.pass().await;
-            if let Some(event) = self.line.pop_front() {
+            if let Some(event) = self.queue.pop_front() {
                 return Ok(event);
             }
             let event = match self.stream.next().await {
@@ -282,7 +283,7 @@
                 event,
             };
             let mut state = self.chaos.state.lock().unwrap();
-            state.deliver(&mut self.line, tagged);
+            state.deliver(&mut self.queue, tagged);
         }
     }
 }
@@ -348,23 +349,23 @@
     }
 }
 
-/// Claims that all entry VMs share, with outages and late answers.
+/// Claim store shared by all entry VMs, with outages and late answers.
 #[derive(Clone, Debug)]
 pub struct SharedClaims {
-    pub book: sync::Arc<memory_store::MemoryClaims>,
+    pub store: sync::Arc<memory_store::MemoryClaims>,
     pub down: watch::Sender<bool>,
-    /// The next claims are made and their answers come this late.
+    /// Delay of the answers to claims; the claims themselves are made at once.
     pub late: sync::Arc<sync::Mutex<Duration>>,
     pub switch: ProcessSwitch,
 }
 
-/// A claim holds for this long, whatever is asked for: less than a call may take.
-const CLAIM_HOLDS_FOR: Duration = Duration::from_secs(4);
+/// Maximum duration of a claim, whatever was requested; shorter than the longest call.
+const MAX_CLAIM_DURATION: Duration = Duration::from_secs(4);
 
 fn log_down() -> refusal::RefusalBody {
     refusal::RefusalBody::not_run(
         refusal::RefusalCode::Unavailable,
-        "the log is down; come back",
+        "the log is down; retry later",
     )
     .retry_after_ms(500)
 }
@@ -372,16 +373,16 @@
 impl port::ClaimStore for SharedClaims {
     async fn claim(&self, mut claim: port::ClaimRequest) -> port::ClaimAnswer {
         self.switch.pass().await;
-        claim.holds_for = claim.holds_for.min(CLAIM_HOLDS_FOR);
+        claim.holds_for = claim.holds_for.min(MAX_CLAIM_DURATION);
         if *self.down.borrow() {
             return port::ClaimAnswer::Refused(log_down());
         }
-        let answer = self.book.claim(claim).await;
+        let answer = self.store.claim(claim).await;
         let late = *self.late.lock().unwrap();
         time::sleep(late).await;
         self.switch.pass().await;
         if *self.down.borrow() {
-            // The claim is on the log, and nobody here knows.
+            // The claim is on the log, but this process never learns of it.
             return port::ClaimAnswer::Refused(log_down());
         }
         answer
@@ -396,18 +397,18 @@
         if *self.down.borrow() {
             return Err(log_down());
         }
-        self.book.store(hold, end).await
+        self.store.store(hold, end).await
     }
 
     fn seen(&self, organisation: &str, key: &str) -> bool {
-        self.book.seen(organisation, key)
+        self.store.seen(organisation, key)
     }
 }
 
-/// Jobs that all entry VMs share, with outages.
+/// Job store shared by all entry VMs, with outages.
 #[derive(Clone, Debug)]
 pub struct SharedJobs {
-    pub book: sync::Arc<memory_store::MemoryJobs>,
+    pub store: sync::Arc<memory_store::MemoryJobs>,
     pub down: watch::Sender<bool>,
     pub switch: ProcessSwitch,
 }
@@ -418,29 +419,29 @@
         if *self.down.borrow() {
             return port::AcceptAnswer::Refused(log_down());
         }
-        self.book.accept(job).await
+        self.store.accept(job).await
     }
 
     async fn fetch(&self, request: id::RequestId) -> port::JobState {
         self.switch.pass().await;
-        self.book.fetch(request).await
+        self.store.fetch(request).await
     }
 
     async fn take(&self) -> port::JobLease {
         self.switch.pass().await;
-        let lease = self.book.take().await;
+        let lease = self.store.take().await;
         self.switch.pass().await;
         lease
     }
 
     async fn renew(&self, lease: &port::JobLease) -> Option<port::JobLease> {
         self.switch.pass().await;
-        self.book.renew(lease).await
+        self.store.renew(lease).await
     }
 
     async fn release(&self, lease: &port::JobLease) {
         self.switch.pass().await;
-        self.book.release(lease).await;
+        self.store.release(lease).await;
     }
 
     async fn store(
@@ -452,11 +453,11 @@
         if *self.down.borrow() {
             return Err(log_down());
         }
-        self.book.store(lease, result).await
+        self.store.store(lease, result).await
     }
 }
 
-/// Identifiers in a row.
+/// Identifiers derived from a counter, the same in every run.
 #[derive(Debug)]
 pub struct CountedIds {
     pub entry: u128,
--- a/crates/flow/tests/plane/main.rs
+++ b/crates/flow/tests/plane/main.rs
@@ -8,5 +8,4 @@
 mod fuzz;
 mod links;
 mod streams;
-
 mod world;
--- a/crates/flow/tests/plane/world.rs
+++ b/crates/flow/tests/plane/world.rs
@@ -264,13 +264,13 @@
                 },
                 schedule: memory::MemorySchedule::new(self.views.subscribe(), plan.at_once),
                 claims: links::SharedClaims {
-                    book: claims.clone(),
+                    store: claims.clone(),
                     down: self.log_down.clone(),
                     late: self.late_claims.clone(),
                     switch: switch.clone(),
                 },
                 jobs: links::SharedJobs {
-                    book: jobs.clone(),
+                    store: jobs.clone(),
                     down: self.log_down.clone(),
                     switch: switch.clone(),
                 },
--- a/crates/flow/tests/pure.rs
+++ b/crates/flow/tests/pure.rs
@@ -1,4 +1,4 @@
-//! Parts that decide without I/O, against their properties.
+//! Property tests of the parts without I/O.
 
 use std::{collections, time::Duration};
 
@@ -8,14 +8,14 @@
 use flow::{body, budget, chunk, cursor, port, sse, suspect, token};
 use tokio::time;
 
-/// Runs `property` on `count` fixed seeds.
-fn on_seeds<P>(count: u64, property: P)
+/// Runs `property` with `count` fixed seeds.
+fn for_seeds<P>(count: u64, property: P)
 where
     P: Fn(&mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()>,
 {
     for number in 1..=count {
         let seed = number << 32 | 512;
-        // A failure prints the seed.
+        // arbtest prints the seed if the property fails.
         arbtest::arbtest(|u| property(u)).seed(seed).run();
     }
 }
@@ -43,14 +43,14 @@
 }
 
 #[test]
-fn tables_of_suspects_merge_in_any_order() {
-    on_seeds(500, |u| {
+fn suspect_tables_merge_in_any_order() {
+    for_seeds(500, |u| {
         let deaths = draw_deaths(u)?;
         let limits = suspect::SuspectLimits::default();
-        let mut straight = suspect::SuspectTable::new(limits);
-        let (mut left, mut right) = (straight.clone(), straight.clone());
+        let mut unsplit = suspect::SuspectTable::new(limits);
+        let (mut left, mut right) = (unsplit.clone(), unsplit.clone());
         for death in &deaths {
-            straight.record_death(death.clone());
+            unsplit.record_death(death.clone());
             let half = if u.arbitrary()? {
                 &mut left
             } else {
@@ -65,20 +65,20 @@
         for number in 0..=9 {
             let standing =
                 |table: &suspect::SuspectTable| table.standing(content(number), 1_060_000);
-            assert_eq!(standing(&left), standing(&straight));
-            assert_eq!(standing(&right), standing(&straight));
+            assert_eq!(standing(&left), standing(&unsplit));
+            assert_eq!(standing(&right), standing(&unsplit));
         }
         Ok(())
     });
 }
 
 #[test]
-fn one_death_convicts_nobody_and_two_convict_the_one_in_both() {
-    on_seeds(500, |u| {
+fn content_is_quarantined_only_if_it_ran_at_two_deaths() {
+    for_seeds(500, |u| {
         let limits = suspect::SuspectLimits::default();
         let mut table = suspect::SuspectTable::new(limits);
         let culprit = content(0);
-        let mut ran = |at_ms: u64, alone: bool| -> arbitrary::Result<()> {
+        let mut crash = |at_ms: u64, alone: bool| -> arbitrary::Result<()> {
             let mut contents = collections::BTreeSet::from([culprit]);
             if !alone {
                 for _ in 0..u.int_in_range(0..=20_u8)? {
@@ -93,13 +93,14 @@
             });
             for content in contents {
                 let standing = table.standing(content, at_ms);
-                let convicted = matches!(standing, suspect::ContentStanding::Quarantined { .. });
-                assert_eq!(convicted, at_ms > 1_000 && content == culprit);
+                let is_quarantined =
+                    matches!(standing, suspect::ContentStanding::Quarantined { .. });
+                assert_eq!(is_quarantined, at_ms > 1_000 && content == culprit);
             }
             Ok(())
         };
-        ran(1_000, false)?;
-        ran(60_000, true)?;
+        crash(1_000, false)?;
+        crash(60_000, true)?;
         let innocent = table.standing(content(1), 60_000);
         assert_eq!(innocent, suspect::ContentStanding::Clear);
         let later_ms = 60_000 + 15 * 60_000;
@@ -112,10 +113,10 @@
 }
 
 #[test]
-fn events_are_read_from_any_pieces() {
+fn events_are_parsed_however_the_stream_is_split() {
     let text = ": ping\n\ndata: {\"seq\": 0, \"text\": \"a \\n\\u00e4\"}\r\n\nid: 1\n\
                 data: {\"finish\": \"stop\", \"produced\": 1}\n\n";
-    on_seeds(300, |u| {
+    for_seeds(300, |u| {
         let mut reader = sse::EventReader::default();
         let mut events = Vec::new();
         let mut rest = text.as_bytes();
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn what_is_no_event_is_told_as_such() {
+fn invalid_events_are_errors() {
     for text in [
         "data: {\"seq\": 1}\n",
         "data: nonsense\n",
@@ -158,8 +159,8 @@
 }
 
 #[test]
-fn a_cursor_delivers_each_token_once_whatever_comes() {
-    on_seeds(500, |u| {
+fn a_cursor_delivers_each_token_once_in_order() {
+    for_seeds(500, |u| {
         let (own, foreign) = (id::GenerationId(1), id::GenerationId(2));
         let mut cursor = cursor::StreamCursor::new(own, 0);
         for _ in 0..60 {
@@ -180,17 +181,17 @@
 }
 
 #[test]
-fn retries_stay_under_their_fraction() {
+fn retries_stay_within_their_budget() {
     let start = time::Instant::now();
-    on_seeds(200, |u| {
+    for_seeds(200, |u| {
         let mut budget = budget::RetryBudget::new(start);
         let mut now = start;
-        let (mut first_tries, mut retries) = (0_u32, 0_u32);
+        let (mut first_attempts, mut retries) = (0_u32, 0_u32);
         for _ in 0..400 {
             now += Duration::from_millis(u.int_in_range(0..=20)?);
             if u.ratio(1, 3)? {
                 budget.first_try(now);
-                first_tries += 1;
+                first_attempts += 1;
             } else {
                 match budget.take_retry(0.1, now) {
                     Ok(()) => retries += 1,
@@ -198,8 +199,8 @@
                 }
             }
         }
-        // All of it is within one window.
-        assert!(f64::from(retries) <= 10.0_f64.max(f64::from(first_tries) * 0.1));
+        // All attempts are within one window.
+        assert!(f64::from(retries) <= 10.0_f64.max(f64::from(first_attempts) * 0.1));
         Ok(())
     });
 }
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn a_token_is_honoured_only_whole_and_in_time_and_two_keys_at_once() {
+fn a_token_is_valid_only_unaltered_unexpired_and_signed_with_a_current_key() {
     let key = |id: u8| token::TokenKey {
         id,
         secret: vec![id; 32],
@@ -235,18 +236,18 @@
     assert!(new.verify(&signed, 999).is_err());
     assert!(both.verify(&signed, 1_000).is_err());
     assert_eq!(new.verify(&both.sign(&facts()), 0).unwrap(), facts());
-    on_seeds(200, |u| {
+    for_seeds(200, |u| {
         let mut bytes = hex::decode(&signed).unwrap();
-        let place = u.choose_index(bytes.len())?;
-        bytes[place] ^= u.int_in_range(1..=255_u8)?;
+        let position = u.choose_index(bytes.len())?;
+        bytes[position] ^= u.int_in_range(1..=255_u8)?;
         assert!(both.verify(&hex::encode(bytes), 0).is_err());
         Ok(())
     });
 }
 
 #[test]
-fn chunks_are_json_whatever_the_text() {
-    on_seeds(200, |u| {
+fn chunks_are_valid_json_for_any_text() {
+    for_seeds(200, |u| {
         let text: String = u.arbitrary()?;
         let face = body::CallerFace::Chat;
         let writer = chunk::ChunkWriter::new(face, id::RequestId(1), "mo\"del", 1, true);
@@ -267,7 +268,7 @@
 }
 
 #[test]
-fn bodies_of_both_faces_are_understood_and_odd_ones_refused() {
+fn bodies_of_both_formats_are_parsed_and_invalid_ones_refused() {
     let chat = |text: &str| body::GenerationBody::parse(body::CallerFace::Chat, text.as_bytes());
     let parts = r#"{"model": "m", "messages": [{"role": "user", "content":
         [{"type": "text", "text": "hello"}]}], "max_completion_tokens": 5, "temperature": 1}"#;
@@ -276,14 +277,14 @@
         (parsed.prompt.as_str(), parsed.max_tokens),
         ("user: hello\nassistant:", Some(5))
     );
-    for odd in [
+    for invalid in [
         r#"{"messages": []}"#,
         r#"{"model": "m", "messages": []}"#,
         r#"{"model": "m", "messages": [{"role": "user", "content": "x"}], "n": 2}"#,
         r#"{"model": "m", "messages": [{"role": "user", "content": "x"}], "max_tokens": 0}"#,
         "[",
     ] {
-        assert!(chat(odd).is_err(), "{odd}");
+        assert!(chat(invalid).is_err(), "{invalid}");
     }
     let plain = br#"{"model": "m", "prompt": ["one"], "stream": true}"#;
     let parsed = body::GenerationBody::parse(body::CallerFace::Completion, plain).unwrap();
