--- a/crates/flow/benches/promises.rs
+++ b/crates/flow/benches/promises.rs
@@ -1,5 +1,5 @@
-//! What the promises cost when something fails, on a paused clock: the figures are of the design,
-//! not of the machine, and the same in every run.
+//! Recovery times and losses under single faults, on a paused clock: the figures depend on the
+//! design and not on the machine, and are the same in every run.
 
 #[allow(dead_code, reason = "the tests use the rest")]
 #[path = "../tests/plane/callers.rs"]
@@ -36,12 +36,12 @@
     }
 }
 
-/// Time from the silence of a connection to the next token, at several speeds of the engine.
+/// Prints the time from a connection's silence to the next token, at several engine speeds.
 fn silent_connections() {
-    println!("from a silent connection to the next token, ms (50 streams each: median, worst)");
+    println!("from a silent connection to the next token, ms (50 streams each: median, max)");
     println!(
         "{:>24} {:>16} {:>16}",
-        "between tokens, ms", "floor 800 ms", "floor 2,000 ms"
+        "token interval, ms", "floor 800 ms", "floor 2,000 ms"
     );
     for slow_factor in [1.0, 4.0, 12.0, 40.0] {
         let mut cells = Vec::new();
@@ -52,8 +52,8 @@
             times.sort_unstable();
             cells.push(format!("{}, {}", times[25], times[49]));
         }
-        let between = 12.25 * slow_factor;
-        println!("{between:>24.0} {:>16} {:>16}", cells[0], cells[1]);
+        let interval_ms = 12.25 * slow_factor;
+        println!("{interval_ms:>24.0} {:>16} {:>16}", cells[0], cells[1]);
     }
 }
 
@@ -81,7 +81,7 @@
             engine.apply(&engine::EngineFault::Silence);
         }
         let silent_at = time::Instant::now();
-        // Tokens that were on their way before the silence do not count.
+        // Tokens that were in flight when the silence began do not count.
         let mut next = reached + 1;
         loop {
             transcript.read(&mut reply.stream, next).await;
@@ -95,13 +95,13 @@
     receiver.recv().unwrap()
 }
 
-/// What becomes of requests whose engine freezes before their first token.
+/// Prints the outcomes of requests whose engine is frozen before their first token.
 fn frozen_engines() {
     println!();
-    println!("one of 3 engines frozen (takes connections, answers nothing), 60 normal requests");
+    println!("one of 3 engines frozen (accepts connections, answers nothing), 60 normal requests");
     println!(
         "{:>34} {:>10} {:>10} {:>22}",
-        "", "answered", "refused", "longest to an end, ms"
+        "", "answered", "refused", "max time to end, ms"
     );
     for (name, abandon_after) in [
         ("wait for the cancel's answer", None),
@@ -115,41 +115,44 @@
             };
             let world = sync::Arc::new(world::World::new(&plan));
             world.engines[0].apply(&engine::EngineFault::Hang { on: true });
-            let mut asks = task::JoinSet::new();
+            let mut requests = task::JoinSet::new();
             for mark in 0..60 {
                 let world = world.clone();
-                asks.spawn(async move {
+                requests.spawn(async move {
                     time::sleep(Duration::from_millis(u64::from(mark) * 50)).await;
-                    let asked_at = time::Instant::now();
+                    let sent_at = time::Instant::now();
                     let body = callers::chat(mark, 20, false, "");
                     let reply = callers::generate(&world.planes[0], body).await;
-                    (reply.is_ok(), asked_at.elapsed().as_millis())
+                    (reply.is_ok(), sent_at.elapsed().as_millis())
                 });
             }
-            let ends = asks.join_all().await;
-            let _ = sender.send(ends);
+            let outcomes = requests.join_all().await;
+            let _ = sender.send(outcomes);
         });
-        let ends = receiver.recv().unwrap();
-        let answered = ends.iter().filter(|(answered, _)| *answered).count();
-        let longest = ends.iter().map(|(_, took)| *took).max().unwrap_or(0);
+        let outcomes = receiver.recv().unwrap();
+        let answered = outcomes.iter().filter(|(answered, _)| *answered).count();
+        let max_ms = outcomes.iter().map(|(_, took)| *took).max().unwrap_or(0);
         println!(
-            "{name:>34} {answered:>10} {:>10} {longest:>22}",
-            ends.len() - answered
+            "{name:>34} {answered:>10} {:>10} {max_ms:>22}",
+            outcomes.len() - answered
         );
     }
 }
 
-/// Engines lost to one request that crashes each engine that runs it and is sent again.
+/// Prints how many engines one request crashes that crashes every engine that runs it and that its
+/// caller retries.
 fn crashing_requests() {
     println!();
-    println!("one crashing request sent until refused for good, at most 30 times; 9 engines, dead");
-    println!("ones back after 10 s; 72 innocent requests beside it, sent until answered");
+    println!("one crashing request retried until refused for good, at most 30 times; 9 engines,");
+    println!(
+        "restarted 10 s after a crash; 72 innocent requests beside it, retried until answered"
+    );
     println!(
         "{:>14} {:>14} {:>20} {:>24} {:>26}",
         "",
         "engine deaths",
         "innocents answered",
-        "innocent asks, mean",
+        "innocent sends, mean",
         "last innocent answered, s"
     );
     for (name, limits) in [
@@ -169,7 +172,7 @@
         let outcome = receiver.recv().unwrap();
         println!(
             "{name:>14} {:>14} {:>20} {:>24.2} {:>26.1}",
-            outcome.deaths, outcome.answered, outcome.mean_asks, outcome.last_s
+            outcome.deaths, outcome.answered, outcome.mean_sends, outcome.last_s
         );
     }
 }
@@ -177,7 +180,7 @@
 struct CrashOutcome {
     deaths: usize,
     answered: usize,
-    mean_asks: f64,
+    mean_sends: f64,
     last_s: f64,
 }
 
@@ -206,35 +209,36 @@
     for mark in 1..=72 {
         let world = world.clone();
         innocents.spawn(async move {
-            let asks = insist(&world, mark, "").await;
-            (asks, time::Instant::now())
+            let sends = send_until_answered(&world, mark, "").await;
+            (sends, time::Instant::now())
         });
     }
     time::sleep(Duration::from_millis(100)).await;
-    insist(&world, 100, "[[crash]]").await;
-    let ends = innocents.join_all().await;
-    let asks: Vec<u32> = ends.iter().filter_map(|(asks, _)| *asks).collect();
-    let last = ends.iter().map(|(_, at)| *at).max().unwrap_or(began_at);
+    send_until_answered(&world, 100, "[[crash]]").await;
+    let outcomes = innocents.join_all().await;
+    let sends: Vec<u32> = outcomes.iter().filter_map(|(sends, _)| *sends).collect();
+    let last = outcomes.iter().map(|(_, at)| *at).max().unwrap_or(began_at);
     CrashOutcome {
         deaths: deaths.load(sync::atomic::Ordering::Relaxed),
-        answered: asks.len(),
-        mean_asks: f64::from(asks.iter().sum::<u32>()) / asks.len() as f64,
+        answered: sends.len(),
+        mean_sends: f64::from(sends.iter().sum::<u32>()) / sends.len() as f64,
         last_s: last.duration_since(began_at).as_secs_f64(),
     }
 }
 
-/// Asks until answered; the number of asks.
-async fn insist(world: &world::World, mark: u32, extra: &str) -> Option<u32> {
-    for ask in 1..=30 {
+/// Sends a request until it is answered and returns the number of sends; `None` if it is refused
+/// for good or never answered.
+async fn send_until_answered(world: &world::World, mark: u32, extra: &str) -> Option<u32> {
+    for sends in 1..=30 {
         let body = callers::chat(mark, 40, false, extra);
         match callers::generate(&world.planes[0], body).await {
             Ok(plane::GenerationReply::Whole { body, .. }) => {
                 let mut transcript = callers::Transcript::default();
                 transcript.whole(&body);
                 transcript.check(mark, 40);
-                return Some(ask);
+                return Some(sends);
             }
-            Ok(other) => panic!("no whole answer: {other:?}"),
+            Ok(other) => panic!("no complete answer: {other:?}"),
             Err(refused) if refused.body.code == refusal::RefusalCode::Quarantined => return None,
             Err(refused) => {
                 let delay_ms = refused.body.retry_after_ms.unwrap_or(1_000);
@@ -245,13 +249,13 @@
     None
 }
 
-/// Streams lost when an entry VM dies in the middle of them.
+/// Prints how many streams are lost when an entry VM dies in the middle of them.
 fn dead_entries() {
     println!();
     println!("60 streams of 150 tokens over 3 entry VMs, one of which dies after 0.6 s");
     println!(
         "{:>34} {:>12} {:>14} {:>22}",
-        "", "cut streams", "lost answers", "longest gap, ms"
+        "", "cut streams", "lost answers", "max gap, ms"
     );
     for (name, continues) in [
         ("callers that continue by token", true),
@@ -274,17 +278,21 @@
             world.kill_first_entry();
             let _ = sender.send(streams.join_all().await);
         });
-        let ends = receiver.recv().unwrap();
-        let cut = ends.iter().filter(|end| end.cut).count();
-        let lost = ends.iter().filter(|end| !end.whole).count();
-        let gap = ends.iter().map(|end| end.gap_ms).max().unwrap_or(0);
-        println!("{name:>34} {cut:>12} {lost:>14} {gap:>22}");
+        let outcomes = receiver.recv().unwrap();
+        let cut = outcomes.iter().filter(|outcome| outcome.cut).count();
+        let lost = outcomes.iter().filter(|outcome| !outcome.complete).count();
+        let gap_ms = outcomes
+            .iter()
+            .map(|outcome| outcome.gap_ms)
+            .max()
+            .unwrap_or(0);
+        println!("{name:>34} {cut:>12} {lost:>14} {gap_ms:>22}");
     }
 }
 
 struct StreamOutcome {
     cut: bool,
-    whole: bool,
+    complete: bool,
     gap_ms: u128,
 }
 
@@ -300,9 +308,9 @@
     let mut gap_ms = 0;
     if cut && continues {
         let from = transcript.tokens.len();
-        let goes_on =
+        let continued =
             world.planes[1].continue_generation(callers::headers(), &reply.token, from as u32);
-        let mut reply = goes_on.await.expect("goes on");
+        let mut reply = continued.await.expect("the stream is continued");
         transcript.read(&mut reply.stream, from + 1).await;
         gap_ms = cut_at.elapsed().as_millis();
         transcript.read(&mut reply.stream, usize::MAX).await;
@@ -310,7 +318,7 @@
     transcript.check(mark, 150);
     StreamOutcome {
         cut,
-        whole: transcript.done,
+        complete: transcript.done,
         gap_ms,
     }
 }
--- a/crates/flow/benches/relay/latency.rs
+++ b/crates/flow/benches/relay/latency.rs
@@ -1,5 +1,5 @@
-//! Time from an engine's write to the caller's chunk, over loopback sockets, with and without the
-//! plane between.
+//! Latency from an engine's write to the arrival of the caller's chunk, over loopback sockets, with
+//! and without the plane in between.
 
 use std::{net, sync, time::Duration, time::Instant};
 
@@ -21,10 +21,10 @@
 
 const TOKENS: u32 = 100;
 
-/// Time between two tokens of one stream.
-const TOKEN_GAP: Duration = Duration::from_millis(20);
+/// Interval between two tokens of one stream.
+const TOKEN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Serves any start with tokens whose text is the time of their writing, in nanoseconds since
+/// Answers each start with tokens whose text is the time of writing, in nanoseconds since
 /// `origin`.
 async fn serve(listener: tokio::net::TcpListener, origin: Instant) {
     while let Ok((socket, _)) = listener.accept().await {
@@ -35,12 +35,12 @@
 async fn write_tokens(mut socket: tokio::net::TcpStream, origin: Instant) -> std::io::Result<()> {
     socket.set_nodelay(true)?;
     let mut head = [0; 4_096];
-    // The request is small and comes in one or two pieces; what it says does not matter.
+    // The request is small and arrives in one or two pieces; its content does not matter.
     let _ = socket.read(&mut head).await?;
     let answer = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
     socket.write_all(answer.as_bytes()).await?;
     for seq in 0..TOKENS {
-        time::sleep(TOKEN_GAP).await;
+        time::sleep(TOKEN_INTERVAL).await;
         let at = origin.elapsed().as_nanos();
         let event = format!("data: {{\"seq\": {seq}, \"text\": \"{at}\"}}\n\n");
         socket.write_all(event.as_bytes()).await?;
@@ -50,7 +50,7 @@
     socket.shutdown().await
 }
 
-/// Reads an engine's stream as the plane does, and nothing more.
+/// Reads an engine's stream as the plane does, without relaying it.
 async fn read_directly(address: net::SocketAddr, number: u64, origin: Instant) -> Vec<u64> {
     let engines = http::HttpEngines::new().unwrap();
     let target = port::ServerTarget {
@@ -84,7 +84,7 @@
     now.saturating_sub(text.parse().unwrap())
 }
 
-/// Reads a caller's stream.
+/// Reads a stream as a caller of the plane.
 async fn read_relayed(
     plane: &ports::BenchPlane<http::HttpEngines>,
     number: u64,
@@ -94,7 +94,7 @@
     let mut times = Vec::new();
     while let Some(piece) = reply.stream.next().await {
         let text = std::str::from_utf8(&piece).unwrap();
-        // The first comes with the headers; it waited for the caller's read.
+        // The first token arrives with the headers; it waited for the caller's read.
         for content in text.split("\"content\":\"").skip(1) {
             times.push(since(content.split('"').next().unwrap(), origin));
         }
@@ -102,7 +102,7 @@
     times
 }
 
-/// Prints both ways beside each other.
+/// Prints the latencies of both ways.
 pub fn print_table() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(4)
--- a/crates/flow/benches/relay/main.rs
+++ b/crates/flow/benches/relay/main.rs
@@ -1,6 +1,6 @@
 //! Cost of relaying a token on one core, and memory of an open stream.
 //!
-//! Compare the lines of one run with one another; the machine's own speed is in all of them.
+//! Compare only lines of the same run: all of them depend on the machine's speed.
 
 mod latency;
 mod ports;
@@ -12,16 +12,17 @@
 use flow::{body, chunk, link_error, port, proof, sse};
 use futures_util::StreamExt as _;
 
-/// Nothing listens there.
-const NOWHERE: net::SocketAddr = net::SocketAddr::new(net::IpAddr::V4(net::Ipv4Addr::LOCALHOST), 1);
+/// An address on which nothing listens.
+const UNUSED_ADDRESS: net::SocketAddr =
+    net::SocketAddr::new(net::IpAddr::V4(net::Ipv4Addr::LOCALHOST), 1);
 
-/// Tokens of each measured loop.
+/// Number of tokens of each measured loop.
 const TOKENS: u32 = 400_000;
 
-/// Streams that share them.
+/// Number of streams that share these tokens.
 const STREAMS: u32 = 200;
 
-/// Open streams whose memory is measured.
+/// Number of open streams whose memory is measured.
 const OPEN_STREAMS: u64 = 10_000;
 
 fn main() {
@@ -44,7 +45,7 @@
             }
         }
     });
-    let whole = per_token(|| relay(STREAMS, TOKENS / STREAMS));
+    let relayed = per_token(|| relay(STREAMS, TOKENS / STREAMS));
     println!(
         "{:<44} {:>12} {:>18}",
         "on one core, no sockets", "ns a token", "tokens a second"
@@ -52,7 +53,7 @@
     for (name, nanos) in [
         ("read an engine's event", parse),
         ("write a caller's chunk", write),
-        ("both, and the plane between (200 streams)", whole),
+        ("both, and the plane between (200 streams)", relayed),
     ] {
         println!("{name:<44} {nanos:>12.0} {:>18.0}", 1e9 / nanos);
     }
@@ -71,10 +72,10 @@
     began_at.elapsed().as_nanos() as f64 / f64::from(TOKENS)
 }
 
-/// An engine that has all tokens ready, as bytes to be read.
+/// Engine link whose tokens are ready at once, as bytes to parse.
 struct ReadyEngines {
     tokens: u32,
-    /// After the tokens nothing comes, in place of the finish.
+    /// Whether the stream hangs after the tokens instead of sending the finish.
     hangs: bool,
 }
 
@@ -104,7 +105,7 @@
         };
         self.next += 1;
         self.reader.push(text.as_bytes());
-        // As a socket would: other streams get their turn.
+        // Yields to other streams, as a socket would.
         tokio::task::consume_budget().await;
         let event = self.reader.take().unwrap().unwrap();
         Ok(port::TaggedEvent {
@@ -163,7 +164,7 @@
             tokens,
             hangs: false,
         };
-        let plane = ports::new_plane(engines, NOWHERE);
+        let plane = ports::new_plane(engines, UNUSED_ADDRESS);
         let mut callers = tokio::task::JoinSet::new();
         for number in 0..streams {
             let plane = plane.clone();
@@ -173,7 +174,7 @@
                 while let Some(piece) = reply.stream.next().await {
                     read += piece.len();
                 }
-                assert!(read > tokens as usize * 100, "not whole");
+                assert!(read > tokens as usize * 100, "incomplete answer");
             });
         }
         while let Some(ended) = callers.join_next().await {
@@ -199,9 +200,9 @@
             tokens: 3,
             hangs: true,
         };
-        let plane = ports::new_plane(engines, NOWHERE);
+        let plane = ports::new_plane(engines, UNUSED_ADDRESS);
         let mut open = Vec::new();
-        // The first streams pay for what all share.
+        // The first streams allocate what all streams share.
         for number in 0..100 {
             open.push(ports::begin(&plane, number).await);
         }
--- a/crates/flow/benches/relay/ports.rs
+++ b/crates/flow/benches/relay/ports.rs
@@ -1,4 +1,4 @@
-//! A plane over one engine link.
+//! Builds a plane over one engine link, with all other ports in memory.
 
 use std::{collections, future, net, sync, time::Duration};
 
@@ -9,7 +9,7 @@
 };
 use tokio::sync::watch;
 
-/// No plain services.
+/// Service link of a plane without plain services.
 pub struct NoServices;
 
 impl port::ServiceLink for NoServices {
@@ -112,10 +112,10 @@
     }
 }
 
-/// A plane over one engine link.
+/// Plane over one engine link.
 pub type BenchPlane<E> = plane::RequestPlane<BenchPorts<E>>;
 
-/// A plane whose one engine is at `address`.
+/// Creates a plane whose only engine is at `address`.
 pub fn new_plane<E: port::EngineLink>(
     engines: E,
     address: net::SocketAddr,
@@ -136,7 +136,7 @@
     sync::Arc::new(plane::RequestPlane::new(ports, settings, views.subscribe()))
 }
 
-/// Begins a stream.
+/// Starts a stream.
 pub async fn begin<E: port::EngineLink>(plane: &BenchPlane<E>, number: u64) -> plane::StreamReply {
     let headers = request::CallerHeaders {
         api_key: Some("key".to_owned()),
--- a/crates/flow/tests/plane/streams.rs
+++ b/crates/flow/tests/plane/streams.rs
@@ -1,4 +1,4 @@
-//! Failures of streams, one by one.
+//! Tests of streams with a single fault each.
 
 use std::{sync, time::Duration};
 
@@ -20,17 +20,16 @@
     }
 }
 
-/// The engine that runs something now.
+/// Returns an engine that is running a generation.
 fn busy(world: &world::World) -> &engine::EngineHandle {
     let mut engines = world.engines.iter();
     engines
         .find(|engine| engine.is_up() && engine.report().running > 0)
-        .expect("something runs")
+        .expect("an engine that runs a generation")
 }
 
-// Symptom: a stream stops in the middle, for good, although its engine goes on.
-// Sequence: something between entry and engine loses track of the connection.
-// Cause: nobody asked again over a fresh one.
+// Guards against a stream that stops for good although its engine continues: a middlebox between
+// entry VM and engine loses the connection's state, and nothing resumes over a fresh connection.
 #[test]
 fn a_silent_connection_is_replaced_within_a_second() {
     world::history(async {
@@ -53,11 +52,10 @@
     });
 }
 
-// Symptom: two generations work on one request.
-// Sequence: the answer to a start is lost after the engine took it.
-// Cause: the start was taken for failed and repeated elsewhere.
+// Guards against two generations for one request: the answer to a start is lost after the engine
+// accepted it, and the start is treated as failed and repeated on another engine.
 #[test]
-fn a_start_whose_answer_was_lost_is_found_again() {
+fn a_start_whose_answer_was_lost_is_resumed() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
         for engine in &world.engines {
@@ -72,19 +70,18 @@
     });
 }
 
-// Symptom: an answer made of two generations, or none at all.
-// Sequence: an engine dies before the first token; another one dies after it.
-// Cause: a restart after the first token, or none before it.
+// Guards against an answer made of two generations, or no answer: one engine dies before the first
+// token, after which another attempt must start, and one dies after it, after which none may.
 #[test]
-fn a_dead_engine_is_replaced_before_the_first_token_only() {
+fn a_dead_engine_is_replaced_only_before_the_first_token() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
-        let begins = stream(&world.planes[0], 3, 50);
-        let dies = async {
+        let start = stream(&world.planes[0], 3, 50);
+        let crash = async {
             time::sleep(Duration::from_millis(5)).await;
             busy(&world).crash();
         };
-        let (mut reply, ()) = tokio::join!(begins, dies);
+        let (mut reply, ()) = tokio::join!(start, crash);
         assert_eq!(world.chaos.starts(3), 2);
         let mut transcript = callers::Transcript::default();
         transcript.read(&mut reply.stream, 10).await;
@@ -92,27 +89,29 @@
         let dead_at = time::Instant::now();
         transcript.read(&mut reply.stream, usize::MAX).await;
         transcript.check(3, 50);
-        let refusal = transcript.refusal.expect("an honest end");
+        let refusal = transcript.refusal.expect("the stream ends with a refusal");
         assert_eq!(refusal.code, refusal::RefusalCode::GenerationLost);
         assert_eq!(refusal.ran, outcome::RanState::Yes);
         assert!(refusal.retry_after_ms.is_some());
-        assert!(dead_at.elapsed() < Duration::from_millis(200), "held back");
+        assert!(
+            dead_at.elapsed() < Duration::from_millis(200),
+            "the refusal was delayed"
+        );
     });
 }
 
-// Symptom: a whole answer is refused although nothing of it had left.
-// Sequence: the engine dies in the middle of it.
-// Cause: what is held here was not taken for what has not left.
+// Guards against refusing a non-streamed answer of which nothing was sent: its engine dies in the
+// middle, and the tokens buffered at the entry VM are treated as delivered.
 #[test]
-fn a_whole_answer_is_begun_again_when_its_engine_dies() {
+fn a_non_streamed_answer_is_restarted_when_its_engine_dies() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
-        let asks = callers::generate(&world.planes[0], callers::chat(4, 60, false, ""));
-        let dies = async {
+        let request = callers::generate(&world.planes[0], callers::chat(4, 60, false, ""));
+        let crash = async {
             time::sleep(Duration::from_millis(300)).await;
             busy(&world).crash();
         };
-        let (reply, ()) = tokio::join!(asks, dies);
+        let (reply, ()) = tokio::join!(request, crash);
         let Ok(plane::GenerationReply::Whole { body, .. }) = reply else {
             panic!("no answer: {reply:?}");
         };
@@ -123,11 +122,10 @@
     });
 }
 
-// Symptom: an engine works on an answer that nobody reads.
-// Sequence: the caller closes its connection.
-// Cause: the generation was not cancelled.
+// Guards against an engine that works on an answer nobody reads: the caller closes its connection,
+// and the generation is not cancelled.
 #[test]
-fn a_gone_callers_generation_is_freed() {
+fn the_generation_of_a_disconnected_caller_is_cancelled() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
         let reply = stream(&world.planes[0], 5, 200).await;
@@ -138,20 +136,19 @@
     });
 }
 
-// Symptom: a continued stream ends as cancelled.
-// Sequence: the caller's connection breaks; it goes on at another entry VM; the first one then
-// notices that its caller is gone.
-// Cause: the first one cancelled the generation under the second.
+// Guards against a continued stream that ends as cancelled: the caller's connection breaks and it
+// continues at another entry VM; the first one then notices that its caller disconnected and
+// cancels the generation that the second one relays.
 #[test]
-fn a_stream_goes_on_at_another_entry_vm() {
+fn a_stream_continues_at_another_entry_vm() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
         let mut reply = stream(&world.planes[0], 6, 200).await;
         let mut transcript = callers::Transcript::default();
         transcript.read(&mut reply.stream, 10).await;
         let plane::StreamReply { stream, token, .. } = reply;
-        let goes_on = world.planes[1].continue_generation(callers::headers(), &token, 10);
-        let mut reply = goes_on.await.unwrap();
+        let continued = world.planes[1].continue_generation(callers::headers(), &token, 10);
+        let mut reply = continued.await.unwrap();
         drop(stream);
         transcript.read(&mut reply.stream, usize::MAX).await;
         transcript.check(6, 200);
@@ -160,17 +157,16 @@
     });
 }
 
-// Symptom: a shutdown cuts off answers.
-// Sequence: an entry VM is told to end while it relays a short stream and a long one.
-// Cause: what ran was neither waited for nor handed over.
+// Guards against a shutdown that cuts off answers: an entry VM is stopped while it relays a short
+// stream, which must finish, and a long one, which must be handed over.
 #[test]
-fn a_graceful_stop_finishes_or_hands_over() {
+fn a_graceful_stop_finishes_or_hands_over_streams() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
         let mut short = stream(&world.planes[0], 7, 20).await;
         let mut long = stream(&world.planes[0], 8, 200).await;
         let grace = Duration::from_secs(1);
-        let reads = async {
+        let read = async {
             let mut transcript = callers::Transcript::default();
             transcript.read(&mut short.stream, usize::MAX).await;
             transcript.check(7, 20);
@@ -179,16 +175,16 @@
             transcript.read(&mut long.stream, usize::MAX).await;
             assert!(transcript.moved && transcript.refusal.take().is_some());
             let from = transcript.tokens.len() as u32;
-            let goes_on =
+            let continued =
                 world.planes[1].continue_generation(callers::headers(), &long.token, from);
             transcript
-                .read(&mut goes_on.await.unwrap().stream, usize::MAX)
+                .read(&mut continued.await.unwrap().stream, usize::MAX)
                 .await;
             transcript.check(8, 200);
             assert!(transcript.done);
         };
-        let (left, ()) = tokio::join!(world.planes[0].gate().drain(grace, grace), reads);
-        assert_eq!(left, 0);
+        let (remaining, ()) = tokio::join!(world.planes[0].gate().drain(grace, grace), read);
+        assert_eq!(remaining, 0);
         let late = callers::generate(&world.planes[0], callers::chat(9, 5, true, "")).await;
         let refused = late.unwrap_err().body;
         assert_eq!(refused.code, refusal::RefusalCode::NotReady);
@@ -196,9 +192,8 @@
     });
 }
 
-// Symptom: a leaving engine is given new work.
-// Sequence: it is learnt that the engine leaves; requests go on arriving.
-// Cause: a place that was granted before, or a scheduler that learns of it later.
+// Guards against new work on a leaving engine: requests keep arriving after the plane learns that
+// the engine leaves, and a slot was granted before that or the scheduler learns of it later.
 #[test]
 fn a_leaving_engine_gets_no_new_work() {
     world::history(async {
@@ -218,16 +213,15 @@
             let mut transcript = callers::Transcript::default();
             transcript.read(&mut reply.stream, usize::MAX).await;
             transcript.check(mark, 30);
-            assert!(transcript.done, "cut off: {transcript:?}");
+            assert!(transcript.done, "the stream did not finish: {transcript:?}");
         }
     });
 }
 
-// Symptom: the memory of an entry VM grows with callers that stopped reading.
-// Sequence: a caller holds its connection open and reads nothing.
-// Cause: its answer was held for it without bound.
+// Guards against unbounded memory at an entry VM: a caller keeps its connection open without
+// reading, and its answer is buffered without limit.
 #[test]
-fn a_caller_that_stops_reading_is_given_up() {
+fn the_stream_of_a_stalled_caller_is_ended() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
         let mut reply = stream(&world.planes[0], 30, 200).await;
@@ -240,15 +234,15 @@
     });
 }
 
-// Symptom: two generations of one request run at once.
-// Sequence: an engine freezes before the first token and takes no cancel; later it goes on.
-// Cause: another try was started before the first one was settled.
+// Guards against two concurrent generations of one request: an engine freezes before the first
+// token, does not answer a cancel and later resumes, and another attempt starts before the first
+// one is settled.
 #[test]
-fn a_frozen_engines_try_is_settled_before_another_starts() {
+fn an_attempt_on_a_frozen_engine_is_settled_before_another_starts() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
-        let begins = stream(&world.planes[0], 40, 20);
-        let freezes = async {
+        let start = stream(&world.planes[0], 40, 20);
+        let freeze = async {
             time::sleep(Duration::from_millis(5)).await;
             let engine = busy(&world).clone();
             engine.apply(&engine::EngineFault::Hang { on: true });
@@ -256,7 +250,7 @@
             assert_eq!(world.chaos.starts(40), 1);
             engine.apply(&engine::EngineFault::Hang { on: false });
         };
-        let (mut reply, ()) = tokio::join!(begins, freezes);
+        let (mut reply, ()) = tokio::join!(start, freeze);
         assert_eq!(world.chaos.starts(40), 2);
         let mut transcript = callers::Transcript::default();
         transcript.read(&mut reply.stream, usize::MAX).await;
@@ -265,12 +259,11 @@
     });
 }
 
-// Symptom: a caller is told "not run" for work that ran.
-// Sequence: each engine that takes the request dies before its first token and comes back as a
-// new process, which says that it holds no such generation.
-// Cause: "not held" was taken for "did not run".
+// Guards against reporting "not run" for work that ran: each engine that accepts the request dies
+// before the first token and restarts, the new process answers that it does not hold the
+// generation, and "not held" is treated as "did not run".
 #[test]
-fn a_restarted_engine_proves_nothing() {
+fn a_restarted_engine_is_no_proof_that_a_request_did_not_run() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
         for engine in world.engines.clone() {
@@ -296,27 +289,26 @@
     });
 }
 
-// Symptom: an organisation reads another's review.
-// Sequence: a continuation token gets into other hands.
-// Cause: the token was taken for the right to use it.
+// Guards against an organisation that reads another one's answer: a continuation token leaks, and
+// possession of the token is treated as authorisation.
 #[test]
-fn a_token_is_of_no_use_to_another_organisation() {
+fn a_token_is_refused_for_another_organisation() {
     world::history(async {
         let world = world::World::new(&world::WorldPlan::default());
         let reply = stream(&world.planes[0], 50, 100).await;
         let mut headers = callers::headers();
         headers.api_key = Some(world::OTHER_API_KEY.to_owned());
-        let taken = world.planes[1]
+        let continued = world.planes[1]
             .continue_generation(headers, &reply.token, 0)
             .await;
-        let refused = taken.map(drop).unwrap_err().body;
+        let refused = continued.map(drop).unwrap_err().body;
         assert_eq!(refused.code, refusal::RefusalCode::Forbidden);
         let mut headers = callers::headers();
         headers.api_key = None;
-        let taken = world.planes[1]
+        let continued = world.planes[1]
             .continue_generation(headers, &reply.token, 0)
             .await;
-        let refused = taken.map(drop).unwrap_err().body;
+        let refused = continued.map(drop).unwrap_err().body;
         assert_eq!(refused.code, refusal::RefusalCode::Unauthenticated);
     });
 }
