--- a/crates/flow/src/jobs.rs
+++ b/crates/flow/src/jobs.rs
@@ -19,7 +19,7 @@
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Maximum delay before a refused job is retried or a failed store is repeated; a quarantined job
-/// may wait for the whole quarantine instead.
+/// may wait for its full quarantine instead.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// Maximum number of quarantines after which a job is retried.
--- a/crates/flow/src/running.rs
+++ b/crates/flow/src/running.rs
@@ -247,7 +247,7 @@
         ticket,
     };
     let settled = lost.settle(shared, loss, until).await;
-    // Released only now: a request that is dropped during settling must still cancel its generation.
+    // Not earlier: a request that is dropped during settling must still cancel its generation.
     live.release();
     settled
 }
