--- a/crates/flow/benches/promises.rs
+++ b/crates/flow/benches/promises.rs
@@ -152,7 +152,7 @@
         "",
         "engine deaths",
         "innocents answered",
-        "innocent sends, mean",
+        "sends per innocent, mean",
         "last innocent answered, s"
     );
     for (name, limits) in [
--- a/crates/flow/src/admit.rs
+++ b/crates/flow/src/admit.rs
@@ -41,7 +41,7 @@
         let schedule = self.shared.ports.schedule();
         let mut tried = facts.avoid.as_slice();
         loop {
-            let avoid = avoid_list(facts, tried, self.shared.book.probed(), alone);
+            let avoid = avoid_list(facts, tried, self.shared.crash_tracker.probed(), alone);
             let picky = !avoid.is_empty();
             let ask = ask_of(facts, terms, avoid, alone);
             let admission = schedule.admit(&ask);
--- a/crates/flow/src/continuation.rs
+++ b/crates/flow/src/continuation.rs
@@ -57,7 +57,9 @@
         let silent_limit = running::silent_limit(&known.facts.view);
         let live = self.connect(&facts, target, from, silent_limit).await?;
         let (writer_end, stream) = pipe::pipe();
-        let mark = shared.book.begin(live.target().key, facts.content, false);
+        let run_guard = shared
+            .crash_tracker
+            .begin(live.target().key, facts.content, false);
         let relay = relay::StreamRelay {
             shared: shared.clone(),
             request: facts.request,
@@ -68,7 +70,7 @@
             resources: relay::StreamResources {
                 grant: None,
                 quota: None,
-                mark,
+                run_guard,
                 probe: None,
             },
             writer: chunk_writer(&facts),
--- a/crates/flow/src/opening.rs
+++ b/crates/flow/src/opening.rs
@@ -90,8 +90,11 @@
             let request::Routed { admitted, target } = stage;
             let request::Cleared { claimed, probe } = admitted.cleared;
             let content = facts.work.content;
-            let begun = self.shared.book.begin(target.key, content, probe.is_some());
-            let Some(mark) = begun else {
+            let begun = self
+                .shared
+                .crash_tracker
+                .begin(target.key, content, probe.is_some());
+            let Some(run_guard) = begun else {
                 drop((admitted.grant, probe));
                 time::sleep(PROBE_PAUSE).await;
                 routed = self.place(facts, permit, claimed).await?;
@@ -105,7 +108,7 @@
             let place = running::AttemptPlacement {
                 target,
                 grant: admitted.grant,
-                mark,
+                run_guard,
                 probe,
             };
             match self.run_one(place, &facts, &claimed.terms, permit).await {
--- a/crates/flow/src/plane.rs
+++ b/crates/flow/src/plane.rs
@@ -119,7 +119,7 @@
     /// Content that crashes backend servers.
     #[must_use]
     pub fn suspects(&self) -> &crash_tracker::CrashTracker {
-        &self.shared.book
+        &self.shared.crash_tracker
     }
 
     /// The ports.
@@ -290,7 +290,7 @@
             resources: relay::StreamResources {
                 grant: Some(running.grant),
                 quota: Some(claimed.quota),
-                mark: Some(running.mark),
+                run_guard: Some(running.run_guard),
                 probe: running.probe,
             },
             writer,
@@ -328,7 +328,7 @@
         );
         let content = facts.work.content;
         self.shared
-            .book
+            .crash_tracker
             .record_success(content, self.shared.now_ms());
         self.shared.record(
             facts.id,
--- a/crates/flow/src/quarantine.rs
+++ b/crates/flow/src/quarantine.rs
@@ -33,7 +33,11 @@
         due_at: time::Instant,
     ) -> Result<Option<ProbePass>, refusal::RefusalBody> {
         let content = work.fingerprint();
-        let standing = || self.shared.book.standing(content, self.shared.now_ms());
+        let standing = || {
+            self.shared
+                .crash_tracker
+                .standing(content, self.shared.now_ms())
+        };
         if let ContentStanding::Suspect { .. } = standing() {
             let turn = self.shared.probes.clone().acquire_owned();
             let permit = match time::timeout_at(due_at, turn).await {
--- a/crates/flow/src/relay.rs
+++ b/crates/flow/src/relay.rs
@@ -25,7 +25,7 @@
     /// Its part of its organisation's quota.
     pub quota: Option<quota::QuotaPermit<P>>,
     /// Counts its content as running.
-    pub mark: Option<crash_tracker::RunGuard>,
+    pub run_guard: Option<crash_tracker::RunGuard>,
     /// Held if the content is a suspect, which runs alone.
     pub probe: Option<quarantine::ProbePass>,
 }
@@ -162,7 +162,7 @@
                 let writer = &self.writer;
                 let _ = self.pipe.append(|out| writer.finish(out, &report));
                 self.shared
-                    .book
+                    .crash_tracker
                     .record_success(self.content, self.shared.now_ms());
                 if let Some(grant) = self.resources.grant.take() {
                     grant.finished(report.produced);
--- a/crates/flow/src/running.rs
+++ b/crates/flow/src/running.rs
@@ -19,7 +19,7 @@
 pub(crate) struct AttemptPlacement<P: port::PortSet> {
     pub(crate) target: port::ServerTarget,
     pub(crate) grant: admit::PlaceGrant<P>,
-    pub(crate) mark: crash_tracker::RunGuard,
+    pub(crate) run_guard: crash_tracker::RunGuard,
     pub(crate) probe: Option<quarantine::ProbePass>,
 }
 
@@ -32,7 +32,7 @@
     /// Its slot on the server.
     pub grant: admit::PlaceGrant<P>,
     /// Counts its content as running on the server.
-    pub mark: crash_tracker::RunGuard,
+    pub run_guard: crash_tracker::RunGuard,
     /// Held if the content is a suspect, which runs alone.
     pub probe: Option<quarantine::ProbePass>,
 }
@@ -104,7 +104,7 @@
                 live,
                 ticket,
                 grant: self.grant,
-                mark: self.mark,
+                run_guard: self.run_guard,
                 probe: self.probe,
             }),
             proof::TryOutcome::NotRun { permit, cause } => {
@@ -207,7 +207,7 @@
         );
         let kind = attempt::LossKind::Unreachable;
         let settled = settle_live(shared, self.live, self.ticket, kind, until).await;
-        drop(self.mark);
+        drop(self.run_guard);
         let permit = match settled {
             Ok(permit) => permit,
             Err(ticket) => {
--- a/crates/flow/src/shared.rs
+++ b/crates/flow/src/shared.rs
@@ -25,7 +25,7 @@
     pub(crate) ports: P,
     pub(crate) settings: settings::PlaneSettings,
     pub(crate) gate: gate::FlowGate,
-    pub(crate) book: sync::Arc<crash_tracker::CrashTracker>,
+    pub(crate) crash_tracker: sync::Arc<crash_tracker::CrashTracker>,
     pub(crate) readers: sync::Arc<readers::ReaderTable>,
     pub(crate) budget: sync::Mutex<budget::RetryBudget>,
     /// One permit for each server that suspects may have to themselves.
@@ -37,7 +37,7 @@
         Self {
             ports,
             gate: gate::FlowGate::default(),
-            book: sync::Arc::new(crash_tracker::CrashTracker::new(settings.suspects)),
+            crash_tracker: sync::Arc::new(crash_tracker::CrashTracker::new(settings.suspects)),
             readers: sync::Arc::default(),
             budget: sync::Mutex::new(budget::RetryBudget::new(time::Instant::now())),
             probes: sync::Arc::new(tokio::sync::Semaphore::new(settings.probe_servers)),
@@ -75,7 +75,7 @@
     /// A server's process is gone: what ran there becomes suspect.
     pub(crate) fn note_death(&self, target: &port::ServerTarget, reason: &str) {
         let contents = self
-            .book
+            .crash_tracker
             .record_death(target.key, &target.name, self.now_ms());
         if contents.is_empty() {
             return;
@@ -97,7 +97,7 @@
 
     /// What a death made of content.
     fn finding(&self, content: ContentHash, server: &str) -> Option<kind::EventKind> {
-        match self.book.standing(content, self.now_ms()) {
+        match self.crash_tracker.standing(content, self.now_ms()) {
             ContentStanding::Clear => None,
             ContentStanding::Suspect { deaths } => Some(kind::EventKind::QuarantineSuspected {
                 fingerprint: content,
