--- a/crates/flow/src/admit.rs
+++ b/crates/flow/src/admit.rs
@@ -40,7 +40,7 @@
         let schedule = self.shared.ports.schedule();
         let mut tried = facts.avoid.as_slice();
         loop {
-            let avoid = avoid_list(facts, tried, self.shared.suspects.probed(), alone);
+            let avoid = avoid_list(facts, tried, self.shared.crash_tracker.probed(), alone);
             let avoids_servers = !avoid.is_empty();
             let request = admission_request(facts, terms, avoid, alone);
             let admission = schedule.admit(&request);
@@ -70,8 +70,8 @@
     terms: &request::Terms,
     avoid: Vec<id::ServerKey>,
     alone: bool,
-) -> port::AdmissionAsk {
-    port::AdmissionAsk {
+) -> port::AdmissionRequest {
+    port::AdmissionRequest {
         request: facts.id,
         organisation: terms.organisation,
         class: terms.class,
--- a/crates/flow/src/attempt.rs
+++ b/crates/flow/src/attempt.rs
@@ -7,7 +7,7 @@
 use trace::kind;
 
 use crate::{
-    cursor, fault,
+    cursor, link_error,
     port::{self, EngineEvents as _, EngineLink as _},
     proof, shared, silence,
 };
@@ -81,7 +81,7 @@
     request: id::RequestId,
     target: port::ServerTarget,
     cursor: cursor::StreamCursor,
-    gauge: silence::SilenceGauge,
+    gauge: silence::SilenceDetector,
     /// Fires no later than the gauge's deadline, which is then checked again.
     timer: pin::Pin<Box<time::Sleep>>,
     /// Events of the open connection; `None` while disconnected.
@@ -131,7 +131,7 @@
                 live.events = Some(events);
                 live.seen_on_server = true;
             }
-            Ok(Err(fault::StartFault::NeverSent {
+            Ok(Err(link_error::StartError::NeverSent {
                 evidence, cause, ..
             })) => {
                 live.released = true;
@@ -140,7 +140,7 @@
                     cause,
                 };
             }
-            Ok(Err(declined @ fault::StartFault::Declined { status, .. })) => {
+            Ok(Err(declined @ link_error::StartError::Declined { status, .. })) => {
                 // The caller settles this outcome, which cancels; a second cancel would be redundant.
                 live.released = true;
                 return proof::AttemptOutcome::Unknown {
@@ -150,7 +150,7 @@
                 };
             }
             // It may have started, so the first step is to reconnect to it.
-            Ok(Err(fault::StartFault::Lost { .. })) | Err(_) => {}
+            Ok(Err(link_error::StartError::Lost { .. })) | Err(_) => {}
         }
         proof::AttemptOutcome::Ran((live, ticket))
     }
@@ -187,7 +187,7 @@
     ) -> Self {
         let now = time::Instant::now();
         let gauge =
-            silence::SilenceGauge::new(shared.settings.min_silence_timeout, silent_limit, now);
+            silence::SilenceDetector::new(shared.settings.min_silence_timeout, silent_limit, now);
         Self {
             shared,
             request,
@@ -392,13 +392,13 @@
                     self.connection_opened(events);
                     return Ok(());
                 }
-                Ok(Err(fault @ fault::ResumeFault::Refused { .. })) => {
+                Ok(Err(fault @ link_error::ResumeError::Refused { .. })) => {
                     return Err(loss_of(LossKind::ServerDied, fault.to_string()));
                 }
-                Ok(Err(fault @ fault::ResumeFault::NotHeld { .. })) => {
+                Ok(Err(fault @ link_error::ResumeError::NotHeld { .. })) => {
                     return Err(loss_of(LossKind::NotHeld, fault.to_string()));
                 }
-                Ok(Err(fault::ResumeFault::Lost { .. })) | Err(_) => {}
+                Ok(Err(link_error::ResumeError::Lost { .. })) | Err(_) => {}
             }
         }
     }
--- a/crates/flow/src/calling.rs
+++ b/crates/flow/src/calling.rs
@@ -8,9 +8,9 @@
 use trace::kind;
 
 use crate::{
-    admit, claim, fault,
+    admit, claim,
     filter::{self, Filter as _},
-    opening,
+    link_error, opening,
     port::{self, Grant as _, ServiceLink as _},
     proof, quota, request, route, shared,
 };
@@ -73,13 +73,13 @@
         };
         match answer {
             Ok(Ok(answer)) => proof::AttemptOutcome::Ran(answer),
-            Ok(Err(fault::CallFault::NeverSent {
+            Ok(Err(link_error::CallError::NeverSent {
                 evidence, cause, ..
             })) => proof::AttemptOutcome::NotRun {
                 permit: ticket.never_sent(evidence),
                 cause,
             },
-            Ok(Err(lost @ fault::CallFault::Lost { .. })) => proof::AttemptOutcome::Unknown {
+            Ok(Err(lost @ link_error::CallError::Lost { .. })) => proof::AttemptOutcome::Unknown {
                 ticket,
                 cause: lost.to_string(),
                 permanent_refusal: None,
--- a/crates/flow/src/collect.rs
+++ b/crates/flow/src/collect.rs
@@ -1,8 +1,9 @@
 //! Collects a complete answer of one generation and restarts generations that are lost.
 
 use crate::{
-    attempt, filter, flowing, opening,
+    attempt, filter, opening,
     port::{self, Grant as _, QuotaPermit as _},
+    relay,
 };
 
 /// A complete answer.
@@ -53,7 +54,7 @@
                 text.push_str(&token);
                 opened.claimed.quota.charge(1);
                 unreported += 1;
-                if unreported == flowing::PROGRESS_LOT {
+                if unreported == relay::PROGRESS_BATCH {
                     running.grant.progress(std::mem::take(&mut unreported));
                 }
             }
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,14 +1,14 @@
-//! The request plane: filter chain, tries and their outcomes, stream relay and continuation.
+//! The request plane: filter chain, attempts and their outcomes, stream relay and continuation.
 //!
-//! [`plane::RequestPlane`] takes a caller's bytes and gives back an answer, a stream of bytes or
-//! an honest refusal. What it needs of the rest of the system it asks through [`port`]; what it
-//! knows of its own tries it keeps in types of [`proof`] that are moved, never copied.
+//! [`plane::RequestPlane`] takes a caller's request and returns an answer, a stream of bytes or a
+//! refusal that states whether the request ran. It reaches the rest of the system through the
+//! traits of [`port`]. What it knows of its own attempts is held in types of [`proof`], which are
+//! moved, never copied.
 
 pub mod admit;
 pub mod attempt;
 pub mod authenticate;
 pub mod body;
-pub mod books;
 pub mod budget;
 pub mod calling;
 pub mod chunk;
@@ -16,16 +16,16 @@
 pub mod classify;
 pub mod collect;
 mod continuation;
-pub mod crashes;
+pub mod crash_tracker;
 pub mod cursor;
 pub mod deduplicate;
-pub mod fault;
 pub mod filter;
-pub mod flowing;
 pub mod gate;
 pub mod http;
 pub mod jobs;
+pub mod link_error;
 pub mod memory;
+pub mod memory_store;
 pub mod opening;
 pub mod path;
 pub mod pipe;
@@ -36,6 +36,7 @@
 pub mod quota;
 pub mod readers;
 pub mod refused;
+pub mod relay;
 pub mod request;
 pub mod route;
 pub mod running;
--- a/crates/flow/src/opening.rs
+++ b/crates/flow/src/opening.rs
@@ -10,7 +10,7 @@
     admit, attempt, claim,
     filter::{self, Filter as _},
     port, proof, quarantine, quota, request, route,
-    running::{self, TryEnd},
+    running::{self, AttemptEnd},
     shared, view,
 };
 
@@ -45,7 +45,7 @@
     /// Terms, quota and claim of the request.
     pub claimed: GenerationClaimed<P>,
     /// The running attempt.
-    pub running: running::RunningTry<P>,
+    pub running: running::RunningAttempt<P>,
     /// The first step: a token or the end.
     pub step: attempt::AttemptStep,
 }
@@ -92,9 +92,9 @@
             let content = facts.work.content;
             let mark = self
                 .shared
-                .suspects
+                .crash_tracker
                 .begin(target.key, content, probe.is_some());
-            let Some(mark) = mark else {
+            let Some(run_guard) = mark else {
                 drop((admitted.grant, probe));
                 time::sleep(PROBE_CONFLICT_DELAY).await;
                 routed = self.acquire_slot(facts, permit, claimed).await?;
@@ -105,10 +105,10 @@
                 return Err(permit.refused(retry_budget_exhausted(delay)).into());
             }
             facts.attempts += 1;
-            let place = running::TryPlace {
+            let place = running::AttemptPlacement {
                 target,
                 grant: admitted.grant,
-                mark,
+                run_guard,
                 probe,
             };
             match self.run_one(place, &facts, &claimed.terms, permit).await {
@@ -127,11 +127,11 @@
 
     async fn run_one(
         &self,
-        place: running::TryPlace<P>,
+        place: running::AttemptPlacement<P>,
         facts: &request::RequestFacts<request::GenerationWork>,
         terms: &request::Terms,
         permit: proof::StartPermit,
-    ) -> Result<(running::RunningTry<P>, attempt::AttemptStep), TryEnd<P>> {
+    ) -> Result<(running::RunningAttempt<P>, attempt::AttemptStep), AttemptEnd<P>> {
         let running = place.start(&self.shared, facts, terms, permit).await?;
         running.first_step(&self.shared, facts, terms.due_at).await
     }
@@ -168,11 +168,11 @@
         &self,
         mut facts: request::RequestFacts<request::GenerationWork>,
         claimed: GenerationClaimed<P>,
-        end: TryEnd<P>,
+        end: AttemptEnd<P>,
     ) -> Result<GenerationRouted<P>, filter::EarlyEnd> {
         match end {
-            TryEnd::Refused(refused) => Err(refused.into()),
-            TryEnd::Moved {
+            AttemptEnd::Refused(refused) => Err(refused.into()),
+            AttemptEnd::Moved {
                 permit,
                 grant,
                 probe,
@@ -186,7 +186,7 @@
                 };
                 self.routing.apply(moved).await
             }
-            TryEnd::Again {
+            AttemptEnd::Again {
                 permit,
                 server,
                 cause,
--- a/crates/flow/src/plane.rs
+++ b/crates/flow/src/plane.rs
@@ -8,11 +8,12 @@
 use trace::kind;
 
 use crate::{
-    admit, attempt, authenticate, body, calling, chunk, classify, collect, crashes, deduplicate,
+    admit, attempt, authenticate, body, calling, chunk, classify, collect, crash_tracker,
+    deduplicate,
     filter::{self, Chain, Filter as _},
-    flowing, gate, opening, pipe,
+    gate, opening, pipe,
     port::{self, Grant as _, IdSource as _},
-    proof, quarantine, quota, request, route, settings, shared, token, view,
+    proof, quarantine, quota, relay, request, route, settings, shared, token, view,
 };
 
 /// Maximum time for reconnecting to a stream; a shorter time limit of its class takes precedence.
@@ -117,8 +118,8 @@
 
     /// Record of content that crashes backend servers.
     #[must_use]
-    pub fn suspects(&self) -> &crashes::SuspectBook {
-        &self.shared.suspects
+    pub fn suspects(&self) -> &crash_tracker::CrashTracker {
+        &self.shared.crash_tracker
     }
 
     /// Ports of this plane.
@@ -278,7 +279,7 @@
         self.record_first_token(&facts, &running.live);
         let mut live = running.live;
         live.set_reconnect_timeout(claimed.terms.time_limit.min(MAX_RECONNECT_TIMEOUT));
-        let flowing = flowing::FlowingStream {
+        let flowing = relay::StreamRelay {
             reader: self.shared.readers.enter(live.generation()),
             shared: self.shared.clone(),
             request: facts.id,
@@ -286,10 +287,10 @@
             arrived_at: facts.arrived_at,
             live,
             flowing: running.ticket.into_relayed(),
-            charge: flowing::StreamCharge {
+            resources: relay::StreamResources {
                 grant: Some(running.grant),
                 quota: Some(claimed.quota),
-                mark: Some(running.mark),
+                run_guard: Some(running.run_guard),
                 probe: running.probe,
             },
             writer,
@@ -317,7 +318,7 @@
         self.record_first_token(&opened.facts, &opened.running.live);
         let (opened, answer) = collect::collect(&self.opener, opened).await?;
         let facts = &opened.facts;
-        let text = chunk::whole_answer(
+        let text = chunk::complete_answer(
             facts.work.body.api,
             facts.id,
             &facts.work.body.model,
@@ -327,8 +328,8 @@
         );
         let content = facts.work.content;
         self.shared
-            .suspects
-            .ended_well(content, self.shared.now_ms());
+            .crash_tracker
+            .record_success(content, self.shared.now_ms());
         self.shared.record(
             facts.id,
             kind::EventKind::RequestFinished {
--- a/crates/flow/src/quarantine.rs
+++ b/crates/flow/src/quarantine.rs
@@ -34,7 +34,11 @@
         due_at: time::Instant,
     ) -> Result<Option<ProbePermit>, refusal::RefusalBody> {
         let content = work.fingerprint();
-        let standing = || self.shared.suspects.standing(content, self.shared.now_ms());
+        let standing = || {
+            self.shared
+                .crash_tracker
+                .standing(content, self.shared.now_ms())
+        };
         if let ContentStanding::Suspect { .. } = standing() {
             let acquiring = self.shared.probe_permits.clone().acquire_owned();
             let permit = match time::timeout_at(due_at, acquiring).await {
--- a/crates/flow/src/running.rs
+++ b/crates/flow/src/running.rs
@@ -1,4 +1,4 @@
-//! One try of a generation with what it holds: its start, its first step, and its end.
+//! One attempt of a generation with the resources it holds: its start, first step and end.
 
 use std::{sync, time::Duration};
 
@@ -7,57 +7,57 @@
 use trace::kind;
 
 use crate::{
-    admit, attempt, crashes,
+    admit, attempt, crash_tracker,
     port::{self, Grant as _},
     proof, quarantine, refused, request, settle, shared, view,
 };
 
-/// When to come back after nothing came in time.
-const LATE_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay given when the deadline passed without a first token.
+const DEADLINE_RETRY: Duration = Duration::from_secs(1);
 
-/// Where a try is to run.
-pub(crate) struct TryPlace<P: port::PortSet> {
+/// Placement of an attempt that is about to start.
+pub(crate) struct AttemptPlacement<P: port::PortSet> {
     pub(crate) target: port::ServerTarget,
     pub(crate) grant: admit::SlotGrant<P>,
-    pub(crate) mark: crashes::RunMark,
+    pub(crate) run_guard: crash_tracker::RunGuard,
     pub(crate) probe: Option<quarantine::ProbePermit>,
 }
 
-/// A try that is under way.
-pub struct RunningTry<P: port::PortSet> {
+/// A started attempt.
+pub struct RunningAttempt<P: port::PortSet> {
     /// The generation.
     pub live: attempt::LiveAttempt<P>,
-    /// What stays here while it runs.
+    /// Records that the attempt was sent and is not settled yet.
     pub ticket: proof::AttemptTicket<proof::GenerationKind>,
-    /// Its place.
+    /// Its slot on the server.
     pub grant: admit::SlotGrant<P>,
-    /// Marks its content as running there.
-    pub mark: crashes::RunMark,
-    /// Held by a suspect.
+    /// Counts its content as running on the server.
+    pub run_guard: crash_tracker::RunGuard,
+    /// Held if the content is a suspect, which runs alone.
     pub probe: Option<quarantine::ProbePermit>,
 }
 
-/// What follows a try that ended without an answer.
-pub(crate) enum TryEnd<P: port::PortSet> {
-    /// Another may be started.
+/// Result of an attempt that ended without an answer.
+pub(crate) enum AttemptEnd<P: port::PortSet> {
+    /// Another attempt may be started.
     Again {
         permit: proof::StartPermit,
-        /// Where it was lost.
+        /// The server on which the attempt was lost.
         server: id::ServerKey,
         cause: String,
     },
-    /// The scheduler stopped it; it has a place again.
+    /// The scheduler preempted it and has placed it again.
     Moved {
         permit: proof::StartPermit,
         grant: admit::SlotGrant<P>,
         probe: Option<quarantine::ProbePermit>,
     },
-    /// The request ends here.
+    /// The request is refused.
     Refused(refused::Refused),
 }
 
-impl<P: port::PortSet> TryEnd<P> {
-    /// Another try, if the lost one could be settled.
+impl<P: port::PortSet> AttemptEnd<P> {
+    /// Allows another attempt if the lost one could be settled, or refuses the request.
     fn settled(
         settled: Result<proof::StartPermit, proof::AttemptTicket<proof::GenerationKind>>,
         server: id::ServerKey,
@@ -76,15 +76,15 @@
 
 type Facts = request::RequestFacts<request::GenerationWork>;
 
-impl<P: port::PortSet> TryPlace<P> {
-    /// Sends one start.
+impl<P: port::PortSet> AttemptPlacement<P> {
+    /// Starts the generation on the server.
     pub(crate) async fn start(
         self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
         facts: &Facts,
         terms: &request::Terms,
         permit: proof::StartPermit,
-    ) -> Result<RunningTry<P>, TryEnd<P>> {
+    ) -> Result<RunningAttempt<P>, AttemptEnd<P>> {
         shared.record(
             facts.id,
             dispatched(facts, &self.target, self.grant.reason()),
@@ -100,16 +100,16 @@
         );
         let server = self.target.key;
         match outcome.await {
-            proof::AttemptOutcome::Ran((live, ticket)) => Ok(RunningTry {
+            proof::AttemptOutcome::Ran((live, ticket)) => Ok(RunningAttempt {
                 live,
                 ticket,
                 grant: self.grant,
-                mark: self.mark,
+                run_guard: self.run_guard,
                 probe: self.probe,
             }),
             proof::AttemptOutcome::NotRun { permit, cause } => {
                 self.grant.failed(port::FailureKind::Broken);
-                Err(TryEnd::Again {
+                Err(AttemptEnd::Again {
                     permit,
                     server,
                     cause,
@@ -131,30 +131,30 @@
                 Err(match (settled, permanent_refusal) {
                     (Ok(permit), Some(code)) => {
                         let body = refusal::RefusalBody::not_run(code, cause);
-                        TryEnd::Refused(permit.refused(body))
+                        AttemptEnd::Refused(permit.refused(body))
                     }
-                    (settled, _) => TryEnd::settled(settled, server, cause),
+                    (settled, _) => AttemptEnd::settled(settled, server, cause),
                 })
             }
         }
     }
 }
 
-impl<P: port::PortSet> RunningTry<P> {
-    /// Waits for the first token or the end.
+impl<P: port::PortSet> RunningAttempt<P> {
+    /// Waits for the first token or the end of the generation.
     pub(crate) async fn first_step(
         mut self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
         facts: &Facts,
         due_at: time::Instant,
-    ) -> Result<(Self, attempt::AttemptStep), TryEnd<P>> {
+    ) -> Result<(Self, attempt::AttemptStep), AttemptEnd<P>> {
         let step = {
             let Self { live, grant, .. } = &mut self;
             tokio::select! {
                 biased;
                 step = live.next() => Some(step),
                 () = grant.preempted() => None,
-                () = time::sleep_until(due_at) => return Err(self.too_late()),
+                () = time::sleep_until(due_at) => return Err(self.deadline_exceeded()),
             }
         };
         match step {
@@ -167,35 +167,36 @@
         }
     }
 
-    /// Nothing came in time: dropping the try cancels its generation.
-    fn too_late(self) -> TryEnd<P> {
-        let message = "the first token did not come in time; ask again after the time given";
+    /// Refuses the request because no first token arrived before the deadline. Dropping the
+    /// attempt cancels its generation.
+    fn deadline_exceeded(self) -> AttemptEnd<P> {
+        let message = "the first token did not arrive in time; retry after the given time";
         let code = refusal::RefusalCode::DeadlineExceeded;
         self.grant.failed(port::FailureKind::Silent);
-        let body = shared::retryable_refusal(code, message, LATE_RETRY);
-        TryEnd::Refused(self.ticket.refused(body))
+        let body = shared::retryable_refusal(code, message, DEADLINE_RETRY);
+        AttemptEnd::Refused(self.ticket.refused(body))
     }
 
-    /// Settles it after it was lost.
+    /// Settles the attempt after its generation was lost.
     pub(crate) async fn settle(
         self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
         loss: attempt::AttemptLoss,
         until: time::Instant,
-    ) -> TryEnd<P> {
+    ) -> AttemptEnd<P> {
         let server = self.live.target().key;
         let settled = settle_live(shared, self.live, self.ticket, loss.kind, until).await;
         self.grant.failed(loss.kind.failure());
-        TryEnd::settled(settled, server, loss.cause)
+        AttemptEnd::settled(settled, server, loss.cause)
     }
 
-    /// Stops it to make room, then waits for another place.
+    /// Stops the generation to free engine memory, then waits for another placement.
     pub(crate) async fn preempt(
         self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
         request: id::RequestId,
         until: time::Instant,
-    ) -> TryEnd<P> {
+    ) -> AttemptEnd<P> {
         shared.record(
             request,
             kind::EventKind::RequestPreempted {
@@ -206,28 +207,28 @@
         );
         let kind = attempt::LossKind::Unreachable;
         let settled = settle_live(shared, self.live, self.ticket, kind, until).await;
-        drop(self.mark);
+        drop(self.run_guard);
         let permit = match settled {
             Ok(permit) => permit,
             Err(ticket) => {
                 self.grant.failed(port::FailureKind::Silent);
-                let cause = "a generation that was to be moved could not be stopped";
-                return TryEnd::Refused(ticket.refused(settle::unsettled(cause)));
+                let cause = "the preempted generation could not be stopped";
+                return AttemptEnd::Refused(ticket.refused(settle::unsettled(cause)));
             }
         };
         match time::timeout_at(until, self.grant.requeue()).await {
-            Ok(Ok(grant)) => TryEnd::Moved {
+            Ok(Ok(grant)) => AttemptEnd::Moved {
                 permit,
                 grant,
                 probe: self.probe,
             },
-            Ok(Err(body)) => TryEnd::Refused(permit.refused(body)),
+            Ok(Err(body)) => AttemptEnd::Refused(permit.refused(body)),
             Err(_) => {
-                let message = "it was stopped to make room and found no other place in time; ask \
-                               again after the time given";
+                let message = "the request was preempted to free memory and could not be placed \
+                               again in time; retry after the given time";
                 let code = refusal::RefusalCode::DeadlineExceeded;
-                let body = shared::retryable_refusal(code, message, LATE_RETRY);
-                TryEnd::Refused(permit.refused(body))
+                let body = shared::retryable_refusal(code, message, DEADLINE_RETRY);
+                AttemptEnd::Refused(permit.refused(body))
             }
         }
     }
@@ -246,7 +247,7 @@
         ticket,
     };
     let settled = lost.settle(shared, loss, until).await;
-    // Not before: a request that is given up meanwhile must still cancel its generation.
+    // Not earlier: a request that is dropped during settling must still cancel its generation.
     live.release();
     settled
 }
@@ -270,7 +271,7 @@
 fn dispatched(
     facts: &Facts,
     target: &port::ServerTarget,
-    reason: port::PlaceReason,
+    reason: port::PlacementReason,
 ) -> kind::EventKind {
     kind::EventKind::RequestDispatched {
         server: target.name.clone(),
--- a/crates/flow/src/settings.rs
+++ b/crates/flow/src/settings.rs
@@ -55,7 +55,7 @@
             caller_stall_timeout: Duration::from_secs(10),
             heartbeat_interval: Duration::from_secs(1),
             call_timeout: Duration::from_millis(800),
-            min_silence_timeout: silence::PING_INTERVAL + silence::PING_LATENESS,
+            min_silence_timeout: silence::PING_INTERVAL + silence::PING_TOLERANCE,
             opening_reconnect_timeout: Duration::from_millis(800),
             abandon_after: None,
             cancel_timeout: Duration::from_mins(1),
--- a/crates/flow/src/shared.rs
+++ b/crates/flow/src/shared.rs
@@ -7,7 +7,7 @@
 use trace::kind;
 
 use crate::{
-    budget, crashes, gate,
+    budget, crash_tracker, gate,
     port::{self, EngineLink as _, EventSink as _, IdSource as _, WallClock as _},
     readers, settings,
     suspect::ContentStanding,
@@ -25,7 +25,7 @@
     pub(crate) ports: P,
     pub(crate) settings: settings::PlaneSettings,
     pub(crate) gate: gate::FlowGate,
-    pub(crate) suspects: sync::Arc<crashes::SuspectBook>,
+    pub(crate) crash_tracker: sync::Arc<crash_tracker::CrashTracker>,
     pub(crate) readers: sync::Arc<readers::ReaderTable>,
     pub(crate) budget: sync::Mutex<budget::RetryBudget>,
     /// One permit for each server that may be reserved for a suspect.
@@ -37,7 +37,7 @@
         Self {
             ports,
             gate: gate::FlowGate::default(),
-            suspects: sync::Arc::new(crashes::SuspectBook::new(settings.suspects)),
+            crash_tracker: sync::Arc::new(crash_tracker::CrashTracker::new(settings.suspects)),
             readers: sync::Arc::default(),
             budget: sync::Mutex::new(budget::RetryBudget::new(time::Instant::now())),
             probe_permits: sync::Arc::new(tokio::sync::Semaphore::new(settings.max_probe_servers)),
@@ -74,7 +74,9 @@
 
     /// Records that a server process has ended; the content that ran there becomes suspect.
     pub(crate) fn record_server_death(&self, target: &port::ServerTarget, reason: &str) {
-        let contents = self.suspects.died(target.key, &target.name, self.now_ms());
+        let contents = self
+            .crash_tracker
+            .record_death(target.key, &target.name, self.now_ms());
         if contents.is_empty() {
             return;
         }
@@ -95,7 +97,7 @@
 
     /// Returns the time line event for content that a server's death made suspect or quarantined.
     fn quarantine_event(&self, content: ContentHash, server: &str) -> Option<kind::EventKind> {
-        match self.suspects.standing(content, self.now_ms()) {
+        match self.crash_tracker.standing(content, self.now_ms()) {
             ContentStanding::Clear => None,
             ContentStanding::Suspect { deaths } => Some(kind::EventKind::QuarantineSuspected {
                 fingerprint: content,
@@ -149,7 +151,7 @@
         let cancel = self.ports.engines().cancel(target, generation);
         match time::timeout(self.settings.call_timeout, cancel).await {
             Ok(Ok(answer)) => Ok(Some(answer)),
-            Ok(Err(crate::fault::CancelFault::Refused { .. })) => Ok(None),
+            Ok(Err(crate::link_error::CancelError::Refused { .. })) => Ok(None),
             Ok(Err(fault)) => Err(fault.to_string()),
             Err(_) => Err(format!("{} did not answer a cancel in time", target.name)),
         }
--- a/crates/flow/tests/plane/cluster.rs
+++ b/crates/flow/tests/plane/cluster.rs
@@ -4,7 +4,7 @@
 
 use base::{fingerprint, id};
 use conf::{document, inventory, rules, snapshot};
-use flow::{books, memory, plane, port, settings, suspect, token, view};
+use flow::{memory, memory_store, plane, port, settings, suspect, token, view};
 use stand::{engine, service};
 use tokio::sync::watch;
 
@@ -246,8 +246,8 @@
         engines: &collections::BTreeMap<id::ServerKey, engine::EngineHandle>,
         services: &collections::BTreeMap<id::ServerKey, service::ServiceHandle>,
     ) {
-        let claims = sync::Arc::new(books::MemoryClaims::default());
-        let jobs = sync::Arc::new(books::MemoryJobs::default());
+        let claims = sync::Arc::new(memory_store::MemoryClaims::default());
+        let jobs = sync::Arc::new(memory_store::MemoryJobs::default());
         let peers = LocalPeers::default();
         for entry in 0..options.entries {
             let switch = links::ProcessSwitch::new();
@@ -267,13 +267,13 @@
                     options.max_concurrency,
                 ),
                 claims: links::SharedClaims {
-                    book: claims.clone(),
+                    store: claims.clone(),
                     down: self.log_down.clone(),
                     late: self.claim_delay.clone(),
                     switch: switch.clone(),
                 },
                 jobs: links::SharedJobs {
-                    book: jobs.clone(),
+                    store: jobs.clone(),
                     down: self.log_down.clone(),
                     switch: switch.clone(),
                 },
--- a/crates/flow/tests/plane/fuzz.rs
+++ b/crates/flow/tests/plane/fuzz.rs
@@ -528,7 +528,7 @@
             tokio::spawn(plane.clone().run_jobs());
         }
         for fault in &timed_faults {
-            tokio::spawn(fault.happen(cluster.clone()));
+            tokio::spawn(fault.inject(cluster.clone()));
         }
         let mut runs = task::JoinSet::new();
         for caller in callers {
--- a/crates/flow/tests/plane/main.rs
+++ b/crates/flow/tests/plane/main.rs
@@ -1,5 +1,6 @@
 //! Tests of the request plane against in-process stand-ins, on a paused clock.
 
+mod basic;
 mod callers;
 mod calls;
 mod cluster;
@@ -8,4 +9,3 @@
 mod fuzz;
 mod links;
 mod streams;
-mod thin;
