--- a/crates/exchange/src/budget.rs
+++ b/crates/exchange/src/budget.rs
@@ -1,45 +1,47 @@
-//! How many further tries a service may get, over all VMs together.
+//! Limit on the retries of a service, over all VMs together.
 //!
-//! Load pattern: a server fails and every VM tries again at once; without a bound the rest of the
-//! service gets several times its load. Each VM keeps to its own part without asking anyone: a
-//! share of the requests that it saw itself, and an even part of the fixed allowance. Parts of VMs
-//! that are down go unused until membership forgets them, so the sum never exceeds the whole.
+//! Load pattern: a server fails and every VM retries at once; without a limit the remaining servers
+//! of the service get several times their load. Each VM keeps to its own share without
+//! coordination: a fraction of the requests that it received itself, and an even share of the fixed
+//! allowance. The shares of VMs that are down stay unused until membership removes them, so the sum
+//! never exceeds the total.
 
 use std::collections;
 
 use tokio::time;
 
-/// Part of the whole that is used: beliefs on how many VMs there are lag behind.
-const SAFETY: f64 = 0.75;
+/// Fraction of the budget that is used, because the known number of VMs lags behind the actual one.
+const SAFETY_FRACTION: f64 = 0.75;
 
-/// The bound on further tries of one service.
+/// Limit on the retries of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetRule {
-    /// Further tries as a part of first ones.
+    /// Retries as a fraction of first attempts.
     pub ratio: f64,
-    /// Further tries that are free, over all VMs.
+    /// Retries allowed in addition, over all VMs.
     pub slack: f64,
-    /// The span over which both are counted.
+    /// Window over which both are counted.
     pub window: time::Duration,
 }
 
-/// What this VM sent to one service of late.
+/// Recent attempts of this VM on one service.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
-    /// Times of first tries, oldest first, none older than the window.
+    /// Times of first attempts, oldest first, none older than the window.
     first: collections::VecDeque<time::Instant>,
-    /// Times of further tries.
+    /// Times of retries, oldest first.
     further: collections::VecDeque<time::Instant>,
 }
 
 impl RetryBudget {
-    /// A request came.
+    /// Counts the first attempt of a request.
     pub fn count_first(&mut self, rule: &BudgetRule, now: time::Instant) {
         trim(&mut self.first, rule.window, now);
         self.first.push_back(now);
     }
 
-    /// Takes one further try, if there is one left for this VM of `entries`.
+    /// Takes one retry from the share of this VM among `entries` VMs; returns false if none is
+    /// left.
     pub fn take(&mut self, rule: &BudgetRule, entries: u32, now: time::Instant) -> bool {
         let left = self.left(rule, entries, now);
         if left < 1.0 {
@@ -49,20 +51,20 @@
         true
     }
 
-    /// Counts a further try that is made whatever is left: a run that goes on elsewhere is worth
-    /// more than the tries that it takes from others.
+    /// Counts a retry that is made even if none is left: continuing a run on another server is
+    /// worth more than the retries that it takes from others.
     pub fn force(&mut self, rule: &BudgetRule, now: time::Instant) {
         trim(&mut self.further, rule.window, now);
         self.further.push_back(now);
     }
 
-    /// Further tries that this VM of `entries` has left.
+    /// Number of retries that this VM, one of `entries`, has left.
     pub fn left(&mut self, rule: &BudgetRule, entries: u32, now: time::Instant) -> f64 {
         trim(&mut self.first, rule.window, now);
         trim(&mut self.further, rule.window, now);
         let slack = rule.slack / f64::from(entries.max(1));
-        let whole = rule.ratio * self.first.len() as f64 + slack;
-        whole * SAFETY - self.further.len() as f64
+        let total = rule.ratio * self.first.len() as f64 + slack;
+        total * SAFETY_FRACTION - self.further.len() as f64
     }
 }
 
--- a/crates/exchange/src/comeback.rs
+++ b/crates/exchange/src/comeback.rs
@@ -1,9 +1,10 @@
-//! Callers that were refused and told when to come back.
+//! Requests that were refused with a retry delay, and are expected again.
 //!
-//! Load pattern: in lasting overload a caller that comes back, at another VM, looks like a new one
-//! that can still be on time. It can't: its time counts from its first try. Taken for new, it makes
-//! others late as well; so it goes after those that can be on time, and before others that can't. VMs
-//! tell each other whom they refused, since callers come back anywhere.
+//! Load pattern: in a lasting overload a refused request that is retried at another VM looks like a
+//! new one that can still be on time. It can't, since its time counts from the first attempt.
+//! Treated as new it makes others late as well, so it goes after requests that can be on time, and
+//! before others that can't. VMs announce the requests that they refused to each other, because
+//! callers may retry at any VM.
 
 use std::collections;
 
@@ -11,52 +12,53 @@
 
 use crate::wait;
 
-/// How long after the time that it was told a caller is still expected.
-const EXPECTED_FOR: time::Duration = time::Duration::from_secs(4);
-/// Callers that are remembered, 24 bytes each; the one expected soonest goes.
-const MOST: usize = 2_048;
-/// Callers that wait to be told to the other VMs: four seconds' worth of regular datagrams.
-const MOST_UNTOLD: usize = 256;
-/// Steps of cost by which one that came back goes before others that are late: half of its cost.
-const STEPS: u8 = 2;
+/// How long after its retry delay a request is still expected.
+const EXPIRY_MARGIN: time::Duration = time::Duration::from_secs(4);
+/// Max remembered requests, 24 bytes each; the one that expires first is evicted.
+const MAX_EXPECTED: usize = 2_048;
+/// Max refusals that wait to be announced: four seconds of regular datagrams.
+const MAX_UNANNOUNCED: usize = 256;
+/// Cost steps by which a retried request goes before other late ones; two steps halve its cost.
+const RETRY_COST_STEPS: u8 = 2;
 
-/// Callers that are expected to come back.
+/// Refused requests whose retry is expected.
 #[derive(Debug, Default)]
 pub struct ComebackTable {
-    /// Until when each is expected, by the short fingerprint of its request.
+    /// Expiry by short fingerprint of the request.
     expected: collections::HashMap<u32, time::Instant>,
-    /// Those that the other VMs have not been told yet.
-    untold: collections::VecDeque<u32>,
+    /// Short fingerprints that have not been announced to the other VMs yet.
+    unannounced: collections::VecDeque<u32>,
 }
 
-/// The part of a request's fingerprint that VMs tell each other.
+/// The part of a request's fingerprint that VMs send each other.
 const fn short(fingerprint: u64) -> u32 {
     fingerprint as u32
 }
 
 impl ComebackTable {
-    /// This VM refused a request, and told its caller to come back after `wait`.
+    /// Records that this VM refused a request with the retry delay `wait`.
     pub fn refused(&mut self, fingerprint: u64, wait: time::Duration, now: time::Instant) {
         let short = short(fingerprint);
-        self.expect(short, now + wait + EXPECTED_FOR, now);
-        // A burst of refusals is told over several datagrams; of a longer one the oldest are left out,
-        // and their callers are taken for new.
-        if self.untold.len() == MOST_UNTOLD {
-            self.untold.pop_front();
+        self.expect(short, now + wait + EXPIRY_MARGIN, now);
+        // A burst of refusals is announced over several datagrams. If there are more, the oldest
+        // are dropped, and their retries count as new requests.
+        if self.unannounced.len() == MAX_UNANNOUNCED {
+            self.unannounced.pop_front();
         }
-        self.untold.push_back(short);
+        self.unannounced.push_back(short);
     }
 
-    /// Another VM refused a request; how long it told its caller to stay away is not said.
+    /// Records that another VM refused a request. Its retry delay is not sent, so the max is
+    /// assumed.
     pub fn told(&mut self, short: u32, now: time::Instant) {
-        self.expect(short, now + wait::RETRY_AFTER_MOST + EXPECTED_FOR, now);
+        self.expect(short, now + wait::RETRY_AFTER_MOST + EXPIRY_MARGIN, now);
     }
 
     fn expect(&mut self, short: u32, until: time::Instant, now: time::Instant) {
-        if self.expected.len() >= MOST {
+        if self.expected.len() >= MAX_EXPECTED {
             self.expected.retain(|_, until| now < *until);
         }
-        if self.expected.len() >= MOST
+        if self.expected.len() >= MAX_EXPECTED
             && let Some((&soonest, _)) = self.expected.iter().min_by_key(|(_, until)| **until)
         {
             self.expected.remove(&soonest);
@@ -64,13 +66,13 @@
         self.expected.insert(short, until);
     }
 
-    /// Those to be told to the other VMs, each once.
+    /// Takes up to `most` refusals to announce to the other VMs, each once.
     pub fn take_untold(&mut self, most: usize) -> Vec<u32> {
-        let told = self.untold.len().min(most);
-        self.untold.drain(..told).collect()
+        let told = self.unannounced.len().min(most);
+        self.unannounced.drain(..told).collect()
     }
 
-    /// The claim of a request to a place, given what it would be if it came for the first time.
+    /// Values that determine the rank of a request, given those of a first attempt.
     #[must_use]
     pub fn claim(
         &self,
@@ -83,7 +85,7 @@
             return first;
         }
         wait::WaitClaim {
-            step: first.step.saturating_sub(STEPS),
+            step: first.step.saturating_sub(RETRY_COST_STEPS),
             on_time_until: None,
         }
     }
--- a/crates/exchange/src/forecast.rs
+++ b/crates/exchange/src/forecast.rs
@@ -1,54 +1,54 @@
-//! What a generation will need of its engine, as far as can be known before it ends.
+//! Estimates of the output, memory and cost of a generation.
 
 use crate::ask;
 
-/// Part of what a generation may still produce that is expected once it is past its guess: the rest
-/// of a log-normal length of deviation 0.7 that is cut off at the most.
-const REST_PART: f64 = 0.28;
-/// Share of the most tokens that is expected without a hint: the mean of such lengths.
-const UNHINTED_PART: f64 = 0.34;
-/// Weight of the hint against that share, both as logarithms. Hints of deviation 1.3 explain
-/// lengths of deviation 0.7 with a slope of 0.2 to 0.33 (259 streams).
+/// Fraction of the remaining output limit that is expected once a generation has passed its
+/// estimate: the remainder of a log-normal length of deviation 0.7 that is cut off at the limit.
+const REMAINDER_FRACTION: f64 = 0.28;
+/// Fraction of the output limit that is expected without a hint: the mean of such lengths.
+const UNHINTED_FRACTION: f64 = 0.34;
+/// Weight of the hint against the unhinted estimate, both as logarithms: hints of deviation 1.3
+/// explain lengths of deviation 0.7 with a slope of 0.2 to 0.33.
 const HINT_WEIGHT: f64 = 0.3;
-/// Part of a generation's expected output that is planned for in its engine's memory: a
-/// generation met at a random moment has produced 0.7 of the mean length, since long ones are met
-/// more often; those that end make room for those that grow.
+/// Fraction of a generation's expected output for which memory is planned. A generation observed at
+/// a random moment has produced 0.7 of the mean length, since long ones are observed more often;
+/// memory of generations that end serves those that grow.
 pub const PLANNED_PART: f64 = 0.7;
-/// Milliseconds that a token takes before anything of a run is known; engines make one in 7 to 9.
+/// Assumed time per token before the rate of a run is known; engines take 7 to 9 ms.
 pub const TOKEN_MS: f64 = 8.0;
 
-/// Tokens of a prompt that an engine reads in a millisecond while it makes tokens for others.
+/// Prefill rate of an engine that decodes for other runs at the same time.
 pub const PREFILL_TOKENS_PER_MS: f64 = 7.0;
 
-/// Tokens that a generation of `size` is expected to produce once it has produced `produced`.
+/// Expected total output of a generation that has produced `produced` tokens.
 #[must_use]
 pub fn expected_output(size: &ask::GenerationSize, produced: u32) -> f64 {
-    let most = f64::from(size.most_tokens);
+    let max = f64::from(size.most_tokens);
     let produced = f64::from(produced);
-    let usual = (most * UNHINTED_PART).max(1.0);
-    let guess = match size.hint_tokens {
+    let unhinted = (max * UNHINTED_FRACTION).max(1.0);
+    let estimate = match size.hint_tokens {
         Some(hint) => {
             let hint = f64::from(hint.max(1));
-            usual.powf(1.0 - HINT_WEIGHT) * hint.powf(HINT_WEIGHT)
+            unhinted.powf(1.0 - HINT_WEIGHT) * hint.powf(HINT_WEIGHT)
         }
-        None => usual,
+        None => unhinted,
     };
-    let past = (produced / guess).min(1.0);
-    let at_least = produced + (most - produced).max(0.0) * REST_PART * past;
-    guess.max(at_least).min(most.max(produced))
+    let progress = (produced / estimate).min(1.0);
+    let at_least = produced + (max - produced).max(0.0) * REMAINDER_FRACTION * progress;
+    estimate.max(at_least).min(max.max(produced))
 }
 
-/// Memory that is planned for a generation of `size` before it starts.
+/// Memory planned for a generation before it starts.
 #[must_use]
 pub fn planned_tokens(size: &ask::GenerationSize) -> u64 {
     u64::from(size.prompt_tokens) + (expected_output(size, 0) * PLANNED_PART) as u64
 }
 
-/// Memory that a generation of `size` is expected to take, times how long: thousands of tokens times
-/// seconds. What is short of these is what engines are short of.
+/// Expected memory of a generation times its expected run time, in thousands of token seconds: the
+/// resource that engines are short of.
 #[must_use]
 pub fn expected_cost(size: &ask::GenerationSize) -> f64 {
-    let reading_ms = f64::from(size.prompt_tokens) / PREFILL_TOKENS_PER_MS;
-    let making_ms = expected_output(size, 0) * TOKEN_MS;
-    planned_tokens(size) as f64 * (reading_ms + making_ms) / 1.0e6
+    let prefill_ms = f64::from(size.prompt_tokens) / PREFILL_TOKENS_PER_MS;
+    let decode_ms = expected_output(size, 0) * TOKEN_MS;
+    planned_tokens(size) as f64 * (prefill_ms + decode_ms) / 1.0e6
 }
--- a/crates/exchange/src/loads.rs
+++ b/crates/exchange/src/loads.rs
@@ -1,8 +1,8 @@
-//! What other VMs have on servers, as they told it.
+//! Loads of servers as reported by other VMs.
 //!
-//! Load pattern: at 400 VMs and 4,000 servers, hundreds of datagrams a second each replace what one
-//! VM has on a dozen servers. So it is kept by VM too: taking a datagram costs by what it names, not
-//! by how many servers there are.
+//! Load pattern: with 400 VMs and 4,000 servers, hundreds of datagrams a second each replace the
+//! loads of one VM on a dozen servers. The loads are therefore also indexed by VM: the cost of a
+//! datagram depends on the servers that it names, not on the total number of servers.
 
 use std::collections;
 
@@ -10,39 +10,40 @@
 
 use crate::fleet;
 
-/// Age after which a peer's word on its own load counts for nothing: it is down or cut off.
-const PEER_LOAD_AGE: time::Duration = time::Duration::from_secs(3);
-/// Other VMs that must say that a server fails for it to be believed. One may be cut off itself.
-const FAILING_PEERS: usize = 2;
+/// Age after which the report of a peer is ignored: the peer is down or partitioned.
+const PEER_REPORT_TIMEOUT: time::Duration = time::Duration::from_secs(3);
+/// Number of other VMs that must report a server as failing. A single one may be partitioned
+/// itself.
+const MIN_FAILING_PEERS: usize = 2;
 
-/// What another VM has on a server.
+/// Load that one VM puts on a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeerLoad {
     /// Tries there.
     pub runs: u32,
-    /// Memory that they and the copies there are expected to need.
+    /// Expected memory of the attempts and copies there.
     pub tokens: u64,
     /// Prompt tokens of generations without a first event.
     pub backlog: u64,
-    /// Whether generations failed there of late.
+    /// Whether generations failed there recently.
     pub failing: bool,
 }
 
-/// What a server has to do, over all VMs.
+/// Load of a server, summed over all VMs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerLoad {
     /// Tries there.
     pub runs: u32,
-    /// Expected memory.
+    /// Expected memory of the attempts and copies there.
     pub tokens: u64,
-    /// Prompt tokens not read yet.
+    /// Prompt tokens of generations without a first event.
     pub backlog: u64,
     /// Tries of this VM alone.
     pub own_runs: u32,
 }
 
 impl ServerLoad {
-    /// Begins with what this VM has there.
+    /// Starts the sum with the load of this VM.
     #[must_use]
     pub const fn of_own(own: PeerLoad) -> Self {
         Self {
@@ -60,30 +61,30 @@
     }
 }
 
-/// One VM's word on one server.
+/// Report of one VM on one server.
 #[derive(Clone, Copy, Debug)]
-struct PeerWord {
+struct PeerReport {
     load: PeerLoad,
-    told_at: time::Instant,
+    received_at: time::Instant,
 }
 
-impl PeerWord {
-    fn counts(&self, now: time::Instant) -> bool {
-        now.saturating_duration_since(self.told_at) <= PEER_LOAD_AGE
+impl PeerReport {
+    fn is_current(&self, now: time::Instant) -> bool {
+        now.saturating_duration_since(self.received_at) <= PEER_REPORT_TIMEOUT
     }
 }
 
-/// What all other VMs told.
+/// Reports of all other VMs.
 #[derive(Clone, Debug, Default)]
 pub struct PeerLoads {
-    /// By server, then by VM.
-    words: slotmap::SecondaryMap<fleet::ServerKey, collections::HashMap<u64, PeerWord>>,
-    /// Servers that a VM named last.
+    /// Reports by server, then by VM.
+    reports: slotmap::SecondaryMap<fleet::ServerKey, collections::HashMap<u64, PeerReport>>,
+    /// Servers named in the last report of each VM.
     named: collections::HashMap<u64, Vec<fleet::ServerKey>>,
 }
 
 impl PeerLoads {
-    /// A VM told all that it has: what it does not name, it no longer has.
+    /// Replaces all reports of a VM: it has no load on servers that are not named.
     pub fn replace(
         &mut self,
         vm: u64,
@@ -92,14 +93,17 @@
     ) {
         let mut named = self.named.remove(&vm).unwrap_or_default();
         for key in named.drain(..) {
-            if let Some(words) = self.words.get_mut(key) {
-                words.remove(&vm);
+            if let Some(reports) = self.reports.get_mut(key) {
+                reports.remove(&vm);
             }
         }
         for (key, load) in loads {
-            let word = PeerWord { load, told_at: now };
-            if let Some(words) = self.words.entry(key) {
-                words.or_default().insert(vm, word);
+            let report = PeerReport {
+                load,
+                received_at: now,
+            };
+            if let Some(reports) = self.reports.entry(key) {
+                reports.or_default().insert(vm, report);
                 named.push(key);
             }
         }
@@ -108,33 +112,35 @@
         }
     }
 
-    /// Adds what others have on a server.
+    /// Adds the loads that other VMs reported for a server.
     pub fn add_to(&self, load: &mut ServerLoad, key: fleet::ServerKey, now: time::Instant) {
-        for word in self.words_on(key, now) {
-            load.add(&word.load);
+        for report in self.reports_on(key, now) {
+            load.add(&report.load);
         }
     }
 
-    /// Whether enough other VMs say that a server fails.
+    /// Returns whether enough other VMs report that a server fails.
     #[must_use]
     pub fn say_failing(&self, key: fleet::ServerKey, now: time::Instant) -> bool {
-        let told = self.words_on(key, now).filter(|word| word.load.failing);
-        told.count() >= FAILING_PEERS
+        let failing = self
+            .reports_on(key, now)
+            .filter(|report| report.load.failing);
+        failing.count() >= MIN_FAILING_PEERS
     }
 
-    /// A server is forgotten.
+    /// Removes the reports on a server.
     pub fn forget(&mut self, key: fleet::ServerKey) {
-        self.words.remove(key);
+        self.reports.remove(key);
     }
 
-    fn words_on(
+    fn reports_on(
         &self,
         key: fleet::ServerKey,
         now: time::Instant,
-    ) -> impl Iterator<Item = &PeerWord> {
-        let words = self.words.get(key).into_iter();
-        words
+    ) -> impl Iterator<Item = &PeerReport> {
+        let reports = self.reports.get(key).into_iter();
+        reports
             .flat_map(collections::HashMap::values)
-            .filter(move |word| word.counts(now))
+            .filter(move |report| report.is_current(now))
     }
 }
--- a/crates/exchange/src/pace.rs
+++ b/crates/exchange/src/pace.rs
@@ -1,10 +1,10 @@
-//! When the events of one stream came.
+//! Arrival times of the events of one stream.
 
 use tokio::time;
 
 use crate::ask;
 
-/// When the events of one stream came.
+/// First arrival and longest pause of the events of one stream.
 #[derive(Debug, Default)]
 pub(crate) struct EventPace {
     first: Option<time::Instant>,
@@ -30,7 +30,7 @@
         metrics::histogram!("pollenchute_exchange_worst_pause_seconds").record(worst);
     }
 
-    /// Time from the request to its first event.
+    /// Time between the arrival of the request and its first event.
     pub(crate) fn first_ms(&self, ask: &ask::ExchangeAsk) -> Option<u64> {
         let first = self.first?.saturating_duration_since(ask.arrived);
         u64::try_from(first.as_millis()).ok()
--- a/crates/exchange/src/place.rs
+++ b/crates/exchange/src/place.rs
@@ -1,79 +1,83 @@
-//! Which server gets a try.
+//! Choice of the server for an attempt, and of the server for a copy of a run.
 //!
-//! Load pattern: many VMs choose at once among few servers, from beliefs that are a tenth of a
-//! second old. Engines run out of memory long before they run out of slots; a prompt that is read
-//! slows every stream beside it. So memory is admitted by what the runs there are expected to need
-//! at their end, and the rest is a sum of expected milliseconds.
+//! Load pattern: many VMs choose at the same time among few servers, from load reports that are
+//! about 100 ms old. Engines run out of memory long before they run out of slots, and prefill of
+//! one prompt slows every stream on the same engine. Memory is therefore a hard admission check
+//! against the expected final memory of the runs on an engine; all other factors are added up as an
+//! expected cost in milliseconds.
 
 use rand::RngExt;
 use tokio::time;
 
 use crate::{ask, catalog, fleet, forecast, loads, room, server};
 
-/// Part of an engine's memory that copies made beforehand may fill; the rest is for runs.
-const BACKUP_FILL: f64 = 0.62;
-/// Part of all engines' memory that may be in use for a copy to be made beforehand. A copy takes as
-/// much memory as its run: where memory is short it keeps a new generation out for each that it
-/// would save from a crash.
-const BACKUP_FLEET_FILL: f64 = 0.55;
-/// Prompt tokens that one engine is given to read at a time: less than half a second's worth. An
-/// engine that has just started is empty, and every VM that has something waiting would send it
-/// there.
-const MOST_BACKLOG: f64 = 3_000.0;
-/// What one generation more adds to the time that others take for an event, counted over a prompt.
+/// Fraction of an engine's memory up to which proactive copies may fill it; the rest is reserved
+/// for runs.
+const MAX_BACKUP_FILL: f64 = 0.62;
+/// Fraction of the memory of all engines above which no proactive copy is made. A copy takes as
+/// much memory as its run: when memory is short, each copy keeps a new generation out for every
+/// generation that it would save from a crash.
+const MAX_BACKUP_FLEET_FILL: f64 = 0.55;
+/// Max prompt tokens queued for prefill on one engine: less than half a second of work. Without
+/// this limit an engine that has just started, and is empty, would get the waiting prompts of all
+/// VMs.
+const MAX_BACKLOG_TOKENS: f64 = 3_000.0;
+/// Cost of each generation that already runs on the engine: the time that it adds to the events of
+/// the others, summed over a prompt.
 const RUN_MS: f64 = 12.0;
-/// What a full engine costs: preemption is likely, and nothing can move there.
+/// Cost of a full engine: preemption is likely, and no run can be moved there.
 const FULL_MS: f64 = 400.0;
-/// What another failure domain costs: bytes between domains are dear.
+/// Cost of a server in another failure domain: traffic between domains is expensive.
 const DOMAIN_MS: f64 = 12.0;
-/// Part of the time for reading its waiting prompts by which an engine slows a run that comes there.
-/// Counted whole, an engine of the same domain that reads one prompt lost to each of another domain;
-/// five runs that leave together then need 1.5 s on their engine's link, and it is gone after 1.4 s.
-/// With a fifth, mean worth of fifteen plays at 9 engines 0.4649 to 0.4718, copies to another domain
-/// counted as here.
-const COPY_BACKLOG_PART: f64 = 0.2;
-/// What a server costs that failed all recent tries.
+/// Fraction of the prefill backlog of an engine that counts as cost for a run copied there. Counted
+/// in full, an engine of the same domain with a single prompt in prefill lost to every engine of
+/// another domain; five runs that leave an engine together then need 1.5 s on its link, and the
+/// engine is gone after 1.4 s.
+const COPY_BACKLOG_FRACTION: f64 = 0.2;
+/// Cost of a server that failed all recent attempts; scaled by its failure rate.
 const FAILED_MS: f64 = 1_500.0;
-/// What a call costs at a server that failed all recent calls: about a deadline.
+/// Additional cost of a call to a server that failed all recent calls: about one deadline.
 const FAILED_CALL_MS: f64 = 600.0;
-/// What a server costs that has just started.
+/// Cost of a server that is still warming up after its start.
 const COLD_MS: f64 = 150.0;
-/// What the engine is worth that other VMs also choose for the same first part of a prompt.
-const AFFINITY_MS: f64 = 15.0;
-/// Latency of a call that is believed before any is known.
-const CALL_MS: f64 = 15.0;
-/// What a call gains at a server that this VM has a connection to: a new one costs the server a
-/// millisecond of a slot, and both sides their work.
-const WARM_MS: f64 = 8.0;
-/// Random part for each VM that chooses among the same servers, and its most: VMs with equal beliefs
-/// spread. When room comes up, all of them see it at the same moment; without this, five or six sent
-/// a prompt to the emptiest engine within 10 ms, before any had heard of the others.
+/// Cost reduction for the engine that all VMs prefer for the same first part of a prompt.
+const AFFINITY_BONUS_MS: f64 = 15.0;
+/// Assumed call latency while none has been measured.
+const DEFAULT_CALL_MS: f64 = 15.0;
+/// Cost reduction for a call to a server to which this VM has an open connection: a new connection
+/// costs the server a millisecond of a slot, and both sides CPU time.
+const WARM_BONUS_MS: f64 = 8.0;
+/// Random cost per VM that chooses among the same servers, and its max, so that VMs with equal load
+/// reports choose different servers. All VMs see freed memory at the same moment; without the
+/// random cost, five or six VMs sent a prompt to the emptiest engine within 10 ms, before any had
+/// received the loads of the others.
 const SPREAD_MS: f64 = 3.0;
-const SPREAD_MOST_MS: f64 = 200.0;
-/// Requests that may wait in a server's own queue, as a multiple of its slots. Beyond it they wait
-/// here, where they can still go elsewhere.
-const QUEUE_FACTOR: u32 = 2;
+const MAX_SPREAD_MS: f64 = 200.0;
+/// Max requests in a server's own queue, as a multiple of its slots. Further requests wait on this
+/// VM, from where they can still be sent to another server.
+const MAX_QUEUE_FACTOR: u32 = 2;
 
-/// Part of the connections that a server takes which tries may hold; the rest is for those that are
-/// kept without a try, and for tries that are not told yet.
-const CONNECTIONS_FILL: f64 = 0.8;
+/// Fraction of a server's connection limit that attempts may use; the rest is for idle kept-alive
+/// connections and for attempts that other VMs have not announced yet.
+const MAX_CONNECTION_FILL: f64 = 0.8;
 
-/// What needs a place.
+/// A request for a server.
 #[derive(Clone, Debug)]
 pub struct PlaceAsk<'a> {
-    /// Service that it goes to.
+    /// Service of the request.
     pub service: &'a str,
-    /// Present for generations.
+    /// Size of a generation; `None` for calls.
     pub size: Option<&'a ask::GenerationSize>,
-    /// Servers that must not get it.
+    /// Servers that must not be chosen.
     pub avoid: &'a [fleet::ServerKey],
     /// Failure domain of this VM.
     pub domain: &'a str,
-    /// VMs that share the servers, this one included.
+    /// Number of VMs that share the servers, this one included.
     pub entries: u32,
-    /// Memory that must stay free for generations that go before this one elsewhere.
+    /// Memory that must stay free for generations with precedence that wait on other VMs.
     pub yielded_tokens: u64,
-    /// Part of all memory that this one must leave free for those that will come and go before it.
+    /// Fraction of the total memory that this request must leave free for later requests with a
+    /// better rank.
     pub kept_part: f64,
 }
 
@@ -87,18 +91,18 @@
     }
 }
 
-/// What came of it.
+/// Result of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlaceOutcome {
-    /// This server.
+    /// The chosen server.
     Server(fleet::ServerKey),
-    /// All that could take it are full.
+    /// All eligible servers are full.
     Full,
-    /// No server takes work.
+    /// No eligible server accepts work.
     NoServer,
 }
 
-/// Chooses the server with the least expected cost in milliseconds.
+/// Chooses the server with the lowest expected cost in milliseconds.
 pub fn choose(
     fleet: &fleet::ServerFleet,
     rule: Option<&catalog::ServiceRule>,
@@ -108,7 +112,7 @@
 ) -> PlaceOutcome {
     let loads = fleet.loads(ask.service, now);
     let engine = rule.and_then(|rule| rule.engine);
-    let favourite = favourite(fleet, ask, now);
+    let affinity_server = affinity_server(fleet, ask, now);
     if let (Some(engine), Some(size)) = (engine, ask.size)
         && !room::MemoryRoom::measure(fleet, ask.service, &engine, &loads, now)
             .takes(&ask.need(size))
@@ -120,9 +124,9 @@
             PlaceOutcome::NoServer
         };
     }
-    let spread = (SPREAD_MS * f64::from(ask.entries)).min(SPREAD_MOST_MS);
+    let spread = (SPREAD_MS * f64::from(ask.entries)).min(MAX_SPREAD_MS);
     let spread = if engine.is_some() { spread } else { SPREAD_MS };
-    let avoids_failing = engine.is_some() && few_fail(fleet, ask.service, now);
+    let avoids_failing = engine.is_some() && only_few_fail(fleet, ask.service, now);
     let mut best = None;
     let mut any = false;
     for (key, record) in fleet.ready(ask.service, now) {
@@ -134,7 +138,7 @@
             continue;
         }
         let load = loads.get(key).copied().unwrap_or_default();
-        if rule.is_some_and(|rule| has_its_connections(rule, &load)) {
+        if rule.is_some_and(|rule| is_out_of_connections(rule, &load)) {
             continue;
         }
         let cost = match (engine, ask.size) {
@@ -143,11 +147,11 @@
         };
         let Some(mut cost) = cost else { continue };
         cost += common_cost(record, ask.domain, now);
-        if favourite == Some(key) {
-            cost -= AFFINITY_MS;
+        if affinity_server == Some(key) {
+            cost -= AFFINITY_BONUS_MS;
         }
         cost += rng.random::<f64>() * spread;
-        if best.is_none_or(|(least, _)| cost < least) {
+        if best.is_none_or(|(lowest, _)| cost < lowest) {
             best = Some((cost, key));
         }
     }
@@ -158,27 +162,27 @@
     }
 }
 
-/// Whether tries of all VMs hold as many connections to a server as it takes: it resets what comes
-/// beyond, and a call that may run once is then lost.
-fn has_its_connections(rule: &catalog::ServiceRule, load: &loads::ServerLoad) -> bool {
-    f64::from(load.runs) >= f64::from(rule.connections) * CONNECTIONS_FILL
+/// Returns whether the attempts of all VMs use up the connections that a server accepts. It resets
+/// further connections, which loses a call that may run only once.
+fn is_out_of_connections(rule: &catalog::ServiceRule, load: &loads::ServerLoad) -> bool {
+    f64::from(load.runs) >= f64::from(rule.connections) * MAX_CONNECTION_FILL
 }
 
-/// Whether few enough servers fail for it to be them. When most seem to, the fault is with this VM,
-/// its links or what was silent at all VMs, and keeping away from them would stop everything.
-fn few_fail(fleet: &fleet::ServerFleet, service: &str, now: time::Instant) -> bool {
-    let (mut failing, mut sound) = (0, 0);
+/// Returns whether at most half of the servers fail. If most seem to fail, the cause is this VM,
+/// its links or an outage seen by all VMs; avoiding those servers would then stop all traffic.
+fn only_few_fail(fleet: &fleet::ServerFleet, service: &str, now: time::Instant) -> bool {
+    let (mut failing, mut healthy) = (0, 0);
     for (key, _) in fleet.ready(service, now) {
         if fleet.is_failing(key, now) {
             failing += 1;
         } else {
-            sound += 1;
+            healthy += 1;
         }
     }
-    failing <= sound
+    failing <= healthy
 }
 
-/// Expected cost of a generation, absent where it finds no room.
+/// Expected cost of a generation; `None` if it does not fit on the engine.
 fn generation_cost(
     engine: &catalog::EngineRule,
     size: &ask::GenerationSize,
@@ -188,7 +192,7 @@
     let need = forecast::planned_tokens(size) as f64;
     let memory = engine.memory_tokens as f64;
     let after = load.tokens as f64 + need;
-    // An empty engine takes whatever fits at all: nothing better will come.
+    // An empty engine takes anything that fits at all, because no better choice will come.
     let limit = if load.runs == 0 {
         memory
     } else {
@@ -197,8 +201,8 @@
     if after > limit || load.runs >= record.slots {
         return None;
     }
-    let crowded = load.backlog as f64 + f64::from(size.prompt_tokens) > MOST_BACKLOG;
-    if load.backlog > 0 && crowded {
+    let over_backlog = load.backlog as f64 + f64::from(size.prompt_tokens) > MAX_BACKLOG_TOKENS;
+    if load.backlog > 0 && over_backlog {
         return None;
     }
     let prompts = load.backlog as f64 + f64::from(size.prompt_tokens);
@@ -210,24 +214,28 @@
     )
 }
 
-/// Expected cost of a call, absent where its server has its fill.
+/// Expected cost of a call; `None` if this VM already uses its fair_share share of the server.
 fn call_cost(
     record: &server::ServerRecord,
     load: &loads::ServerLoad,
     entries: u32,
     now: time::Instant,
 ) -> Option<f64> {
-    let fair = record.slots * (1 + QUEUE_FACTOR) / entries.max(1) + 2;
-    if load.own_runs >= fair {
+    let fair_share = record.slots * (1 + MAX_QUEUE_FACTOR) / entries.max(1) + 2;
+    if load.own_runs >= fair_share {
         return None;
     }
     let latency = if record.latency_ms() == 0.0 {
-        CALL_MS
+        DEFAULT_CALL_MS
     } else {
         record.latency_ms()
     };
     let queue = f64::from(load.own_runs) * f64::from(entries) / f64::from(record.slots.max(1));
-    let warm = if record.is_warm(now) { WARM_MS } else { 0.0 };
+    let warm = if record.is_warm(now) {
+        WARM_BONUS_MS
+    } else {
+        0.0
+    };
     Some(latency * (1.0 + queue) + record.failure_rate(now) * FAILED_CALL_MS - warm)
 }
 
@@ -245,8 +253,8 @@
     domain + cold + record.failure_rate(now) * FAILED_MS
 }
 
-/// The server that every VM prefers for the same first part of a prompt, by rendezvous.
-fn favourite(
+/// Returns the server that all VMs prefer for the same first prompt part, by rendezvous hashing.
+fn affinity_server(
     fleet: &fleet::ServerFleet,
     ask: &PlaceAsk<'_>,
     now: time::Instant,
@@ -260,20 +268,20 @@
         .map(|(key, _)| key)
 }
 
-/// What a copy of a run needs.
+/// A request for a server that receives a copy of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct CopyAsk<'a> {
-    /// Where the run is.
+    /// Server of the run.
     pub source: fleet::ServerKey,
-    /// Memory that the run will need.
+    /// Memory that the run is expected to need.
     pub tokens: u64,
-    /// Whether the copy is made beforehand, and may only use what runs leave over.
+    /// Whether the copy is made proactively, and may only use memory that runs leave free.
     pub beforehand: bool,
     /// Service of both servers.
     pub service: &'a str,
 }
 
-/// Part of the memory of all engines that take work which is planned for.
+/// Fraction of the memory of all engines that accept work which is planned for runs and copies.
 fn fleet_fill(
     fleet: &fleet::ServerFleet,
     service: &str,
@@ -290,15 +298,16 @@
     tokens / (engines * memory).max(1.0)
 }
 
-/// Time that the source's link needs for this run, and for the others there that move with it: what a
-/// copy to another failure domain takes longer than one within it.
+/// Time that the source's link needs for this run and for the other runs that move off the source
+/// at the same time: the additional cost of a copy to another failure domain.
 fn copy_queue_ms(engine: &catalog::EngineRule, ask: &CopyAsk<'_>, loads: &fleet::LoadTable) -> f64 {
     let moving = loads.get(ask.source).map_or(1, |load| load.runs.max(1));
     let runs = if ask.beforehand { 1 } else { moving };
     ask.tokens as f64 * engine.copy_us_per_token / 1_000.0 * f64::from(runs)
 }
 
-/// Chooses where a copy of a run goes: the copy is fastest within a failure domain.
+/// Chooses the server for a copy of a run, preferring the run's own failure domain, where copies
+/// are fastest.
 pub fn choose_copy(
     fleet: &fleet::ServerFleet,
     engine: &catalog::EngineRule,
@@ -309,10 +318,11 @@
     let source = fleet.server(ask.source)?;
     let loads = fleet.loads(ask.service, now);
     let memory = engine.memory_tokens as f64;
-    if ask.beforehand && fleet_fill(fleet, ask.service, memory, &loads, now) > BACKUP_FLEET_FILL {
+    if ask.beforehand && fleet_fill(fleet, ask.service, memory, &loads, now) > MAX_BACKUP_FLEET_FILL
+    {
         return None;
     }
-    let limit = memory * if ask.beforehand { BACKUP_FILL } else { 1.0 };
+    let limit = memory * if ask.beforehand { MAX_BACKUP_FILL } else { 1.0 };
     let other_domain_ms = copy_queue_ms(engine, ask, &loads);
     let mut best = None;
     for (key, record) in fleet.ready(ask.service, now) {
@@ -330,10 +340,10 @@
         };
         let cost = fill * FULL_MS
             + domain
-            + load.backlog as f64 / forecast::PREFILL_TOKENS_PER_MS * COPY_BACKLOG_PART
+            + load.backlog as f64 / forecast::PREFILL_TOKENS_PER_MS * COPY_BACKLOG_FRACTION
             + record.failure_rate(now) * FAILED_MS
             + rng.random::<f64>() * FULL_MS * 0.1;
-        if best.is_none_or(|(least, _)| cost < least) {
+        if best.is_none_or(|(lowest, _)| cost < lowest) {
             best = Some((cost, key));
         }
     }
--- a/crates/exchange/src/relocate.rs
+++ b/crates/exchange/src/relocate.rs
@@ -1,27 +1,28 @@
-//! Which runs of a leaving server go where, and in which order.
+//! Chooses target servers and order for the runs of leaving servers.
 //!
-//! Load pattern: an engine is taken away about two seconds after its notice, with several streams
-//! of ten seconds on it. Copies of a run's memory queue on the engine's link, 0.2 s each, so the
-//! ones with the most to lose go first, and what ends in time by itself is left alone.
+//! Load pattern: an engine is removed about two seconds after its notice, while it serves several
+//! streams of ten seconds. Copies of the runs' memory queue on the engine's link for 0.2 s each, so
+//! the runs with the most to lose go first, and runs that end in time by themselves stay.
 
 use tokio::time;
 
 use crate::{catalog, fleet, place};
 
-/// A run that is expected to end within this is left where it is: servers serve on for longer.
-const LEFT_ALONE: time::Duration = time::Duration::from_millis(600);
+/// A run that is expected to end within this time is not moved: servers serve for longer than this
+/// after their notice.
+const MIN_REST_TO_MOVE: time::Duration = time::Duration::from_millis(600);
 
-/// What to do with one run.
+/// How one run is moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelocationOrder {
-    /// Its copy is at this server already: go on there.
+    /// Continue on this server, which already has a copy.
     Switch(fleet::ServerKey),
-    /// Copy it to this server, then go on there.
+    /// Copy the run to this server, then continue there.
     Move(fleet::ServerKey),
 }
 
-/// Orders for the runs of servers that leave, most to lose first. Runs that have an order already
-/// get no other; those for which there is no room get none yet.
+/// Returns orders for the runs of leaving servers, the runs with the most to lose first. Runs with
+/// a pending order get no second one; runs that fit on no server get one later.
 pub fn plan(
     fleet: &mut fleet::ServerFleet,
     service: &str,
@@ -33,7 +34,7 @@
     due.sort_by_key(|&(_, progress)| std::cmp::Reverse(progress));
     let mut orders = Vec::new();
     for (key, _) in due {
-        if let Some(order) = order_of(fleet, key, service, engine, now, rng) {
+        if let Some(order) = choose_order(fleet, key, service, engine, now, rng) {
             if let (Some(run), RelocationOrder::Switch(to) | RelocationOrder::Move(to)) =
                 (fleet.run_mut(key), order)
             {
@@ -45,7 +46,7 @@
     orders
 }
 
-/// Runs that should move, with what would be lost of each.
+/// Runs that should move, with the tokens that would be lost with each.
 fn due_runs(
     fleet: &fleet::ServerFleet,
     service: &str,
@@ -60,12 +61,12 @@
                 .server(run.server)
                 .is_some_and(|server| server.service == service && !server.takes_work(now))
         })
-        .filter(|(_, run)| run.expected_rest(now) > LEFT_ALONE)
+        .filter(|(_, run)| run.expected_rest(now) > MIN_REST_TO_MOVE)
         .map(|(key, run)| (key, run.held_tokens()))
         .collect()
 }
 
-fn order_of(
+fn choose_order(
     fleet: &fleet::ServerFleet,
     key: fleet::RunKey,
     service: &str,
--- a/crates/exchange/src/room.rs
+++ b/crates/exchange/src/room.rs
@@ -1,9 +1,9 @@
-//! Room in the memory of a service's engines, now and of late.
+//! Free memory of a service's engines, now and in recent seconds.
 //!
-//! Load pattern: engines are asked for more memory than they have for as long as the overload lasts.
-//! What has not started while it could be on time then never starts: room goes to those that come
-//! after it and can still be on time. Whether that is so shows in how much room there was at the best
-//! of moments in the last seconds.
+//! Load pattern: callers need more memory than engines have for as long as an overload lasts. A
+//! request that did not start while it could still be on time never starts then, because free
+//! memory goes to later requests that can. The max of the free memory over the last seconds shows
+//! whether this is the case.
 
 use std::collections;
 
@@ -11,46 +11,47 @@
 
 use crate::{catalog, fleet, server};
 
-/// Part of an engine's memory that expected needs may fill: past it, expectation errors preempt.
+/// Fraction of an engine's memory that expected demand may fill: above it, estimation errors lead
+/// to preemption.
 pub const MEMORY_FILL: f64 = 0.92;
-/// How long the runs of a server that leaves are made room for: it is gone soon after.
-const MOVING_FOR: time::Duration = time::Duration::from_millis(2_500);
+/// How long memory is reserved for the runs of a leaving server: it is gone soon after.
+const MOVE_TIMEOUT: time::Duration = time::Duration::from_millis(2_500);
 
-/// Span over which the best moment counts: longer than room takes to come back after engines were
-/// replaced, 3 to 4 s at the users' sites; as long as a caller waits on.
-const BEST_SPAN: time::Duration = time::Duration::from_secs(4);
-/// Span for which moments are kept: a third of the longest time that callers have.
-const KEPT_SPAN: time::Duration = time::Duration::from_secs(15);
-/// Time between two moments that are kept.
-const MOMENT_GAP: time::Duration = time::Duration::from_millis(100);
+/// How long a generation must not have fitted to be refused: longer than it takes until memory is
+/// free again after engines were replaced, 3 to 4 s in production, and as long as a caller waits.
+const CLOSED_TIMEOUT: time::Duration = time::Duration::from_secs(4);
+/// How long samples are reserve: a third of the longest time limit of callers.
+const SAMPLE_RETENTION: time::Duration = time::Duration::from_secs(15);
+/// Interval between samples.
+const SAMPLE_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Memory of all engines of a service, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MemoryRoom {
-    /// Of engines that take work.
+    /// Total memory of the engines that accept work.
     pub all: f64,
-    /// Planned for runs and copies there.
+    /// Memory planned for runs and copies on them.
     pub used: f64,
-    /// What new runs may still take.
+    /// Memory that new runs may still use.
     pub free: f64,
-    /// Of runs on engines that leave: what runs has cost its prompt already, and is lost if it finds
-    /// no room within two seconds.
+    /// Memory of runs on leaving engines: the prefill of a run is already paid for, and is lost if
+    /// no engine has memory for the run within two seconds.
     pub moving: f64,
 }
 
-/// What a generation needs there, in tokens.
+/// Memory that a generation needs, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RoomNeed {
-    /// Planned for itself.
+    /// Memory planned for the generation.
     pub tokens: f64,
-    /// Planned for others that wait and go before it.
+    /// Memory planned for waiting generations that go before it.
     pub yielded: f64,
-    /// Part of all memory that it must leave free for those that will come and go before it.
+    /// Fraction of the total memory that it must leave free for later requests with a better rank.
     pub kept_part: f64,
 }
 
 impl MemoryRoom {
-    /// The room that this VM believes in.
+    /// Sums the memory of a service's engines, as far as this VM knows it.
     #[must_use]
     pub fn measure(
         fleet: &fleet::ServerFleet,
@@ -64,82 +65,84 @@
         for (key, record) in fleet.of_service(service) {
             let tokens = loads.get(key).map_or(0.0, |load| load.tokens as f64);
             if fleet.gives_work(record, now) {
-                room.add_open(memory, tokens);
-            } else if moves_off(record, now) {
+                room.add_engine(memory, tokens);
+            } else if is_moving_off(record, now) {
                 room.moving += tokens;
             }
         }
         room
     }
 
-    /// Adds an engine that gets work.
-    fn add_open(&mut self, memory: f64, tokens: f64) {
+    /// Adds an engine that accepts work.
+    fn add_engine(&mut self, memory: f64, tokens: f64) {
         self.all += memory;
         self.used += tokens;
         self.free += (memory * MEMORY_FILL - tokens).max(0.0);
     }
 
-    /// Whether a generation leaves room for runs that move and for those that go before it. What it
-    /// must keep free for the latter is never more than what is in use: idle engines take anything.
+    /// Returns whether a generation leaves enough memory for runs that move and for generations
+    /// that go before it. The reserve for the latter never exceeds the memory in use: idle engines
+    /// accept any generation.
     #[must_use]
     pub fn takes(&self, need: &RoomNeed) -> bool {
-        let kept = self.used.min(self.all * need.kept_part);
-        let owed = self.moving + need.yielded + kept;
-        owed == 0.0 || self.free - owed >= need.tokens
+        let reserve = self.used.min(self.all * need.kept_part);
+        let reserved = self.moving + need.yielded + reserve;
+        reserved == 0.0 || self.free - reserved >= need.tokens
     }
 
-    /// Whether engines together had room for a generation as well; how it lies is theirs.
-    fn is_open(&self, need: &RoomNeed) -> bool {
+    /// Returns whether the engines together have enough memory for the generation, however it is
+    /// distributed over them.
+    fn fits(&self, need: &RoomNeed) -> bool {
         self.takes(need) && (self.used == 0.0 || self.free >= need.tokens)
     }
 }
 
-/// Whether the runs of a server are expected to move off it.
-fn moves_off(record: &server::ServerRecord, now: time::Instant) -> bool {
-    let left_for = now.saturating_duration_since(record.since);
-    !record.takes_work(now) && !record.superseded && left_for < MOVING_FOR
+/// Returns whether the runs of a server are expected to move off it.
+fn is_moving_off(record: &server::ServerRecord, now: time::Instant) -> bool {
+    let since_change = now.saturating_duration_since(record.since);
+    !record.takes_work(now) && !record.superseded && since_change < MOVE_TIMEOUT
 }
 
-/// How room was of late.
+/// Recent samples of the free memory of a service.
 #[derive(Clone, Debug, Default)]
 pub struct RoomTrend {
-    /// Oldest first, none older than [`KEPT_SPAN`].
-    moments: collections::VecDeque<(time::Instant, MemoryRoom)>,
+    /// Samples, oldest first, none older than [`SAMPLE_RETENTION`].
+    samples: collections::VecDeque<(time::Instant, MemoryRoom)>,
 }
 
 impl RoomTrend {
-    /// Whether a moment is due to be noted.
+    /// Returns whether the next sample is due.
     #[must_use]
     pub fn is_due(&self, now: time::Instant) -> bool {
-        let last = self.moments.back();
-        last.is_none_or(|(at, _)| now.saturating_duration_since(*at) >= MOMENT_GAP)
+        let last = self.samples.back();
+        last.is_none_or(|(at, _)| now.saturating_duration_since(*at) >= SAMPLE_INTERVAL)
     }
 
-    /// Notes a moment.
+    /// Adds a sample.
     pub fn note(&mut self, room: MemoryRoom, now: time::Instant) {
-        self.moments.push_back((now, room));
-        while let Some((at, _)) = self.moments.front()
-            && now.saturating_duration_since(*at) > KEPT_SPAN
+        self.samples.push_back((now, room));
+        while let Some((at, _)) = self.samples.front()
+            && now.saturating_duration_since(*at) > SAMPLE_RETENTION
         {
-            self.moments.pop_front();
+            self.samples.pop_front();
         }
     }
 
-    /// For how long a generation could not have started; zero where nothing speaks against it.
+    /// How long a generation has not fitted into memory; zero if it fitted at the last sample.
     #[must_use]
     pub fn closed_for(&self, need: &RoomNeed, now: time::Instant) -> time::Duration {
-        let moments = self.moments.iter().rev();
-        let closed = moments.take_while(|(_, room)| !room.is_open(need)).last();
+        let samples = self.samples.iter().rev();
+        let closed = samples.take_while(|(_, room)| !room.fits(need)).last();
         closed.map_or(time::Duration::ZERO, |(since, _)| {
             now.saturating_duration_since(*since)
         })
     }
 
-    /// Whether a generation will hardly find room before its caller leaves: there was none at the best
-    /// moment of the last seconds. Of 526 generations that waited on a day of 34 s at 44 engines, 375
-    /// started within 0.8 s, 6 later and 145 were refused, after 5.9 s.
+    /// Returns whether a generation is unlikely to start before its caller leaves: it fitted at no
+    /// sample of the last seconds. Of the generations that wait under overload, nearly all that
+    /// start do so within 0.8 s, and hardly any after that.
     #[must_use]
     pub fn is_hopeless(&self, need: &RoomNeed, now: time::Instant) -> bool {
-        self.closed_for(need, now) >= BEST_SPAN
+        self.closed_for(need, now) >= CLOSED_TIMEOUT
     }
 }
--- a/crates/exchange/src/server.rs
+++ b/crates/exchange/src/server.rs
@@ -1,4 +1,4 @@
-//! One backend server as this VM believes it to be.
+//! State of one backend server as known to this VM.
 
 use std::net;
 
@@ -6,81 +6,82 @@
 
 use crate::news;
 
-/// Half-life of what failures say against a server: grey and dark servers are tried again after
-/// about three of these.
+/// Half-life of a server's failure rate: a server that failed or stopped responding gets attempts
+/// again after about three half-lives.
 const FAILURE_HALF_LIFE_S: f64 = 2.5;
-/// What one outcome moves a server's failure rate by.
+/// Weight of one outcome in a server's failure rate.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// What a generation that broke off before its first byte moves it by. It may have run, so nobody
-/// may send it again: one such loss is enough to look elsewhere.
-const BROKEN_WEIGHT: f64 = 0.5;
-/// Failure rate below which a server is as good as any other.
-const DOUBT_LEAST: f64 = 0.01;
-/// Failure rate from which on a server gets no generations.
-const FAILING_RATE: f64 = 0.4;
-/// What one answer moves a server's believed latency by.
+/// Weight of a generation that broke off before its first byte. It may have run, so nobody may send
+/// it again: a single such loss is enough to avoid the server.
+const BROKE_OFF_WEIGHT: f64 = 0.5;
+/// Failure rate below which a server counts as healthy.
+const HEALTHY_FAILURE_RATE: f64 = 0.01;
+/// Failure rate from which a server gets no generations.
+const MIN_FAILING_RATE: f64 = 0.4;
+/// Weight of one response in a server's latency estimate.
 const LATENCY_WEIGHT: f64 = 0.15;
-/// How long a connection may carry a call that can't be repeated: see [`crate::port::ReuseRule::FRESH`].
-const WARM_FOR: time::Duration = time::Duration::from_millis(1_300);
+/// How long a connection may carry a call that must not be repeated: see
+/// [`crate::port::ReuseRule::FRESH`].
+const WARM_TIMEOUT: time::Duration = time::Duration::from_millis(1_300);
 
-/// Whether a server takes new work.
+/// Whether a server accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerStanding {
-    /// It does.
+    /// The server accepts new work.
     Ready,
-    /// It finishes what it has, and then goes.
+    /// The server finishes its running work and then stops.
     Leaving,
-    /// Its entry is gone; it may serve what it has for a while.
+    /// The entry of the server was removed; it may finish running work for a while.
     Gone,
 }
 
 /// One incarnation of a backend server.
 #[derive(Clone, Debug)]
 pub struct ServerRecord {
-    /// Name of the server; a later incarnation may have the same.
+    /// Name of the server; incarnations of a server share it.
     pub id: String,
-    /// Which incarnation it is.
+    /// Start time, which identifies the incarnation.
     pub born: news::BirthTime,
-    /// Whether a later incarnation has its name: whatever was kept there is gone.
+    /// Whether a later incarnation uses the name; copies kept by this one are lost.
     pub superseded: bool,
-    /// Service that it belongs to.
+    /// Service that the server belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: net::SocketAddr,
     /// Its failure domain.
     pub domain: String,
-    /// Requests that it works on at a time.
+    /// Max concurrent requests.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the server accepts new work.
     pub standing: ServerStanding,
-    /// Since when it has this standing.
+    /// When `standing` last changed.
     pub since: time::Instant,
-    /// Slow until then.
+    /// End of the warm-up.
     pub cold_until: time::Instant,
-    /// Position of the newest news that made this record.
+    /// Log position of the newest update applied to this record.
     pub offset: u64,
-    /// When this VM first heard of it: nothing that it has from it is older.
+    /// When this VM first learnt of the incarnation; connections to it are never older.
     pub known_since: time::Instant,
-    /// Position of the newest word that its name has no entry, whichever incarnation had it; 0: none.
+    /// Log position of the newest removal of the name, for any incarnation; 0 if there was none.
     pub(crate) ended_offset: u64,
-    /// Whether any word of this incarnation said that it leaves.
+    /// Whether any update of this incarnation announced that it leaves.
     pub(crate) told_leaving: bool,
-    /// Present while its entry's lapse may be the store's doing.
+    /// End of the grace period while the entry's expiry may be due to an outage of the store.
     pub spared_until: Option<time::Instant>,
-    /// Part of recent tries that failed, at `judged_at`.
+    /// Fraction of recent attempts that failed, as of `judged_at`.
     failure_rate: f64,
-    /// It said that it has no room; not asked again until then.
+    /// The server reported that it is full, and gets no requests until then.
     full_until: Option<time::Instant>,
-    /// When this VM last sent something there.
+    /// When this VM last sent an attempt to the server.
     used_at: Option<time::Instant>,
-    /// When `failure_rate` was last worked out.
+    /// When `failure_rate` was last updated.
     judged_at: time::Instant,
-    /// Believed latency of a call in milliseconds; zero: nothing known.
+    /// Estimated latency of a call in milliseconds; zero while unknown.
     latency_ms: f64,
 }
 
 impl ServerRecord {
-    /// A server that was not known before.
+    /// Creates the record of a newly discovered server.
     #[must_use]
     pub fn new(id: &str, offset: u64, entry: &news::ServerEntry, now: time::Instant) -> Self {
         let standing = if entry.leaving {
@@ -112,10 +113,12 @@
         }
     }
 
-    /// Takes a word on this incarnation, or that its name has no entry. Says how it stands then.
+    /// Applies an update of this incarnation, or the removal of its name. Returns the resulting
+    /// standing.
     ///
-    /// Which of two words is newer is the store's order. That an incarnation leaves is never unlearnt,
-    /// however its words overtake each other: a heartbeat from before it may be written seconds late.
+    /// The store's order decides which of two updates is newer. The announcement that an
+    /// incarnation leaves is never undone, in whatever order updates arrive: a heartbeat sent
+    /// before it may be written seconds later.
     pub(crate) fn take_word(&mut self, news: &news::ServerNews) -> ServerStanding {
         let leaving = news.entry.as_ref().is_some_and(|entry| entry.leaving);
         self.told_leaving |= leaving && self.born.is_told();
@@ -134,7 +137,7 @@
         };
         self.slots = entry.slots;
         self.address = entry.address;
-        // A name without incarnations may be used again once its entry was gone.
+        // A name without incarnations may be used again after its entry was removed.
         let left = if self.born.is_told() {
             self.told_leaving
         } else {
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Its name was already known to have had no entry at `offset`.
+    /// Records that the name is already known to have had no entry at `offset`.
     pub(crate) const fn end_at(&mut self, offset: u64) {
         self.ended_offset = offset;
         if offset > self.offset {
@@ -156,32 +159,32 @@
         }
     }
 
-    /// Hash by which other VMs name this incarnation.
+    /// Short hash that identifies this incarnation in messages between VMs.
     #[must_use]
     pub fn name_hash(&self) -> u32 {
         self.incarnation_hash() as u32
     }
 
-    /// Hash of the incarnation.
+    /// Hash of name and start time.
     #[must_use]
     pub fn incarnation_hash(&self) -> u64 {
         incarnation_hash(&self.id, self.born)
     }
 
-    /// This VM sent something there.
+    /// Records that this VM sent an attempt to the server.
     pub const fn note_used(&mut self, at: time::Instant) {
         self.used_at = Some(at);
     }
 
-    /// It said that it has no room, and is not asked again until then.
+    /// Records that the server is full; it gets no requests before `until`.
     pub const fn note_full(&mut self, until: time::Instant) {
         self.full_until = Some(until);
     }
 
-    /// What is learnt from how a try ended there.
+    /// Updates failure rate and latency with the outcome of an attempt.
     pub fn judge(&mut self, verdict: ServerVerdict, now: time::Instant) {
         let weight = match verdict {
-            ServerVerdict::BrokeOff => BROKEN_WEIGHT,
+            ServerVerdict::BrokeOff => BROKE_OFF_WEIGHT,
             _ => FAILURE_WEIGHT,
         };
         let rate = self.failure_rate(now);
@@ -197,7 +200,7 @@
         }
     }
 
-    /// Whether new work may go there.
+    /// Returns whether the server accepts new work.
     #[must_use]
     pub fn takes_work(&self, now: time::Instant) -> bool {
         match self.standing {
@@ -207,45 +210,45 @@
         }
     }
 
-    /// Whether the store has an entry of it, as far as is known.
+    /// Returns whether the store has an entry of the server, as far as this VM knows.
     #[must_use]
     pub fn is_listed(&self) -> bool {
         self.standing != ServerStanding::Gone
     }
 
-    /// Whether this VM probably has a connection there that may still be used.
+    /// Returns whether this VM probably has an open connection to the server.
     #[must_use]
     pub fn is_warm(&self, now: time::Instant) -> bool {
         self.used_at
-            .is_some_and(|at| now.saturating_duration_since(at) < WARM_FOR)
+            .is_some_and(|at| now.saturating_duration_since(at) < WARM_TIMEOUT)
     }
 
-    /// Whether it said a moment ago that it has no room.
+    /// Returns whether the server recently reported that it is full.
     #[must_use]
     pub fn is_full(&self, now: time::Instant) -> bool {
         self.full_until.is_some_and(|until| now < until)
     }
 
-    /// Part of recent tries that failed, fading with time.
+    /// Fraction of recent attempts that failed, decaying over time.
     #[must_use]
     pub fn failure_rate(&self, now: time::Instant) -> f64 {
         let age = now.saturating_duration_since(self.judged_at).as_secs_f64();
         self.failure_rate * 0.5_f64.powf(age / FAILURE_HALF_LIFE_S)
     }
 
-    /// Whether what failed there still counts for anything.
+    /// Returns whether past failures still count against the server.
     #[must_use]
     pub fn is_doubted(&self, now: time::Instant) -> bool {
-        self.failure_rate(now) > DOUBT_LEAST
+        self.failure_rate(now) > HEALTHY_FAILURE_RATE
     }
 
-    /// Whether this VM alone would send no generations there.
+    /// Returns whether this VM's own attempts show that the server fails.
     #[must_use]
     pub fn fails_here(&self, now: time::Instant) -> bool {
-        self.failure_rate(now) >= FAILING_RATE
+        self.failure_rate(now) >= MIN_FAILING_RATE
     }
 
-    /// The newest word on it, for other VMs.
+    /// The newest update on the server, for other VMs.
     #[must_use]
     pub fn news(&self) -> news::ServerNews {
         let entry = news::ServerEntry {
@@ -265,36 +268,36 @@
         }
     }
 
-    /// Believed latency of a call there.
+    /// Estimated latency of a call in milliseconds; zero while unknown.
     #[must_use]
     pub const fn latency_ms(&self) -> f64 {
         self.latency_ms
     }
 }
 
-/// Hash of an incarnation of a server.
+/// Hash of the name and the start time of an incarnation.
 #[must_use]
 pub fn incarnation_hash(id: &str, born: news::BirthTime) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(id.as_bytes(), born.millis())
 }
 
-/// How a try ended, as far as it speaks of its server.
+/// Outcome of an attempt as it counts for its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerVerdict {
-    /// It answered.
+    /// The server responded after this time.
     Good(time::Duration),
-    /// It answered with an error of its own.
+    /// The server responded with an error status.
     Erred,
-    /// It turned the try away.
+    /// The server rejected the attempt.
     Refused,
-    /// It broke off, stayed silent or sent garbage.
+    /// The server broke off, did not respond in time or sent an invalid response.
     Failed,
-    /// It broke off a generation of which nothing had come yet.
+    /// The server broke off a generation before its first byte.
     BrokeOff,
 }
 
 impl ServerVerdict {
-    /// What it says of the server, from 0 for good to 1 for bad.
+    /// Sample for the failure rate, from 0 for success to 1 for failure.
     const fn sample(self) -> f64 {
         match self {
             Self::Good(_) => 0.0,
@@ -303,7 +306,7 @@
         }
     }
 
-    /// Whether it speaks against the server.
+    /// Returns whether the outcome counts against the server.
     #[must_use]
     pub const fn is_bad(self) -> bool {
         !matches!(self, Self::Good(_))
--- a/crates/exchange/src/suspect.rs
+++ b/crates/exchange/src/suspect.rs
@@ -1,20 +1,21 @@
-//! Requests that crash the servers that run them.
+//! Requests suspected of crashing the servers that run them.
 //!
-//! Load pattern: one request kills each engine that begins it, and comes again at another VM. Every
-//! engine that dies takes all its streams along. A crash makes suspects of the requests that had
-//! just begun there; one that is a suspect at two different servers is kept away from servers.
+//! Load pattern: one request crashes each engine that starts it, and is retried at another VM.
+//! Every engine that crashes loses all its streams. A crash makes the requests that had just
+//! started on the server suspects; a request that is suspected on two different servers is
+//! quarantined.
 
 use std::collections;
 
 use tokio::time;
 
-/// Crashes after which a request is kept away. One may be chance: several requests begin on an
-/// engine at a time.
-const CRASHES: usize = 2;
-/// How long a suspicion is kept: callers that repeat such a request do so within this.
-const KEPT: time::Duration = time::Duration::from_secs(60);
-/// Suspects that are kept; the oldest go. 100 bytes each.
-const MOST: usize = 512;
+/// Number of crashed servers from which a request is quarantined. A single crash may be a
+/// coincidence, because several requests start on an engine at a time.
+const QUARANTINE_CRASHES: usize = 2;
+/// How long a suspicion is kept: callers retry such a request within this time.
+const SUSPICION_RETENTION: time::Duration = time::Duration::from_secs(60);
+/// Max suspects, 100 bytes each; the oldest is evicted.
+const MAX_SUSPECTS: usize = 512;
 
 /// Requests suspected of crashing servers.
 #[derive(Debug, Default)]
@@ -22,21 +23,22 @@
     suspects: collections::HashMap<u64, SuspectRecord>,
 }
 
-/// One suspect.
+/// Crashes that one request is suspected of.
 #[derive(Clone, Debug)]
 struct SuspectRecord {
-    /// Servers that crashed as it began there, by hash of their ids.
+    /// Hashes of the incarnations that crashed when the request had just started there.
     servers: collections::BTreeSet<u64>,
-    /// When the last of them did.
+    /// Time of the last crash.
     at: time::Instant,
 }
 
 impl SuspectTable {
-    /// A server crashed as this request began there. Returns whether that was not known.
+    /// Records that a server crashed when this request had just started there. Returns whether this
+    /// was new.
     pub fn accuse(&mut self, fingerprint: u64, server: u64, now: time::Instant) -> bool {
         self.suspects
-            .retain(|_, record| now.saturating_duration_since(record.at) < KEPT);
-        if self.suspects.len() >= MOST && !self.suspects.contains_key(&fingerprint) {
+            .retain(|_, record| now.saturating_duration_since(record.at) < SUSPICION_RETENTION);
+        if self.suspects.len() >= MAX_SUSPECTS && !self.suspects.contains_key(&fingerprint) {
             let oldest = self.suspects.iter().min_by_key(|(_, record)| record.at);
             if let Some(oldest) = oldest.map(|(&key, _)| key) {
                 self.suspects.remove(&oldest);
@@ -53,20 +55,21 @@
         record.servers.insert(server)
     }
 
-    /// It ran to its end: it is no suspect.
+    /// Clears a request that ran to completion.
     pub fn acquit(&mut self, fingerprint: u64) {
         self.suspects.remove(&fingerprint);
     }
 
-    /// Whether it must not go to a server again.
+    /// Returns whether the request must not be sent to any server.
     #[must_use]
     pub fn is_quarantined(&self, fingerprint: u64, now: time::Instant) -> bool {
         self.suspects.get(&fingerprint).is_some_and(|record| {
-            record.servers.len() >= CRASHES && now.saturating_duration_since(record.at) < KEPT
+            record.servers.len() >= QUARANTINE_CRASHES
+                && now.saturating_duration_since(record.at) < SUSPICION_RETENTION
         })
     }
 
-    /// All suspicions, to be told to other VMs.
+    /// All suspicions as pairs of fingerprint and server hash, to be announced to other VMs.
     pub fn accusations(&self) -> impl Iterator<Item = (u64, u64)> {
         self.suspects.iter().flat_map(|(&fingerprint, record)| {
             record
--- a/crates/exchange/src/wait.rs
+++ b/crates/exchange/src/wait.rs
@@ -1,9 +1,10 @@
-//! What waits here for a place.
+//! Queue of the requests that wait on this VM for a server.
 //!
-//! Load pattern: a burst asks for more engine memory than there is. What waits in an engine's own
-//! queue is bound to it, dies with it and can't be overtaken; so it waits here, by rank and age,
-//! and is bound to a server only when one has room. What can't be served in time is refused when it
-//! comes, with a time to come back that spreads the returns.
+//! Load pattern: a burst needs more engine memory than there is. A request in an engine's own queue
+//! is bound to that engine, is lost with it and can't be overtaken. Requests therefore wait on the
+//! VM, ordered by rank and age, and are bound to a server only when one has capacity. A request
+//! that can't be served in time is refused on arrival, with a randomised retry delay that spreads
+//! the retries.
 
 use std::collections;
 
@@ -16,74 +17,76 @@
     pub struct WaitKey;
 }
 
-/// How long after a request turned late it is looked at again: what it needs is more from then on.
-const LATE_LOOK: time::Duration = time::Duration::from_millis(2);
-/// Time between two looks whether a late request still has a chance.
-const LOOK_GAP: time::Duration = time::Duration::from_millis(500);
-/// Requests of one service that may wait on one VM; about 200 bytes each beside their bodies.
-const MOST_WAITING: usize = 64;
-/// Span over which the pace of starts is measured.
-const PACE_SPAN: time::Duration = time::Duration::from_secs(4);
-/// Part of the time left that a request may wait: the rest is for running it.
-const PATIENCE_PART: f64 = 0.5;
-/// Longest wait for an idempotent or single call, as a multiple of its aim.
-const AIMS_WAITED: f64 = 5.0;
-/// Longest wait for a stream, as a multiple of its aim: callers leave after four. One that is refused
-/// sooner comes back only to wait again.
-const STREAM_AIMS_WAITED: f64 = 3.3;
-/// Least that a refused caller is told to stay away.
-const RETRY_AFTER_LEAST: time::Duration = time::Duration::from_millis(500);
-/// Most that one is told: callers honour a third of what they have left, and the longest have 39 s.
+/// Delay of the check after a request becomes late: its rank is worse, and its memory demand
+/// higher, from then on.
+const LATE_CHECK_DELAY: time::Duration = time::Duration::from_millis(2);
+/// Interval between checks whether a late request can still start.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
+/// Max waiting requests of one service on one VM; each takes about 200 bytes besides its body.
+const MAX_WAITING: usize = 64;
+/// Window over which the start rate is measured.
+const START_RATE_WINDOW: time::Duration = time::Duration::from_secs(4);
+/// Fraction of the remaining time that a request may wait; the rest is for running it.
+const MAX_WAIT_FRACTION: f64 = 0.5;
+/// Max wait of an idempotent or single call, as a multiple of its target latency.
+const MAX_CALL_WAIT_FACTOR: f64 = 5.0;
+/// Max wait of a stream, as a multiple of its target latency: callers leave after four. A stream
+/// that is refused sooner is retried only to wait again.
+const MAX_STREAM_WAIT_FACTOR: f64 = 3.3;
+/// Min retry delay sent to a refused caller.
+const MIN_RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
+/// Max retry delay sent to a refused caller: callers honour a delay of up to a third of their
+/// remaining time, which is 39 s for the slowest.
 pub const RETRY_AFTER_MOST: time::Duration = time::Duration::from_secs(13);
 
-/// Steps of the cost of what waits, each half a doubling.
+/// Number of cost steps; two steps are a factor of two.
 const COST_STEPS: usize = 8;
-/// Cost, in thousands of tokens times seconds, below which all generations are equally cheap: a
-/// prompt of 2,500 tokens and an answer of 150.
-const CHEAP_COST: f64 = 4.0;
-/// Highest rank that may take the last room: short answers, and the shortest of the long ones.
-const KEPT_FROM: usize = 2;
-/// Part of all memory that each rank above leaves free. Room comes up in bursts, as engines start;
-/// were it taken by whatever waits, those that come in the three seconds until the next burst would
-/// all be late. Worth summed over four days at 59 and 78 VMs: 1.513 with 0.02, 1.628 with 0.03 and
-/// longer patience, 1.483 with 0.04; later 2.025 with 0.03, 1.970 with 0.04.
-const KEPT_STEP: f64 = 0.03;
-/// Ranks that a waiting request may have.
+/// Cost, in thousands of token seconds, below which all generations count as equally cheap: a
+/// prompt of 2,500 tokens with an output of 150.
+const CHEAP_COST_KTOKEN_S: f64 = 4.0;
+/// Highest rank that may use the last free memory: short generations, and the shortest of the long
+/// ones.
+const RESERVE_FROM_RANK: usize = 2;
+/// Fraction of the total memory that each rank above [`RESERVE_FROM_RANK`] leaves free. Memory is
+/// freed in bursts, as engines start; if whatever waits took all of it, all requests of the three
+/// seconds until the next burst would be late.
+const RESERVE_FRACTION_STEP: f64 = 0.03;
+/// Number of ranks of waiting requests.
 pub const RANKS: usize = 2 * COST_STEPS;
 
-/// How soon a waiting request should start; lower goes first.
+/// Rank of a waiting request; lower ranks start first.
 ///
-/// Load pattern: callers ask for a tenth more memory than engines have, for as long as the overload
-/// lasts. In the order of arrival all of them wait, and most answers are late; the longest fifth
-/// takes half of the memory. With the cheapest first, weighed by priority, the same memory answers
-/// three to six times as many on time (replay of a minute at 12 engines, five seeds), and what is
-/// refused is what costs most to serve.
+/// Load pattern: for as long as an overload lasts, callers need a tenth more memory than engines
+/// have. In order of arrival all of them wait and max responses are late, while the longest fifth
+/// takes half of the memory. Starting the cheapest requests first, weighted by priority, lets the
+/// same memory serve three to six times as many on time, and the refused requests are the ones that
+/// cost max to serve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WaitRank(u8);
 
 impl WaitRank {
-    /// The rank of a request of this step of cost.
+    /// Rank of a request with this cost step.
     #[must_use]
     pub const fn new(late: bool, step: u8) -> Self {
         Self(if late { COST_STEPS as u8 } else { 0 } + step)
     }
 
-    /// Part of all memory that one of this rank must leave free.
+    /// Fraction of the total memory that a request of this rank must leave free.
     #[must_use]
     pub fn kept_part(self) -> f64 {
-        let above = self.index().saturating_sub(KEPT_FROM) as f64;
-        above * KEPT_STEP
+        let above = self.index().saturating_sub(RESERVE_FROM_RANK) as f64;
+        above * RESERVE_FRACTION_STEP
     }
 
-    /// Position in a table of [`RANKS`].
+    /// Index into a table with [`RANKS`] entries.
     #[must_use]
     pub const fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// Step of cost of a request: of a generation its expected memory and time, doubled for each step
-/// of priority; of a call its priority alone.
+/// Cost step of a request. For a generation it follows from the expected memory and run time,
+/// doubled for each priority level; for a call it is the priority.
 #[must_use]
 pub fn cost_step(priority: u8, size: Option<&ask::GenerationSize>) -> u8 {
     let last = COST_STEPS as u8 - 1;
@@ -91,21 +94,21 @@
         return priority.min(last);
     };
     let cost = forecast::expected_cost(size) * 2.0_f64.powi(i32::from(priority));
-    let step = 2.0 * (cost / CHEAP_COST).max(1.0).log2();
+    let step = 2.0 * (cost / CHEAP_COST_KTOKEN_S).max(1.0).log2();
     (step as u8).min(last)
 }
 
-/// What a request's rank follows from.
+/// Values that determine the rank of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitClaim {
-    /// Step of its cost: see [`cost_step`].
+    /// Cost step: see [`cost_step`].
     pub step: u8,
-    /// Started later, its answer is late; absent when it is late already.
+    /// Latest start for a response on time; `None` if the response is late in any case.
     pub on_time_until: Option<time::Instant>,
 }
 
 impl WaitClaim {
-    /// How soon it should start.
+    /// Rank at `now`.
     #[must_use]
     pub fn rank(&self, now: time::Instant) -> WaitRank {
         let late = self.on_time_until.is_none_or(|until| until < now);
@@ -116,26 +119,30 @@
 /// One waiting request.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitRecord {
-    /// Rank of its route; 0 goes first.
+    /// Priority of the route; 0 goes first.
     pub priority: u8,
-    /// What its own rank follows from.
+    /// Values that determine the rank.
     pub claim: WaitClaim,
     /// Order of arrival on this VM.
     pub order: u64,
-    /// When it is given up.
+    /// When the wait times out.
     pub until: time::Instant,
-    /// Memory that is planned for it; 0 for calls.
+    /// Planned memory; 0 for calls.
     pub tokens: u64,
 }
 
 impl WaitRecord {
-    /// When to look next whether it still has a chance: as it turns late, and then now and then.
+    /// Time of the next check whether the request can still start: once when it becomes late, and
+    /// every [`CHECK_INTERVAL`] from then on.
     #[must_use]
     pub fn next_look(&self, now: time::Instant) -> time::Instant {
-        let late_at = self.claim.on_time_until.map(|until| until + LATE_LOOK);
+        let late_at = self
+            .claim
+            .on_time_until
+            .map(|until| until + LATE_CHECK_DELAY);
         match late_at {
             Some(late_at) if now < late_at => late_at.min(self.until),
-            _ => (now + LOOK_GAP).min(self.until),
+            _ => (now + CHECK_INTERVAL).min(self.until),
         }
     }
 }
@@ -145,30 +152,30 @@
 pub struct WaitQueue {
     waiting: slotmap::SlotMap<WaitKey, WaitRecord>,
     next_order: u64,
-    /// Times at which requests of this service started, oldest first.
+    /// Start times of requests of this service, oldest first.
     starts: collections::VecDeque<time::Instant>,
 }
 
 impl WaitQueue {
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// One that waits.
+    /// Returns a waiting request.
     #[must_use]
     pub fn get(&self, key: WaitKey) -> Option<&WaitRecord> {
         self.waiting.get(key)
     }
 
-    /// Memory planned for those that wait, by rank.
+    /// Planned memory of the waiting requests, by rank.
     #[must_use]
     pub fn waiting_tokens(&self, now: time::Instant) -> [u64; RANKS] {
         let mut tokens = [0; RANKS];
@@ -178,7 +185,7 @@
         tokens
     }
 
-    /// Requests that wait and go before one of `rank` that comes now.
+    /// Number of waiting requests that go before a new one of `rank`.
     #[must_use]
     pub fn ahead(&self, rank: WaitRank, now: time::Instant) -> usize {
         self.waiting
@@ -187,31 +194,32 @@
             .count()
     }
 
-    /// A request of this service started to run.
+    /// Records the start of a request, for the start rate.
     pub fn started(&mut self, now: time::Instant) {
         self.starts.push_back(now);
         while self
             .starts
             .front()
-            .is_some_and(|&at| now.saturating_duration_since(at) > PACE_SPAN)
+            .is_some_and(|&at| now.saturating_duration_since(at) > START_RATE_WINDOW)
         {
             self.starts.pop_front();
         }
     }
 
-    /// Expected wait of a request that comes now, from how many are ahead and how fast they start.
+    /// Expected wait of a new request, from the number of requests ahead of it and the start rate.
     #[must_use]
     pub fn expected_wait(&self, rank: WaitRank, now: time::Instant) -> time::Duration {
         let recent = self
             .starts
             .iter()
-            .filter(|&&at| now.saturating_duration_since(at) <= PACE_SPAN)
+            .filter(|&&at| now.saturating_duration_since(at) <= START_RATE_WINDOW)
             .count();
-        let pace = (recent as f64).max(1.0) / PACE_SPAN.as_secs_f64();
-        time::Duration::from_secs_f64((self.ahead(rank, now) as f64 + 0.5) / pace)
+        let rate = (recent as f64).max(1.0) / START_RATE_WINDOW.as_secs_f64();
+        time::Duration::from_secs_f64((self.ahead(rank, now) as f64 + 0.5) / rate)
     }
 
-    /// Whether a request that comes now should be refused at once.
+    /// Returns whether a new request should be refused at once: the queue is full, or the expected
+    /// wait exceeds `patience`.
     #[must_use]
     pub fn is_hopeless(
         &self,
@@ -220,27 +228,27 @@
         now: time::Instant,
     ) -> bool {
         let late = self.expected_wait(rank, now) > patience;
-        self.waiting.len() >= MOST_WAITING || (late && self.ahead(rank, now) > 0)
+        self.waiting.len() >= MAX_WAITING || (late && self.ahead(rank, now) > 0)
     }
 
-    /// The place in the order of a request that comes now.
+    /// Returns the arrival number of a new request.
     pub fn next_order(&mut self) -> u64 {
         self.next_order += 1;
         self.next_order
     }
 
-    /// Lets a request wait.
+    /// Adds a waiting request.
     pub fn enter(&mut self, record: WaitRecord) -> WaitKey {
         self.waiting.insert(record)
     }
 
-    /// It waits no longer, whatever the reason.
+    /// Removes a request, whether it was placed, refused or cancelled.
     pub fn leave(&mut self, key: WaitKey) {
         self.waiting.remove(key);
     }
 
-    /// Those that wait, in the order in which they should start: first those that can still be on
-    /// time, of them the cheapest. In lasting overload a plain queue would make every answer late.
+    /// Waiting requests in start order: requests that can still be on time first, and among them
+    /// the cheapest. In a lasting overload a FIFO queue would make every response late.
     #[must_use]
     pub fn in_order(&self, now: time::Instant) -> Vec<WaitKey> {
         let rank = |record: &WaitRecord| (record.claim.rank(now), record.priority, record.order);
@@ -254,44 +262,44 @@
     }
 }
 
-/// How long a request may wait for a place. Callers leave a stream whose first event does not come
-/// within a few aims, whatever their deadline: one held for so long is lost, while one that is
-/// refused before comes back.
+/// Max time that a request may wait for a server. Callers abandon a stream whose first event does
+/// not come within a few multiples of the target latency, whatever their deadline: a stream held
+/// that long is lost, while one refused earlier is retried.
 #[must_use]
 pub fn patience(left: time::Duration, aim: time::Duration, stream: bool) -> time::Duration {
-    let aims = if stream {
-        STREAM_AIMS_WAITED
+    let factor = if stream {
+        MAX_STREAM_WAIT_FACTOR
     } else {
-        AIMS_WAITED
+        MAX_CALL_WAIT_FACTOR
     };
-    left.mul_f64(PATIENCE_PART).min(aim.mul_f64(aims))
+    left.mul_f64(MAX_WAIT_FRACTION).min(aim.mul_f64(factor))
 }
 
-/// When a refused caller is told to come back: when the queue will have moved on, spread evenly so
-/// that the returns don't come as one burst. `draw` is a random number from 0 to 1.
+/// Retry delay for a refused caller: the time until the queue has moved on, spread evenly so that
+/// the retries don't form a burst. `draw` is a random number from 0 to 1.
 #[must_use]
 pub fn retry_after(wait: time::Duration, left: time::Duration, draw: f64) -> time::Duration {
-    let least = RETRY_AFTER_LEAST.as_secs_f64();
-    let most = RETRY_AFTER_MOST.as_secs_f64();
-    // Callers honour up to a third of what they have left; beyond it they come when they like.
-    let most = most.min(left.as_secs_f64() * 0.3).max(0.1);
-    // Half of the spread lies above the middle: were it cut off, half of the returns would be one burst.
-    let middle_most = most / (SPREAD.0 + SPREAD.1);
-    let middle = wait
-        .as_secs_f64()
-        .clamp(least.min(middle_most), middle_most);
-    time::Duration::from_secs_f64(middle * (SPREAD.0 + SPREAD.1 * draw))
+    let min = MIN_RETRY_AFTER.as_secs_f64();
+    let max = RETRY_AFTER_MOST.as_secs_f64();
+    // Callers honour a delay of up to a third of their remaining time, and retry at any time if it
+    // is longer.
+    let max = max.min(left.as_secs_f64() * 0.3).max(0.1);
+    // Half of the spread lies above the middle: capping it there would make half of the retries one
+    // burst.
+    let max_middle = max / (RETRY_SPREAD.0 + RETRY_SPREAD.1);
+    let middle = wait.as_secs_f64().clamp(min.min(max_middle), max_middle);
+    time::Duration::from_secs_f64(middle * (RETRY_SPREAD.0 + RETRY_SPREAD.1 * draw))
 }
 
-/// Least part of the middle that a caller is told, and by how much the latest are told more.
-const SPREAD: (f64, f64) = (0.7, 0.6);
-/// Part of an aim that a generation needs between its start and its first event: at aims of 1.5 and
-/// 1.8 s half of them take 0.44 and 0.57 s, a quarter over 0.67 and 0.89 s (1,700 streams of a day at
-/// 59 VMs). Worth summed over four days with 0.3, 0.45 and 0.55: 1.906, 1.977, 2.025.
-const START_PART: f64 = 0.55;
+/// Smallest factor on the middle of the retry delay, and the width of the random spread above it.
+const RETRY_SPREAD: (f64, f64) = (0.7, 0.6);
+/// Fraction of the target latency that a generation needs between its start and its first event: at
+/// targets of 1.5 and 1.8 s half of them take 0.44 and 0.57 s, and a quarter more than 0.67 and
+/// 0.89 s.
+const START_TO_FIRST_EVENT_FRACTION: f64 = 0.55;
 
-/// How long after its arrival a request can start and still be on time.
+/// Max delay between arrival and start for a response on time.
 #[must_use]
 pub fn time_to_start(aim: time::Duration) -> time::Duration {
-    aim.mul_f64(1.0 - START_PART)
+    aim.mul_f64(1.0 - START_TO_FIRST_EVENT_FRACTION)
 }
