--- a/crates/exchange/src/event.rs
+++ b/crates/exchange/src/event.rs
@@ -1,62 +1,62 @@
-//! Events of a stream: only whole ones are passed on.
+//! Splits a stream into events, so that only complete ones are forwarded.
 //!
-//! A server that dies may cut its stream within an event. Half an event followed by the events of
-//! the run's continuation would reach the caller as one that no server ever sent.
+//! A server that crashes may truncate its stream within an event. A partial event followed by the
+//! events of the run's continuation would reach the caller as an event that no server sent.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Largest event that is held back until it is whole; a larger one is passed on as it comes, and
-/// its stream can no longer go on elsewhere.
-const MOST_HELD: usize = 256 * 1_024;
+/// Max size of an event that is buffered until it is complete. A larger one is forwarded as it
+/// arrives, and its stream can no longer continue on another server.
+const MAX_EVENT_BYTES: usize = 256 * 1_024;
 
-/// Splits a stream's bytes into whole events.
+/// Incremental splitter of a stream's bytes into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
-    /// Bytes of `held` that hold no end of an event.
-    searched: usize,
+    buffer: BytesMut,
+    /// Length of the prefix of `buffer` that contains no end of an event.
+    scanned_bytes: usize,
     last_id: Option<String>,
     events: u64,
 }
 
 impl EventSplitter {
-    /// Takes bytes, gives all events that are whole now; empty if there is none.
+    /// Appends bytes and returns all events that are now complete, or nothing.
     pub fn take(&mut self, bytes: &[u8]) -> Bytes {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut end = 0;
-        let mut at = self.searched.saturating_sub(3);
-        while let Some(after) = end_of_event(&self.held, at) {
+        let mut at = self.scanned_bytes.saturating_sub(3);
+        while let Some(after) = end_of_event(&self.buffer, at) {
             self.note(end, after);
             end = after;
             at = after;
         }
-        if end == 0 && self.held.len() > MOST_HELD {
-            end = self.held.len();
+        if end == 0 && self.buffer.len() > MAX_EVENT_BYTES {
+            end = self.buffer.len();
         }
-        self.searched = self.held.len() - end;
-        self.held.split_to(end).freeze()
+        self.scanned_bytes = self.buffer.len() - end;
+        self.buffer.split_to(end).freeze()
     }
 
-    /// Drops the part of an event that came, since the run goes on from the last whole one.
+    /// Discards a partial event, since the run continues after the last complete one.
     pub fn drop_partial(&mut self) {
-        self.held.clear();
-        self.searched = 0;
+        self.buffer.clear();
+        self.scanned_bytes = 0;
     }
 
-    /// What is left of an event at the stream's proper end.
+    /// Returns the remaining bytes when the stream has ended normally.
     pub fn rest(&mut self) -> Bytes {
-        self.searched = 0;
-        let length = self.held.remaining();
-        self.held.split_to(length).freeze()
+        self.scanned_bytes = 0;
+        let length = self.buffer.remaining();
+        self.buffer.split_to(length).freeze()
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event.
     #[must_use]
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whole events so far.
+    /// Number of complete events so far.
     #[must_use]
     pub const fn events(&self) -> u64 {
         self.events
@@ -64,7 +64,7 @@
 
     fn note(&mut self, start: usize, end: usize) {
         self.events += 1;
-        for line in self.held[start..end].split(|&byte| byte == b'\n') {
+        for line in self.buffer[start..end].split(|&byte| byte == b'\n') {
             if let Some(id) = line.strip_prefix(b"id:") {
                 self.last_id = Some(String::from_utf8_lossy(id).trim().to_owned());
             }
@@ -72,7 +72,7 @@
     }
 }
 
-/// Where the event that ends at or after `from` ends: behind its blank line.
+/// Returns the position after the blank line of the first event that ends at or after `from`.
 fn end_of_event(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).find_map(|at| {
         let rest = &bytes[at..];
--- a/crates/exchange/src/fleet.rs
+++ b/crates/exchange/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Backend servers as this VM believes them to be, and what runs on them.
+//! Backend servers as known to this VM, and the attempts that run on them.
 
 use std::collections;
 
@@ -9,60 +9,60 @@
 slotmap::new_key_type! {
     /// Key of one incarnation of a backend server.
     pub struct ServerKey;
-    /// Key of one try that this VM has on a server.
+    /// Key of one attempt that this VM has running on a server.
     pub struct RunKey;
 }
 
-/// Records of servers that went are kept this long, so that late news does not bring them back.
-const GONE_KEPT: time::Duration = time::Duration::from_secs(120);
-/// An entry that lapsed during an outage of the store counts as alive until this long after the
-/// store is back; servers that live write themselves in again within about two seconds.
+/// How long records of removed servers are kept, so that a late update does not add them again.
+const GONE_RETENTION: time::Duration = time::Duration::from_secs(120);
+/// Grace period for entries that expired during an outage of the store, counted from its recovery:
+/// running servers register again within about two seconds.
 pub const LAPSE_GRACE: time::Duration = time::Duration::from_millis(2_200);
 
-/// What each server of a service has to do, over all VMs.
+/// Load of each server of a service, summed over all VMs.
 pub type LoadTable = slotmap::SecondaryMap<ServerKey, loads::ServerLoad>;
 
-/// What a piece of news changed.
+/// Effect of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetChange {
-    /// Older than what is known, or the same.
+    /// No change: the update is outdated or already known.
     Nothing,
-    /// A server came, or takes work again.
+    /// A server was added, or accepts work again.
     Arrived(ServerKey),
-    /// A server leaves or is gone; its runs should move.
+    /// A server leaves or was removed; its runs should move.
     Leaves(ServerKey),
 }
 
-/// All servers and all tries of this VM.
+/// All servers, and all running attempts of this VM.
 #[derive(Clone, Debug, Default)]
 pub struct ServerFleet {
     servers: slotmap::SlotMap<ServerKey, server::ServerRecord>,
     by_id: collections::HashMap<String, ServerKey>,
-    /// Servers by [`server::ServerRecord::name_hash`]; of two with the same hash the later one, whose load is then told
-    /// wrongly: one in 10,000 pairs of 600 servers.
+    /// Servers by [`server::ServerRecord::name_hash`]. On a collision the later server wins and
+    /// gets the loads of both; with 600 servers, one pair in 10,000 collides.
     by_hash: collections::HashMap<u32, ServerKey>,
-    /// All that are not forgotten: a choice among those of one service must not cost by how many
-    /// others there are.
+    /// Servers by service, so that the cost of a choice does not depend on the number of servers of
+    /// other services.
     by_service: collections::HashMap<String, Vec<ServerKey>>,
-    /// Those that may have spared time left.
+    /// Servers that may be in the grace period after their entry expired.
     spared: Vec<ServerKey>,
-    /// Those that something failed at since they were last looked through.
-    doubted: collections::HashSet<ServerKey>,
-    /// Hash of which servers stand how; each that is not gone adds its part.
+    /// Servers with failed attempts since the last sweep.
+    recently_failed: collections::HashSet<ServerKey>,
+    /// Hash over the standing of all servers; each that is not gone contributes.
     standing_hash: u64,
     /// Failure domains whose servers get no new work.
     evacuations: evacuation::EvacuationSet,
-    /// What other VMs have on them.
+    /// Loads reported by other VMs.
     peers: loads::PeerLoads,
     runs: slotmap::SlotMap<RunKey, runs::RunRecord>,
 }
 
 impl ServerFleet {
-    /// Takes one piece of news of the store or of a peer. News older than what made the record
-    /// changes nothing, whatever way it came: a server that leaves is never believed to stay
-    /// because an older word of it arrives later.
+    /// Applies an update from the store or a peer. An update older than the one behind the record
+    /// changes nothing, whichever way it arrives: a server that leaves never becomes ready again
+    /// because of an older update that arrives later.
     ///
-    /// `spared` says that the store was away when its entry lapsed: see [`LAPSE_GRACE`].
+    /// `spared` is set if the store was unavailable when the entry expired: see [`LAPSE_GRACE`].
     pub fn take_news(
         &mut self,
         news: &news::ServerNews,
@@ -70,16 +70,17 @@
         now: time::Instant,
     ) -> FleetChange {
         let Some(&key) = self.by_id.get(&news.id) else {
-            return self.first_news(news, now);
+            return self.insert_new(news, now);
         };
         let known = self.servers[key].born;
         match &news.entry {
-            // The late word of an incarnation that is over, or of a writer that knows none.
+            // A late update of a previous incarnation, or of a writer that does not know
+            // incarnations.
             Some(entry) if entry.born < known => return FleetChange::Nothing,
             Some(entry) if entry.born > known && known.is_told() => {
-                return self.take_successor(key, news, entry, now);
+                return self.replace_incarnation(key, news, entry, now);
             }
-            Some(entry) if entry.born > known => self.tell_born(key, entry.born),
+            Some(entry) if entry.born > known => self.set_start(key, entry.born),
             _ => {}
         }
         let record = &mut self.servers[key];
@@ -104,7 +105,7 @@
         }
     }
 
-    fn first_news(&mut self, news: &news::ServerNews, now: time::Instant) -> FleetChange {
+    fn insert_new(&mut self, news: &news::ServerNews, now: time::Instant) -> FleetChange {
         let Some(entry) = &news.entry else {
             return FleetChange::Nothing;
         };
@@ -112,11 +113,11 @@
         FleetChange::Arrived(self.insert(record))
     }
 
-    /// A server started again under its name. It knows nothing of what the incarnation before it had:
-    /// what was learnt of that one, and what runs or is kept there, stays with a record that takes no
-    /// work. Were it the same record, a server that left before it crashed would get no work ever
-    /// again, and a copy kept before the crash would be sent for where another run may have its name.
-    fn take_successor(
+    /// Adds a new incarnation of a server, which has no state of the previous one. The old record
+    /// keeps the outcomes, runs and copies of its incarnation and accepts no work. With a shared
+    /// record, a server that left before it crashed would never get work again, and a copy made
+    /// before the crash would be requested under a name that may now belong to another run.
+    fn replace_incarnation(
         &mut self,
         before: ServerKey,
         news: &news::ServerNews,
@@ -138,12 +139,12 @@
         }
     }
 
-    /// The incarnation that is known is now known by its birth, too.
-    fn tell_born(&mut self, key: ServerKey, born: news::BirthTime) {
+    /// Sets the start time of an incarnation that was known without one.
+    fn set_start(&mut self, key: ServerKey, born: news::BirthTime) {
         let record = &mut self.servers[key];
-        self.standing_hash ^= standing_part(record);
+        self.standing_hash ^= standing_hash_of(record);
         record.born = born;
-        self.standing_hash ^= standing_part(record);
+        self.standing_hash ^= standing_hash_of(record);
         self.by_hash.insert(record.name_hash(), key);
     }
 
@@ -154,16 +155,16 @@
         now: time::Instant,
     ) {
         let record = &mut self.servers[key];
-        self.standing_hash ^= standing_part(record);
+        self.standing_hash ^= standing_hash_of(record);
         if record.standing != standing {
             record.since = now;
         }
         record.standing = standing;
-        self.standing_hash ^= standing_part(record);
+        self.standing_hash ^= standing_hash_of(record);
     }
 
     fn insert(&mut self, record: server::ServerRecord) -> ServerKey {
-        self.standing_hash ^= standing_part(&record);
+        self.standing_hash ^= standing_hash_of(&record);
         let (id, hash) = (record.id.clone(), record.name_hash());
         let service = record.service.clone();
         let key = self.servers.insert(record);
@@ -173,8 +174,8 @@
         key
     }
 
-    /// A word of the store on a server whose incarnations are told apart, but which does not say which
-    /// one it means, was written by somebody else: it names no server.
+    /// Returns whether a store update lacks the incarnation although the server is known with one.
+    /// Such an update was written by a foreign process and applies to no server.
     #[must_use]
     pub fn names_none(&self, news: &news::ServerNews) -> bool {
         let known = self.by_id.get(&news.id);
@@ -183,8 +184,8 @@
         known && entry.is_some_and(|entry| !entry.born.is_told())
     }
 
-    /// The store was read whole: servers that it does not list are gone. `end` is the position up
-    /// to which the list is known to be complete.
+    /// Removes the servers that a complete read of the store did not list. `end` is the log
+    /// position up to which the list is complete.
     pub fn take_absence(
         &mut self,
         listed: &collections::HashSet<String>,
@@ -212,7 +213,7 @@
             .collect()
     }
 
-    /// Servers whose spared time has ended since they lapsed: they are gone for good.
+    /// Ends expired grace periods, and returns the servers that are removed for good.
     pub fn end_spared(&mut self, now: time::Instant) -> Vec<ServerKey> {
         let mut ended = Vec::new();
         let servers = &mut self.servers;
@@ -230,19 +231,19 @@
         ended
     }
 
-    /// Forgets servers that have been gone for long and run nothing.
+    /// Drops the records of servers that were removed long ago and run nothing.
     pub fn sweep(&mut self, now: time::Instant) {
         let used: collections::HashSet<_> = self.runs.values().map(|run| run.server).collect();
         let old = self.servers.iter().filter(|(key, record)| {
             record.standing == server::ServerStanding::Gone
-                && now.saturating_duration_since(record.since) > GONE_KEPT
+                && now.saturating_duration_since(record.since) > GONE_RETENTION
                 && !used.contains(key)
         });
         for key in old.map(|(key, _)| key).collect::<Vec<_>>() {
             self.forget(key);
         }
         let servers = &self.servers;
-        self.doubted.retain(|key| {
+        self.recently_failed.retain(|key| {
             servers
                 .get(*key)
                 .is_some_and(|server| server.is_doubted(now))
@@ -260,23 +261,23 @@
         if let Some(keys) = self.by_service.get_mut(&record.service) {
             keys.retain(|known| *known != key);
         }
-        self.doubted.remove(&key);
+        self.recently_failed.remove(&key);
         self.peers.forget(key);
     }
 
-    /// A server.
+    /// Returns a server.
     #[must_use]
     pub fn server(&self, key: ServerKey) -> Option<&server::ServerRecord> {
         self.servers.get(key)
     }
 
-    /// A server by the hash of its name, as other VMs name it in their loads.
+    /// Returns a server by its [`server::ServerRecord::name_hash`], which VMs use in load reports.
     #[must_use]
     pub fn find_hash(&self, hash: u32) -> Option<ServerKey> {
         self.by_hash.get(&hash).copied()
     }
 
-    /// The newest incarnation of a server's name.
+    /// Returns the newest incarnation of a server.
     #[must_use]
     pub fn find(&self, id: &str) -> Option<ServerKey> {
         self.by_id.get(id).copied()
@@ -287,7 +288,7 @@
         self.servers.iter()
     }
 
-    /// Servers of a service, however they stand.
+    /// Servers of a service in any standing.
     pub fn of_service(
         &self,
         service: &str,
@@ -296,7 +297,7 @@
         keys.filter_map(|&key| Some((key, self.servers.get(key)?)))
     }
 
-    /// Servers of a service that take new work.
+    /// Servers of a service that get new work.
     pub fn ready<'a>(
         &'a self,
         service: &str,
@@ -309,13 +310,14 @@
         })
     }
 
-    /// Whether a server gets new work: it takes some, and its failure domain is not evacuated.
+    /// Returns whether a server gets new work: it accepts work, and its failure domain is not
+    /// evacuated.
     #[must_use]
     pub fn gives_work(&self, record: &server::ServerRecord, now: time::Instant) -> bool {
         record.takes_work(now) && !self.evacuations.domains.contains(&record.domain)
     }
 
-    /// Whether the failure domain of a server is evacuated.
+    /// Returns whether the failure domain of a server is evacuated.
     #[must_use]
     pub fn is_evacuated(&self, key: ServerKey) -> bool {
         let record = self.servers.get(key);
@@ -328,14 +330,15 @@
         &self.evacuations
     }
 
-    /// Takes evacuations as of a later position; says whether other domains are evacuated then.
+    /// Applies evacuations as of a later log position; returns whether the set of evacuated domains
+    /// changed.
     pub fn take_evacuations(&mut self, evacuations: evacuation::EvacuationSet) -> bool {
         self.evacuations.take(evacuations)
     }
 
-    /// Whether a server should get no generations. An engine that goes down and up by turns takes
-    /// connections and reservations all the while; it is empty, and so draws the prompts of all VMs,
-    /// each of which would have to learn by a lost one.
+    /// Returns whether a server should get no generations. An engine that repeatedly goes down and
+    /// up accepts connections and reservations in between; being empty, it attracts the prompts of
+    /// all VMs, and each VM would have to lose one to notice.
     #[must_use]
     pub fn is_failing(&self, key: ServerKey, now: time::Instant) -> bool {
         let here = self
@@ -345,7 +348,7 @@
         here || self.peers.say_failing(key, now)
     }
 
-    /// A try is sent to a server.
+    /// Records the start of an attempt.
     pub fn start(&mut self, run: runs::RunRecord) -> RunKey {
         if let Some(record) = self.servers.get_mut(run.server) {
             record.note_used(run.started);
@@ -353,52 +356,52 @@
         self.runs.insert(run)
     }
 
-    /// A try.
+    /// Returns a running attempt.
     #[must_use]
     pub fn run(&self, key: RunKey) -> Option<&runs::RunRecord> {
         self.runs.get(key)
     }
 
-    /// A try, to be changed.
+    /// Returns a running attempt, mutably.
     pub fn run_mut(&mut self, key: RunKey) -> Option<&mut runs::RunRecord> {
         self.runs.get_mut(key)
     }
 
-    /// All tries of this VM.
+    /// All running attempts of this VM.
     pub fn runs(&self) -> impl Iterator<Item = (RunKey, &runs::RunRecord)> {
         self.runs.iter()
     }
 
-    /// A try ended.
+    /// Removes an attempt that ended.
     pub fn end(&mut self, key: RunKey) -> Option<runs::RunRecord> {
         self.runs.remove(key)
     }
 
-    /// What is learnt of a server from how a try ended there.
+    /// Updates a server with the outcome of an attempt.
     pub fn judge(&mut self, key: ServerKey, verdict: server::ServerVerdict, now: time::Instant) {
         if let Some(record) = self.servers.get_mut(key) {
             record.judge(verdict, now);
             if verdict.is_bad() {
-                self.doubted.insert(key);
+                self.recently_failed.insert(key);
             }
         }
     }
 
-    /// A server said that it has no room.
+    /// Records that a server is full; it gets no requests before `until`.
     pub fn note_full(&mut self, key: ServerKey, until: time::Instant) {
         if let Some(record) = self.servers.get_mut(key) {
             record.note_full(until);
         }
     }
 
-    /// What this VM has on each server, and which fail.
+    /// Load of this VM on each server, and which servers fail.
     #[must_use]
     pub fn own_loads(
         &self,
         now: time::Instant,
     ) -> slotmap::SparseSecondaryMap<ServerKey, loads::PeerLoad> {
         let mut own = slotmap::SparseSecondaryMap::<ServerKey, loads::PeerLoad>::new();
-        for &key in &self.doubted {
+        for &key in &self.recently_failed {
             let record = self.servers.get(key);
             if record.is_some_and(|record| record.fails_here(now)) {
                 let load = loads::PeerLoad {
@@ -425,7 +428,7 @@
         own
     }
 
-    /// Another VM told all that it has: what it does not name, it no longer has.
+    /// Replaces the loads of another VM, which has no load on servers that are not named.
     pub fn take_peer_loads(
         &mut self,
         vm: u64,
@@ -437,13 +440,13 @@
         self.peers.replace(vm, known, now);
     }
 
-    /// Hash of which servers stand how: equal on VMs that know the same news.
+    /// Hash over the standing of all servers: equal on VMs that know the same updates.
     #[must_use]
     pub const fn standing_hash(&self) -> u64 {
         self.standing_hash
     }
 
-    /// What each server of a service has to do, over all VMs.
+    /// Returns the load of each server of a service, summed over all VMs.
     #[must_use]
     pub fn loads(&self, service: &str, now: time::Instant) -> LoadTable {
         let own = self.own_loads(now);
@@ -458,8 +461,8 @@
     }
 }
 
-/// What a server adds to the hash of how all stand.
-fn standing_part(record: &server::ServerRecord) -> u64 {
+/// Contribution of a server to the hash over all standings.
+fn standing_hash_of(record: &server::ServerRecord) -> u64 {
     let code = match record.standing {
         server::ServerStanding::Gone => return 0,
         server::ServerStanding::Ready => 0,
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,9 +1,9 @@
-//! The plane of opaque exchanges: requests and answers are bytes, what is known of them is their
-//! kind, their deadline and, for generations, the size of their prompt.
+//! Exchange plane: routes opaque requests and responses, of which only the kind, the deadline and,
+//! for generations, the prompt size are known.
 //!
-//! Decisions are pure and take the time as an argument: [`place`], [`budget`], [`wait`],
-//! [`suspect`], [`relocate`], [`directory`]. [`plane`] performs them over the ports of [`port`];
-//! [`link`] carries what entry VMs tell each other.
+//! Decisions are pure functions that take the time as an argument: [`place`], [`budget`], [`wait`],
+//! [`suspect`], [`relocate`], [`directory`]. [`plane`] executes them over the interface in
+//! [`port`]; [`link`] carries the messages between entry VMs.
 
 pub mod ask;
 pub mod audience;
--- a/crates/exchange/src/moving.rs
+++ b/crates/exchange/src/moving.rs
@@ -1,9 +1,10 @@
-//! How a stream's run goes on at another server.
+//! Continuation of a stream's run on another server.
 //!
-//! Its server leaves and a copy is kept up to date elsewhere: go on there at once. Its server leaves
-//! and there is none: copy while it runs on, then stop it, copy the rest, go on there. Its server
-//! dies: go on at the copy, if there is one. In each case the caller gets the events behind the last
-//! whole one that it had, of the same run.
+//! If the server leaves and a current proactive copy exists, the run continues there at once. If it
+//! leaves and there is none, the run is copied while it continues, then stopped, the rest is
+//! copied, and it continues on the target. If the server crashes, the run continues from its copy,
+//! if there is one. In each case the caller gets the events of the same run after the last complete
+//! one that it received.
 
 use base::outcome;
 use tokio::time;
@@ -15,24 +16,26 @@
     server,
 };
 
-/// How long a stopped run's last events are waited for.
-const STOPPED_REST: time::Duration = time::Duration::from_millis(150);
-/// A copy that took less than this found the links free: the rest of the run is copied within a
-/// pause that callers still take as on time, 180 ms.
-const QUICK_COPY: time::Duration = time::Duration::from_millis(70);
-/// Time after a server's notice by which its runs stop to be moved: it is gone 1.5 to 2.1 s after.
-const STOP_BY: time::Duration = time::Duration::from_millis(1_150);
+/// Timeout for the last events of a stopped run.
+const REST_TIMEOUT: time::Duration = time::Duration::from_millis(150);
+/// Max duration of a copy for the links to count as free: the remainder is then copied within a
+/// pause of 180 ms, which callers still accept as on time.
+const MAX_QUICK_COPY: time::Duration = time::Duration::from_millis(70);
+/// Delay after a server's notice from which its runs are stopped for the move: the server is gone
+/// 1.5 to 2.1 s after the notice.
+const STOP_DELAY: time::Duration = time::Duration::from_millis(1_150);
 
-/// How long an engine keeps a copy that nobody asks for, less the time to ask for it.
-const SPARE_KEPT: time::Duration = time::Duration::from_millis(4_500);
+/// How long a copy can be used: the time that an engine keeps an unused copy, minus the time to
+/// request it.
+const SPARE_RETENTION: time::Duration = time::Duration::from_millis(4_500);
 
-/// A copy that a move made before its source was gone. What the run made since is read anew where the
-/// copy is. Without it, runs that waited behind others on their engine's link were lost with it: 50
-/// streams of fifteen plays of 34 s at 9 engines, 23 with it.
+/// A copy completed before its source was gone. The output produced since is recomputed on the
+/// server that holds the copy. Without these copies, runs that waited for others on their engine's
+/// link were lost with the engine, about twice as many streams.
 pub(crate) struct SpareCopy {
-    /// Server that holds it.
+    /// Server that holds the copy.
     to: fleet::ServerKey,
-    /// Server that named it.
+    /// Server that issued the handle.
     origin: fleet::ServerKey,
     handle: String,
     made_at: time::Instant,
@@ -49,10 +52,10 @@
     }
 
     fn place(self) -> Option<CopyPlace> {
-        let kept = self.made_at.elapsed() < SPARE_KEPT;
+        let kept = self.made_at.elapsed() < SPARE_RETENTION;
         kept.then_some(CopyPlace {
             to: self.to,
-            or: None,
+            fallback: None,
             origin: self.origin,
             handle: self.handle,
         })
@@ -60,8 +63,8 @@
 }
 
 impl<P: port::ServerPort + 'static> StreamDriver<P> {
-    /// Goes on at the server that holds a copy. Relaying pauses meanwhile, so that no event is
-    /// passed on twice; the run here goes on until the one there has begun.
+    /// Continues the run on the server that holds its copy. Forwarding pauses meanwhile, so that no
+    /// event is sent twice; the run here continues until the one there has started.
     pub(crate) async fn switch(
         &mut self,
         live: &mut LiveRun<P>,
@@ -69,7 +72,7 @@
     ) -> Option<RelayEnd> {
         let copy = CopyPlace {
             to,
-            or: None,
+            fallback: None,
             origin: to,
             handle: self.ask.id.clone(),
         };
@@ -91,7 +94,7 @@
         None
     }
 
-    /// Copies the run while it goes on, then stops it and copies the rest.
+    /// Copies the run while it continues, then stops it and copies the rest.
     pub(crate) async fn move_run(
         &mut self,
         live: &mut LiveRun<P>,
@@ -101,11 +104,11 @@
         let target = self.plane.target(to)?;
         let started = time::Instant::now();
         let notice = self.plane.state().fleet.server(live.placed.server)?.since;
-        let mut quick = false;
+        let mut links_free = false;
         loop {
-            // Copies of other runs queue on the same links. While this one waits behind them the
-            // run goes on; it stops for the last part only once that is quick, or time is short.
-            let stop = quick || notice.elapsed() > STOP_BY;
+            // Copies of other runs queue on the same links. The run continues while its copy waits
+            // for them, and stops for the last part only once that is fast or time is short.
+            let stop = links_free || notice.elapsed() > STOP_DELAY;
             let began = time::Instant::now();
             let (copied, ended) = self.copy_once(live, &source, &target, stop).await;
             log::info!(
@@ -113,9 +116,9 @@
                 outcome:? = copied, ms = millis(started); "copied"
             );
             let from = live.placed.server;
-            let copy = |to, or, handle| CopyPlace {
+            let copy = |to, fallback, handle| CopyPlace {
                 to,
-                or,
+                fallback,
                 origin: from,
                 handle,
             };
@@ -125,7 +128,7 @@
                     if ended.is_some() {
                         return ended;
                     }
-                    quick = began.elapsed() < QUICK_COPY;
+                    links_free = began.elapsed() < MAX_QUICK_COPY;
                     continue;
                 }
                 (Ok(done), true) => copy(to, Some(from), done.handle),
@@ -136,13 +139,13 @@
                 }
             };
             if ended.is_none() {
-                self.read_rest(live).await;
+                self.forward_rest(live).await;
             }
             return Some(RelayEnd::Stopped(stopped));
         }
     }
 
-    /// A move came to nothing: frees what was copied, unless it is all that is left of the run.
+    /// Ends a failed move: releases its copies, unless they are all that is left of the run.
     fn end_move(
         &mut self,
         copied: Result<port::CopyDone, port::CopyFault>,
@@ -162,8 +165,8 @@
         self.release(source, made);
     }
 
-    /// Copies a run once, passing on what it makes meanwhile. Tells also how its stream ended, if it
-    /// did.
+    /// Copies a run once, and forwards its output meanwhile. Also returns how its stream ended, if
+    /// it did.
     async fn copy_once(
         &mut self,
         live: &mut LiveRun<P>,
@@ -192,7 +195,8 @@
         }
     }
 
-    /// Keeps the copy that a run can go on from should its server be gone; of two the later.
+    /// Keeps the newest copy, from which the run can continue if its server is lost, and releases
+    /// the one before.
     fn keep_spare(&mut self, spare: SpareCopy, source: &port::ServerTarget) {
         let handle = spare.handle.clone();
         let before = self.spare.replace(spare);
@@ -201,17 +205,17 @@
         }
     }
 
-    /// Frees a copy that will not be used. Left alone it would take a run's memory at its engine
-    /// for another five seconds, and keep other runs from moving there.
+    /// Releases an unused copy. Otherwise it would hold a run's memory on its engine for another
+    /// five seconds, and keep other runs from moving there.
     fn release(&self, source: port::ServerTarget, handle: Option<String>) {
         let Some(handle) = handle else { return };
         let plane = self.plane.clone();
         tokio::task::spawn_local(async move { plane.port.release(source, handle).await });
     }
 
-    /// Passes on what a stopped run had still made.
-    async fn read_rest(&mut self, live: &mut LiveRun<P>) {
-        let until = time::Instant::now() + STOPPED_REST;
+    /// Forwards the last events of a stopped run.
+    async fn forward_rest(&mut self, live: &mut LiveRun<P>) {
+        let until = time::Instant::now() + REST_TIMEOUT;
         while let Some(body) = live.body.as_mut() {
             match time::timeout_at(until, body.next()).await {
                 Ok(Some(Ok(bytes))) => self.pass(live, &bytes).await,
@@ -220,10 +224,11 @@
         }
     }
 
-    /// Sends the request to where it goes on. On success the run is counted there.
+    /// Sends the request to the server on which it continues. On success the run is assigned to
+    /// that server.
     pub(crate) async fn resume(&mut self, live: &mut LiveRun<P>, copy: CopyPlace) -> bool {
         let now = time::Instant::now();
-        for server in std::iter::once(copy.to).chain(copy.or) {
+        for server in std::iter::once(copy.to).chain(copy.fallback) {
             let moves = server != live.placed.server;
             if moves && self.plane.state().fleet.is_evacuated(server) {
                 continue;
@@ -248,7 +253,7 @@
                     self.moved(live, server);
                     self.spare = None;
                     live.body = Some(answer.body);
-                    self.passed += 1;
+                    self.moves += 1;
                     metrics::counter!("pollenchute_exchange_resumed_total").increment(1);
                     log::info!(
                         request:% = self.ask.id, server:% = self.plane.server_id(server),
@@ -272,7 +277,7 @@
         false
     }
 
-    /// Where the copy of a run that goes on at `server` is kept from now on.
+    /// Chooses the server for the proactive copy of a run that continues on `server`.
     fn next_backup(&self, server: fleet::ServerKey) -> Option<fleet::ServerKey> {
         let mut state = self.plane.state();
         let engine = state.service(&self.ask.service)?.engine?;
@@ -299,8 +304,8 @@
         self.plane.stir();
     }
 
-    /// The copy that a run whose server broke off can go on from.
-    pub(crate) fn copy_of_broken(&mut self, live: &LiveRun<P>) -> Option<CopyPlace> {
+    /// Returns the copy from which a run can continue after its server broke it off.
+    pub(crate) fn copy_after_break(&mut self, live: &LiveRun<P>) -> Option<CopyPlace> {
         let server = live.placed.server;
         log::info!(
             request:% = self.ask.id, server:% = self.plane.server_id(server),
@@ -317,7 +322,7 @@
         };
         Some(CopyPlace {
             to,
-            or: None,
+            fallback: None,
             origin: to,
             handle: self.ask.id.clone(),
         })
--- a/crates/exchange/src/placing.rs
+++ b/crates/exchange/src/placing.rs
@@ -1,7 +1,8 @@
-//! How a request comes by its place on a server: at once, or by waiting here.
+//! Assigns requests to servers, at once or after a wait.
 //!
-//! What waits is kept in order by `wait`; which server has room is `place`'s to say. A request waits
-//! until it is told a place, its patience is over, or `room` says that none is to be had.
+//! The queue in `wait` orders the waiting requests, and `place` decides which server has capacity.
+//! A request waits until it gets a server, its max wait ends, or the memory samples show that it
+//! can't start in time.
 
 use std::{collections, rc};
 
@@ -9,18 +10,18 @@
 
 use crate::{ask, catalog, fleet, forecast, place, plane, port, reply, wait};
 
-/// Where each waiting request learns of its place, by service.
+/// Waiting requests by service and key in its queue.
 pub(crate) type WaiterTable = collections::HashMap<(String, wait::WaitKey), Waiter>;
 
-/// A request that waits for a place.
+/// A request that waits for a server.
 #[derive(Debug)]
 pub(crate) struct Waiter {
     pub(crate) ask: rc::Rc<ask::ExchangeAsk>,
     pub(crate) avoid: Vec<fleet::ServerKey>,
-    pub(crate) told: oneshot::Sender<(fleet::RunKey, fleet::ServerKey)>,
+    pub(crate) assigned: oneshot::Sender<(fleet::RunKey, fleet::ServerKey)>,
 }
 
-/// Takes a waiting request out of its queue, whatever ends its wait.
+/// Removes a waiting request from its queue when its wait ends for any reason.
 struct WaitGuard<'a, P> {
     plane: &'a plane::ExchangePlane<P>,
     index: (String, wait::WaitKey),
@@ -34,12 +35,12 @@
             .borrow_mut()
             .queue(&self.index.0)
             .leave(self.index.1);
-        // Had its place been told in the same moment, the receiver's drop gives it back.
+        // If a server was assigned at the same moment, dropping the receiver frees it.
     }
 }
 
 impl<P: port::ServerPort + 'static> plane::ExchangePlane<P> {
-    /// Gets a place for a try, waiting for one if need be.
+    /// Assigns a server to an attempt, after a wait if necessary.
     pub(crate) async fn place(
         self: &rc::Rc<Self>,
         ask: &rc::Rc<ask::ExchangeAsk>,
@@ -48,7 +49,8 @@
         self.place_again(ask, avoid, &mut None).await
     }
 
-    /// Gets a place for a try that may have waited before: it keeps its place in the queue.
+    /// Assigns a server to an attempt that may have waited before: it keeps its position in the
+    /// queue.
     pub(crate) async fn place_again(
         self: &rc::Rc<Self>,
         ask: &rc::Rc<ask::ExchangeAsk>,
@@ -106,14 +108,14 @@
             (queue.enter(record), ahead)
         };
         let index = (ask.service.clone(), key);
-        let (told, place) = oneshot::channel();
+        let (assigned, place) = oneshot::channel();
         let waiter = Waiter {
             ask: ask.clone(),
             avoid: avoid.to_vec(),
-            told,
+            assigned,
         };
         self.waiters.borrow_mut().insert(index.clone(), waiter);
-        let place = PlaceReceiver {
+        let place = AssignmentReceiver {
             plane: self.clone(),
             place,
         };
@@ -125,19 +127,20 @@
         );
         self.stirred.notify_one();
         self.tell_loads();
-        let placed = self.receive_place(ask, &record, place).await;
+        let placed = self.receive_assignment(ask, &record, place).await;
         drop(guard);
         metrics::histogram!("pollenchute_exchange_waited_seconds")
             .record(now.elapsed().as_secs_f64());
         placed.map_err(|cause| self.refuse(ask, cause))
     }
 
-    /// Waits for a place until it is told, or none is to be had any more.
-    async fn receive_place(
+    /// Waits until a server is assigned, the max wait ends, or the request can't start in time any
+    /// more.
+    async fn receive_assignment(
         &self,
         ask: &ask::ExchangeAsk,
         record: &wait::WaitRecord,
-        place: PlaceReceiver<P>,
+        place: AssignmentReceiver<P>,
     ) -> Result<plane::PlacedRun<P>, reply::RefusalCause> {
         let receiving = place.receive();
         tokio::pin!(receiving);
@@ -160,7 +163,7 @@
         }
     }
 
-    /// How a request that comes now waits; absent when it should be refused at once.
+    /// Queue entry of a new request; `None` if it should be refused at once.
     fn wait_record(&self, ask: &ask::ExchangeAsk, now: time::Instant) -> Option<wait::WaitRecord> {
         let stream = ask.kind == catalog::ExchangeKind::Stream;
         let patience = wait::patience(ask.left(now), ask.aim, stream);
@@ -181,13 +184,13 @@
     }
 }
 
-/// A place that may be told in the very moment in which nobody waits for it any more.
-struct PlaceReceiver<P> {
+/// Receiver of an assignment, which may be sent at the moment when the request stops waiting.
+struct AssignmentReceiver<P> {
     plane: rc::Rc<plane::ExchangePlane<P>>,
     place: oneshot::Receiver<(fleet::RunKey, fleet::ServerKey)>,
 }
 
-impl<P> PlaceReceiver<P> {
+impl<P> AssignmentReceiver<P> {
     async fn receive(mut self) -> Option<plane::PlacedRun<P>> {
         let (run, server) = (&mut self.place).await.ok()?;
         Some(plane::PlacedRun {
@@ -198,9 +201,10 @@
     }
 }
 
-impl<P> Drop for PlaceReceiver<P> {
+impl<P> Drop for AssignmentReceiver<P> {
     fn drop(&mut self) {
-        // Without this the place of a request whose caller left in this moment would stay taken.
+        // Without this, an assignment sent at the moment when the caller leaves would never be
+        // freed.
         if let Ok((run, _)) = self.place.try_recv() {
             self.plane.state.borrow_mut().fleet.end(run);
         }
--- a/crates/exchange/src/plane.rs
+++ b/crates/exchange/src/plane.rs
@@ -1,4 +1,4 @@
-//! Performs the decisions: takes requests in, sends tries, answers.
+//! Executes the decisions: accepts requests, sends attempts and returns responses.
 
 use std::{cell, rc};
 
@@ -10,42 +10,42 @@
     state, stopping, wait,
 };
 
-/// Time between two looks at what waits and what should move, while there is any: a tenth of the
-/// time that the shortest decision may take.
-const POLL_GAP: time::Duration = time::Duration::from_millis(20);
-/// Time between two sweeps of what is known of servers that went.
-const SWEEP_GAP: time::Duration = time::Duration::from_secs(5);
+/// Interval between checks of waiting requests and due moves, while there are any: a tenth of the
+/// time allowed for the fastest decision.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
+/// Interval between sweeps of removed servers.
+const SWEEP_INTERVAL: time::Duration = time::Duration::from_secs(5);
 
-/// The plane of one VM.
+/// The exchange plane of one VM.
 ///
-/// It runs on one thread; nothing is borrowed across an await.
+/// It runs on a single thread; no `RefCell` is borrowed across an await.
 #[derive(Debug)]
 pub struct ExchangePlane<P> {
     pub(crate) port: P,
     pub(crate) state: cell::RefCell<state::PlaneState>,
-    /// Where each waiting request learns of its place.
+    /// Waiting requests, each with the sender for its assignment.
     pub(crate) waiters: cell::RefCell<placing::WaiterTable>,
-    /// Where each stream learns that it should move.
-    movers: cell::RefCell<slotmap::SecondaryMap<fleet::RunKey, MoveSender>>,
-    /// Something changed that may let a waiting request start, or make a stream move.
+    /// Senders of relocation orders to the running streams.
+    relocation_senders: cell::RefCell<slotmap::SecondaryMap<fleet::RunKey, RelocationSender>>,
+    /// Wakes the decision loop: a waiting request may start, or a stream should move.
     pub(crate) stirred: tokio::sync::Notify,
-    /// Something was learnt that the other VMs should hear at once.
+    /// Signals a change to be announced to the other VMs at once.
     pub(crate) spread: tokio::sync::Notify,
-    /// There is news of servers to be told.
+    /// Signals server updates to be announced.
     pub(crate) news: tokio::sync::Notify,
-    /// What this VM has on servers changed.
+    /// Signals a change of this VM's load on servers.
     pub(crate) loads: tokio::sync::Notify,
-    /// It is known which system this VM belongs to, or that the store does not say it.
+    /// Signals that this VM's system is known, or that the store does not name one.
     pub(crate) identified: tokio::sync::Notify,
-    /// Requests that have no final answer yet.
+    /// Number of requests without a final response.
     open: cell::Cell<usize>,
-    /// Long answers that are being sent to other VMs.
+    /// Number of long answers being sent to other VMs.
     pub(crate) long_sent: cell::Cell<usize>,
 }
 
-type MoveSender = mpsc::UnboundedSender<relocate::RelocationOrder>;
+type RelocationSender = mpsc::UnboundedSender<relocate::RelocationOrder>;
 
-/// A try's place on a server; given back when dropped.
+/// An attempt's assignment to a server; freed on drop.
 #[derive(Debug)]
 pub(crate) struct PlacedRun<P> {
     pub(crate) plane: rc::Rc<ExchangePlane<P>>,
@@ -56,7 +56,7 @@
 impl<P> Drop for PlacedRun<P> {
     fn drop(&mut self) {
         self.plane.state.borrow_mut().fleet.end(self.run);
-        self.plane.movers.borrow_mut().remove(self.run);
+        self.plane.relocation_senders.borrow_mut().remove(self.run);
         self.plane.tell_loads();
         self.plane.stirred.notify_one();
     }
@@ -73,14 +73,14 @@
 }
 
 impl<P> ExchangePlane<P> {
-    /// A plane over `port`.
+    /// Creates a plane over `port`.
     #[must_use]
     pub fn new(port: P, state: state::PlaneState) -> Self {
         Self {
             port,
             state: cell::RefCell::new(state),
             waiters: cell::RefCell::default(),
-            movers: cell::RefCell::default(),
+            relocation_senders: cell::RefCell::default(),
             stirred: tokio::sync::Notify::new(),
             spread: tokio::sync::Notify::new(),
             news: tokio::sync::Notify::new(),
@@ -91,12 +91,12 @@
         }
     }
 
-    /// The servers that this plane sends to.
+    /// Port to the backend servers.
     pub const fn port(&self) -> &P {
         &self.port
     }
 
-    /// What this VM believes; not to be held across an await.
+    /// State of this VM; the borrow must not be held across an await.
     pub fn state(&self) -> cell::RefMut<'_, state::PlaneState> {
         self.state.borrow_mut()
     }
@@ -107,13 +107,13 @@
         self.state.borrow().catalog.clone()
     }
 
-    /// Requests that have no final answer yet.
+    /// Number of requests without a final response.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.open.get()
     }
 
-    /// From now on this VM is named to nobody and finishes what it has.
+    /// Begins to stop: this VM is no longer listed for callers, and finishes its running requests.
     pub fn stop(&self) {
         let mut state = self.state.borrow_mut();
         state.stage = message::VmStage::Stopping;
@@ -121,40 +121,40 @@
         self.spread.notify_one();
     }
 
-    /// Something was learnt that may change what waits or should move.
+    /// Wakes the decision loop after a change that may affect waiting requests or moves.
     pub fn stir(&self) {
         self.stirred.notify_one();
     }
 
-    /// What this VM has on servers changed.
+    /// Signals a change of this VM's load on servers.
     pub(crate) fn tell_loads(&self) {
         self.loads.notify_one();
     }
 
-    /// Something was learnt that the other VMs should hear at once.
+    /// Signals a change to be announced to the other VMs at once.
     pub fn spread(&self) {
         self.spread.notify_one();
     }
 
-    /// Keeps looking at what waits and what should move; never ends.
+    /// Runs the decision loop; never returns.
     pub async fn run_decisions(&self) {
         let mut swept_at = time::Instant::now();
         loop {
             let now = time::Instant::now();
-            if now.saturating_duration_since(swept_at) >= SWEEP_GAP {
+            if now.saturating_duration_since(swept_at) >= SWEEP_INTERVAL {
                 swept_at = now;
                 self.state.borrow_mut().fleet.sweep(now);
             }
             let busy = self.poll(now);
             if busy {
-                time::sleep(POLL_GAP).await;
+                time::sleep(POLL_INTERVAL).await;
             } else {
                 let _ = time::timeout(time::Duration::from_secs(1), self.stirred.notified()).await;
             }
         }
     }
 
-    /// Starts what can start and moves what should; says whether there is more to look at soon.
+    /// Starts waiting requests and orders moves. Returns whether the next check is due soon.
     fn poll(&self, now: time::Instant) -> bool {
         self.state.borrow_mut().note_room(now);
         let services = self.state.borrow().waiting_services();
@@ -163,12 +163,12 @@
         }
         let ended = self.state.borrow_mut().fleet.end_spared(now);
         for server in ended {
-            log::info!(server:? = self.server_id(server); "lapsed entry did not come back");
+            log::info!(server:? = self.server_id(server); "server did not register again after its entry expired");
         }
         let orders = self.state.borrow_mut().relocations(now);
         for (run, order) in orders {
-            if let Some(mover) = self.movers.borrow().get(run) {
-                let _ = mover.send(order);
+            if let Some(sender) = self.relocation_senders.borrow().get(run) {
+                let _ = sender.send(order);
             }
         }
         let state = self.state.borrow();
@@ -197,13 +197,13 @@
                 .map(|record| record.claim.rank(now));
             let rank = rank.unwrap_or_default();
             let Ok(placed) = state.place(&waiter.ask, &waiter.avoid, rank, now) else {
-                // Whoever is first gets the next room: were smaller ones let past, a large one
-                // would wait for ever.
+                // The first request in the queue gets the next free memory: if smaller ones could
+                // overtake it, a large one would starve.
                 return;
             };
             state.queue(service).leave(key);
             if let Some(waiter) = waiters.remove(&index)
-                && waiter.told.send(placed).is_err()
+                && waiter.assigned.send(placed).is_err()
             {
                 state.fleet.end(placed.0);
             }
@@ -218,7 +218,7 @@
             .map_or_else(String::new, |server| server.id.clone())
     }
 
-    /// Where to reach a server; absent once a later incarnation has its name and address.
+    /// Target for calls to a server; `None` once a later incarnation uses its name and address.
     pub(crate) fn target(&self, key: fleet::ServerKey) -> Option<port::ServerTarget> {
         let state = self.state.borrow();
         let server = state.fleet.server(key)?;
@@ -239,7 +239,7 @@
             .judge(server, verdict, time::Instant::now());
     }
 
-    /// A refusal that promises that the request did not run.
+    /// Refusal of a request that certainly did not run.
     pub(crate) fn refuse(
         &self,
         ask: &ask::ExchangeAsk,
@@ -262,13 +262,13 @@
         }
     }
 
-    /// Where a stream learns that it should move.
+    /// Registers a stream for relocation orders and returns their receiver.
     pub(crate) fn moves_of(
         &self,
         run: fleet::RunKey,
     ) -> mpsc::UnboundedReceiver<relocate::RelocationOrder> {
         let (sender, receiver) = mpsc::unbounded_channel();
-        self.movers.borrow_mut().insert(run, sender);
+        self.relocation_senders.borrow_mut().insert(run, sender);
         self.stirred.notify_one();
         self.tell_loads();
         receiver
@@ -276,12 +276,12 @@
 }
 
 impl<P: port::ServerPort + 'static> ExchangePlane<P> {
-    /// Serves one request. The future may be dropped when its caller leaves: what runs for it is
-    /// then given up at once.
+    /// Serves one request. The future may be dropped when the caller leaves, which cancels the
+    /// attempts of the request.
     ///
     /// # Errors
     ///
-    /// When it is turned away or given up here.
+    /// Returns a refusal if the request is rejected or abandoned on this VM.
     pub async fn serve(
         self: &rc::Rc<Self>,
         ask: ask::ExchangeAsk,
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Time that a try may take when sent now.
+    /// Remaining time for an attempt sent now.
     pub(crate) fn left(ask: &ask::ExchangeAsk) -> time::Duration {
         ask.limit
             .min(ask.deadline)
--- a/crates/exchange/src/port.rs
+++ b/crates/exchange/src/port.rs
@@ -1,4 +1,4 @@
-//! What the plane needs of the outside: backend servers.
+//! Interface of the plane to the backend servers.
 
 use std::{net, rc, time};
 
@@ -7,19 +7,19 @@
 
 use crate::ask;
 
-/// Where to send one try.
+/// Target of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerTarget {
-    /// Incarnation that is meant; another one at this address must not run it.
+    /// Id of the incarnation; another incarnation at this address must not run the attempt.
     pub id: String,
-    /// Its address.
+    /// Address of the server.
     pub address: net::SocketAddr,
-    /// Since when this incarnation is known: a connection that was kept for longer led to another.
+    /// How long this incarnation has been known: an older connection led to another one.
     pub known_for: time::Duration,
 }
 
 impl ServerTarget {
-    /// Which kept connections lead to this incarnation, of those that `rule` allows.
+    /// Max age of kept-alive connections that lead to this incarnation and are allowed by `rule`.
     #[must_use]
     pub fn kept(&self, rule: ReuseRule) -> time::Duration {
         match rule {
@@ -29,84 +29,85 @@
     }
 }
 
-/// From where a generation goes on.
+/// Point from which a generation continues.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResumePoint {
-    /// Server named in the copy's handle.
+    /// Server that issued the handle.
     pub origin: net::SocketAddr,
     /// Handle of the copy at that server.
     pub handle: String,
-    /// Last event that the caller has had whole.
+    /// Id of the last complete event that the caller received.
     pub last_event: Option<String>,
 }
 
-/// One try.
+/// One attempt.
 #[derive(Clone, Debug)]
 pub struct ServerCall {
     /// The request.
     pub ask: rc::Rc<ask::ExchangeAsk>,
-    /// Where it goes.
+    /// Server to send to.
     pub target: ServerTarget,
-    /// Time that the server has.
+    /// Time limit for the server.
     pub left: time::Duration,
-    /// Present when it goes on from a copy.
+    /// Set if the generation continues from a copy.
     pub resume: Option<ResumePoint>,
-    /// Memory set aside for it at the server.
+    /// Handle of the memory reserved on the server.
     pub reservation: Option<String>,
-    /// Server that is to hold a copy while it runs.
+    /// Server that keeps a proactive copy of the run.
     pub backup: Option<net::SocketAddr>,
-    /// Whether a connection that was used before may carry it.
+    /// Which kept-alive connections may carry the attempt.
     pub reuse: ReuseRule,
 }
 
-/// Which kept connections may carry a try.
+/// Which kept-alive connections may carry an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReuseRule {
-    /// Any that is not known to be closed.
+    /// Any connection not known to be closed.
     Any,
-    /// Only one that carried an answer this short a time ago: an older one may have gone silent,
-    /// and what is lost on it can't be sent again.
+    /// Only a connection that carried a response within this time: an older one may be dead, and a
+    /// request lost on it can't be sent again.
     Fresh(time::Duration),
 }
 
-/// Why a try certainly did not run.
+/// Why an attempt certainly did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRunCause {
-    /// No connection came about.
+    /// No connection could be established.
     Unreachable,
-    /// The server was full or would not take it.
+    /// The server was full or rejected the attempt.
     Rejected,
     /// Another incarnation has the address.
     Misdirected,
 }
 
-/// Why it is unknown whether a try ran.
+/// Why it is unknown whether an attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LostCause {
     /// The connection broke.
     Broken,
-    /// What came is not an answer to this request.
+    /// The response is invalid or belongs to another request.
     Garbled,
 }
 
-/// What came of a try.
+/// Outcome of an attempt.
 #[derive(Debug)]
 pub enum CallOutcome<B> {
-    /// The server's answer.
+    /// The server responded.
     Answered(ServerAnswer<B>),
-    /// It has not run and never will.
+    /// The attempt has not run and never will.
     NotRun(NotRunCause),
-    /// It may have run.
+    /// The attempt may have run.
     Lost(LostCause),
 }
 
 impl ReuseRule {
-    /// For what can't be sent again: a connection that was idle for longer may have gone silent.
+    /// Rule for requests that can't be sent again: a connection that was idle for longer may be
+    /// dead.
     pub const FRESH: Self = Self::Fresh(time::Duration::from_millis(1_500));
 }
 
 impl<B> CallOutcome<B> {
-    /// Whether it ran.
+    /// Returns whether the attempt ran.
     #[must_use]
     pub const fn ran(&self) -> outcome::RanState {
         match self {
@@ -117,63 +118,64 @@
     }
 }
 
-/// A server's answer.
+/// Response of a server.
 #[derive(Debug)]
 pub struct ServerAnswer<B> {
     /// Status.
     pub status: http::StatusCode,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: http::HeaderMap,
-    /// Body as it comes.
+    /// Body, streamed as it arrives.
     pub body: B,
 }
 
-/// A body as it comes.
+/// A streamed response body.
 pub trait AnswerBody {
-    /// The next bytes; absent at its proper end.
+    /// Returns the next bytes; `None` at the regular end.
     fn next(&mut self) -> impl Future<Output = Option<Result<Bytes, LostCause>>>;
 }
 
-/// A copy that was made.
+/// A completed copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CopyDone {
-    /// Names the copy at the source.
+    /// Handle of the copy at the source.
     pub handle: String,
-    /// Events that the run had made.
+    /// Events that the run had produced.
     pub events: u64,
 }
 
-/// Why a copy was not made.
+/// Why a copy failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CopyFault {
-    /// The source knows no such run.
+    /// The run is unknown at the source.
     NoRun,
-    /// Another copy is being made.
+    /// Another copy is in progress.
     Busy,
-    /// No room there, or unreachable; with a handle the run has stopped and waits at the source.
+    /// The target is full or unreachable; with a handle, the run has stopped and is kept at the
+    /// source.
     NoRoom(Option<String>),
     /// The source did not answer.
     Unreachable,
 }
 
-/// Why a server set no memory aside.
+/// Why a server reserved no memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReserveFault {
-    /// It has no room.
+    /// The server is full.
     Full,
-    /// It did not answer.
+    /// The server did not respond.
     Unreachable,
 }
 
 /// Backend servers.
 pub trait ServerPort {
-    /// Body of an answer.
+    /// Body of a response.
     type Body: AnswerBody;
 
-    /// Sends one try; the future may be dropped to give it up, which closes its connection.
+    /// Sends one attempt; dropping the future cancels it and closes its connection.
     fn open(&self, call: ServerCall) -> impl Future<Output = CallOutcome<Self::Body>>;
 
-    /// Sets memory and a place aside at a server, for a request that is about to be sent there.
+    /// Reserves memory and a slot on a server, for a request that is sent there next.
     fn reserve(
         &self,
         target: ServerTarget,
@@ -190,6 +192,6 @@
         stop: bool,
     ) -> impl Future<Output = Result<CopyDone, CopyFault>>;
 
-    /// Frees a copy that will not be used.
+    /// Releases an unused copy.
     fn release(&self, source: ServerTarget, handle: String) -> impl Future<Output = ()>;
 }
--- a/crates/exchange/src/reply.rs
+++ b/crates/exchange/src/reply.rs
@@ -1,4 +1,4 @@
-//! What a caller is told.
+//! Responses and refusals that a caller receives.
 
 use std::time;
 
@@ -6,32 +6,32 @@
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
-/// Why a request is turned away or given up here.
+/// Why a request is refused or abandoned on this VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalCause {
     /// No configuration is known yet.
     Unconfigured,
-    /// No route, or no key: the caller's fault.
+    /// There is no route, or the key is missing: a client error.
     Unroutable(crate::catalog::RouteFault),
-    /// The head or body is not acceptable.
+    /// The head or body is invalid.
     BadRequest,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     TooLarge,
     /// No server of the service is known.
     NoServer,
-    /// More work waits than can be served in time.
+    /// The queue is too long to serve the request in time.
     Overload,
-    /// It waited as long as may be and found no place.
+    /// The max wait ended without a server.
     Patience,
-    /// Servers turned it away, and it may not be sent to another.
+    /// Servers rejected the request, and no further attempt is allowed.
     Rejected,
-    /// This VM stops, and would not live to the end of the answer.
+    /// This VM is stopping, and would end before the response is complete.
     Stopping,
-    /// It crashed servers before.
+    /// The request is suspected of crashing servers.
     Quarantined,
-    /// A server lost it, or answered with what is not an answer.
+    /// A server lost the request or sent an invalid response.
     ServerLost,
-    /// Its time is up.
+    /// The time limit passed.
     Timeout,
 }
 
@@ -57,43 +57,44 @@
     }
 }
 
-/// A refusal.
+/// Refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Cause of the refusal.
     pub cause: RefusalCause,
-    /// Whether it ran; `No` is a promise.
+    /// Whether the request ran; `No` is guaranteed.
     pub ran: outcome::RanState,
-    /// When it is worth asking again.
+    /// Delay before a retry.
     pub retry_after: Option<time::Duration>,
 }
 
-/// A piece of a streamed answer.
+/// A part of a streamed response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamPart {
-    /// Bytes to pass on.
+    /// Bytes to forward.
     Bytes(Bytes),
-    /// The answer is whole. A channel that closes without this is an answer cut short, and must
-    /// look so to the caller: whatever goes wrong, no half answer passes for a whole one.
+    /// End of a complete response. A channel that closes without it is a truncated response and
+    /// must look truncated to the caller: under no failure may an incomplete response pass for a
+    /// complete one.
     End,
 }
 
-/// The bytes of an answer.
+/// Body of a response.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// All of it.
+    /// Complete body.
     Whole(Bytes),
-    /// As it comes.
+    /// Body streamed as it arrives.
     Parts(mpsc::Receiver<StreamPart>),
 }
 
-/// A server's answer, unchanged.
+/// Response of a backend server, unchanged.
 #[derive(Debug)]
 pub struct Reply {
-    /// Status of the server.
+    /// Status from the server.
     pub status: http::StatusCode,
-    /// Headers of the server, without those of its connection.
+    /// Headers from the server, without hop-by-hop headers.
     pub headers: http::HeaderMap,
-    /// Bytes of the server.
+    /// Body from the server.
     pub body: ReplyBody,
 }
--- a/crates/exchange/src/serve_call.rs
+++ b/crates/exchange/src/serve_call.rs
@@ -1,5 +1,5 @@
-//! Calls with a short answer: read whole before it is passed on, so that what a server breaks off
-//! can be asked of another where that is allowed.
+//! Calls: a short response is read completely before it is forwarded, so that a call broken off by
+//! its server can be retried on another one where that is allowed.
 
 use std::rc;
 
@@ -12,20 +12,21 @@
     ask, catalog, fleet, plane, port, port::AnswerBody as _, reply, serve_stream, server, wait,
 };
 
-/// Answers up to this size are read whole before they are passed on; longer ones are passed on as
-/// they come and can't be tried again.
-const WHOLE_BYTES: usize = 256 * 1_024;
-/// Parts of a long answer that are under way to a slow caller: bounds what it can make us hold.
-const LONG_PARTS: usize = 4;
-/// Part of the aim after which an idempotent call is also sent to another server.
-const HEDGE_PART: f64 = 0.6;
-/// Least time before that: a hedge sooner doubles load for nothing.
-const HEDGE_LEAST: time::Duration = time::Duration::from_millis(50);
-/// Further tries that must be left before one is spent on a hedge: failures go first.
-const HEDGE_RESERVE: f64 = 3.0;
+/// Max size of a response that is buffered completely; a longer one is streamed to the caller and
+/// can't be retried.
+const MAX_BUFFERED_BYTES: usize = 256 * 1_024;
+/// Parts of a long response buffered for a slow caller: limits the memory that it can hold.
+const MAX_BUFFERED_PARTS: usize = 4;
+/// Fraction of the target latency after which an idempotent call is hedged: sent to a second server
+/// as well.
+const HEDGE_AFTER_FRACTION: f64 = 0.6;
+/// Min delay before a hedge: a hedge sent sooner doubles the load without benefit.
+const MIN_HEDGE_DELAY: time::Duration = time::Duration::from_millis(50);
+/// Min retries left for a hedge to be sent: retries after failures take precedence.
+const MIN_RETRIES_TO_HEDGE: f64 = 3.0;
 
-/// What one try came to.
-enum TryEnd<P: port::ServerPort> {
+/// Outcome of one attempt.
+enum AttemptEnd<P: port::ServerPort> {
     Whole(WholeAnswer),
     Long(LongAnswer<P>),
     NotRun(port::NotRunCause),
@@ -46,7 +47,8 @@
     placed: plane::PlacedRun<P>,
 }
 
-/// Serves an idempotent or single call. `guard` lives until its caller has all of the answer.
+/// Serves an idempotent or single call. `guard` is held until the caller has received the complete
+/// response.
 pub(crate) async fn serve<P: port::ServerPort + 'static, G: 'static>(
     plane: &rc::Rc<plane::ExchangePlane<P>>,
     ask: rc::Rc<ask::ExchangeAsk>,
@@ -69,32 +71,32 @@
 struct CallState<'a, P: port::ServerPort, G> {
     plane: &'a rc::Rc<plane::ExchangePlane<P>>,
     ask: &'a rc::Rc<ask::ExchangeAsk>,
-    /// Servers that had a try.
+    /// Servers that already got an attempt.
     avoid: Vec<fleet::ServerKey>,
-    /// Tries that may have reached a server that could run it.
+    /// Attempts that may have reached a server able to run the call.
     sent: u32,
-    /// What is known of the tries so far.
+    /// Whether any attempt so far ran.
     ran: outcome::RanState,
-    /// Goes with a long answer that is passed on.
+    /// Handed over to a long response that is streamed.
     guard: Option<G>,
 }
 
 impl<P: port::ServerPort + 'static, G: 'static> CallState<'_, P, G> {
     async fn run(&mut self) -> Result<reply::Reply, reply::Refusal> {
-        let mut tries = stream::FuturesUnordered::new();
+        let mut attempts = stream::FuturesUnordered::new();
         let first = self.plane.place(self.ask, &self.avoid).await?;
-        tries.push(self.send(first));
+        attempts.push(self.send(first));
         let mut last_answer = None;
         let hedge = time::sleep(self.hedge_after());
         tokio::pin!(hedge);
         let mut hedged = self.ask.kind != catalog::ExchangeKind::Idempotent;
         loop {
             let end = tokio::select! {
-                end = tries.next() => end,
+                end = attempts.next() => end,
                 () = &mut hedge, if !hedged => {
                     hedged = true;
                     if let Some(placed) = self.hedge() {
-                        tries.push(self.send(placed));
+                        attempts.push(self.send(placed));
                     }
                     continue;
                 }
@@ -106,29 +108,32 @@
                 Step::Answer(answer) => return answer,
                 Step::Again(answer) => last_answer = Some(answer),
             }
-            if tries.is_empty() && !self.retry_allowed() {
+            if attempts.is_empty() && !self.retry_allowed() {
                 return last_answer.unwrap_or_else(|| Err(self.lost()));
             }
-            if tries.is_empty() {
+            if attempts.is_empty() {
                 match self.plane.place(self.ask, &self.avoid).await {
-                    Ok(placed) => tries.push(self.send(placed)),
+                    Ok(placed) => attempts.push(self.send(placed)),
                     Err(refusal) => return last_answer.unwrap_or(Err(refusal)),
                 }
             }
         }
     }
 
-    /// When another server is asked as well: late enough that few need it, soon enough that its
-    /// answer is still on time.
+    /// Delay of the hedge: late enough that few calls need it, early enough that its response is
+    /// still on time.
     fn hedge_after(&self) -> time::Duration {
-        self.ask.aim.mul_f64(HEDGE_PART).max(HEDGE_LEAST)
+        self.ask
+            .aim
+            .mul_f64(HEDGE_AFTER_FRACTION)
+            .max(MIN_HEDGE_DELAY)
     }
 
     fn hedge(&mut self) -> Option<plane::PlacedRun<P>> {
         let now = time::Instant::now();
         let mut state = self.plane.state();
         if self.sent >= self.ask.attempts
-            || state.retries_left(&self.ask.service, now) < HEDGE_RESERVE
+            || state.retries_left(&self.ask.service, now) < MIN_RETRIES_TO_HEDGE
         {
             return None;
         }
@@ -141,25 +146,25 @@
         Some(self.plane.placed(run, server))
     }
 
-    /// Sends one try; its place is given back when the future ends or is dropped.
+    /// Sends one attempt; its assignment is freed when the future ends or is dropped.
     fn send(
         &mut self,
         placed: plane::PlacedRun<P>,
-    ) -> impl Future<Output = (fleet::ServerKey, TryEnd<P>)> + use<P, G> {
+    ) -> impl Future<Output = (fleet::ServerKey, AttemptEnd<P>)> + use<P, G> {
         self.avoid.push(placed.server);
         self.sent += 1;
         let plane = self.plane.clone();
         let ask = self.ask.clone();
         async move {
             let server = placed.server;
-            (server, try_once(plane, ask, placed).await)
+            (server, run_attempt(plane, ask, placed).await)
         }
     }
 
-    fn judge(&mut self, server: fleet::ServerKey, end: TryEnd<P>) -> Step {
+    fn judge(&mut self, server: fleet::ServerKey, end: AttemptEnd<P>) -> Step {
         let idempotent = self.ask.kind == catalog::ExchangeKind::Idempotent;
         match end {
-            TryEnd::Whole(answer) => {
+            AttemptEnd::Whole(answer) => {
                 self.ran = outcome::RanState::Yes;
                 let failed = answer.status.is_server_error();
                 let reply = Ok(reply::Reply {
@@ -173,12 +178,13 @@
                     Step::Answer(reply)
                 }
             }
-            TryEnd::Long(answer) => {
+            AttemptEnd::Long(answer) => {
                 self.ran = outcome::RanState::Yes;
-                Step::Answer(Ok(pass_on(self.ask.clone(), answer, self.guard.take())))
+                Step::Answer(Ok(stream_long(self.ask.clone(), answer, self.guard.take())))
             }
-            TryEnd::NotRun(cause) => {
-                // What never reached a server that could run it is no try in the route's sense.
+            AttemptEnd::NotRun(cause) => {
+                // An attempt that no server could have run does not count towards the route's
+                // limit.
                 if cause != port::NotRunCause::Rejected {
                     self.sent -= 1;
                 }
@@ -193,7 +199,7 @@
                     Step::Again(Err(self.lost()))
                 }
             }
-            TryEnd::Lost => {
+            AttemptEnd::Lost => {
                 self.ran = self.ran.and(outcome::RanState::Unknown);
                 self.log_failed(server, "lost");
                 let lost = Err(self.lost());
@@ -245,9 +251,9 @@
 }
 
 enum Step {
-    /// This is the final answer.
+    /// The final response.
     Answer(Result<reply::Reply, reply::Refusal>),
-    /// Another try may do better; this is the answer if there is none.
+    /// Response to return if no further attempt succeeds.
     Again(Result<reply::Reply, reply::Refusal>),
 }
 
@@ -259,14 +265,14 @@
     }
 }
 
-async fn try_once<P: port::ServerPort + 'static>(
+async fn run_attempt<P: port::ServerPort + 'static>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
     ask: rc::Rc<ask::ExchangeAsk>,
     placed: plane::PlacedRun<P>,
-) -> TryEnd<P> {
+) -> AttemptEnd<P> {
     let started = time::Instant::now();
     let Some(target) = plane.target(placed.server) else {
-        return TryEnd::NotRun(port::NotRunCause::Unreachable);
+        return AttemptEnd::NotRun(port::NotRunCause::Unreachable);
     };
     let reuse = match ask.kind {
         catalog::ExchangeKind::Idempotent => port::ReuseRule::Any,
@@ -294,17 +300,21 @@
                 _ => server::ServerVerdict::Refused,
             };
             plane.judge(placed.server, verdict);
-            return TryEnd::NotRun(cause);
+            return AttemptEnd::NotRun(cause);
         }
         port::CallOutcome::Lost(_) => {
             plane.judge(placed.server, server::ServerVerdict::Failed);
-            return TryEnd::Lost;
+            return AttemptEnd::Lost;
         }
     };
     let (server, end) = end;
     let verdict = match &end {
-        TryEnd::Whole(answer) if answer.status.is_server_error() => server::ServerVerdict::Erred,
-        TryEnd::Whole(_) | TryEnd::Long(_) => server::ServerVerdict::Good(started.elapsed()),
+        AttemptEnd::Whole(answer) if answer.status.is_server_error() => {
+            server::ServerVerdict::Erred
+        }
+        AttemptEnd::Whole(_) | AttemptEnd::Long(_) => {
+            server::ServerVerdict::Good(started.elapsed())
+        }
         _ => server::ServerVerdict::Failed,
     };
     plane.judge(server, verdict);
@@ -314,7 +324,7 @@
 async fn read_answer<P: port::ServerPort>(
     answer: port::ServerAnswer<P::Body>,
     placed: plane::PlacedRun<P>,
-) -> (fleet::ServerKey, TryEnd<P>) {
+) -> (fleet::ServerKey, AttemptEnd<P>) {
     let server = placed.server;
     let port::ServerAnswer {
         status,
@@ -327,18 +337,18 @@
         match body.next().await {
             None => {
                 let body = whole.freeze();
-                break TryEnd::Whole(WholeAnswer {
+                break AttemptEnd::Whole(WholeAnswer {
                     status,
                     headers,
                     body,
                 });
             }
-            Some(Err(_)) => break TryEnd::Lost,
+            Some(Err(_)) => break AttemptEnd::Lost,
             Some(Ok(bytes)) => whole.extend_from_slice(&bytes),
         }
-        if whole.len() > WHOLE_BYTES {
+        if whole.len() > MAX_BUFFERED_BYTES {
             let first = whole.freeze();
-            break TryEnd::Long(LongAnswer {
+            break AttemptEnd::Long(LongAnswer {
                 status,
                 headers,
                 first,
@@ -350,14 +360,15 @@
     (server, end)
 }
 
-/// Passes a long answer on as it comes, until its route's time is up. Until its caller has all of
-/// it, its server's place is taken and `guard` lives, so that a stop waits for it.
-fn pass_on<P: port::ServerPort + 'static, G: 'static>(
+/// Streams a long response to the caller until the route's time limit. The server's assignment and
+/// `guard` are held until the caller has received all of it, so that a stop of this VM waits for
+/// it.
+fn stream_long<P: port::ServerPort + 'static, G: 'static>(
     ask: rc::Rc<ask::ExchangeAsk>,
     answer: LongAnswer<P>,
     guard: G,
 ) -> reply::Reply {
-    let (sender, receiver) = mpsc::channel(LONG_PARTS);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_PARTS);
     let LongAnswer {
         status,
         headers,
@@ -370,7 +381,7 @@
             biased;
             () = sender.closed() => outcome::EndKind::Left,
             () = time::sleep_until(ask.limit) => outcome::EndKind::Failed,
-            end = pass_parts(&sender, first, &mut body) => end,
+            end = forward_parts(&sender, first, &mut body) => end,
         };
         log::info!(request:% = ask.id, end:% = end.name(); "long answer ended");
         drop((placed, guard));
@@ -382,14 +393,14 @@
     }
 }
 
-async fn pass_parts(
+async fn forward_parts(
     sender: &mpsc::Sender<reply::StreamPart>,
     first: Bytes,
     body: &mut impl port::AnswerBody,
 ) -> outcome::EndKind {
     let mut next = Some(Ok(first));
     while let Some(Ok(bytes)) = next {
-        // It fails when the caller has left, which is noticed beside this.
+        // The send fails if the caller has left, which the caller of this function detects itself.
         let _ = sender.send(reply::StreamPart::Bytes(bytes)).await;
         next = body.next().await;
     }
--- a/crates/exchange/src/serve_stream.rs
+++ b/crates/exchange/src/serve_stream.rs
@@ -1,6 +1,6 @@
-//! Streams: events are passed on as they come, and a run may go on at another server.
+//! Streams: events are forwarded as they arrive, and a run may continue on another server.
 //!
-//! How a run moves is in `moving`.
+//! Moves of runs are implemented in `moving`.
 
 use std::rc;
 
@@ -15,37 +15,38 @@
     server,
 };
 
-/// Parts under way to a slow caller: bounds what it can make us hold.
-const PARTS: usize = 16;
-/// Events that a run must have made for a break not to speak against its request: what crashes a
-/// server does so as it begins.
-const BEGUN_EVENTS: u64 = 2;
-/// Tries of one request that certainly did not run: each may meet a server that just left.
-const MOST_NOT_RUN: u32 = 3;
+/// Stream parts buffered for a slow caller: limits the memory that it can hold.
+const MAX_BUFFERED_PARTS: usize = 16;
+/// Number of events from which a broken stream does not make its request a suspect: a request that
+/// crashes servers does so when it starts.
+const MIN_EVENTS_TO_CLEAR: u64 = 2;
+/// Max attempts of one request that certainly did not run; each may meet a server that has just
+/// left.
+const MAX_NOT_RUN_ATTEMPTS: u32 = 3;
 
-/// Time for which memory is set aside: the request follows at once.
-const RESERVED_FOR: time::Duration = time::Duration::from_millis(500);
-/// How long a run whose copy failed is left alone: runs end or begin meanwhile.
-const MOVE_PAUSE: time::Duration = time::Duration::from_millis(70);
-/// How long a server that has no room is not asked again: generations end there every second or so.
-const FULL_PAUSE: time::Duration = time::Duration::from_millis(150);
+/// Max duration of a memory reservation: the request follows at once.
+const MAX_RESERVATION: time::Duration = time::Duration::from_millis(500);
+/// Delay before a run whose copy failed is moved may_retry: other runs end or start meanwhile.
+const MOVE_RETRY_DELAY: time::Duration = time::Duration::from_millis(70);
+/// Mean delay before a full server gets a request may_retry: generations end there about once a second.
+const FULL_RETRY_DELAY: time::Duration = time::Duration::from_millis(150);
 
 type HeadSender = oneshot::Sender<Result<StreamHead, reply::Refusal>>;
 
-/// Head of a streamed answer.
+/// Head of a streamed response.
 struct StreamHead {
     status: http::StatusCode,
     headers: http::HeaderMap,
 }
 
-/// Serves one stream. What runs for it ends when the returned body is dropped.
+/// Serves one stream. Its run is cancelled when the returned body is dropped.
 pub(crate) async fn serve<P: port::ServerPort + 'static, G: 'static>(
     plane: &rc::Rc<plane::ExchangePlane<P>>,
     ask: rc::Rc<ask::ExchangeAsk>,
     guard: G,
 ) -> Result<reply::Reply, reply::Refusal> {
-    let (head, got_head) = oneshot::channel();
-    let (parts, got_parts) = mpsc::channel(PARTS);
+    let (head, head_receiver) = oneshot::channel();
+    let (parts, parts_receiver) = mpsc::channel(MAX_BUFFERED_PARTS);
     let plane = plane.clone();
     tokio::task::spawn_local(async move {
         drive(plane, ask, head, parts).await;
@@ -56,8 +57,8 @@
         ran: outcome::RanState::Unknown,
         retry_after: None,
     };
-    let head = got_head.await.map_err(|_| lost)??;
-    let body = reply::ReplyBody::Parts(got_parts);
+    let head = head_receiver.await.map_err(|_| lost)??;
+    let body = reply::ReplyBody::Parts(parts_receiver);
     Ok(reply::Reply {
         status: head.status,
         headers: head.headers,
@@ -65,7 +66,7 @@
     })
 }
 
-/// Runs one stream until it ends, its time is up or its caller leaves.
+/// Drives one stream until it ends, its time limit passes or its caller leaves.
 async fn drive<P: port::ServerPort + 'static>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
     ask: rc::Rc<ask::ExchangeAsk>,
@@ -80,7 +81,7 @@
         parts,
         splitter: event::EventSplitter::default(),
         ran: outcome::RanState::No,
-        passed: 0,
+        moves: 0,
         pace: pace::EventPace::default(),
         spare: None,
     };
@@ -96,19 +97,19 @@
             let pace = &driver.pace;
             pace.count(&ask);
             log::info!(
-                request:% = ask.id, events, passed = driver.passed,
+                request:% = ask.id, events, passed = driver.moves,
                 first_ms = pace.first_ms(&ask), worst_pause_ms = pace.worst_ms(),
                 end:% = outcome::EndKind::Whole.name();
                 "stream whole"
             );
         }
-        Ok(Err(refusal)) => driver.give_up(refusal),
+        Ok(Err(refusal)) => driver.fail(refusal),
         Err("caller left") => {
             let end = outcome::EndKind::Left.name();
             log::info!(request:% = ask.id, events, end:% = end; "caller left");
         }
         Err(why) => {
-            log::info!(request:% = ask.id, events, cause:% = why; "stream given up");
+            log::info!(request:% = ask.id, events, cause:% = why; "stream timed out");
             let refusal = match driver.ran {
                 outcome::RanState::No => plane.refuse(&ask, reply::RefusalCause::Patience),
                 ran => reply::Refusal {
@@ -117,7 +118,7 @@
                     retry_after: None,
                 },
             };
-            driver.give_up(refusal);
+            driver.fail(refusal);
         }
     }
 }
@@ -125,45 +126,46 @@
 pub(crate) struct StreamDriver<P: port::ServerPort> {
     pub(crate) plane: rc::Rc<plane::ExchangePlane<P>>,
     pub(crate) ask: rc::Rc<ask::ExchangeAsk>,
-    /// Present until the caller has had the head.
+    /// Present until the head was sent to the caller.
     head: Option<HeadSender>,
     pub(crate) parts: mpsc::Sender<reply::StreamPart>,
     pub(crate) splitter: event::EventSplitter,
-    /// Whether any try may have run.
+    /// Whether any attempt ran or may have run.
     pub(crate) ran: outcome::RanState,
-    /// Times that the run went on at another server.
-    pub(crate) passed: u32,
-    /// When events came.
+    /// Number of times that the run continued on another server.
+    pub(crate) moves: u32,
+    /// Arrival times of events.
     pub(crate) pace: pace::EventPace,
-    /// What a move that was not finished has copied: see [`moving::SpareCopy`].
+    /// Copy made by an unfinished move: see [`moving::SpareCopy`].
     pub(crate) spare: Option<moving::SpareCopy>,
 }
 
-/// A try whose answer is being passed on.
+/// An attempt whose response is being forwarded.
 pub(crate) struct LiveRun<P: port::ServerPort> {
     pub(crate) placed: plane::PlacedRun<P>,
     pub(crate) orders: mpsc::UnboundedReceiver<relocate::RelocationOrder>,
-    /// Absent until the server has answered.
+    /// Response body; `None` until the server has responded.
     pub(crate) body: Option<P::Body>,
 }
 
-/// Why relaying from one server ended.
+/// Why forwarding from one server ended.
 pub(crate) enum RelayEnd {
-    /// The last event came.
+    /// The stream is complete.
     Finished,
     /// The stream broke off.
     Broken,
-    /// The run stopped here and goes on from a copy.
+    /// The run was stopped on this server and continues from a copy.
     Stopped(CopyPlace),
 }
 
-/// A copy that a run can go on from.
+/// A copy from which a run can continue.
 pub(crate) struct CopyPlace {
-    /// Server to send the request to.
+    /// Server on which the run continues.
     pub(crate) to: fleet::ServerKey,
-    /// Where to try if that one has no room: the source itself.
-    pub(crate) or: Option<fleet::ServerKey>,
-    /// Server that named the copy. Once it has started again, the handle may name another run's.
+    /// Fallback if that server is full: the source of the copy.
+    pub(crate) fallback: Option<fleet::ServerKey>,
+    /// Server that issued the handle. After a restart of that server the handle may name another
+    /// run.
     pub(crate) origin: fleet::ServerKey,
     pub(crate) handle: String,
 }
@@ -175,7 +177,7 @@
             let copy = match self.relay(&mut live).await {
                 RelayEnd::Finished => return self.finish().await,
                 RelayEnd::Stopped(copy) => Some(copy),
-                RelayEnd::Broken => self.copy_of_broken(&live),
+                RelayEnd::Broken => self.copy_after_break(&live),
             };
             self.splitter.drop_partial();
             live.body = None;
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Sends the request until a server takes it.
+    /// Sends the request until a server accepts it.
     async fn start(&mut self) -> Result<LiveRun<P>, reply::Refusal> {
         let mut avoid = Vec::new();
         let mut waited = None;
@@ -220,8 +222,8 @@
                 "stream sent"
             );
             let sent = time::Instant::now();
-            // Should its time run out while the server is silent, it may have run: said to have not,
-            // its caller would ask again while it runs.
+            // If the time limit passes while the server is silent, the request may have run.
+            // Reported as not run, it would be retried by its caller while it still runs.
             let before = self.ran;
             self.ran = before.and(outcome::RanState::Unknown);
             match self.plane.port.open(call).await {
@@ -237,7 +239,7 @@
                         request:% = self.ask.id, server:% = self.plane.server_id(server),
                         cause:? = cause; "stream not run"
                     );
-                    self.may_send_again(avoid.len(), cause)?;
+                    self.check_retry(avoid.len(), cause)?;
                 }
                 port::CallOutcome::Lost(cause) => {
                     self.note_lost(server, cause);
@@ -247,8 +249,9 @@
         }
     }
 
-    /// Sets memory aside at a server, so that the request neither waits in the server's own queue
-    /// nor is preempted: there it could not go elsewhere, and would be lost with the server.
+    /// Reserves memory on a server, so that the request neither waits in the server's own queue nor
+    /// is preempted: while queued there it could not move to another server, and would be lost with
+    /// this one.
     async fn reserve(
         &self,
         server: fleet::ServerKey,
@@ -276,25 +279,25 @@
         }
     }
 
-    /// How long and how much to set aside; absent where it can't be.
+    /// Duration and tokens of a reservation; `None` if the service does not support reservations.
     fn reservation(&self) -> Option<(time::Duration, u64)> {
         let state = self.plane.state();
         let engine = state.service(&self.ask.service)?.engine?;
         let size = self.ask.size.as_ref()?;
         let output = forecast::expected_output(size, 0) as u64;
         Some((
-            engine.reservation?.min(RESERVED_FOR),
+            engine.reservation?.min(MAX_RESERVATION),
             u64::from(size.prompt_tokens) + output,
         ))
     }
 
-    /// A try that certainly did not run may be followed by another, within the budget.
-    fn may_send_again(&self, tries: usize, cause: port::NotRunCause) -> Result<(), reply::Refusal> {
+    /// Allows another attempt after one that certainly did not run, within the retry budget.
+    fn check_retry(&self, attempts: usize, cause: port::NotRunCause) -> Result<(), reply::Refusal> {
         let now = time::Instant::now();
-        let tries = u32::try_from(tries).unwrap_or(u32::MAX);
-        let counted = cause == port::NotRunCause::Rejected && tries >= self.ask.attempts;
-        let again = !counted && tries < MOST_NOT_RUN;
-        if again && self.plane.state().take_retry(&self.ask.service, now) {
+        let attempts = u32::try_from(attempts).unwrap_or(u32::MAX);
+        let counted = cause == port::NotRunCause::Rejected && attempts >= self.ask.attempts;
+        let may_retry = !counted && attempts < MAX_NOT_RUN_ATTEMPTS;
+        if may_retry && self.plane.state().take_retry(&self.ask.service, now) {
             return Ok(());
         }
         Err(self.plane.refuse(&self.ask, reply::RefusalCause::Rejected))
@@ -327,11 +330,11 @@
         sent: time::Instant,
     ) {
         if let Some(head) = self.head.take() {
-            let told = StreamHead {
+            let stream_head = StreamHead {
                 status: answer.status,
                 headers: answer.headers,
             };
-            let _ = head.send(Ok(told));
+            let _ = head.send(Ok(stream_head));
         }
         if answer.status.is_server_error() {
             self.plane
@@ -343,7 +346,7 @@
         live.body = Some(answer.body);
     }
 
-    /// Passes events on until the stream ends or the run stops here.
+    /// Forwards events until the stream ends or the run stops on this server.
     async fn relay(&mut self, live: &mut LiveRun<P>) -> RelayEnd {
         loop {
             let Some(body) = live.body.as_mut() else {
@@ -369,12 +372,12 @@
             }
             if let Some(run) = self.plane.state().fleet.run_mut(live.placed.run) {
                 run.moving_to = None;
-                run.move_after = Some(time::Instant::now() + MOVE_PAUSE);
+                run.move_after = Some(time::Instant::now() + MOVE_RETRY_DELAY);
             }
         }
     }
 
-    /// Passes bytes on, and notes how far the run has come.
+    /// Forwards bytes and records the progress of the run.
     pub(crate) async fn pass(&mut self, live: &LiveRun<P>, bytes: &[u8]) {
         let whole = self.splitter.take(bytes);
         {
@@ -408,15 +411,15 @@
         Ok(())
     }
 
-    /// A server said that it has no room.
+    /// Records that a server is full.
     pub(crate) fn note_full(&self, server: fleet::ServerKey) {
         let now = time::Instant::now();
         let mut state = self.plane.state();
-        let pause = FULL_PAUSE.mul_f64(0.7 + 0.6 * state.draw());
+        let pause = FULL_RETRY_DELAY.mul_f64(0.7 + 0.6 * state.draw());
         state.fleet.note_full(server, now + pause);
     }
 
-    /// A server broke the request off before its first byte.
+    /// Records that a server broke the request off before its first byte.
     fn note_lost(&self, server: fleet::ServerKey, cause: port::LostCause) {
         log::info!(
             request:% = self.ask.id, server:% = self.plane.server_id(server),
@@ -436,7 +439,7 @@
         }
     }
 
-    /// A server broke off: its request is a suspect if it had just begun.
+    /// Makes the request a suspect if its server broke it off soon after its start.
     pub(crate) fn accuse(&self, server: fleet::ServerKey) {
         let now = time::Instant::now();
         let mut state = self.plane.state();
@@ -444,7 +447,7 @@
             .fleet
             .server(server)
             .is_some_and(|server| !server.takes_work(now));
-        if leaving || self.splitter.events() >= BEGUN_EVENTS {
+        if leaving || self.splitter.events() >= MIN_EVENTS_TO_CLEAR {
             return;
         }
         let Some(record) = state.fleet.server(server) else {
@@ -464,8 +467,8 @@
         }
     }
 
-    /// Ends it without its last event.
-    fn give_up(&mut self, refusal: reply::Refusal) {
+    /// Ends the stream without its last event.
+    fn fail(&mut self, refusal: reply::Refusal) {
         let events = self.splitter.events();
         log::info!(
             request:% = self.ask.id, cause:% = refusal.cause.name(), ran:? = refusal.ran, events,
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -1,4 +1,4 @@
-//! All that one entry VM believes and has under way.
+//! State of one entry VM: what it knows of the others, and its running requests.
 
 use std::{collections, net, rc};
 
@@ -12,22 +12,22 @@
     notices, peers, place, relocate, room, runs, suspect, system, wait,
 };
 
-/// What the plane is told at its start.
+/// Settings of the plane, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct PlaneSettings {
     /// Name of this VM.
     pub name: String,
     /// Failure domain of this VM.
     pub domain: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub entry_address: net::SocketAddr,
-    /// Where other VMs reach it.
+    /// Address for other VMs.
     pub link_address: net::SocketAddr,
-    /// Where other VMs may be, at the start.
+    /// Addresses at which other VMs may be found at the start.
     pub seeds: Vec<net::SocketAddr>,
-    /// Wall clock at the start, in milliseconds; a later process of this VM has a greater one.
+    /// Wall clock at the start in milliseconds, greater for each later process of this VM.
     pub incarnation: u64,
-    /// Bound on further tries, over all VMs.
+    /// Limit on retries, over all VMs.
     pub retries: budget::BudgetRule,
     /// Whether engines are asked to keep copies of running generations.
     pub backups: bool,
@@ -35,58 +35,59 @@
     pub moves: bool,
 }
 
-/// All that one entry VM believes and has under way.
+/// State of one entry VM.
 #[derive(Debug)]
 pub struct PlaneState {
-    /// As told at the start.
+    /// Settings given at the start.
     pub settings: PlaneSettings,
-    /// Configuration in force; its version never falls.
+    /// Configuration in force; its version never decreases.
     pub catalog: Option<rc::Rc<catalog::RouteCatalog>>,
-    /// The document that `catalog` was read from, for other VMs.
+    /// Document that `catalog` was parsed from, for other VMs.
     pub document: rc::Rc<delta::PiecedDocument>,
-    /// Whether the last delta of a document gave none: the next one is asked for whole.
+    /// Whether the last delta could not be applied; the next document is then fetched completely.
     pub delta_failed: bool,
-    /// Servers and tries.
+    /// Servers and running attempts.
     pub fleet: fleet::ServerFleet,
-    /// Which system this VM belongs to.
+    /// System that this VM belongs to.
     pub system: system::SystemBelief,
     /// Other VMs, all of the same system.
     pub peers: peers::PeerTable,
-    /// Requests that crash servers.
+    /// Requests suspected of crashing servers.
     pub suspects: suspect::SuspectTable,
-    /// Callers that are expected to come back.
+    /// Refused requests whose retry is expected.
     pub comebacks: comeback::ComebackTable,
-    /// News that the other VMs have not been told yet.
+    /// Server updates that have not been announced to the other VMs yet.
     pub untold: Vec<news::ServerNews>,
-    /// Servers that leave, to be repeated to the other VMs.
+    /// Notices of leaving servers, sent repeatedly to the other VMs.
     pub notices: notices::LeavingNotices,
-    /// News that this VM was asked to tell on.
+    /// Server updates that another VM asked this one to relay.
     pub told_on: Vec<message::NewsItem>,
-    /// Of the newest datagram; grows with each.
+    /// Sequence number of the last datagram.
     pub sequence: u64,
-    /// What this VM does.
+    /// Stage of this VM.
     pub stage: message::VmStage,
-    /// Since when it stops.
+    /// When this VM began to stop.
     pub stopping_since: Option<time::Instant>,
-    /// When the store last answered again after it had not.
+    /// When the store last recovered from an outage.
     pub store_back_at: Option<time::Instant>,
-    /// Whether the store's last answer was none.
+    /// Whether the last call to the store failed.
     pub store_away: bool,
-    /// Whether the list of servers was known to its end once: read from the store, or told by a VM
-    /// for which that holds.
+    /// Whether the list of servers was complete once: read from the store, or received from a VM
+    /// that has it complete.
     pub servers_whole: bool,
-    /// When other failure domains than before came to be evacuated.
+    /// When the set of evacuated failure domains last changed.
     pub evacuated_at: Option<time::Instant>,
-    /// Since when a VM that is heard has a newer configuration.
+    /// Since when a reachable VM has had a newer configuration.
     pub behind_since: Option<time::Instant>,
-    /// When a VM was last asked while one that is heard had a newer configuration.
+    /// When a VM was last asked for a configuration while a reachable one had a newer one.
     pub peers_asked_at: Option<time::Instant>,
-    /// What comes of a configuration from the store. While it moves, no VM is asked for one: over a slow
-    /// link each would take twice as long.
+    /// Progress of a configuration transfer from the store. While it advances, no VM is asked for
+    /// the configuration: over a slow link each transfer would take twice as long.
     pub from_store: transfer::TransferMeter,
-    /// What comes of state from another VM. While it moves, the store is not asked for a configuration.
+    /// Progress of a state transfer from another VM. While it advances, the store is not asked for
+    /// a configuration.
     pub from_peers: transfer::TransferMeter,
-    /// Since when most VMs that are heard know other news of servers than this one.
+    /// Since when most reachable VMs have had a different list of servers from this one.
     pub differs_since: Option<time::Instant>,
     queues: collections::HashMap<String, wait::WaitQueue>,
     trends: collections::HashMap<String, room::RoomTrend>,
@@ -95,7 +96,7 @@
 }
 
 impl PlaneState {
-    /// A VM that knows nothing yet.
+    /// Creates the state of a VM that has just started.
     #[must_use]
     pub fn new(settings: PlaneSettings, rng: rngs::StdRng) -> Self {
         let mut peers = peers::PeerTable::new(&settings.domain);
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Takes a configuration if it is newer than the one in force. Says whether it was.
+    /// Applies a configuration if it is newer than the one in force. Returns whether it was.
     pub fn take_catalog(&mut self, catalog: catalog::RouteCatalog, document: Bytes) -> bool {
         if self
             .catalog
@@ -154,7 +155,8 @@
         true
     }
 
-    /// Takes evacuations as of a later position; says whether other domains are evacuated then.
+    /// Applies evacuations as of a later log position; returns whether the set of evacuated domains
+    /// changed.
     pub fn take_evacuations(
         &mut self,
         evacuations: evacuation::EvacuationSet,
@@ -167,13 +169,13 @@
         changed
     }
 
-    /// Version of the configuration in force; 0: none.
+    /// Version of the configuration in force; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.catalog.as_ref().map_or(0, |catalog| catalog.version)
     }
 
-    /// Takes news of a server from the store or from another VM.
+    /// Applies an update of a server from the store or from another VM.
     pub fn take_news(
         &mut self,
         news: news::ServerNews,
@@ -198,13 +200,14 @@
         change
     }
 
-    /// Until when an entry that lapses now counts as alive; absent unless the store was away.
+    /// End of the grace period for entries that expire now; `None` if the store was never
+    /// unavailable.
     #[must_use]
     pub fn spared(&self) -> Option<time::Instant> {
         self.store_back_at.map(|at| at + fleet::LAPSE_GRACE)
     }
 
-    /// The store answered, or did not. Says whether that changed.
+    /// Records whether a call to the store succeeded. Returns whether its availability changed.
     pub fn note_store(&mut self, answered: bool, now: time::Instant) -> bool {
         if answered != self.store_away {
             return false;
@@ -216,12 +219,14 @@
         true
     }
 
-    /// Whether this VM reads the store for all: one of a few among those that the store answers.
+    /// Returns whether this VM is one of the few that read the store on behalf of all, among those
+    /// that reach it.
     #[must_use]
     pub fn reads_store(&self, now: time::Instant) -> bool {
         let rank = |name: &str| xxhash_rust::xxh3::xxh3_64(name.as_bytes());
         let own = rank(&self.settings.name);
-        // VMs that the store turns away look among themselves too: else none would see it return.
+        // VMs that can't reach the store elect readers among themselves as well; otherwise none of
+        // them would notice its recovery.
         let ahead = self
             .peers
             .all()
@@ -230,24 +235,24 @@
             .count();
         ahead
             < if self.store_away {
-                AWAY_READERS
+                MAX_PROBING_VMS
             } else {
                 READERS
             }
     }
 
-    /// The rule of a service, if it is configured.
+    /// Returns the rule of a service, if it is configured.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&catalog::ServiceRule> {
         self.catalog.as_ref()?.services.get(name)
     }
 
-    /// The queue of a service.
+    /// Returns the queue of a service.
     pub fn queue(&mut self, service: &str) -> &mut wait::WaitQueue {
-        of_service(&mut self.queues, service)
+        entry_of(&mut self.queues, service)
     }
 
-    /// What the rank of a request that comes now follows from.
+    /// Values that determine the rank of a request that arrives now.
     #[must_use]
     pub fn claim(&self, ask: &ask::ExchangeAsk, now: time::Instant) -> wait::WaitClaim {
         let first = wait::WaitClaim {
@@ -257,7 +262,7 @@
         self.comebacks.claim(ask.fingerprint, first, now)
     }
 
-    /// Memory planned for generations that wait here, for each service for which some do.
+    /// Memory planned for the generations that wait on this VM, by service.
     #[must_use]
     pub fn waiting(&self, now: time::Instant) -> Vec<message::WaitingItem> {
         let items = self.queues.iter().map(|(service, queue)| {
@@ -271,7 +276,7 @@
         items.filter(|item| !item.tokens.is_empty()).collect()
     }
 
-    /// Services for which something waits.
+    /// Services with waiting requests.
     #[must_use]
     pub fn waiting_services(&self) -> Vec<String> {
         self.queues
@@ -281,23 +286,23 @@
             .collect()
     }
 
-    /// Notes how much room the engines of each service have, now and then.
+    /// Samples the free memory of the engines of each service, if a sample is due.
     pub fn note_room(&mut self, now: time::Instant) {
         let Some(catalog) = self.catalog.clone() else {
             return;
         };
         for (service, rule) in &catalog.services {
             let Some(engine) = &rule.engine else { continue };
-            if !of_service(&mut self.trends, service).is_due(now) {
+            if !entry_of(&mut self.trends, service).is_due(now) {
                 continue;
             }
             let loads = self.fleet.loads(service, now);
             let room = room::MemoryRoom::measure(&self.fleet, service, engine, &loads, now);
-            of_service(&mut self.trends, service).note(room, now);
+            entry_of(&mut self.trends, service).note(room, now);
         }
     }
 
-    /// What a generation of this rank needs of its engines' memory; absent for calls.
+    /// Memory demand of a generation of this rank; `None` for calls.
     fn need(
         &self,
         ask: &ask::ExchangeAsk,
@@ -313,7 +318,7 @@
         })
     }
 
-    /// Whether a generation of this rank will hardly find room before its caller leaves.
+    /// Returns whether a generation of this rank is unlikely to start before its caller leaves.
     #[must_use]
     pub fn is_hopeless(
         &self,
@@ -327,7 +332,7 @@
             .is_some_and(|(need, trend)| trend.is_hopeless(&need, now))
     }
 
-    /// For how long there has been no room for a generation of this rank.
+    /// How long there has been no memory for a generation of this rank.
     #[must_use]
     pub fn closed_for(
         &self,
@@ -343,7 +348,7 @@
             })
     }
 
-    /// Chooses a server for a request and counts it there.
+    /// Chooses a server for a request and records the attempt there.
     pub fn place(
         &mut self,
         ask: &ask::ExchangeAsk,
@@ -388,7 +393,7 @@
         Ok((run, server))
     }
 
-    /// Where a copy of a generation is kept while it runs; absent where that is not worth its
+    /// Chooses the server for a proactive copy of a generation; `None` if the copy is not worth its
     /// memory.
     pub fn backup_for(
         &mut self,
@@ -402,7 +407,7 @@
             return None;
         }
         let output = forecast::expected_output(size, 0);
-        if output < BACKUP_OUTPUT {
+        if output < MIN_BACKUP_OUTPUT_TOKENS {
             return None;
         }
         let wanted = place::CopyAsk {
@@ -414,7 +419,7 @@
         place::choose_copy(&self.fleet, engine, &wanted, now, &mut self.rng)
     }
 
-    /// Orders for runs on servers that leave.
+    /// Relocation orders for runs on leaving servers.
     pub fn relocations(
         &mut self,
         now: time::Instant,
@@ -435,26 +440,26 @@
         orders
     }
 
-    /// A request of a service came.
+    /// Counts the first attempt of a request.
     pub fn count_first(&mut self, service: &str, now: time::Instant) {
         let rule = self.settings.retries;
         self.budget(service).count_first(&rule, now);
     }
 
-    /// Takes one further try of a service, if this VM has one left.
+    /// Takes one retry of a service; returns false if this VM has none left.
     pub fn take_retry(&mut self, service: &str, now: time::Instant) -> bool {
         let rule = self.settings.retries;
         let entries = self.peers.counted(now);
         self.budget(service).take(&rule, entries, now)
     }
 
-    /// Counts a further try that is made whatever is left.
+    /// Counts a retry that is made even if none is left.
     pub fn force_retry(&mut self, service: &str, now: time::Instant) {
         let rule = self.settings.retries;
         self.budget(service).force(&rule, now);
     }
 
-    /// Further tries of a service that this VM has left.
+    /// Number of retries of a service that this VM has left.
     pub fn retries_left(&mut self, service: &str, now: time::Instant) -> f64 {
         let rule = self.settings.retries;
         let entries = self.peers.counted(now);
@@ -462,7 +467,7 @@
     }
 
     fn budget(&mut self, service: &str) -> &mut budget::RetryBudget {
-        of_service(&mut self.budgets, service)
+        entry_of(&mut self.budgets, service)
     }
 
     /// A random number from 0 to 1.
@@ -470,7 +475,7 @@
         rand::RngExt::random(&mut self.rng)
     }
 
-    /// A number for a system that has none yet.
+    /// Draws an id for a system that has none yet.
     pub fn draw_system(&mut self) -> system::SystemId {
         loop {
             let number = rand::RngExt::random(&mut self.rng);
@@ -480,20 +485,20 @@
         }
     }
 
-    /// Hash of this VM's name and incarnation, by which other VMs know it.
+    /// Hash of this VM's name and incarnation, which identifies it to other VMs.
     #[must_use]
     pub fn sender(&self) -> u64 {
         let name = self.settings.name.as_bytes();
         xxhash_rust::xxh3::xxh3_64_with_seed(name, self.settings.incarnation)
     }
 
-    /// Number of the next datagram.
+    /// Returns the sequence number of the next datagram.
     pub const fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
-    /// This VM, as callers are told of it.
+    /// Directory entry of this VM, for callers.
     #[must_use]
     pub fn own_entry(&self) -> directory::OwnEntry {
         directory::OwnEntry {
@@ -504,14 +509,14 @@
     }
 }
 
-/// Hash by which VMs name a service to each other.
+/// Hash that identifies a service in messages between VMs.
 #[must_use]
 pub fn service_hash(service: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(service.as_bytes()) as u32
 }
 
-/// What is kept of a service; its name is copied only when it is new.
-fn of_service<'a, T: Default>(
+/// Returns the table's value for a service; the name is cloned only for a new entry.
+fn entry_of<'a, T: Default>(
     table: &'a mut collections::HashMap<String, T>,
     service: &str,
 ) -> &'a mut T {
@@ -521,12 +526,12 @@
     table.get_mut(service).expect("just inserted")
 }
 
-/// Tokens that a generation must be expected to produce for a copy to be kept: what is shorter ends
-/// before its engine does.
-const BACKUP_OUTPUT: f64 = 64.0;
+/// Min expected output tokens of a generation for a proactive copy: a shorter one ends before its
+/// engine does.
+const MIN_BACKUP_OUTPUT_TOKENS: f64 = 64.0;
 
-/// VMs that read the store for all: enough that some remain when a third of them is cut off, few
-/// enough that reading costs the same at 60 VMs as at 6.
+/// Number of VMs that read the store on behalf of all: enough that some remain when a third of them
+/// is partitioned, few enough that reading costs the same with 60 VMs as with 6.
 pub const READERS: usize = 6;
-/// VMs that look whether the store is back, of those that it does not answer.
-const AWAY_READERS: usize = 3;
+/// Number of VMs that poll the store for its recovery, among those that can't reach it.
+const MAX_PROBING_VMS: usize = 3;
--- a/crates/exchange/src/stopping.rs
+++ b/crates/exchange/src/stopping.rs
@@ -1,45 +1,45 @@
-//! How a VM stops without cutting answers off.
+//! Graceful stop of a VM, without truncated responses.
 
 use tokio::time;
 
 use crate::{catalog, plane};
 
-/// Time that callers need to learn that this VM stops: a lookup's answer is kept for 1.5 s, by some
-/// three times as long.
-const STOP_LEAST: time::Duration = time::Duration::from_millis(4_700);
-/// Time before the process is killed: what is left is cut off then.
-const STOP_SPARE: time::Duration = time::Duration::from_millis(300);
-/// Time between two looks whether all has ended.
-const STOP_LOOK: time::Duration = time::Duration::from_millis(50);
+/// Min duration of a stop, in which callers learn of it: a lookup's result is cached for 1.5 s, by
+/// some callers for three times as long.
+const MIN_STOP_TIME: time::Duration = time::Duration::from_millis(4_700);
+/// Margin before the process is killed: requests that still run are cut off then.
+const KILL_MARGIN: time::Duration = time::Duration::from_millis(300);
+/// Interval between checks whether all requests have ended.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// Time after the start of a stop from which streams are refused: some last for longer than what is
-/// left, and would be cut when the process ends.
-const LAST_STREAM: time::Duration = time::Duration::from_millis(2_500);
-/// The same for calls, which take a second at the most.
-const LAST_CALL: time::Duration = time::Duration::from_millis(6_000);
+/// How long after the start of a stop streams are accepted: some accept_time longer than the time that is
+/// left, and would be cut off when the process ends.
+const STREAM_ACCEPT_TIME: time::Duration = time::Duration::from_millis(2_500);
+/// The same for calls, which take at max a second.
+const CALL_ACCEPT_TIME: time::Duration = time::Duration::from_millis(6_000);
 
-/// Whether a VM that stops since `since` still takes a request of this kind.
+/// Returns whether a VM that has been stopping since `since` still accepts a request of this kind.
 #[must_use]
 pub fn takes(kind: catalog::ExchangeKind, since: time::Instant, now: time::Instant) -> bool {
-    let last = match kind {
-        catalog::ExchangeKind::Stream => LAST_STREAM,
-        _ => LAST_CALL,
+    let accept_time = match kind {
+        catalog::ExchangeKind::Stream => STREAM_ACCEPT_TIME,
+        _ => CALL_ACCEPT_TIME,
     };
-    now.saturating_duration_since(since) < last
+    now.saturating_duration_since(since) < accept_time
 }
 
-/// Lets callers learn that this VM stops, then waits for what runs, within `grace`.
+/// Announces the stop to callers, then waits until the running requests end, within `grace`.
 pub async fn drain<P>(plane: &plane::ExchangePlane<P>, grace: time::Duration) {
-    let began = time::Instant::now();
+    let started = time::Instant::now();
     log::info!(open = plane.open_requests(); "stopping");
     plane.stop();
-    let most = grace.saturating_sub(STOP_SPARE);
+    let max = grace.saturating_sub(KILL_MARGIN);
     loop {
-        let elapsed = began.elapsed();
-        let idle = plane.open_requests() == 0 && elapsed >= STOP_LEAST.min(most);
-        if idle || elapsed >= most {
+        let elapsed = started.elapsed();
+        let idle = plane.open_requests() == 0 && elapsed >= MIN_STOP_TIME.min(max);
+        if idle || elapsed >= max {
             return;
         }
-        time::sleep(STOP_LOOK).await;
+        time::sleep(CHECK_INTERVAL).await;
     }
 }
