--- a/crates/exchange/src/forecast.rs
+++ b/crates/exchange/src/forecast.rs
@@ -1,6 +1,6 @@
 //! Estimates of the output, memory and cost of a generation.
 
-use crate::ask;
+use crate::request;
 
 /// Fraction of the remaining output limit that is expected once a generation has passed its
 /// estimate: the remainder of a log-normal length of deviation 0.7 that is cut off at the limit.
@@ -22,7 +22,7 @@
 
 /// Expected total output of a generation that has produced `produced` tokens.
 #[must_use]
-pub fn expected_output(size: &ask::GenerationSize, produced: u32) -> f64 {
+pub fn expected_output(size: &request::GenerationSize, produced: u32) -> f64 {
     let max = f64::from(size.most_tokens);
     let produced = f64::from(produced);
     let unhinted = (max * UNHINTED_FRACTION).max(1.0);
@@ -40,14 +40,14 @@
 
 /// Memory planned for a generation before it starts.
 #[must_use]
-pub fn planned_tokens(size: &ask::GenerationSize) -> u64 {
+pub fn planned_tokens(size: &request::GenerationSize) -> u64 {
     u64::from(size.prompt_tokens) + (expected_output(size, 0) * PLANNED_PART) as u64
 }
 
 /// Expected memory of a generation times its expected run time, in thousands of token seconds: the
 /// resource that engines are short of.
 #[must_use]
-pub fn expected_cost(size: &ask::GenerationSize) -> f64 {
+pub fn expected_cost(size: &request::GenerationSize) -> f64 {
     let prefill_ms = f64::from(size.prompt_tokens) / PREFILL_TOKENS_PER_MS;
     let decode_ms = expected_output(size, 0) * TOKEN_MS;
     planned_tokens(size) as f64 * (prefill_ms + decode_ms) / 1.0e6
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -5,7 +5,6 @@
 //! [`suspect`], [`relocate`], [`directory`]. [`plane`] executes them over the interface in
 //! [`port`]; [`link`] carries the messages between entry VMs.
 
-pub mod ask;
 pub mod audience;
 pub mod budget;
 pub mod catalog;
@@ -33,6 +32,7 @@
 pub mod port;
 pub mod relocate;
 pub mod reply;
+pub mod request;
 pub mod room;
 pub mod runs;
 mod serve_call;
--- a/crates/exchange/src/moving.rs
+++ b/crates/exchange/src/moving.rs
@@ -74,10 +74,10 @@
             to,
             fallback: None,
             origin: to,
-            handle: self.ask.id.clone(),
+            handle: self.request.id.clone(),
         };
         log::info!(
-            request:% = self.ask.id, from:% = self.plane.server_id(live.placed.server),
+            request:% = self.request.id, from:% = self.plane.server_id(live.placed.server),
             to:% = self.plane.server_id(to), events = self.splitter.events();
             "goes on at its backup"
         );
@@ -112,7 +112,7 @@
             let began = time::Instant::now();
             let (copied, ended) = self.copy_once(live, &source, &target, stop).await;
             log::info!(
-                request:% = self.ask.id, from:% = source.id, to:% = target.id, stop,
+                request:% = self.request.id, from:% = source.id, to:% = target.id, stop,
                 outcome:? = copied, ms = millis(started); "copied"
             );
             let from = live.placed.server;
@@ -175,7 +175,7 @@
         stop: bool,
     ) -> (Result<port::CopyDone, port::CopyFault>, Option<RelayEnd>) {
         let plane = self.plane.clone();
-        let run = self.ask.id.clone();
+        let run = self.request.id.clone();
         let copying = plane.port.copy(source.clone(), run, target.address, stop);
         tokio::pin!(copying);
         let mut ended = None;
@@ -233,7 +233,7 @@
             if moves && self.plane.state().fleet.is_evacuated(server) {
                 continue;
             }
-            self.plane.state().force_retry(&self.ask.service, now);
+            self.plane.state().force_retry(&self.request.service, now);
             let backup = self.next_backup(server);
             let Some(origin) = self.plane.target(copy.origin) else {
                 return false;
@@ -256,7 +256,7 @@
                     self.moves += 1;
                     metrics::counter!("pollenchute_exchange_resumed_total").increment(1);
                     log::info!(
-                        request:% = self.ask.id, server:% = self.plane.server_id(server),
+                        request:% = self.request.id, server:% = self.plane.server_id(server),
                         ms = millis(now), last_event:? = self.splitter.last_id(); "goes on"
                     );
                     return true;
@@ -265,7 +265,7 @@
                     let ran = other.ran();
                     self.set_backup(live, held);
                     log::info!(
-                        request:% = self.ask.id, server:% = self.plane.server_id(server),
+                        request:% = self.request.id, server:% = self.plane.server_id(server),
                         ran:? = ran, ms = millis(now); "does not go on there"
                     );
                     if ran != outcome::RanState::No {
@@ -280,8 +280,8 @@
     /// Chooses the server for the proactive copy of a run that continues on `server`.
     fn next_backup(&self, server: fleet::ServerKey) -> Option<fleet::ServerKey> {
         let mut state = self.plane.state();
-        let engine = state.service(&self.ask.service)?.engine?;
-        state.backup_for(&self.ask, server, &engine, time::Instant::now())
+        let engine = state.service(&self.request.service)?.engine?;
+        state.backup_for(&self.request, server, &engine, time::Instant::now())
     }
 
     fn set_backup(
@@ -308,7 +308,7 @@
     pub(crate) fn copy_after_break(&mut self, live: &LiveRun<P>) -> Option<CopyPlace> {
         let server = live.placed.server;
         log::info!(
-            request:% = self.ask.id, server:% = self.plane.server_id(server),
+            request:% = self.request.id, server:% = self.plane.server_id(server),
             events = self.splitter.events(); "stream broke off"
         );
         self.plane.judge(server, server::ServerVerdict::Failed);
@@ -324,7 +324,7 @@
             to,
             fallback: None,
             origin: to,
-            handle: self.ask.id.clone(),
+            handle: self.request.id.clone(),
         })
     }
 }
--- a/crates/exchange/src/pace.rs
+++ b/crates/exchange/src/pace.rs
@@ -2,7 +2,7 @@
 
 use tokio::time;
 
-use crate::ask;
+use crate::request;
 
 /// First arrival and longest pause of the events of one stream.
 #[derive(Debug, Default)]
@@ -21,9 +21,11 @@
         self.last = Some(now);
     }
 
-    pub(crate) fn count(&self, ask: &ask::ExchangeAsk) {
+    pub(crate) fn count(&self, request: &request::ExchangeRequest) {
         if let Some(first) = self.first {
-            let first = first.saturating_duration_since(ask.arrived).as_secs_f64();
+            let first = first
+                .saturating_duration_since(request.arrived)
+                .as_secs_f64();
             metrics::histogram!("pollenchute_exchange_first_event_seconds").record(first);
         }
         let worst = self.worst.as_secs_f64();
@@ -31,8 +33,8 @@
     }
 
     /// Time between the arrival of the request and its first event.
-    pub(crate) fn first_ms(&self, ask: &ask::ExchangeAsk) -> Option<u64> {
-        let first = self.first?.saturating_duration_since(ask.arrived);
+    pub(crate) fn first_ms(&self, request: &request::ExchangeRequest) -> Option<u64> {
+        let first = self.first?.saturating_duration_since(request.arrived);
         u64::try_from(first.as_millis()).ok()
     }
 
--- a/crates/exchange/src/place.rs
+++ b/crates/exchange/src/place.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use tokio::time;
 
-use crate::{ask, catalog, fleet, forecast, loads, room, server};
+use crate::{catalog, fleet, forecast, loads, request, room, server};
 
 /// Fraction of an engine's memory up to which proactive copies may fill it; the rest is reserved
 /// for runs.
@@ -63,11 +63,11 @@
 
 /// A request for a server.
 #[derive(Clone, Debug)]
-pub struct PlaceAsk<'a> {
+pub struct PlacementRequest<'a> {
     /// Service of the request.
     pub service: &'a str,
     /// Size of a generation; `None` for calls.
-    pub size: Option<&'a ask::GenerationSize>,
+    pub size: Option<&'a request::GenerationSize>,
     /// Servers that must not be chosen.
     pub avoid: &'a [fleet::ServerKey],
     /// Failure domain of this VM.
@@ -81,8 +81,8 @@
     pub kept_part: f64,
 }
 
-impl PlaceAsk<'_> {
-    fn need(&self, size: &ask::GenerationSize) -> room::RoomNeed {
+impl PlacementRequest<'_> {
+    fn need(&self, size: &request::GenerationSize) -> room::RoomNeed {
         room::RoomNeed {
             tokens: forecast::planned_tokens(size) as f64,
             yielded: self.yielded_tokens as f64,
@@ -106,31 +106,31 @@
 pub fn choose(
     fleet: &fleet::ServerFleet,
     rule: Option<&catalog::ServiceRule>,
-    ask: &PlaceAsk<'_>,
+    request: &PlacementRequest<'_>,
     now: time::Instant,
     rng: &mut impl rand::Rng,
 ) -> PlaceOutcome {
-    let loads = fleet.loads(ask.service, now);
+    let loads = fleet.loads(request.service, now);
     let engine = rule.and_then(|rule| rule.engine);
-    let affinity_server = affinity_server(fleet, ask, now);
-    if let (Some(engine), Some(size)) = (engine, ask.size)
-        && !room::MemoryRoom::measure(fleet, ask.service, &engine, &loads, now)
-            .takes(&ask.need(size))
+    let affinity_server = affinity_server(fleet, request, now);
+    if let (Some(engine), Some(size)) = (engine, request.size)
+        && !room::MemoryRoom::measure(fleet, request.service, &engine, &loads, now)
+            .takes(&request.need(size))
     {
-        let any = fleet.ready(ask.service, now).next().is_some();
+        let any = fleet.ready(request.service, now).next().is_some();
         return if any {
             PlaceOutcome::Full
         } else {
             PlaceOutcome::NoServer
         };
     }
-    let spread = (SPREAD_MS * f64::from(ask.entries)).min(MAX_SPREAD_MS);
+    let spread = (SPREAD_MS * f64::from(request.entries)).min(MAX_SPREAD_MS);
     let spread = if engine.is_some() { spread } else { SPREAD_MS };
-    let avoids_failing = engine.is_some() && only_few_fail(fleet, ask.service, now);
+    let avoids_failing = engine.is_some() && only_few_fail(fleet, request.service, now);
     let mut best = None;
     let mut any = false;
-    for (key, record) in fleet.ready(ask.service, now) {
-        if ask.avoid.contains(&key) {
+    for (key, record) in fleet.ready(request.service, now) {
+        if request.avoid.contains(&key) {
             continue;
         }
         any = true;
@@ -141,12 +141,12 @@
         if rule.is_some_and(|rule| is_out_of_connections(rule, &load)) {
             continue;
         }
-        let cost = match (engine, ask.size) {
+        let cost = match (engine, request.size) {
             (Some(engine), Some(size)) => generation_cost(&engine, size, record, &load),
-            _ => call_cost(record, &load, ask.entries, now),
+            _ => call_cost(record, &load, request.entries, now),
         };
         let Some(mut cost) = cost else { continue };
-        cost += common_cost(record, ask.domain, now);
+        cost += common_cost(record, request.domain, now);
         if affinity_server == Some(key) {
             cost -= AFFINITY_BONUS_MS;
         }
@@ -185,7 +185,7 @@
 /// Expected cost of a generation; `None` if it does not fit on the engine.
 fn generation_cost(
     engine: &catalog::EngineRule,
-    size: &ask::GenerationSize,
+    size: &request::GenerationSize,
     record: &server::ServerRecord,
     load: &loads::ServerLoad,
 ) -> Option<f64> {
@@ -256,12 +256,12 @@
 /// Returns the server that all VMs prefer for the same first prompt part, by rendezvous hashing.
 fn affinity_server(
     fleet: &fleet::ServerFleet,
-    ask: &PlaceAsk<'_>,
+    request: &PlacementRequest<'_>,
     now: time::Instant,
 ) -> Option<fleet::ServerKey> {
-    let part = ask.size?.parts.first()?;
+    let part = request.size?.parts.first()?;
     fleet
-        .ready(ask.service, now)
+        .ready(request.service, now)
         .max_by_key(|(_, record)| {
             xxhash_rust::xxh3::xxh3_64_with_seed(record.id.as_bytes(), part.hash)
         })
@@ -270,7 +270,7 @@
 
 /// A request for a server that receives a copy of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct CopyAsk<'a> {
+pub struct CopyRequest<'a> {
     /// Server of the run.
     pub source: fleet::ServerKey,
     /// Memory that the run is expected to need.
@@ -300,10 +300,14 @@
 
 /// Time that the source's link needs for this run and for the other runs that move off the source
 /// at the same time: the additional cost of a copy to another failure domain.
-fn copy_queue_ms(engine: &catalog::EngineRule, ask: &CopyAsk<'_>, loads: &fleet::LoadTable) -> f64 {
-    let moving = loads.get(ask.source).map_or(1, |load| load.runs.max(1));
-    let runs = if ask.beforehand { 1 } else { moving };
-    ask.tokens as f64 * engine.copy_us_per_token / 1_000.0 * f64::from(runs)
+fn copy_queue_ms(
+    engine: &catalog::EngineRule,
+    request: &CopyRequest<'_>,
+    loads: &fleet::LoadTable,
+) -> f64 {
+    let moving = loads.get(request.source).map_or(1, |load| load.runs.max(1));
+    let runs = if request.beforehand { 1 } else { moving };
+    request.tokens as f64 * engine.copy_us_per_token / 1_000.0 * f64::from(runs)
 }
 
 /// Chooses the server for a copy of a run, preferring the run's own failure domain, where copies
@@ -311,25 +315,31 @@
 pub fn choose_copy(
     fleet: &fleet::ServerFleet,
     engine: &catalog::EngineRule,
-    ask: &CopyAsk<'_>,
+    request: &CopyRequest<'_>,
     now: time::Instant,
     rng: &mut impl rand::Rng,
 ) -> Option<fleet::ServerKey> {
-    let source = fleet.server(ask.source)?;
-    let loads = fleet.loads(ask.service, now);
+    let source = fleet.server(request.source)?;
+    let loads = fleet.loads(request.service, now);
     let memory = engine.memory_tokens as f64;
-    if ask.beforehand && fleet_fill(fleet, ask.service, memory, &loads, now) > MAX_BACKUP_FLEET_FILL
+    if request.beforehand
+        && fleet_fill(fleet, request.service, memory, &loads, now) > MAX_BACKUP_FLEET_FILL
     {
         return None;
     }
-    let limit = memory * if ask.beforehand { MAX_BACKUP_FILL } else { 1.0 };
-    let other_domain_ms = copy_queue_ms(engine, ask, &loads);
+    let limit = memory
+        * if request.beforehand {
+            MAX_BACKUP_FILL
+        } else {
+            1.0
+        };
+    let other_domain_ms = copy_queue_ms(engine, request, &loads);
     let mut best = None;
-    for (key, record) in fleet.ready(ask.service, now) {
+    for (key, record) in fleet.ready(request.service, now) {
         let load = loads.get(key).copied().unwrap_or_default();
-        let after = (load.tokens + ask.tokens) as f64;
+        let after = (load.tokens + request.tokens) as f64;
         let full = record.is_full(now) || load.runs >= record.slots;
-        if key == ask.source || after > limit || full {
+        if key == request.source || after > limit || full {
             continue;
         }
         let fill = after / memory;
--- a/crates/exchange/src/placing.rs
+++ b/crates/exchange/src/placing.rs
@@ -8,7 +8,7 @@
 
 use tokio::{sync::oneshot, time};
 
-use crate::{ask, catalog, fleet, forecast, place, plane, port, reply, wait};
+use crate::{catalog, fleet, forecast, place, plane, port, reply, request, wait};
 
 /// Waiting requests by service and key in its queue.
 pub(crate) type WaiterTable = collections::HashMap<(String, wait::WaitKey), Waiter>;
@@ -16,7 +16,7 @@
 /// A request that waits for a server.
 #[derive(Debug)]
 pub(crate) struct Waiter {
-    pub(crate) ask: rc::Rc<ask::ExchangeAsk>,
+    pub(crate) request: rc::Rc<request::ExchangeRequest>,
     pub(crate) avoid: Vec<fleet::ServerKey>,
     pub(crate) assigned: oneshot::Sender<(fleet::RunKey, fleet::ServerKey)>,
 }
@@ -43,34 +43,38 @@
     /// Assigns a server to an attempt, after a wait if necessary.
     pub(crate) async fn place(
         self: &rc::Rc<Self>,
-        ask: &rc::Rc<ask::ExchangeAsk>,
+        request: &rc::Rc<request::ExchangeRequest>,
         avoid: &[fleet::ServerKey],
     ) -> Result<plane::PlacedRun<P>, reply::Refusal> {
-        self.place_again(ask, avoid, &mut None).await
+        self.place_again(request, avoid, &mut None).await
     }
 
     /// Assigns a server to an attempt that may have waited before: it keeps its position in the
     /// queue.
     pub(crate) async fn place_again(
         self: &rc::Rc<Self>,
-        ask: &rc::Rc<ask::ExchangeAsk>,
+        request: &rc::Rc<request::ExchangeRequest>,
         avoid: &[fleet::ServerKey],
         waited: &mut Option<wait::WaitRecord>,
     ) -> Result<plane::PlacedRun<P>, reply::Refusal> {
         let now = time::Instant::now();
-        let rank = self.state.borrow().claim(ask, now).rank(now);
-        let ahead = self.state.borrow_mut().queue(&ask.service).ahead(rank, now);
+        let rank = self.state.borrow().claim(request, now).rank(now);
+        let ahead = self
+            .state
+            .borrow_mut()
+            .queue(&request.service)
+            .ahead(rank, now);
         if ahead == 0 {
-            let placed = self.state.borrow_mut().place(ask, avoid, rank, now);
+            let placed = self.state.borrow_mut().place(request, avoid, rank, now);
             match placed {
                 Ok((run, server)) => return Ok(self.placed(run, server)),
                 Err(place::PlaceOutcome::NoServer) if !avoid.is_empty() => {
-                    return Err(self.refuse(ask, reply::RefusalCause::NoServer));
+                    return Err(self.refuse(request, reply::RefusalCause::NoServer));
                 }
                 Err(_) => {}
             }
         }
-        self.wait_for_place(ask, avoid, waited, now).await
+        self.wait_for_place(request, avoid, waited, now).await
     }
 
     pub(crate) fn placed(
@@ -87,7 +91,7 @@
 
     async fn wait_for_place(
         self: &rc::Rc<Self>,
-        ask: &rc::Rc<ask::ExchangeAsk>,
+        request: &rc::Rc<request::ExchangeRequest>,
         avoid: &[fleet::ServerKey],
         waited: &mut Option<wait::WaitRecord>,
         now: time::Instant,
@@ -95,22 +99,22 @@
         let record = match *waited {
             Some(record) => record,
             None => {
-                let record = self.wait_record(ask, now);
-                record.ok_or_else(|| self.refuse(ask, reply::RefusalCause::Overload))?
+                let record = self.wait_record(request, now);
+                record.ok_or_else(|| self.refuse(request, reply::RefusalCause::Overload))?
             }
         };
         *waited = Some(record);
         let rank = record.claim.rank(now);
         let (key, ahead) = {
             let mut state = self.state.borrow_mut();
-            let queue = state.queue(&ask.service);
+            let queue = state.queue(&request.service);
             let ahead = queue.ahead(rank, now);
             (queue.enter(record), ahead)
         };
-        let index = (ask.service.clone(), key);
+        let index = (request.service.clone(), key);
         let (assigned, place) = oneshot::channel();
         let waiter = Waiter {
-            ask: ask.clone(),
+            request: request.clone(),
             avoid: avoid.to_vec(),
             assigned,
         };
@@ -121,24 +125,24 @@
         };
         let guard = WaitGuard { plane: self, index };
         log::info!(
-            request:% = ask.id, service:% = ask.service, rank = rank.index(), ahead,
+            request:% = request.id, service:% = request.service, rank = rank.index(), ahead,
             came_back = record.claim.on_time_until.is_none();
             "waits for a place"
         );
         self.stirred.notify_one();
         self.tell_loads();
-        let placed = self.receive_assignment(ask, &record, place).await;
+        let placed = self.receive_assignment(request, &record, place).await;
         drop(guard);
         metrics::histogram!("pollenchute_exchange_waited_seconds")
             .record(now.elapsed().as_secs_f64());
-        placed.map_err(|cause| self.refuse(ask, cause))
+        placed.map_err(|cause| self.refuse(request, cause))
     }
 
     /// Waits until a server is assigned, the max wait ends, or the request can't start in time any
     /// more.
     async fn receive_assignment(
         &self,
-        ask: &ask::ExchangeAsk,
+        request: &request::ExchangeRequest,
         record: &wait::WaitRecord,
         place: AssignmentReceiver<P>,
     ) -> Result<plane::PlacedRun<P>, reply::RefusalCause> {
@@ -156,7 +160,7 @@
             }
             let rank = record.claim.rank(now);
             if record.claim.on_time_until.is_some()
-                && self.state.borrow().is_hopeless(ask, rank, now)
+                && self.state.borrow().is_hopeless(request, rank, now)
             {
                 return Err(reply::RefusalCause::Overload);
             }
@@ -164,22 +168,26 @@
     }
 
     /// Queue entry of a new request; `None` if it should be refused at once.
-    fn wait_record(&self, ask: &ask::ExchangeAsk, now: time::Instant) -> Option<wait::WaitRecord> {
-        let stream = ask.kind == catalog::ExchangeKind::Stream;
-        let patience = wait::patience(ask.left(now), ask.aim, stream);
+    fn wait_record(
+        &self,
+        request: &request::ExchangeRequest,
+        now: time::Instant,
+    ) -> Option<wait::WaitRecord> {
+        let stream = request.kind == catalog::ExchangeKind::Stream;
+        let patience = wait::patience(request.left(now), request.aim, stream);
         let mut state = self.state.borrow_mut();
-        let claim = state.claim(ask, now);
+        let claim = state.claim(request, now);
         let rank = claim.rank(now);
-        let queue = state.queue(&ask.service);
+        let queue = state.queue(&request.service);
         if queue.is_hopeless(rank, patience, now) {
             return None;
         }
         Some(wait::WaitRecord {
-            priority: ask.priority,
+            priority: request.priority,
             claim,
             order: queue.next_order(),
             until: now + patience,
-            tokens: ask.size.as_ref().map_or(0, forecast::planned_tokens),
+            tokens: request.size.as_ref().map_or(0, forecast::planned_tokens),
         })
     }
 }
--- a/crates/exchange/src/plane.rs
+++ b/crates/exchange/src/plane.rs
@@ -6,8 +6,8 @@
 use tokio::{sync::mpsc, time};
 
 use crate::{
-    ask, catalog, fleet, message, placing, port, relocate, reply, serve_call, serve_stream, server,
-    state, stopping, wait,
+    catalog, fleet, message, placing, port, relocate, reply, request, serve_call, serve_stream,
+    server, state, stopping, wait,
 };
 
 /// Interval between checks of waiting requests and due moves, while there are any: a tenth of the
@@ -196,7 +196,7 @@
                 .get(key)
                 .map(|record| record.claim.rank(now));
             let rank = rank.unwrap_or_default();
-            let Ok(placed) = state.place(&waiter.ask, &waiter.avoid, rank, now) else {
+            let Ok(placed) = state.place(&waiter.request, &waiter.avoid, rank, now) else {
                 // The first request in the queue gets the next free memory: if smaller ones could
                 // overtake it, a large one would starve.
                 return;
@@ -242,18 +242,20 @@
     /// Refusal of a request that certainly did not run.
     pub(crate) fn refuse(
         &self,
-        ask: &ask::ExchangeAsk,
+        request: &request::ExchangeRequest,
         cause: reply::RefusalCause,
     ) -> reply::Refusal {
         let now = time::Instant::now();
         let mut state = self.state.borrow_mut();
-        let rank = state.claim(ask, now).rank(now);
-        let wait = state.queue(&ask.service).expected_wait(rank, now);
-        let wait = wait.max(state.closed_for(ask, rank, now));
+        let rank = state.claim(request, now).rank(now);
+        let wait = state.queue(&request.service).expected_wait(rank, now);
+        let wait = wait.max(state.closed_for(request, rank, now));
         let draw = state.draw();
-        let retry_after = wait::retry_after(wait, ask.left(now), draw);
-        if ask.size.is_some() {
-            state.comebacks.refused(ask.fingerprint, retry_after, now);
+        let retry_after = wait::retry_after(wait, request.left(now), draw);
+        if request.size.is_some() {
+            state
+                .comebacks
+                .refused(request.fingerprint, retry_after, now);
         }
         reply::Refusal {
             cause,
@@ -284,34 +286,35 @@
     /// Returns a refusal if the request is rejected or abandoned on this VM.
     pub async fn serve(
         self: &rc::Rc<Self>,
-        ask: ask::ExchangeAsk,
+        request: request::ExchangeRequest,
     ) -> Result<reply::Reply, reply::Refusal> {
         self.open.set(self.open.get() + 1);
         let guard = OpenGuard(self.clone());
-        let ask = rc::Rc::new(ask);
+        let request = rc::Rc::new(request);
         let now = time::Instant::now();
         let quarantined = {
             let mut state = self.state.borrow_mut();
-            state.count_first(&ask.service, now);
-            state.suspects.is_quarantined(ask.fingerprint, now)
+            state.count_first(&request.service, now);
+            state.suspects.is_quarantined(request.fingerprint, now)
         };
         let since = self.state.borrow().stopping_since;
-        if since.is_some_and(|since| !stopping::takes(ask.kind, since, now)) {
-            return Err(self.refuse(&ask, reply::RefusalCause::Stopping));
+        if since.is_some_and(|since| !stopping::takes(request.kind, since, now)) {
+            return Err(self.refuse(&request, reply::RefusalCause::Stopping));
         }
         if quarantined {
-            return Err(self.refuse(&ask, reply::RefusalCause::Quarantined));
+            return Err(self.refuse(&request, reply::RefusalCause::Quarantined));
         }
-        match ask.kind {
-            catalog::ExchangeKind::Stream => serve_stream::serve(self, ask, guard).await,
-            _ => serve_call::serve(self, ask, guard).await,
+        match request.kind {
+            catalog::ExchangeKind::Stream => serve_stream::serve(self, request, guard).await,
+            _ => serve_call::serve(self, request, guard).await,
         }
     }
 
     /// Remaining time for an attempt sent now.
-    pub(crate) fn left(ask: &ask::ExchangeAsk) -> time::Duration {
-        ask.limit
-            .min(ask.deadline)
+    pub(crate) fn left(request: &request::ExchangeRequest) -> time::Duration {
+        request
+            .limit
+            .min(request.deadline)
             .saturating_duration_since(time::Instant::now())
     }
 }
--- a/crates/exchange/src/port.rs
+++ b/crates/exchange/src/port.rs
@@ -5,7 +5,7 @@
 use base::outcome;
 use bytes::Bytes;
 
-use crate::ask;
+use crate::request;
 
 /// Target of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct ServerCall {
     /// The request.
-    pub ask: rc::Rc<ask::ExchangeAsk>,
+    pub request: rc::Rc<request::ExchangeRequest>,
     /// Server to send to.
     pub target: ServerTarget,
     /// Time limit for the server.
--- a/crates/exchange/src/relocate.rs
+++ b/crates/exchange/src/relocate.rs
@@ -91,11 +91,11 @@
     if !engine.moves || superseded {
         return None;
     }
-    let ask = place::CopyAsk {
+    let request = place::CopyRequest {
         source: run.server,
         tokens: run.planned_tokens(),
         beforehand: false,
         service,
     };
-    place::choose_copy(fleet, engine, &ask, now, rng).map(RelocationOrder::Move)
+    place::choose_copy(fleet, engine, &request, now, rng).map(RelocationOrder::Move)
 }
--- a/crates/exchange/src/ask.rs
+++ b/crates/exchange/src/request.rs
@@ -37,7 +37,7 @@
 
 /// One request.
 #[derive(Clone, Debug)]
-pub struct ExchangeAsk {
+pub struct ExchangeRequest {
     /// Id that the caller gave to this attempt; servers echo it.
     pub id: String,
     /// Method, unchanged.
@@ -76,7 +76,7 @@
     pub fingerprint: u64,
 }
 
-impl ExchangeAsk {
+impl ExchangeRequest {
     /// Remaining time for the response, never negative.
     #[must_use]
     pub fn left(&self, now: time::Instant) -> time::Duration {
--- a/crates/exchange/src/runs.rs
+++ b/crates/exchange/src/runs.rs
@@ -2,7 +2,7 @@
 
 use tokio::time;
 
-use crate::{ask, fleet, forecast};
+use crate::{fleet, forecast, request};
 
 /// One attempt that this VM has running on a server.
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
     /// No new copy is started before then, after one failed.
     pub move_after: Option<time::Instant>,
     /// Size of a generation; `None` for calls.
-    pub size: Option<ask::GenerationSize>,
+    pub size: Option<request::GenerationSize>,
     /// Tokens produced so far.
     pub produced: u32,
     /// When the attempt was sent.
--- a/crates/exchange/src/serve_call.rs
+++ b/crates/exchange/src/serve_call.rs
@@ -9,7 +9,7 @@
 use tokio::{sync::mpsc, time};
 
 use crate::{
-    ask, catalog, fleet, plane, port, port::AnswerBody as _, reply, serve_stream, server, wait,
+    catalog, fleet, plane, port, port::AnswerBody as _, reply, request, serve_stream, server, wait,
 };
 
 /// Max size of a response that is buffered completely; a longer one is streamed to the caller and
@@ -51,18 +51,18 @@
 /// response.
 pub(crate) async fn serve<P: port::ServerPort + 'static, G: 'static>(
     plane: &rc::Rc<plane::ExchangePlane<P>>,
-    ask: rc::Rc<ask::ExchangeAsk>,
+    request: rc::Rc<request::ExchangeRequest>,
     guard: G,
 ) -> Result<reply::Reply, reply::Refusal> {
     let mut call = CallState {
         plane,
-        ask: &ask,
+        request: &request,
         avoid: Vec::new(),
         sent: 0,
         ran: outcome::RanState::No,
         guard: Some(guard),
     };
-    match time::timeout_at(ask.limit, call.run()).await {
+    match time::timeout_at(request.limit, call.run()).await {
         Ok(end) => end,
         Err(_) => Err(call.timed_out()),
     }
@@ -70,7 +70,7 @@
 
 struct CallState<'a, P: port::ServerPort, G> {
     plane: &'a rc::Rc<plane::ExchangePlane<P>>,
-    ask: &'a rc::Rc<ask::ExchangeAsk>,
+    request: &'a rc::Rc<request::ExchangeRequest>,
     /// Servers that already got an attempt.
     avoid: Vec<fleet::ServerKey>,
     /// Attempts that may have reached a server able to run the call.
@@ -84,12 +84,12 @@
 impl<P: port::ServerPort + 'static, G: 'static> CallState<'_, P, G> {
     async fn run(&mut self) -> Result<reply::Reply, reply::Refusal> {
         let mut attempts = stream::FuturesUnordered::new();
-        let first = self.plane.place(self.ask, &self.avoid).await?;
+        let first = self.plane.place(self.request, &self.avoid).await?;
         attempts.push(self.send(first));
         let mut last_answer = None;
         let hedge = time::sleep(self.hedge_after());
         tokio::pin!(hedge);
-        let mut hedged = self.ask.kind != catalog::ExchangeKind::Idempotent;
+        let mut hedged = self.request.kind != catalog::ExchangeKind::Idempotent;
         loop {
             let end = tokio::select! {
                 end = attempts.next() => end,
@@ -112,7 +112,7 @@
                 return last_answer.unwrap_or_else(|| Err(self.lost()));
             }
             if attempts.is_empty() {
-                match self.plane.place(self.ask, &self.avoid).await {
+                match self.plane.place(self.request, &self.avoid).await {
                     Ok(placed) => attempts.push(self.send(placed)),
                     Err(refusal) => return last_answer.unwrap_or(Err(refusal)),
                 }
@@ -123,7 +123,7 @@
     /// Delay of the hedge: late enough that few calls need it, early enough that its response is
     /// still on time.
     fn hedge_after(&self) -> time::Duration {
-        self.ask
+        self.request
             .aim
             .mul_f64(HEDGE_AFTER_FRACTION)
             .max(MIN_HEDGE_DELAY)
@@ -132,15 +132,15 @@
     fn hedge(&mut self) -> Option<plane::PlacedRun<P>> {
         let now = time::Instant::now();
         let mut state = self.plane.state();
-        if self.sent >= self.ask.attempts
-            || state.retries_left(&self.ask.service, now) < MIN_RETRIES_TO_HEDGE
+        if self.sent >= self.request.attempts
+            || state.retries_left(&self.request.service, now) < MIN_RETRIES_TO_HEDGE
         {
             return None;
         }
         let (run, server) = state
-            .place(self.ask, &self.avoid, wait::WaitRank::default(), now)
+            .place(self.request, &self.avoid, wait::WaitRank::default(), now)
             .ok()?;
-        state.take_retry(&self.ask.service, now);
+        state.take_retry(&self.request.service, now);
         drop(state);
         metrics::counter!("pollenchute_exchange_hedges_total").increment(1);
         Some(self.plane.placed(run, server))
@@ -154,15 +154,15 @@
         self.avoid.push(placed.server);
         self.sent += 1;
         let plane = self.plane.clone();
-        let ask = self.ask.clone();
+        let request = self.request.clone();
         async move {
             let server = placed.server;
-            (server, run_attempt(plane, ask, placed).await)
+            (server, run_attempt(plane, request, placed).await)
         }
     }
 
     fn judge(&mut self, server: fleet::ServerKey, end: AttemptEnd<P>) -> Step {
-        let idempotent = self.ask.kind == catalog::ExchangeKind::Idempotent;
+        let idempotent = self.request.kind == catalog::ExchangeKind::Idempotent;
         match end {
             AttemptEnd::Whole(answer) => {
                 self.ran = outcome::RanState::Yes;
@@ -180,7 +180,11 @@
             }
             AttemptEnd::Long(answer) => {
                 self.ran = outcome::RanState::Yes;
-                Step::Answer(Ok(stream_long(self.ask.clone(), answer, self.guard.take())))
+                Step::Answer(Ok(stream_long(
+                    self.request.clone(),
+                    answer,
+                    self.guard.take(),
+                )))
             }
             AttemptEnd::NotRun(cause) => {
                 // An attempt that no server could have run does not count towards the route's
@@ -194,7 +198,7 @@
                 };
                 self.log_failed(server, cause_name(cause));
                 if self.ran == outcome::RanState::No {
-                    Step::Again(Err(self.plane.refuse(self.ask, refused)))
+                    Step::Again(Err(self.plane.refuse(self.request, refused)))
                 } else {
                     Step::Again(Err(self.lost()))
                 }
@@ -214,15 +218,15 @@
 
     fn retry_allowed(&self) -> bool {
         let now = time::Instant::now();
-        let idempotent = self.ask.kind == catalog::ExchangeKind::Idempotent;
+        let idempotent = self.request.kind == catalog::ExchangeKind::Idempotent;
         let may = idempotent || self.ran == outcome::RanState::No;
-        may && self.sent < self.ask.attempts
-            && self.plane.state().take_retry(&self.ask.service, now)
+        may && self.sent < self.request.attempts
+            && self.plane.state().take_retry(&self.request.service, now)
     }
 
     fn log_failed(&self, server: fleet::ServerKey, why: &str) {
         log::info!(
-            request:% = self.ask.id, server:% = self.plane.server_id(server), cause:% = why;
+            request:% = self.request.id, server:% = self.plane.server_id(server), cause:% = why;
             "try failed"
         );
     }
@@ -240,7 +244,9 @@
             self.plane.judge(server, server::ServerVerdict::Failed);
         }
         if self.sent == 0 {
-            return self.plane.refuse(self.ask, reply::RefusalCause::Patience);
+            return self
+                .plane
+                .refuse(self.request, reply::RefusalCause::Patience);
         }
         reply::Refusal {
             cause: reply::RefusalCause::Timeout,
@@ -267,24 +273,24 @@
 
 async fn run_attempt<P: port::ServerPort + 'static>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
-    ask: rc::Rc<ask::ExchangeAsk>,
+    request: rc::Rc<request::ExchangeRequest>,
     placed: plane::PlacedRun<P>,
 ) -> AttemptEnd<P> {
     let started = time::Instant::now();
     let Some(target) = plane.target(placed.server) else {
         return AttemptEnd::NotRun(port::NotRunCause::Unreachable);
     };
-    let reuse = match ask.kind {
+    let reuse = match request.kind {
         catalog::ExchangeKind::Idempotent => port::ReuseRule::Any,
         _ => port::ReuseRule::FRESH,
     };
     log::info!(
-        request:% = ask.id, server:% = target.id,
-        waited_ms = serve_stream::millis(ask.arrived); "try sent"
+        request:% = request.id, server:% = target.id,
+        waited_ms = serve_stream::millis(request.arrived); "try sent"
     );
-    let left = plane::ExchangePlane::<P>::left(&ask);
+    let left = plane::ExchangePlane::<P>::left(&request);
     let call = port::ServerCall {
-        ask,
+        request,
         target,
         left,
         resume: None,
@@ -364,7 +370,7 @@
 /// `guard` are held until the caller has received all of it, so that a stop of this VM waits for
 /// it.
 fn stream_long<P: port::ServerPort + 'static, G: 'static>(
-    ask: rc::Rc<ask::ExchangeAsk>,
+    request: rc::Rc<request::ExchangeRequest>,
     answer: LongAnswer<P>,
     guard: G,
 ) -> reply::Reply {
@@ -380,10 +386,10 @@
         let end = tokio::select! {
             biased;
             () = sender.closed() => outcome::EndKind::Left,
-            () = time::sleep_until(ask.limit) => outcome::EndKind::Failed,
+            () = time::sleep_until(request.limit) => outcome::EndKind::Failed,
             end = forward_parts(&sender, first, &mut body) => end,
         };
-        log::info!(request:% = ask.id, end:% = end.name(); "long answer ended");
+        log::info!(request:% = request.id, end:% = end.name(); "long answer ended");
         drop((placed, guard));
     });
     reply::Reply {
--- a/crates/exchange/src/serve_stream.rs
+++ b/crates/exchange/src/serve_stream.rs
@@ -11,8 +11,8 @@
 };
 
 use crate::{
-    ask, event, fleet, forecast, moving, pace, plane, port, port::AnswerBody as _, relocate, reply,
-    server,
+    event, fleet, forecast, moving, pace, plane, port, port::AnswerBody as _, relocate, reply,
+    request, server,
 };
 
 /// Stream parts buffered for a slow caller: limits the memory that it can hold.
@@ -42,14 +42,14 @@
 /// Serves one stream. Its run is cancelled when the returned body is dropped.
 pub(crate) async fn serve<P: port::ServerPort + 'static, G: 'static>(
     plane: &rc::Rc<plane::ExchangePlane<P>>,
-    ask: rc::Rc<ask::ExchangeAsk>,
+    request: rc::Rc<request::ExchangeRequest>,
     guard: G,
 ) -> Result<reply::Reply, reply::Refusal> {
     let (head, head_receiver) = oneshot::channel();
     let (parts, parts_receiver) = mpsc::channel(MAX_BUFFERED_PARTS);
     let plane = plane.clone();
     tokio::task::spawn_local(async move {
-        drive(plane, ask, head, parts).await;
+        drive(plane, request, head, parts).await;
         drop(guard);
     });
     let lost = reply::Refusal {
@@ -69,14 +69,14 @@
 /// Drives one stream until it ends, its time limit passes or its caller leaves.
 async fn drive<P: port::ServerPort + 'static>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
-    ask: rc::Rc<ask::ExchangeAsk>,
+    request: rc::Rc<request::ExchangeRequest>,
     head: HeadSender,
     parts: mpsc::Sender<reply::StreamPart>,
 ) {
     let watched = parts.clone();
     let mut driver = StreamDriver {
         plane: plane.clone(),
-        ask: ask.clone(),
+        request: request.clone(),
         head: Some(head),
         parts,
         splitter: event::EventSplitter::default(),
@@ -88,17 +88,17 @@
     let ended = tokio::select! {
         biased;
         () = watched.closed() => Err("caller left"),
-        () = time::sleep_until(ask.limit) => Err("out of time"),
+        () = time::sleep_until(request.limit) => Err("out of time"),
         end = driver.run() => Ok(end),
     };
     let events = driver.splitter.events();
     match ended {
         Ok(Ok(())) => {
             let pace = &driver.pace;
-            pace.count(&ask);
+            pace.count(&request);
             log::info!(
-                request:% = ask.id, events, passed = driver.moves,
-                first_ms = pace.first_ms(&ask), worst_pause_ms = pace.worst_ms(),
+                request:% = request.id, events, passed = driver.moves,
+                first_ms = pace.first_ms(&request), worst_pause_ms = pace.worst_ms(),
                 end:% = outcome::EndKind::Whole.name();
                 "stream whole"
             );
@@ -106,12 +106,12 @@
         Ok(Err(refusal)) => driver.fail(refusal),
         Err("caller left") => {
             let end = outcome::EndKind::Left.name();
-            log::info!(request:% = ask.id, events, end:% = end; "caller left");
+            log::info!(request:% = request.id, events, end:% = end; "caller left");
         }
         Err(why) => {
-            log::info!(request:% = ask.id, events, cause:% = why; "stream timed out");
+            log::info!(request:% = request.id, events, cause:% = why; "stream timed out");
             let refusal = match driver.ran {
-                outcome::RanState::No => plane.refuse(&ask, reply::RefusalCause::Patience),
+                outcome::RanState::No => plane.refuse(&request, reply::RefusalCause::Patience),
                 ran => reply::Refusal {
                     cause: reply::RefusalCause::Timeout,
                     ran,
@@ -125,7 +125,7 @@
 
 pub(crate) struct StreamDriver<P: port::ServerPort> {
     pub(crate) plane: rc::Rc<plane::ExchangePlane<P>>,
-    pub(crate) ask: rc::Rc<ask::ExchangeAsk>,
+    pub(crate) request: rc::Rc<request::ExchangeRequest>,
     /// Present until the head was sent to the caller.
     head: Option<HeadSender>,
     pub(crate) parts: mpsc::Sender<reply::StreamPart>,
@@ -198,7 +198,7 @@
         loop {
             let placed = self
                 .plane
-                .place_again(&self.ask, &avoid, &mut waited)
+                .place_again(&self.request, &avoid, &mut waited)
                 .await?;
             let server = placed.server;
             let Ok(reservation) = self.reserve(server).await else {
@@ -216,9 +216,9 @@
             };
             call.reservation = reservation;
             log::info!(
-                request:% = self.ask.id, server:% = call.target.id,
-                backup:? = call.backup, waited_ms = millis(self.ask.arrived),
-                size:? = self.ask.size.as_ref().map(ask::GenerationSize::summary);
+                request:% = self.request.id, server:% = call.target.id,
+                backup:? = call.backup, waited_ms = millis(self.request.arrived),
+                size:? = self.request.size.as_ref().map(request::GenerationSize::summary);
                 "stream sent"
             );
             let sent = time::Instant::now();
@@ -236,7 +236,7 @@
                     self.ran = before;
                     self.plane.judge(server, server::ServerVerdict::Refused);
                     log::info!(
-                        request:% = self.ask.id, server:% = self.plane.server_id(server),
+                        request:% = self.request.id, server:% = self.plane.server_id(server),
                         cause:? = cause; "stream not run"
                     );
                     self.check_retry(avoid.len(), cause)?;
@@ -267,7 +267,7 @@
             Ok(handle) => Ok(Some(handle)),
             Err(fault) => {
                 log::info!(
-                    request:% = self.ask.id, server:% = self.plane.server_id(server), tokens,
+                    request:% = self.request.id, server:% = self.plane.server_id(server), tokens,
                     fault:? = fault; "no room"
                 );
                 if fault == port::ReserveFault::Unreachable {
@@ -282,8 +282,8 @@
     /// Duration and tokens of a reservation; `None` if the service does not support reservations.
     fn reservation(&self) -> Option<(time::Duration, u64)> {
         let state = self.plane.state();
-        let engine = state.service(&self.ask.service)?.engine?;
-        let size = self.ask.size.as_ref()?;
+        let engine = state.service(&self.request.service)?.engine?;
+        let size = self.request.size.as_ref()?;
         let output = forecast::expected_output(size, 0) as u64;
         Some((
             engine.reservation?.min(MAX_RESERVATION),
@@ -295,12 +295,14 @@
     fn check_retry(&self, attempts: usize, cause: port::NotRunCause) -> Result<(), reply::Refusal> {
         let now = time::Instant::now();
         let attempts = u32::try_from(attempts).unwrap_or(u32::MAX);
-        let counted = cause == port::NotRunCause::Rejected && attempts >= self.ask.attempts;
+        let counted = cause == port::NotRunCause::Rejected && attempts >= self.request.attempts;
         let may_retry = !counted && attempts < MAX_NOT_RUN_ATTEMPTS;
-        if may_retry && self.plane.state().take_retry(&self.ask.service, now) {
+        if may_retry && self.plane.state().take_retry(&self.request.service, now) {
             return Ok(());
         }
-        Err(self.plane.refuse(&self.ask, reply::RefusalCause::Rejected))
+        Err(self
+            .plane
+            .refuse(&self.request, reply::RefusalCause::Rejected))
     }
 
     pub(crate) fn call(
@@ -313,9 +315,9 @@
         let backup = self.plane.state().fleet.run(live.placed.run)?.backup;
         let backup = backup.and_then(|backup| self.plane.target(backup));
         Some(port::ServerCall {
-            ask: self.ask.clone(),
+            request: self.request.clone(),
             target,
-            left: plane::ExchangePlane::<P>::left(&self.ask),
+            left: plane::ExchangePlane::<P>::left(&self.request),
             resume,
             reservation: None,
             backup: backup.map(|backup| backup.address),
@@ -383,7 +385,7 @@
         {
             let mut state = self.plane.state();
             let engine = state
-                .service(&self.ask.service)
+                .service(&self.request.service)
                 .and_then(|rule| rule.engine);
             let per_event = engine.map_or(1, |engine| engine.tokens_per_event);
             let events = u32::try_from(self.splitter.events()).unwrap_or(u32::MAX);
@@ -407,7 +409,7 @@
             let _ = self.parts.send(reply::StreamPart::Bytes(rest)).await;
         }
         let _ = self.parts.send(reply::StreamPart::End).await;
-        self.plane.state().suspects.acquit(self.ask.fingerprint);
+        self.plane.state().suspects.acquit(self.request.fingerprint);
         Ok(())
     }
 
@@ -422,7 +424,7 @@
     /// Records that a server broke the request off before its first byte.
     fn note_lost(&self, server: fleet::ServerKey, cause: port::LostCause) {
         log::info!(
-            request:% = self.ask.id, server:% = self.plane.server_id(server),
+            request:% = self.request.id, server:% = self.plane.server_id(server),
             cause:? = cause; "stream lost before its head"
         );
         self.plane.judge(server, server::ServerVerdict::BrokeOff);
@@ -454,8 +456,8 @@
             return;
         };
         let (id, hash) = (record.id.clone(), record.incarnation_hash());
-        if state.suspects.accuse(self.ask.fingerprint, hash, now) {
-            log::info!(request:% = self.ask.id, server:% = id; "suspect of a crash");
+        if state.suspects.accuse(self.request.fingerprint, hash, now) {
+            log::info!(request:% = self.request.id, server:% = id; "suspect of a crash");
         }
     }
 
@@ -471,7 +473,7 @@
     fn fail(&mut self, refusal: reply::Refusal) {
         let events = self.splitter.events();
         log::info!(
-            request:% = self.ask.id, cause:% = refusal.cause.name(), ran:? = refusal.ran, events,
+            request:% = self.request.id, cause:% = refusal.cause.name(), ran:? = refusal.ran, events,
             end:% = outcome::EndKind::Failed.name();
             "stream not whole"
         );
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -8,8 +8,8 @@
 use tokio::time;
 
 use crate::{
-    ask, budget, catalog, comeback, delta, directory, evacuation, fleet, forecast, message, news,
-    notices, peers, place, relocate, room, runs, suspect, system, wait,
+    budget, catalog, comeback, delta, directory, evacuation, fleet, forecast, message, news,
+    notices, peers, place, relocate, request, room, runs, suspect, system, wait,
 };
 
 /// Settings of the plane, fixed at its start.
@@ -254,12 +254,12 @@
 
     /// Values that determine the rank of a request that arrives now.
     #[must_use]
-    pub fn claim(&self, ask: &ask::ExchangeAsk, now: time::Instant) -> wait::WaitClaim {
+    pub fn claim(&self, request: &request::ExchangeRequest, now: time::Instant) -> wait::WaitClaim {
         let first = wait::WaitClaim {
-            step: wait::cost_step(ask.priority, ask.size.as_ref()),
-            on_time_until: Some(ask.arrived + wait::time_to_start(ask.aim)),
+            step: wait::cost_step(request.priority, request.size.as_ref()),
+            on_time_until: Some(request.arrived + wait::time_to_start(request.aim)),
         };
-        self.comebacks.claim(ask.fingerprint, first, now)
+        self.comebacks.claim(request.fingerprint, first, now)
     }
 
     /// Memory planned for the generations that wait on this VM, by service.
@@ -305,12 +305,12 @@
     /// Memory demand of a generation of this rank; `None` for calls.
     fn need(
         &self,
-        ask: &ask::ExchangeAsk,
+        request: &request::ExchangeRequest,
         rank: wait::WaitRank,
         now: time::Instant,
     ) -> Option<room::RoomNeed> {
-        let size = ask.size.as_ref()?;
-        let service = service_hash(&ask.service);
+        let size = request.size.as_ref()?;
+        let service = service_hash(&request.service);
         Some(room::RoomNeed {
             tokens: forecast::planned_tokens(size) as f64,
             yielded: self.peers.waiting_before(service, rank, now) as f64,
@@ -322,12 +322,12 @@
     #[must_use]
     pub fn is_hopeless(
         &self,
-        ask: &ask::ExchangeAsk,
+        request: &request::ExchangeRequest,
         rank: wait::WaitRank,
         now: time::Instant,
     ) -> bool {
-        let need = self.need(ask, rank, now);
-        let trend = self.trends.get(&ask.service);
+        let need = self.need(request, rank, now);
+        let trend = self.trends.get(&request.service);
         need.zip(trend)
             .is_some_and(|(need, trend)| trend.is_hopeless(&need, now))
     }
@@ -336,12 +336,12 @@
     #[must_use]
     pub fn closed_for(
         &self,
-        ask: &ask::ExchangeAsk,
+        request: &request::ExchangeRequest,
         rank: wait::WaitRank,
         now: time::Instant,
     ) -> time::Duration {
-        let need = self.need(ask, rank, now);
-        let trend = self.trends.get(&ask.service);
+        let need = self.need(request, rank, now);
+        let trend = self.trends.get(&request.service);
         need.zip(trend)
             .map_or(time::Duration::ZERO, |(need, trend)| {
                 trend.closed_for(&need, now)
@@ -351,7 +351,7 @@
     /// Chooses a server for a request and records the attempt there.
     pub fn place(
         &mut self,
-        ask: &ask::ExchangeAsk,
+        request: &request::ExchangeRequest,
         avoid: &[fleet::ServerKey],
         rank: wait::WaitRank,
         now: time::Instant,
@@ -359,14 +359,14 @@
         let entries = self.peers.heard(now);
         let yielded_tokens = self
             .peers
-            .waiting_before(service_hash(&ask.service), rank, now);
+            .waiting_before(service_hash(&request.service), rank, now);
         let rule = self
             .catalog
             .as_ref()
-            .and_then(|catalog| catalog.services.get(&ask.service));
-        let wanted = place::PlaceAsk {
-            service: &ask.service,
-            size: ask.size.as_ref(),
+            .and_then(|catalog| catalog.services.get(&request.service));
+        let wanted = place::PlacementRequest {
+            service: &request.service,
+            size: request.size.as_ref(),
             avoid,
             domain: &self.settings.domain,
             entries,
@@ -378,18 +378,18 @@
             return Err(outcome);
         };
         let engine = rule.and_then(|rule| rule.engine);
-        let backup = engine.and_then(|engine| self.backup_for(ask, server, &engine, now));
+        let backup = engine.and_then(|engine| self.backup_for(request, server, &engine, now));
         let run = self.fleet.start(runs::RunRecord {
             server,
             backup,
             moving_to: None,
             move_after: None,
-            size: ask.size.clone(),
+            size: request.size.clone(),
             produced: 0,
             started: now,
             first_at: None,
         });
-        self.queue(&ask.service).started(now);
+        self.queue(&request.service).started(now);
         Ok((run, server))
     }
 
@@ -397,12 +397,12 @@
     /// memory.
     pub fn backup_for(
         &mut self,
-        ask: &ask::ExchangeAsk,
+        request: &request::ExchangeRequest,
         server: fleet::ServerKey,
         engine: &catalog::EngineRule,
         now: time::Instant,
     ) -> Option<fleet::ServerKey> {
-        let size = ask.size.as_ref()?;
+        let size = request.size.as_ref()?;
         if !self.settings.backups || !engine.backups {
             return None;
         }
@@ -410,11 +410,11 @@
         if output < MIN_BACKUP_OUTPUT_TOKENS {
             return None;
         }
-        let wanted = place::CopyAsk {
+        let wanted = place::CopyRequest {
             source: server,
             tokens: forecast::planned_tokens(size),
             beforehand: true,
-            service: &ask.service,
+            service: &request.service,
         };
         place::choose_copy(&self.fleet, engine, &wanted, now, &mut self.rng)
     }
--- a/crates/exchange/src/wait.rs
+++ b/crates/exchange/src/wait.rs
@@ -10,7 +10,7 @@
 
 use tokio::time;
 
-use crate::{ask, forecast};
+use crate::{forecast, request};
 
 slotmap::new_key_type! {
     /// Key of one waiting request.
@@ -88,7 +88,7 @@
 /// Cost step of a request. For a generation it follows from the expected memory and run time,
 /// doubled for each priority level; for a call it is the priority.
 #[must_use]
-pub fn cost_step(priority: u8, size: Option<&ask::GenerationSize>) -> u8 {
+pub fn cost_step(priority: u8, size: Option<&request::GenerationSize>) -> u8 {
     let last = COST_STEPS as u8 - 1;
     let Some(size) = size else {
         return priority.min(last);
--- a/crates/exchange/tests/decisions.rs
+++ b/crates/exchange/tests/decisions.rs
@@ -5,8 +5,8 @@
 use std::time;
 
 use exchange::{
-    ask, budget, comeback, directory, event, fleet, forecast, loads, message, peers, place,
-    relocate, server, suspect, wait,
+    budget, comeback, directory, event, fleet, forecast, loads, message, peers, place, relocate,
+    request, server, suspect, wait,
 };
 use tokio::time::Instant;
 use world::engines;
@@ -21,8 +21,11 @@
     }
 }
 
-fn place_ask<'a>(size: &'a ask::GenerationSize, yielded_tokens: u64) -> place::PlaceAsk<'a> {
-    place::PlaceAsk {
+fn place_ask<'a>(
+    size: &'a request::GenerationSize,
+    yielded_tokens: u64,
+) -> place::PlacementRequest<'a> {
+    place::PlacementRequest {
         service: "llm",
         size: Some(size),
         avoid: &[],
@@ -330,7 +333,7 @@
         }
         let size = engines::size(1_000);
         let choose = |kept_part| {
-            let ask = place::PlaceAsk {
+            let ask = place::PlacementRequest {
                 kept_part,
                 ..place_ask(&size, 0)
             };
@@ -404,7 +407,7 @@
         let now = Instant::now();
         let fleet = engines::fleet_of(1);
         let size = engines::size(17_000);
-        let ask = place::PlaceAsk {
+        let ask = place::PlacementRequest {
             kept_part: wait::WaitRank::new(true, 7).kept_part(),
             ..place_ask(&size, 0)
         };
@@ -497,7 +500,7 @@
 #[test]
 fn cost_is_weighed_by_priority() {
     let long = engines::size(4_000);
-    let short = ask::GenerationSize {
+    let short = request::GenerationSize {
         prompt_tokens: 2_000,
         most_tokens: 36,
         hint_tokens: Some(10),
@@ -695,7 +698,7 @@
             connections: 100,
             engine: None,
         };
-        let ask = place::PlaceAsk {
+        let ask = place::PlacementRequest {
             service: "llm",
             size: None,
             avoid: &[],
--- a/crates/exchange/tests/evacuation.rs
+++ b/crates/exchange/tests/evacuation.rs
@@ -172,7 +172,7 @@
         let now = time::Instant::now();
         let mut state = plane.state();
         let source = state.fleet.find("e1").expect("known");
-        let wanted = place::CopyAsk {
+        let wanted = place::CopyRequest {
             source,
             tokens: 1_000,
             beforehand: false,
--- a/crates/exchange/tests/moves.rs
+++ b/crates/exchange/tests/moves.rs
@@ -19,7 +19,7 @@
             fleet.start(engines::run(source, 2_600, true));
         }
         fleet.start(engines::run(near, 2_600, false));
-        let ask = place::CopyAsk {
+        let ask = place::CopyRequest {
             source,
             tokens: 3_000,
             beforehand: false,
--- a/crates/exchange/tests/overload.rs
+++ b/crates/exchange/tests/overload.rs
@@ -4,7 +4,7 @@
 
 use std::time;
 
-use exchange::{ask, fleet, forecast, place, runs, wait};
+use exchange::{fleet, forecast, place, request, runs, wait};
 use rand::RngExt as _;
 use tokio::time::Instant;
 
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 struct ReplayAsk {
     arrived: Instant,
-    size: ask::GenerationSize,
+    size: request::GenerationSize,
     output: u32,
 }
 
@@ -67,7 +67,7 @@
         Self {
             arrived,
             output: output as u32,
-            size: ask::GenerationSize {
+            size: request::GenerationSize {
                 prompt_tokens: prompt as u32,
                 most_tokens: 1_756,
                 hint_tokens: Some(hint.max(1.0) as u32),
@@ -197,7 +197,7 @@
 
     fn start(&mut self, index: usize, rank: wait::WaitRank, now: Instant) -> bool {
         let ask = self.waiting[index].1.clone();
-        let wanted = place::PlaceAsk {
+        let wanted = place::PlacementRequest {
             service: "llm",
             size: Some(&ask.size),
             avoid: &[],
--- a/crates/exchange/tests/streams.rs
+++ b/crates/exchange/tests/streams.rs
@@ -10,7 +10,7 @@
 
 const GAP: time::Duration = time::Duration::from_millis(40);
 
-fn stream(id: &str) -> exchange::ask::ExchangeAsk {
+fn stream(id: &str) -> exchange::request::ExchangeRequest {
     world::ask(id, catalog::ExchangeKind::Stream)
 }
 
--- a/crates/exchange/tests/world/engines.rs
+++ b/crates/exchange/tests/world/engines.rs
@@ -1,14 +1,14 @@
 //! Engines and runs on them, for tests of pure decisions.
 
-use exchange::{ask, fleet, runs};
+use exchange::{fleet, request, runs};
 use tokio::time::Instant;
 
 pub fn rng() -> rand::rngs::StdRng {
     rand::SeedableRng::seed_from_u64(3)
 }
 
-pub fn size(prompt: u32) -> ask::GenerationSize {
-    ask::GenerationSize {
+pub fn size(prompt: u32) -> request::GenerationSize {
+    request::GenerationSize {
         prompt_tokens: prompt,
         most_tokens: 2_000,
         hint_tokens: None,
--- a/crates/exchange/tests/world/mod.rs
+++ b/crates/exchange/tests/world/mod.rs
@@ -10,7 +10,7 @@
 use std::{cell, collections, net, rc, time};
 
 use bytes::Bytes;
-use exchange::{ask, budget, catalog, fleet, news, plane, port, reply, state, system};
+use exchange::{budget, catalog, fleet, news, plane, port, reply, request, state, system};
 use tokio::sync::mpsc;
 
 /// How one server answers the next try that it gets.
@@ -137,14 +137,14 @@
                 .get_mut(&call.target.id)
                 .and_then(collections::VecDeque::pop_front);
             let gap = time::Duration::from_millis(10);
-            script.unwrap_or(match call.ask.kind {
+            script.unwrap_or(match call.request.kind {
                 catalog::ExchangeKind::Stream => ServerScript::Events(40, gap),
                 _ => ServerScript::Answer(200, gap),
             })
         };
         self.seen.borrow_mut().push(SeenCall {
             server: call.target.id.clone(),
-            request: call.ask.id.clone(),
+            request: call.request.id.clone(),
             reservation: call.reservation.clone(),
             backup: call.backup,
             resume: call.resume.clone(),
@@ -382,16 +382,16 @@
     plane.stir();
 }
 
-pub fn ask(id: &str, kind: catalog::ExchangeKind) -> ask::ExchangeAsk {
+pub fn ask(id: &str, kind: catalog::ExchangeKind) -> request::ExchangeRequest {
     let now = tokio::time::Instant::now();
     let stream = kind == catalog::ExchangeKind::Stream;
-    let size = ask::GenerationSize {
+    let size = request::GenerationSize {
         prompt_tokens: 3_000,
         most_tokens: 2_000,
         hint_tokens: Some(800),
         parts: Vec::new(),
     };
-    ask::ExchangeAsk {
+    request::ExchangeRequest {
         id: id.to_owned(),
         method: http::Method::POST,
         target: String::from("/x/y"),
@@ -413,7 +413,7 @@
         limit: now + time::Duration::from_secs(20),
         aim: time::Duration::from_millis(if stream { 1_800 } else { 100 }),
         size: stream.then_some(size),
-        fingerprint: ask::fingerprint(id, None, b""),
+        fingerprint: request::fingerprint(id, None, b""),
     }
 }
 
