--- a/crates/exchange/benches/scale.rs
+++ b/crates/exchange/benches/scale.rs
@@ -32,7 +32,7 @@
         };
         let entry = world::entry(&service, (number % 250) as u8, "a");
         let news = world::news(&format!("i-{number}"), 9, Some(entry));
-        plane.state().take_news(news, false, now);
+        plane.state().apply_update(news, false, now);
     }
     plane
 }
--- a/crates/exchange/src/room.rs
+++ b/crates/exchange/src/capacity.rs
@@ -19,7 +19,7 @@
 
 /// How long a generation must not have fitted to be refused: longer than it takes until memory is
 /// free again after engines were replaced, 3 to 4 s in production, and as long as a caller waits.
-const CLOSED_TIMEOUT: time::Duration = time::Duration::from_secs(4);
+const EXHAUSTED_TIMEOUT: time::Duration = time::Duration::from_secs(4);
 /// How long samples are reserve: a third of the longest time limit of callers.
 const SAMPLE_RETENTION: time::Duration = time::Duration::from_secs(15);
 /// Interval between samples.
@@ -27,7 +27,7 @@
 
 /// Memory of all engines of a service, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct MemoryRoom {
+pub struct MemoryCapacity {
     /// Total memory of the engines that accept work.
     pub all: f64,
     /// Memory planned for runs and copies on them.
@@ -41,16 +41,16 @@
 
 /// Memory that a generation needs, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RoomNeed {
+pub struct MemoryDemand {
     /// Memory planned for the generation.
     pub tokens: f64,
     /// Memory planned for waiting generations that go before it.
-    pub yielded: f64,
+    pub ahead_tokens: f64,
     /// Fraction of the total memory that it must leave free for later requests with a better rank.
-    pub kept_part: f64,
+    pub reserve_fraction: f64,
 }
 
-impl MemoryRoom {
+impl MemoryCapacity {
     /// Sums the memory of a service's engines, as far as this VM knows it.
     #[must_use]
     pub fn measure(
@@ -61,16 +61,16 @@
         now: time::Instant,
     ) -> Self {
         let memory = engine.memory_tokens as f64;
-        let mut room = Self::default();
+        let mut capacity = Self::default();
         for (key, record) in fleet.of_service(service) {
             let tokens = loads.get(key).map_or(0.0, |load| load.tokens as f64);
-            if fleet.gives_work(record, now) {
-                room.add_engine(memory, tokens);
+            if fleet.is_eligible(record, now) {
+                capacity.add_engine(memory, tokens);
             } else if is_moving_off(record, now) {
-                room.moving += tokens;
+                capacity.moving += tokens;
             }
         }
-        room
+        capacity
     }
 
     /// Adds an engine that accepts work.
@@ -84,16 +84,16 @@
     /// that go before it. The reserve for the latter never exceeds the memory in use: idle engines
     /// accept any generation.
     #[must_use]
-    pub fn takes(&self, need: &RoomNeed) -> bool {
-        let reserve = self.used.min(self.all * need.kept_part);
-        let reserved = self.moving + need.yielded + reserve;
-        reserved == 0.0 || self.free - reserved >= need.tokens
+    pub fn admits(&self, demand: &MemoryDemand) -> bool {
+        let reserve = self.used.min(self.all * demand.reserve_fraction);
+        let reserved = self.moving + demand.ahead_tokens + reserve;
+        reserved == 0.0 || self.free - reserved >= demand.tokens
     }
 
     /// Returns whether the engines together have enough memory for the generation, however it is
     /// distributed over them.
-    fn fits(&self, need: &RoomNeed) -> bool {
-        self.takes(need) && (self.used == 0.0 || self.free >= need.tokens)
+    fn fits(&self, demand: &MemoryDemand) -> bool {
+        self.admits(demand) && (self.used == 0.0 || self.free >= demand.tokens)
     }
 }
 
@@ -105,12 +105,12 @@
 
 /// Recent samples of the free memory of a service.
 #[derive(Clone, Debug, Default)]
-pub struct RoomTrend {
+pub struct CapacityTrend {
     /// Samples, oldest first, none older than [`SAMPLE_RETENTION`].
-    samples: collections::VecDeque<(time::Instant, MemoryRoom)>,
+    samples: collections::VecDeque<(time::Instant, MemoryCapacity)>,
 }
 
-impl RoomTrend {
+impl CapacityTrend {
     /// Returns whether the next sample is due.
     #[must_use]
     pub fn is_due(&self, now: time::Instant) -> bool {
@@ -119,8 +119,8 @@
     }
 
     /// Adds a sample.
-    pub fn note(&mut self, room: MemoryRoom, now: time::Instant) {
-        self.samples.push_back((now, room));
+    pub fn add_sample(&mut self, capacity: MemoryCapacity, now: time::Instant) {
+        self.samples.push_back((now, capacity));
         while let Some((at, _)) = self.samples.front()
             && now.saturating_duration_since(*at) > SAMPLE_RETENTION
         {
@@ -130,9 +130,11 @@
 
     /// How long a generation has not fitted into memory; zero if it fitted at the last sample.
     #[must_use]
-    pub fn closed_for(&self, need: &RoomNeed, now: time::Instant) -> time::Duration {
+    pub fn exhausted_for(&self, demand: &MemoryDemand, now: time::Instant) -> time::Duration {
         let samples = self.samples.iter().rev();
-        let closed = samples.take_while(|(_, room)| !room.fits(need)).last();
+        let closed = samples
+            .take_while(|(_, capacity)| !capacity.fits(demand))
+            .last();
         closed.map_or(time::Duration::ZERO, |(since, _)| {
             now.saturating_duration_since(*since)
         })
@@ -142,7 +144,7 @@
     /// sample of the last seconds. Of the generations that wait under overload, nearly all that
     /// start do so within 0.8 s, and hardly any after that.
     #[must_use]
-    pub fn is_hopeless(&self, need: &RoomNeed, now: time::Instant) -> bool {
-        self.closed_for(need, now) >= CLOSED_TIMEOUT
+    pub fn is_exhausted(&self, demand: &MemoryDemand, now: time::Instant) -> bool {
+        self.exhausted_for(demand, now) >= EXHAUSTED_TIMEOUT
     }
 }
--- a/crates/exchange/src/catchup.rs
+++ b/crates/exchange/src/catchup.rs
@@ -95,7 +95,7 @@
         let Some(address) = who_knows_more(&plane) else {
             continue;
         };
-        let whole = plane.state().servers_whole;
+        let whole = plane.state().servers_complete;
         let ask = state_ask(&plane.state());
         let base = plane.state().document.clone();
         let behind = plane.state().behind_since.is_some();
@@ -221,7 +221,7 @@
     let newer = near_first(newer.collect());
     let newer = newer.get(draw % newer.len().max(1)).copied();
     let newer = newer.or_else(|| {
-        let whole = heard().filter(|peer| !state.servers_whole && !peer.partial);
+        let whole = heard().filter(|peer| !state.servers_complete && !peer.partial);
         let asked = near_first(whole.collect());
         asked.get(draw % asked.len().max(1)).copied()
     });
@@ -287,7 +287,7 @@
         .collect();
     let changed = link::take_news(plane, &news, now);
     let mut state = plane.state();
-    state.servers_whole |= !reply.partial;
+    state.servers_complete |= !reply.partial;
     for known in reply.known.iter().filter_map(|known| known.parse().ok()) {
         if known != state.settings.link_address {
             state.peers.tell(known);
@@ -295,7 +295,7 @@
     }
     drop(state);
     if changed {
-        plane.stir();
+        plane.wake_decisions();
     }
 }
 
@@ -414,7 +414,7 @@
     let servers = state.fleet.servers().map(|(_, server)| server);
     let news = servers
         .filter(|server| !server.superseded && differs(server))
-        .map(|server| message::NewsItem::from(&server.news()));
+        .map(|server| message::NewsItem::from(&server.update()));
     let news = news.collect();
     let delta = (newer && ask.takes_delta).then(|| state.document.delta(&ask.pieces));
     let catalog = if newer && delta.is_none() {
@@ -428,7 +428,7 @@
         news,
         known: speak::known(state),
         system: state.system.number(),
-        partial: !state.servers_whole,
+        partial: !state.servers_complete,
     }
 }
 
--- a/crates/exchange/src/fleet.rs
+++ b/crates/exchange/src/fleet.rs
@@ -45,7 +45,7 @@
     /// other services.
     by_service: collections::HashMap<String, Vec<ServerKey>>,
     /// Servers that may be in the grace period after their entry expired.
-    spared: Vec<ServerKey>,
+    in_lapse_grace: Vec<ServerKey>,
     /// Servers with failed attempts since the last sweep.
     recently_failed: collections::HashSet<ServerKey>,
     /// Hash over the standing of all servers; each that is not gone contributes.
@@ -62,11 +62,11 @@
     /// changes nothing, whichever way it arrives: a server that leaves never becomes ready again
     /// because of an older update that arrives later.
     ///
-    /// `spared` is set if the store was unavailable when the entry expired: see [`LAPSE_GRACE`].
-    pub fn take_news(
+    /// `lapse_grace` is set if the store was unavailable when the entry expired: see [`LAPSE_GRACE`].
+    pub fn apply_update(
         &mut self,
         news: &news::ServerNews,
-        spared: Option<time::Instant>,
+        lapse_grace: Option<time::Instant>,
         now: time::Instant,
     ) -> FleetChange {
         let Some(&key) = self.by_id.get(&news.id) else {
@@ -85,22 +85,24 @@
         }
         let record = &mut self.servers[key];
         let before = record.standing;
-        let after = record.take_word(news);
+        let after = record.apply_update(news);
         if after == before {
             return FleetChange::Nothing;
         }
         self.set_standing(key, after, now);
         let record = &mut self.servers[key];
-        record.spared_until = match (before, after) {
-            (server::ServerStanding::Ready, server::ServerStanding::Gone) => spared,
+        record.lapse_grace_until = match (before, after) {
+            (server::ServerStanding::Ready, server::ServerStanding::Gone) => lapse_grace,
             _ => None,
         };
-        if record.spared_until.is_some() {
-            self.spared.push(key);
+        if record.lapse_grace_until.is_some() {
+            self.in_lapse_grace.push(key);
         }
         match after {
             server::ServerStanding::Ready => FleetChange::Arrived(key),
-            server::ServerStanding::Gone if record.spared_until.is_some() => FleetChange::Nothing,
+            server::ServerStanding::Gone if record.lapse_grace_until.is_some() => {
+                FleetChange::Nothing
+            }
             _ => FleetChange::Leaves(key),
         }
     }
@@ -127,9 +129,9 @@
         self.set_standing(before, server::ServerStanding::Gone, now);
         let old = &mut self.servers[before];
         old.superseded = true;
-        old.spared_until = None;
+        old.lapse_grace_until = None;
         let mut record = server::ServerRecord::new(&news.id, news.offset, entry, now);
-        record.end_at(old.ended_offset);
+        record.record_removal(old.removed_offset);
         let gone = record.standing == server::ServerStanding::Gone;
         let key = self.insert(record);
         if gone {
@@ -177,7 +179,7 @@
     /// Returns whether a store update lacks the incarnation although the server is known with one.
     /// Such an update was written by a foreign process and applies to no server.
     #[must_use]
-    pub fn names_none(&self, news: &news::ServerNews) -> bool {
+    pub fn lacks_incarnation(&self, news: &news::ServerNews) -> bool {
         let known = self.by_id.get(&news.id);
         let known = known.is_some_and(|&key| self.servers[key].born.is_told());
         let entry = news.entry.as_ref();
@@ -186,11 +188,11 @@
 
     /// Removes the servers that a complete read of the store did not list. `end` is the log
     /// position up to which the list is complete.
-    pub fn take_absence(
+    pub fn remove_unlisted(
         &mut self,
         listed: &collections::HashSet<String>,
         end: u64,
-        spared: Option<time::Instant>,
+        lapse_grace: Option<time::Instant>,
         now: time::Instant,
     ) -> Vec<ServerKey> {
         let absent: Vec<_> = self
@@ -204,7 +206,9 @@
                 entry: None,
             })
             .collect();
-        let changes = absent.iter().map(|news| self.take_news(news, spared, now));
+        let changes = absent
+            .iter()
+            .map(|news| self.apply_update(news, lapse_grace, now));
         changes
             .filter_map(|change| match change {
                 FleetChange::Leaves(key) => Some(key),
@@ -214,19 +218,19 @@
     }
 
     /// Ends expired grace periods, and returns the servers that are removed for good.
-    pub fn end_spared(&mut self, now: time::Instant) -> Vec<ServerKey> {
+    pub fn end_lapse_grace(&mut self, now: time::Instant) -> Vec<ServerKey> {
         let mut ended = Vec::new();
         let servers = &mut self.servers;
-        self.spared.retain(|&key| {
+        self.in_lapse_grace.retain(|&key| {
             let Some(record) = servers.get_mut(key) else {
                 return false;
             };
-            let over = record.spared_until.is_some_and(|until| until <= now);
+            let over = record.lapse_grace_until.is_some_and(|until| until <= now);
             if over {
-                record.spared_until = None;
+                record.lapse_grace_until = None;
                 ended.push(key);
             }
-            record.spared_until.is_some()
+            record.lapse_grace_until.is_some()
         });
         ended
     }
@@ -246,7 +250,7 @@
         self.recently_failed.retain(|key| {
             servers
                 .get(*key)
-                .is_some_and(|server| server.is_doubted(now))
+                .is_some_and(|server| server.has_recent_failures(now))
         });
     }
 
@@ -273,7 +277,7 @@
 
     /// Returns a server by its [`server::ServerRecord::name_hash`], which VMs use in load reports.
     #[must_use]
-    pub fn find_hash(&self, hash: u32) -> Option<ServerKey> {
+    pub fn find_by_hash(&self, hash: u32) -> Option<ServerKey> {
         self.by_hash.get(&hash).copied()
     }
 
@@ -306,14 +310,14 @@
         let keys = self.by_service.get(service).into_iter().flatten();
         keys.filter_map(move |&key| {
             let record = self.servers.get(key)?;
-            self.gives_work(record, now).then_some((key, record))
+            self.is_eligible(record, now).then_some((key, record))
         })
     }
 
     /// Returns whether a server gets new work: it accepts work, and its failure domain is not
     /// evacuated.
     #[must_use]
-    pub fn gives_work(&self, record: &server::ServerRecord, now: time::Instant) -> bool {
+    pub fn is_eligible(&self, record: &server::ServerRecord, now: time::Instant) -> bool {
         record.takes_work(now) && !self.evacuations.domains.contains(&record.domain)
     }
 
@@ -332,7 +336,7 @@
 
     /// Applies evacuations as of a later log position; returns whether the set of evacuated domains
     /// changed.
-    pub fn take_evacuations(&mut self, evacuations: evacuation::EvacuationSet) -> bool {
+    pub fn apply_evacuations(&mut self, evacuations: evacuation::EvacuationSet) -> bool {
         self.evacuations.take(evacuations)
     }
 
@@ -344,14 +348,14 @@
         let here = self
             .servers
             .get(key)
-            .is_some_and(|record| record.fails_here(now));
-        here || self.peers.say_failing(key, now)
+            .is_some_and(|record| record.is_failing_locally(now));
+        here || self.peers.is_reported_failing(key, now)
     }
 
     /// Records the start of an attempt.
     pub fn start(&mut self, run: runs::RunRecord) -> RunKey {
         if let Some(record) = self.servers.get_mut(run.server) {
-            record.note_used(run.started);
+            record.mark_used(run.started);
         }
         self.runs.insert(run)
     }
@@ -378,9 +382,14 @@
     }
 
     /// Updates a server with the outcome of an attempt.
-    pub fn judge(&mut self, key: ServerKey, verdict: server::ServerVerdict, now: time::Instant) {
+    pub fn record_outcome(
+        &mut self,
+        key: ServerKey,
+        verdict: server::ServerVerdict,
+        now: time::Instant,
+    ) {
         if let Some(record) = self.servers.get_mut(key) {
-            record.judge(verdict, now);
+            record.record_outcome(verdict, now);
             if verdict.is_bad() {
                 self.recently_failed.insert(key);
             }
@@ -388,9 +397,9 @@
     }
 
     /// Records that a server is full; it gets no requests before `until`.
-    pub fn note_full(&mut self, key: ServerKey, until: time::Instant) {
+    pub fn mark_full(&mut self, key: ServerKey, until: time::Instant) {
         if let Some(record) = self.servers.get_mut(key) {
-            record.note_full(until);
+            record.mark_full(until);
         }
     }
 
@@ -403,7 +412,7 @@
         let mut own = slotmap::SparseSecondaryMap::<ServerKey, loads::PeerLoad>::new();
         for &key in &self.recently_failed {
             let record = self.servers.get(key);
-            if record.is_some_and(|record| record.fails_here(now)) {
+            if record.is_some_and(|record| record.is_failing_locally(now)) {
                 let load = loads::PeerLoad {
                     failing: true,
                     ..loads::PeerLoad::default()
@@ -429,7 +438,7 @@
     }
 
     /// Replaces the loads of another VM, which has no load on servers that are not named.
-    pub fn take_peer_loads(
+    pub fn replace_peer_loads(
         &mut self,
         vm: u64,
         loads: impl Iterator<Item = (ServerKey, loads::PeerLoad)>,
--- a/crates/exchange/src/follow.rs
+++ b/crates/exchange/src/follow.rs
@@ -163,7 +163,7 @@
             let taken = plane.state().take_catalog(catalog, document);
             if taken {
                 log::info!(version, source:% = source; "configuration in force");
-                plane.stir();
+                plane.wake_decisions();
                 tell_version(plane, source);
             }
         }
@@ -182,12 +182,12 @@
 ) {
     let now = time::Instant::now();
     let position = evacuations.position;
-    if !plane.state().take_evacuations(evacuations, now) {
+    if !plane.state().apply_evacuations(evacuations, now) {
         return;
     }
     let domains = plane.state().fleet.evacuations().domains.clone();
     log::info!(domains:? = domains, position, source:% = source; "evacuated failure domains");
-    plane.stir();
+    plane.wake_decisions();
     tell_version(plane, source);
 }
 
@@ -196,7 +196,7 @@
 fn tell_version<P>(plane: &plane::ExchangePlane<P>, source: &str) {
     let reader = plane.state().reads_store(time::Instant::now());
     if reader && source == SOURCE_STORE {
-        plane.spread();
+        plane.announce();
     }
 }
 
--- a/crates/exchange/src/forecast.rs
+++ b/crates/exchange/src/forecast.rs
@@ -23,7 +23,7 @@
 /// Expected total output of a generation that has produced `produced` tokens.
 #[must_use]
 pub fn expected_output(size: &request::GenerationSize, produced: u32) -> f64 {
-    let max = f64::from(size.most_tokens);
+    let max = f64::from(size.max_tokens);
     let produced = f64::from(produced);
     let unhinted = (max * UNHINTED_FRACTION).max(1.0);
     let estimate = match size.hint_tokens {
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -7,9 +7,9 @@
 
 pub mod audience;
 pub mod budget;
+pub mod capacity;
 pub mod catalog;
 pub mod catchup;
-pub mod comeback;
 pub mod delta;
 pub mod directory;
 pub mod evacuation;
@@ -33,7 +33,7 @@
 pub mod relocate;
 pub mod reply;
 pub mod request;
-pub mod room;
+pub mod returning;
 pub mod runs;
 mod serve_call;
 mod serve_stream;
--- a/crates/exchange/src/link.rs
+++ b/crates/exchange/src/link.rs
@@ -110,11 +110,14 @@
     let news: Vec<_> = news.chain(noticed(plane, datagram, now)).collect();
     let changed = take_news(plane, &news, now);
     if changed && datagram.tell_on {
-        plane.state().told_on.extend(datagram.news.iter().cloned());
-        plane.news.notify_one();
+        plane
+            .state()
+            .updates_to_relay
+            .extend(datagram.news.iter().cloned());
+        plane.updates.notify_one();
     }
     if changed || !plane.state().waiting_services().is_empty() {
-        plane.stir();
+        plane.wake_decisions();
     }
     answered
 }
@@ -144,12 +147,12 @@
     }
     take_loads(state, datagram, now);
     for refused in &datagram.refused {
-        state.comebacks.told(*refused, now);
+        state.returning.record_peer_refusal(*refused, now);
     }
     for accusation in &datagram.accusations {
         state
             .suspects
-            .accuse(accusation.fingerprint, accusation.server, now);
+            .record_crash(accusation.fingerprint, accusation.server, now);
     }
 }
 
@@ -161,12 +164,12 @@
             backlog: item.backlog,
             failing: item.failing,
         };
-        Some((state.fleet.find_hash(item.server)?, load))
+        Some((state.fleet.find_by_hash(item.server)?, load))
     });
     let told: Vec<_> = told.collect();
     state
         .fleet
-        .take_peer_loads(datagram.sender, told.into_iter(), now);
+        .replace_peer_loads(datagram.sender, told.into_iter(), now);
 }
 
 /// Takes news of servers; says whether they changed anything.
@@ -176,7 +179,7 @@
     now: time::Instant,
 ) -> bool {
     let changes = news.iter().map(|news| {
-        let change = plane.state().take_news(news.clone(), false, now);
+        let change = plane.state().apply_update(news.clone(), false, now);
         (news.clone(), change)
     });
     let changes: Vec<_> = changes.collect();
--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/listing.rs
@@ -90,7 +90,7 @@
     loop {
         if !may_read(&plane, &cursor) {
             let within = matches!(cursor, ListCursor::Within(_));
-            if within && plane.state().servers_whole {
+            if within && plane.state().servers_complete {
                 cursor = ListCursor::Start;
             }
             time::sleep(if within { REST_GAP } else { DUTY_GAP }).await;
@@ -127,7 +127,7 @@
     let mut state = plane.state();
     if state.reads_store(now) {
         state.notices.make_due(now);
-        plane.spread();
+        plane.announce();
     }
 }
 
@@ -141,8 +141,8 @@
         ListCursor::Start => reader || state.version() == 0,
         ListCursor::Within(part) => {
             let waited = now.saturating_duration_since(part.began);
-            let met = state.servers_whole || waited >= MEET_GAP;
-            met && reader || waited >= REST_WAIT && !state.servers_whole
+            let met = state.servers_complete || waited >= MEET_GAP;
+            met && reader || waited >= REST_WAIT && !state.servers_complete
         }
         ListCursor::Whole(_) => reader,
     }
@@ -174,8 +174,8 @@
         }
     };
     if changed {
-        plane.stir();
-        plane.news.notify_one();
+        plane.wake_decisions();
+        plane.updates.notify_one();
     }
     cursor
 }
@@ -190,14 +190,14 @@
     let mut changes = Vec::new();
     for news in page {
         let mut news = news.clone();
-        if plane.state().fleet.names_none(&news) {
+        if plane.state().fleet.lacks_incarnation(&news) {
             log::warn!(
                 server:% = news.id, offset = news.offset;
                 "entry does not say which incarnation it means"
             );
             news.entry = None;
         }
-        let change = plane.state().take_news(news.clone(), told, now);
+        let change = plane.state().apply_update(news.clone(), told, now);
         changes.push((news, change));
     }
     log_changes(plane, &changes, follow::SOURCE_STORE)
@@ -207,18 +207,18 @@
 /// anything.
 fn take_whole<P>(plane: &plane::ExchangePlane<P>, part: &ListPart, now: time::Instant) -> bool {
     let mut state = plane.state();
-    let spared = state.spared();
+    let spared = state.lapse_grace_until();
     let absent = state
         .fleet
-        .take_absence(&part.listed, part.end, spared, now);
+        .remove_unlisted(&part.listed, part.end, spared, now);
     for key in &absent {
         log::info!(server:? = state.fleet.server(*key).map(|server| &server.id); "server is gone from the list");
     }
-    let first = !std::mem::replace(&mut state.servers_whole, true);
+    let first = !std::mem::replace(&mut state.servers_complete, true);
     let reader = state.reads_store(now);
     drop(state);
     if first && reader {
-        plane.spread();
+        plane.announce();
     }
     !absent.is_empty()
 }
--- a/crates/exchange/src/loads.rs
+++ b/crates/exchange/src/loads.rs
@@ -121,7 +121,7 @@
 
     /// Returns whether enough other VMs report that a server fails.
     #[must_use]
-    pub fn say_failing(&self, key: fleet::ServerKey, now: time::Instant) -> bool {
+    pub fn is_reported_failing(&self, key: fleet::ServerKey, now: time::Instant) -> bool {
         let failing = self
             .reports_on(key, now)
             .filter(|report| report.load.failing);
--- a/crates/exchange/src/moving.rs
+++ b/crates/exchange/src/moving.rs
@@ -154,7 +154,7 @@
         to: fleet::ServerKey,
     ) {
         if matches!(copied, Err(port::CopyFault::NoRoom(_))) {
-            self.note_full(to);
+            self.mark_full(to);
         }
         let gone = matches!(copied, Err(port::CopyFault::Unreachable));
         if gone || matches!(ended, Some(RelayEnd::Broken)) {
@@ -300,8 +300,8 @@
             run.server = server;
             run.moving_to = None;
         }
-        self.plane.tell_loads();
-        self.plane.stir();
+        self.plane.announce_loads();
+        self.plane.wake_decisions();
     }
 
     /// Returns the copy from which a run can continue after its server broke it off.
@@ -311,8 +311,9 @@
             request:% = self.request.id, server:% = self.plane.server_id(server),
             events = self.splitter.events(); "stream broke off"
         );
-        self.plane.judge(server, server::ServerVerdict::Failed);
-        self.accuse(server);
+        self.plane
+            .record_outcome(server, server::ServerVerdict::Failed);
+        self.record_crash(server);
         let backup = {
             let state = self.plane.state();
             state.fleet.run(live.placed.run)?.backup
--- a/crates/exchange/src/notices.rs
+++ b/crates/exchange/src/notices.rs
@@ -72,12 +72,12 @@
         notice: &message::NoticeItem,
         now: time::Instant,
     ) -> Option<news::ServerNews> {
-        let key = self.find_hash(notice.server as u32)?;
+        let key = self.find_by_hash(notice.server as u32)?;
         let record = self.server(key)?;
         if record.incarnation_hash() != notice.server || !record.takes_work(now) {
             return None;
         }
-        let mut news = record.news();
+        let mut news = record.update();
         news.offset = notice.offset;
         news.entry = news.entry.filter(|_| !notice.gone);
         if let Some(entry) = &mut news.entry {
--- a/crates/exchange/src/place.rs
+++ b/crates/exchange/src/place.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use tokio::time;
 
-use crate::{catalog, fleet, forecast, loads, request, room, server};
+use crate::{capacity, catalog, fleet, forecast, loads, request, server};
 
 /// Fraction of an engine's memory up to which proactive copies may fill it; the rest is reserved
 /// for runs.
@@ -75,18 +75,18 @@
     /// Number of VMs that share the servers, this one included.
     pub entries: u32,
     /// Memory that must stay free for generations with precedence that wait on other VMs.
-    pub yielded_tokens: u64,
+    pub ahead_tokens: u64,
     /// Fraction of the total memory that this request must leave free for later requests with a
     /// better rank.
-    pub kept_part: f64,
+    pub reserve_fraction: f64,
 }
 
 impl PlacementRequest<'_> {
-    fn need(&self, size: &request::GenerationSize) -> room::RoomNeed {
-        room::RoomNeed {
+    fn demand(&self, size: &request::GenerationSize) -> capacity::MemoryDemand {
+        capacity::MemoryDemand {
             tokens: forecast::planned_tokens(size) as f64,
-            yielded: self.yielded_tokens as f64,
-            kept_part: self.kept_part,
+            ahead_tokens: self.ahead_tokens as f64,
+            reserve_fraction: self.reserve_fraction,
         }
     }
 }
@@ -114,8 +114,8 @@
     let engine = rule.and_then(|rule| rule.engine);
     let affinity_server = affinity_server(fleet, request, now);
     if let (Some(engine), Some(size)) = (engine, request.size)
-        && !room::MemoryRoom::measure(fleet, request.service, &engine, &loads, now)
-            .takes(&request.need(size))
+        && !capacity::MemoryCapacity::measure(fleet, request.service, &engine, &loads, now)
+            .admits(&request.demand(size))
     {
         let any = fleet.ready(request.service, now).next().is_some();
         return if any {
@@ -196,7 +196,7 @@
     let limit = if load.runs == 0 {
         memory
     } else {
-        memory * room::MEMORY_FILL
+        memory * capacity::MEMORY_FILL
     };
     if after > limit || load.runs >= record.slots {
         return None;
@@ -276,7 +276,7 @@
     /// Memory that the run is expected to need.
     pub tokens: u64,
     /// Whether the copy is made proactively, and may only use memory that runs leave free.
-    pub beforehand: bool,
+    pub proactive: bool,
     /// Service of both servers.
     pub service: &'a str,
 }
@@ -306,7 +306,7 @@
     loads: &fleet::LoadTable,
 ) -> f64 {
     let moving = loads.get(request.source).map_or(1, |load| load.runs.max(1));
-    let runs = if request.beforehand { 1 } else { moving };
+    let runs = if request.proactive { 1 } else { moving };
     request.tokens as f64 * engine.copy_us_per_token / 1_000.0 * f64::from(runs)
 }
 
@@ -322,13 +322,13 @@
     let source = fleet.server(request.source)?;
     let loads = fleet.loads(request.service, now);
     let memory = engine.memory_tokens as f64;
-    if request.beforehand
+    if request.proactive
         && fleet_fill(fleet, request.service, memory, &loads, now) > MAX_BACKUP_FLEET_FILL
     {
         return None;
     }
     let limit = memory
-        * if request.beforehand {
+        * if request.proactive {
             MAX_BACKUP_FILL
         } else {
             1.0
--- a/crates/exchange/src/placing.rs
+++ b/crates/exchange/src/placing.rs
@@ -34,7 +34,7 @@
             .state
             .borrow_mut()
             .queue(&self.index.0)
-            .leave(self.index.1);
+            .remove(self.index.1);
         // If a server was assigned at the same moment, dropping the receiver frees it.
     }
 }
@@ -46,19 +46,19 @@
         request: &rc::Rc<request::ExchangeRequest>,
         avoid: &[fleet::ServerKey],
     ) -> Result<plane::PlacedRun<P>, reply::Refusal> {
-        self.place_again(request, avoid, &mut None).await
+        self.place_requeued(request, avoid, &mut None).await
     }
 
     /// Assigns a server to an attempt that may have waited before: it keeps its position in the
     /// queue.
-    pub(crate) async fn place_again(
+    pub(crate) async fn place_requeued(
         self: &rc::Rc<Self>,
         request: &rc::Rc<request::ExchangeRequest>,
         avoid: &[fleet::ServerKey],
         waited: &mut Option<wait::WaitRecord>,
     ) -> Result<plane::PlacedRun<P>, reply::Refusal> {
         let now = time::Instant::now();
-        let rank = self.state.borrow().claim(request, now).rank(now);
+        let rank = self.state.borrow().rank_basis(request, now).rank(now);
         let ahead = self
             .state
             .borrow_mut()
@@ -104,12 +104,12 @@
             }
         };
         *waited = Some(record);
-        let rank = record.claim.rank(now);
+        let rank = record.basis.rank(now);
         let (key, ahead) = {
             let mut state = self.state.borrow_mut();
             let queue = state.queue(&request.service);
             let ahead = queue.ahead(rank, now);
-            (queue.enter(record), ahead)
+            (queue.insert(record), ahead)
         };
         let index = (request.service.clone(), key);
         let (assigned, place) = oneshot::channel();
@@ -126,11 +126,11 @@
         let guard = WaitGuard { plane: self, index };
         log::info!(
             request:% = request.id, service:% = request.service, rank = rank.index(), ahead,
-            came_back = record.claim.on_time_until.is_none();
+            came_back = record.basis.on_time_until.is_none();
             "waits for a place"
         );
-        self.stirred.notify_one();
-        self.tell_loads();
+        self.decisions_due.notify_one();
+        self.announce_loads();
         let placed = self.receive_assignment(request, &record, place).await;
         drop(guard);
         metrics::histogram!("pollenchute_exchange_waited_seconds")
@@ -150,17 +150,17 @@
         tokio::pin!(receiving);
         loop {
             let now = time::Instant::now();
-            let look_at = record.next_look(now);
-            if let Ok(placed) = time::timeout_at(look_at, &mut receiving).await {
+            let check_at = record.next_check(now);
+            if let Ok(placed) = time::timeout_at(check_at, &mut receiving).await {
                 return placed.ok_or(reply::RefusalCause::Patience);
             }
             let now = time::Instant::now();
             if now >= record.until {
                 return Err(reply::RefusalCause::Patience);
             }
-            let rank = record.claim.rank(now);
-            if record.claim.on_time_until.is_some()
-                && self.state.borrow().is_hopeless(request, rank, now)
+            let rank = record.basis.rank(now);
+            if record.basis.on_time_until.is_some()
+                && self.state.borrow().is_unlikely_to_start(request, rank, now)
             {
                 return Err(reply::RefusalCause::Overload);
             }
@@ -174,19 +174,19 @@
         now: time::Instant,
     ) -> Option<wait::WaitRecord> {
         let stream = request.kind == catalog::ExchangeKind::Stream;
-        let patience = wait::patience(request.left(now), request.aim, stream);
+        let max_wait = wait::max_wait(request.left(now), request.aim, stream);
         let mut state = self.state.borrow_mut();
-        let claim = state.claim(request, now);
-        let rank = claim.rank(now);
+        let basis = state.rank_basis(request, now);
+        let rank = basis.rank(now);
         let queue = state.queue(&request.service);
-        if queue.is_hopeless(rank, patience, now) {
+        if queue.should_refuse(rank, max_wait, now) {
             return None;
         }
         Some(wait::WaitRecord {
             priority: request.priority,
-            claim,
+            basis,
             order: queue.next_order(),
-            until: now + patience,
+            until: now + max_wait,
             tokens: request.size.as_ref().map_or(0, forecast::planned_tokens),
         })
     }
--- a/crates/exchange/src/plane.rs
+++ b/crates/exchange/src/plane.rs
@@ -28,11 +28,11 @@
     /// Senders of relocation orders to the running streams.
     relocation_senders: cell::RefCell<slotmap::SecondaryMap<fleet::RunKey, RelocationSender>>,
     /// Wakes the decision loop: a waiting request may start, or a stream should move.
-    pub(crate) stirred: tokio::sync::Notify,
+    pub(crate) decisions_due: tokio::sync::Notify,
     /// Signals a change to be announced to the other VMs at once.
-    pub(crate) spread: tokio::sync::Notify,
+    pub(crate) announce: tokio::sync::Notify,
     /// Signals server updates to be announced.
-    pub(crate) news: tokio::sync::Notify,
+    pub(crate) updates: tokio::sync::Notify,
     /// Signals a change of this VM's load on servers.
     pub(crate) loads: tokio::sync::Notify,
     /// Signals that this VM's system is known, or that the store does not name one.
@@ -57,8 +57,8 @@
     fn drop(&mut self) {
         self.plane.state.borrow_mut().fleet.end(self.run);
         self.plane.relocation_senders.borrow_mut().remove(self.run);
-        self.plane.tell_loads();
-        self.plane.stirred.notify_one();
+        self.plane.announce_loads();
+        self.plane.decisions_due.notify_one();
     }
 }
 
@@ -81,9 +81,9 @@
             state: cell::RefCell::new(state),
             waiters: cell::RefCell::default(),
             relocation_senders: cell::RefCell::default(),
-            stirred: tokio::sync::Notify::new(),
-            spread: tokio::sync::Notify::new(),
-            news: tokio::sync::Notify::new(),
+            decisions_due: tokio::sync::Notify::new(),
+            announce: tokio::sync::Notify::new(),
+            updates: tokio::sync::Notify::new(),
             loads: tokio::sync::Notify::new(),
             identified: tokio::sync::Notify::new(),
             open: cell::Cell::new(0),
@@ -118,22 +118,22 @@
         let mut state = self.state.borrow_mut();
         state.stage = message::VmStage::Stopping;
         state.stopping_since = Some(time::Instant::now());
-        self.spread.notify_one();
+        self.announce.notify_one();
     }
 
     /// Wakes the decision loop after a change that may affect waiting requests or moves.
-    pub fn stir(&self) {
-        self.stirred.notify_one();
+    pub fn wake_decisions(&self) {
+        self.decisions_due.notify_one();
     }
 
     /// Signals a change of this VM's load on servers.
-    pub(crate) fn tell_loads(&self) {
+    pub(crate) fn announce_loads(&self) {
         self.loads.notify_one();
     }
 
     /// Signals a change to be announced to the other VMs at once.
-    pub fn spread(&self) {
-        self.spread.notify_one();
+    pub fn announce(&self) {
+        self.announce.notify_one();
     }
 
     /// Runs the decision loop; never returns.
@@ -149,19 +149,20 @@
             if busy {
                 time::sleep(POLL_INTERVAL).await;
             } else {
-                let _ = time::timeout(time::Duration::from_secs(1), self.stirred.notified()).await;
+                let _ = time::timeout(time::Duration::from_secs(1), self.decisions_due.notified())
+                    .await;
             }
         }
     }
 
     /// Starts waiting requests and orders moves. Returns whether the next check is due soon.
     fn poll(&self, now: time::Instant) -> bool {
-        self.state.borrow_mut().note_room(now);
+        self.state.borrow_mut().sample_capacity(now);
         let services = self.state.borrow().waiting_services();
         for service in &services {
             self.start_waiting(service, now);
         }
-        let ended = self.state.borrow_mut().fleet.end_spared(now);
+        let ended = self.state.borrow_mut().fleet.end_lapse_grace(now);
         for server in ended {
             log::info!(server:? = self.server_id(server); "server did not register again after its entry expired");
         }
@@ -183,7 +184,7 @@
     }
 
     fn start_waiting(&self, service: &str, now: time::Instant) {
-        let order = self.state.borrow_mut().queue(service).in_order(now);
+        let order = self.state.borrow_mut().queue(service).start_order(now);
         for key in order {
             let mut waiters = self.waiters.borrow_mut();
             let index = (service.to_owned(), key);
@@ -194,14 +195,14 @@
             let rank = state
                 .queue(service)
                 .get(key)
-                .map(|record| record.claim.rank(now));
+                .map(|record| record.basis.rank(now));
             let rank = rank.unwrap_or_default();
             let Ok(placed) = state.place(&waiter.request, &waiter.avoid, rank, now) else {
                 // The first request in the queue gets the next free memory: if smaller ones could
                 // overtake it, a large one would starve.
                 return;
             };
-            state.queue(service).leave(key);
+            state.queue(service).remove(key);
             if let Some(waiter) = waiters.remove(&index)
                 && waiter.assigned.send(placed).is_err()
             {
@@ -232,11 +233,11 @@
         })
     }
 
-    pub(crate) fn judge(&self, server: fleet::ServerKey, verdict: server::ServerVerdict) {
+    pub(crate) fn record_outcome(&self, server: fleet::ServerKey, verdict: server::ServerVerdict) {
         self.state
             .borrow_mut()
             .fleet
-            .judge(server, verdict, time::Instant::now());
+            .record_outcome(server, verdict, time::Instant::now());
     }
 
     /// Refusal of a request that certainly did not run.
@@ -247,15 +248,15 @@
     ) -> reply::Refusal {
         let now = time::Instant::now();
         let mut state = self.state.borrow_mut();
-        let rank = state.claim(request, now).rank(now);
+        let rank = state.rank_basis(request, now).rank(now);
         let wait = state.queue(&request.service).expected_wait(rank, now);
-        let wait = wait.max(state.closed_for(request, rank, now));
+        let wait = wait.max(state.exhausted_for(request, rank, now));
         let draw = state.draw();
         let retry_after = wait::retry_after(wait, request.left(now), draw);
         if request.size.is_some() {
             state
-                .comebacks
-                .refused(request.fingerprint, retry_after, now);
+                .returning
+                .record_refusal(request.fingerprint, retry_after, now);
         }
         reply::Refusal {
             cause,
@@ -265,14 +266,14 @@
     }
 
     /// Registers a stream for relocation orders and returns their receiver.
-    pub(crate) fn moves_of(
+    pub(crate) fn relocation_orders(
         &self,
         run: fleet::RunKey,
     ) -> mpsc::UnboundedReceiver<relocate::RelocationOrder> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.relocation_senders.borrow_mut().insert(run, sender);
-        self.stirred.notify_one();
-        self.tell_loads();
+        self.decisions_due.notify_one();
+        self.announce_loads();
         receiver
     }
 }
--- a/crates/exchange/src/port.rs
+++ b/crates/exchange/src/port.rs
@@ -21,7 +21,7 @@
 impl ServerTarget {
     /// Max age of kept-alive connections that lead to this incarnation and are allowed by `rule`.
     #[must_use]
-    pub fn kept(&self, rule: ReuseRule) -> time::Duration {
+    pub fn max_connection_age(&self, rule: ReuseRule) -> time::Duration {
         match rule {
             ReuseRule::Any => self.known_for,
             ReuseRule::Fresh(span) => span.min(self.known_for),
--- a/crates/exchange/src/relocate.rs
+++ b/crates/exchange/src/relocate.rs
@@ -78,7 +78,7 @@
     let backup = run.backup.filter(|&backup| {
         fleet
             .server(backup)
-            .is_some_and(|server| fleet.gives_work(server, now))
+            .is_some_and(|server| fleet.is_eligible(server, now))
     });
     if let Some(backup) = backup
         && run.first_at.is_some()
@@ -94,7 +94,7 @@
     let request = place::CopyRequest {
         source: run.server,
         tokens: run.planned_tokens(),
-        beforehand: false,
+        proactive: false,
         service,
     };
     place::choose_copy(fleet, engine, &request, now, rng).map(RelocationOrder::Move)
--- a/crates/exchange/src/request.rs
+++ b/crates/exchange/src/request.rs
@@ -20,7 +20,7 @@
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Max output tokens.
-    pub most_tokens: u32,
+    pub max_tokens: u32,
     /// The caller's estimate of the output tokens; right at the median, often far off.
     pub hint_tokens: Option<u32>,
     /// Parts of the prompt, in order.
@@ -31,7 +31,7 @@
     /// Prompt tokens, max output and hint, for logs.
     #[must_use]
     pub fn summary(&self) -> (u32, u32, Option<u32>) {
-        (self.prompt_tokens, self.most_tokens, self.hint_tokens)
+        (self.prompt_tokens, self.max_tokens, self.hint_tokens)
     }
 }
 
--- a/crates/exchange/src/comeback.rs
+++ b/crates/exchange/src/returning.rs
@@ -23,7 +23,7 @@
 
 /// Refused requests whose retry is expected.
 #[derive(Debug, Default)]
-pub struct ComebackTable {
+pub struct ReturningRequests {
     /// Expiry by short fingerprint of the request.
     expected: collections::HashMap<u32, time::Instant>,
     /// Short fingerprints that have not been announced to the other VMs yet.
@@ -35,9 +35,9 @@
     fingerprint as u32
 }
 
-impl ComebackTable {
+impl ReturningRequests {
     /// Records that this VM refused a request with the retry delay `wait`.
-    pub fn refused(&mut self, fingerprint: u64, wait: time::Duration, now: time::Instant) {
+    pub fn record_refusal(&mut self, fingerprint: u64, wait: time::Duration, now: time::Instant) {
         let short = short(fingerprint);
         self.expect(short, now + wait + EXPIRY_MARGIN, now);
         // A burst of refusals is announced over several datagrams. If there are more, the oldest
@@ -50,8 +50,8 @@
 
     /// Records that another VM refused a request. Its retry delay is not sent, so the max is
     /// assumed.
-    pub fn told(&mut self, short: u32, now: time::Instant) {
-        self.expect(short, now + wait::RETRY_AFTER_MOST + EXPIRY_MARGIN, now);
+    pub fn record_peer_refusal(&mut self, short: u32, now: time::Instant) {
+        self.expect(short, now + wait::MAX_RETRY_AFTER + EXPIRY_MARGIN, now);
     }
 
     fn expect(&mut self, short: u32, until: time::Instant, now: time::Instant) {
@@ -66,25 +66,25 @@
         self.expected.insert(short, until);
     }
 
-    /// Takes up to `most` refusals to announce to the other VMs, each once.
-    pub fn take_untold(&mut self, most: usize) -> Vec<u32> {
-        let told = self.unannounced.len().min(most);
-        self.unannounced.drain(..told).collect()
+    /// Takes up to `max` refusals to announce to the other VMs, each once.
+    pub fn take_unannounced(&mut self, max: usize) -> Vec<u32> {
+        let count = self.unannounced.len().min(max);
+        self.unannounced.drain(..count).collect()
     }
 
     /// Values that determine the rank of a request, given those of a first attempt.
     #[must_use]
-    pub fn claim(
+    pub fn rank_basis(
         &self,
         fingerprint: u64,
-        first: wait::WaitClaim,
+        first: wait::RankBasis,
         now: time::Instant,
-    ) -> wait::WaitClaim {
+    ) -> wait::RankBasis {
         let until = self.expected.get(&short(fingerprint));
         if until.is_none_or(|until| *until <= now) {
             return first;
         }
-        wait::WaitClaim {
+        wait::RankBasis {
             step: first.step.saturating_sub(RETRY_COST_STEPS),
             on_time_until: None,
         }
--- a/crates/exchange/src/serve_call.rs
+++ b/crates/exchange/src/serve_call.rs
@@ -241,7 +241,8 @@
 
     fn timed_out(&self) -> reply::Refusal {
         for &server in &self.avoid {
-            self.plane.judge(server, server::ServerVerdict::Failed);
+            self.plane
+                .record_outcome(server, server::ServerVerdict::Failed);
         }
         if self.sent == 0 {
             return self
@@ -305,11 +306,11 @@
                 port::NotRunCause::Misdirected => server::ServerVerdict::Failed,
                 _ => server::ServerVerdict::Refused,
             };
-            plane.judge(placed.server, verdict);
+            plane.record_outcome(placed.server, verdict);
             return AttemptEnd::NotRun(cause);
         }
         port::CallOutcome::Lost(_) => {
-            plane.judge(placed.server, server::ServerVerdict::Failed);
+            plane.record_outcome(placed.server, server::ServerVerdict::Failed);
             return AttemptEnd::Lost;
         }
     };
@@ -323,7 +324,7 @@
         }
         _ => server::ServerVerdict::Failed,
     };
-    plane.judge(server, verdict);
+    plane.record_outcome(server, verdict);
     end
 }
 
--- a/crates/exchange/src/serve_stream.rs
+++ b/crates/exchange/src/serve_stream.rs
@@ -198,14 +198,14 @@
         loop {
             let placed = self
                 .plane
-                .place_again(&self.request, &avoid, &mut waited)
+                .place_requeued(&self.request, &avoid, &mut waited)
                 .await?;
             let server = placed.server;
             let Ok(reservation) = self.reserve(server).await else {
                 continue;
             };
             avoid.push(server);
-            let orders = self.plane.moves_of(placed.run);
+            let orders = self.plane.relocation_orders(placed.run);
             let mut live = LiveRun {
                 placed,
                 orders,
@@ -234,7 +234,8 @@
                 }
                 port::CallOutcome::NotRun(cause) => {
                     self.ran = before;
-                    self.plane.judge(server, server::ServerVerdict::Refused);
+                    self.plane
+                        .record_outcome(server, server::ServerVerdict::Refused);
                     log::info!(
                         request:% = self.request.id, server:% = self.plane.server_id(server),
                         cause:? = cause; "stream not run"
@@ -271,9 +272,10 @@
                     fault:? = fault; "no room"
                 );
                 if fault == port::ReserveFault::Unreachable {
-                    self.plane.judge(server, server::ServerVerdict::Failed);
+                    self.plane
+                        .record_outcome(server, server::ServerVerdict::Failed);
                 }
-                self.note_full(server);
+                self.mark_full(server);
                 Err(fault)
             }
         }
@@ -340,10 +342,10 @@
         }
         if answer.status.is_server_error() {
             self.plane
-                .judge(live.placed.server, server::ServerVerdict::Erred);
+                .record_outcome(live.placed.server, server::ServerVerdict::Erred);
         } else {
             let verdict = server::ServerVerdict::Good(sent.elapsed());
-            self.plane.judge(live.placed.server, verdict);
+            self.plane.record_outcome(live.placed.server, verdict);
         }
         live.body = Some(answer.body);
     }
@@ -393,7 +395,7 @@
                 run.produced = events.saturating_mul(per_event);
                 if events > 0 && run.first_at.is_none() {
                     run.first_at = Some(time::Instant::now());
-                    self.plane.tell_loads();
+                    self.plane.announce_loads();
                 }
             }
         }
@@ -409,16 +411,19 @@
             let _ = self.parts.send(reply::StreamPart::Bytes(rest)).await;
         }
         let _ = self.parts.send(reply::StreamPart::End).await;
-        self.plane.state().suspects.acquit(self.request.fingerprint);
+        self.plane
+            .state()
+            .suspects
+            .clear_suspect(self.request.fingerprint);
         Ok(())
     }
 
     /// Records that a server is full.
-    pub(crate) fn note_full(&self, server: fleet::ServerKey) {
+    pub(crate) fn mark_full(&self, server: fleet::ServerKey) {
         let now = time::Instant::now();
         let mut state = self.plane.state();
         let pause = FULL_RETRY_DELAY.mul_f64(0.7 + 0.6 * state.draw());
-        state.fleet.note_full(server, now + pause);
+        state.fleet.mark_full(server, now + pause);
     }
 
     /// Records that a server broke the request off before its first byte.
@@ -427,9 +432,10 @@
             request:% = self.request.id, server:% = self.plane.server_id(server),
             cause:? = cause; "stream lost before its head"
         );
-        self.plane.judge(server, server::ServerVerdict::BrokeOff);
-        self.plane.tell_loads();
-        self.accuse(server);
+        self.plane
+            .record_outcome(server, server::ServerVerdict::BrokeOff);
+        self.plane.announce_loads();
+        self.record_crash(server);
         let now = time::Instant::now();
         let state = self.plane.state();
         if let Some(record) = state.fleet.server(server) {
@@ -442,7 +448,7 @@
     }
 
     /// Makes the request a suspect if its server broke it off soon after its start.
-    pub(crate) fn accuse(&self, server: fleet::ServerKey) {
+    pub(crate) fn record_crash(&self, server: fleet::ServerKey) {
         let now = time::Instant::now();
         let mut state = self.plane.state();
         let leaving = state
@@ -456,7 +462,10 @@
             return;
         };
         let (id, hash) = (record.id.clone(), record.incarnation_hash());
-        if state.suspects.accuse(self.request.fingerprint, hash, now) {
+        if state
+            .suspects
+            .record_crash(self.request.fingerprint, hash, now)
+        {
             log::info!(request:% = self.request.id, server:% = id; "suspect of a crash");
         }
     }
--- a/crates/exchange/src/server.rs
+++ b/crates/exchange/src/server.rs
@@ -63,11 +63,11 @@
     /// When this VM first learnt of the incarnation; connections to it are never older.
     pub known_since: time::Instant,
     /// Log position of the newest removal of the name, for any incarnation; 0 if there was none.
-    pub(crate) ended_offset: u64,
+    pub(crate) removed_offset: u64,
     /// Whether any update of this incarnation announced that it leaves.
-    pub(crate) told_leaving: bool,
+    pub(crate) announced_leaving: bool,
     /// End of the grace period while the entry's expiry may be due to an outage of the store.
-    pub spared_until: Option<time::Instant>,
+    pub lapse_grace_until: Option<time::Instant>,
     /// Fraction of recent attempts that failed, as of `judged_at`.
     failure_rate: f64,
     /// The server reported that it is full, and gets no requests until then.
@@ -102,9 +102,9 @@
             cold_until: now + entry.cold,
             offset,
             known_since: now,
-            ended_offset: 0,
-            told_leaving: entry.leaving,
-            spared_until: None,
+            removed_offset: 0,
+            announced_leaving: entry.leaving,
+            lapse_grace_until: None,
             failure_rate: 0.0,
             full_until: None,
             used_at: None,
@@ -119,15 +119,15 @@
     /// The store's order decides which of two updates is newer. The announcement that an
     /// incarnation leaves is never undone, in whatever order updates arrive: a heartbeat sent
     /// before it may be written seconds later.
-    pub(crate) fn take_word(&mut self, news: &news::ServerNews) -> ServerStanding {
+    pub(crate) fn apply_update(&mut self, news: &news::ServerNews) -> ServerStanding {
         let leaving = news.entry.as_ref().is_some_and(|entry| entry.leaving);
-        self.told_leaving |= leaving && self.born.is_told();
+        self.announced_leaving |= leaving && self.born.is_told();
         if news.entry.is_none() {
-            self.ended_offset = self.ended_offset.max(news.offset);
+            self.removed_offset = self.removed_offset.max(news.offset);
         }
         if news.offset <= self.offset {
             return match self.standing {
-                ServerStanding::Ready if self.told_leaving => ServerStanding::Leaving,
+                ServerStanding::Ready if self.announced_leaving => ServerStanding::Leaving,
                 standing => standing,
             };
         }
@@ -139,7 +139,7 @@
         self.address = entry.address;
         // A name without incarnations may be used again after its entry was removed.
         let left = if self.born.is_told() {
-            self.told_leaving
+            self.announced_leaving
         } else {
             leaving || self.standing == ServerStanding::Leaving
         };
@@ -151,8 +151,8 @@
     }
 
     /// Records that the name is already known to have had no entry at `offset`.
-    pub(crate) const fn end_at(&mut self, offset: u64) {
-        self.ended_offset = offset;
+    pub(crate) const fn record_removal(&mut self, offset: u64) {
+        self.removed_offset = offset;
         if offset > self.offset {
             self.offset = offset;
             self.standing = ServerStanding::Gone;
@@ -172,17 +172,17 @@
     }
 
     /// Records that this VM sent an attempt to the server.
-    pub const fn note_used(&mut self, at: time::Instant) {
+    pub const fn mark_used(&mut self, at: time::Instant) {
         self.used_at = Some(at);
     }
 
     /// Records that the server is full; it gets no requests before `until`.
-    pub const fn note_full(&mut self, until: time::Instant) {
+    pub const fn mark_full(&mut self, until: time::Instant) {
         self.full_until = Some(until);
     }
 
     /// Updates failure rate and latency with the outcome of an attempt.
-    pub fn judge(&mut self, verdict: ServerVerdict, now: time::Instant) {
+    pub fn record_outcome(&mut self, verdict: ServerVerdict, now: time::Instant) {
         let weight = match verdict {
             ServerVerdict::BrokeOff => BROKE_OFF_WEIGHT,
             _ => FAILURE_WEIGHT,
@@ -206,7 +206,7 @@
         match self.standing {
             ServerStanding::Ready => true,
             ServerStanding::Leaving => false,
-            ServerStanding::Gone => self.spared_until.is_some_and(|until| now < until),
+            ServerStanding::Gone => self.lapse_grace_until.is_some_and(|until| now < until),
         }
     }
 
@@ -238,19 +238,19 @@
 
     /// Returns whether past failures still count against the server.
     #[must_use]
-    pub fn is_doubted(&self, now: time::Instant) -> bool {
+    pub fn has_recent_failures(&self, now: time::Instant) -> bool {
         self.failure_rate(now) > HEALTHY_FAILURE_RATE
     }
 
     /// Returns whether this VM's own attempts show that the server fails.
     #[must_use]
-    pub fn fails_here(&self, now: time::Instant) -> bool {
+    pub fn is_failing_locally(&self, now: time::Instant) -> bool {
         self.failure_rate(now) >= MIN_FAILING_RATE
     }
 
     /// The newest update on the server, for other VMs.
     #[must_use]
-    pub fn news(&self) -> news::ServerNews {
+    pub fn update(&self) -> news::ServerNews {
         let entry = news::ServerEntry {
             born: self.born,
             service: self.service.clone(),
--- a/crates/exchange/src/speak.rs
+++ b/crates/exchange/src/speak.rs
@@ -74,7 +74,7 @@
     let mut said = 0_u64;
     let mut regular_at = time::Instant::now();
     loop {
-        let more = !pending.is_empty() || !plane.state().told_on.is_empty();
+        let more = !pending.is_empty() || !plane.state().updates_to_relay.is_empty();
         let cause = wait_to_speak(&plane, more, regular_at).await;
         regular_at = next_regular(&plane.state(), cause, regular_at);
         turn += u64::from(cause == SpeakCause::Regular);
@@ -143,8 +143,8 @@
         biased;
         () = time::sleep_until(regular_at) => SpeakCause::Regular,
         () = time::sleep(news_gap), if pending => SpeakCause::News,
-        () = plane.spread.notified() => SpeakCause::All,
-        () = plane.news.notified() => {
+        () = plane.announce.notified() => SpeakCause::All,
+        () = plane.updates.notified() => {
             if large {
                 time::sleep(NEWS_GAP).await;
             }
@@ -181,7 +181,7 @@
         .then(|| audience::tellers(&state.peers, &own, turn + state.sequence, now))
         .flatten();
     let mut datagram = datagram(state);
-    datagram.refused = state.comebacks.take_untold(MOST_REFUSED);
+    datagram.refused = state.returning.take_unannounced(MOST_REFUSED);
     let first_hand = tellers.as_ref().unwrap_or(&audience);
     for news in news.chunks(MOST_NEWS) {
         let bytes = with_news(state, &datagram, news, large);
@@ -189,12 +189,12 @@
     }
     if !large {
         // Whoever asked for it believed that there are more VMs.
-        state.told_on.clear();
+        state.updates_to_relay.clear();
     }
-    let told_on = take_told_on(state);
-    if !told_on.is_empty() {
+    let updates_to_relay = take_told_on(state);
+    if !updates_to_relay.is_empty() {
         let part = audience::own_part(&state.peers, &own, now);
-        for news in told_on.chunks(MOST_NEWS) {
+        for news in updates_to_relay.chunks(MOST_NEWS) {
             let bytes = with_news(state, &datagram, news, false);
             composed.push((part.clone(), bytes));
         }
@@ -275,7 +275,7 @@
 ) -> Vec<message::NewsItem> {
     pending.extend(
         state
-            .untold
+            .unannounced
             .drain(..)
             .map(|news| (message::NewsItem::from(&news), NEWS_TIMES)),
     );
@@ -292,8 +292,11 @@
 
 /// News that this VM is to tell to its part of the others.
 fn take_told_on(state: &mut state::PlaneState) -> Vec<message::NewsItem> {
-    let most = state.told_on.len().min(MOST_NEWS * MOST_NEWS_DATAGRAMS);
-    state.told_on.drain(..most).collect()
+    let most = state
+        .updates_to_relay
+        .len()
+        .min(MOST_NEWS * MOST_NEWS_DATAGRAMS);
+    state.updates_to_relay.drain(..most).collect()
 }
 
 /// Encodes a datagram, leaving out what does not fit.
@@ -324,7 +327,7 @@
         })
     });
     let loads = loads.collect();
-    let accusations = state.suspects.accusations().take(MOST_ACCUSATIONS);
+    let accusations = state.suspects.crash_reports().take(MOST_ACCUSATIONS);
     let accusations = accusations.map(|(fingerprint, server)| message::AccusationItem {
         fingerprint,
         server,
@@ -340,7 +343,7 @@
         store_away: state.store_away,
         standing_hash: state.fleet.standing_hash(),
         waiting: state.waiting(now),
-        partial: !state.servers_whole,
+        partial: !state.servers_complete,
         evacuations: evacuations_changed(state, now).then(|| state.fleet.evacuations().into()),
         ..message::PeerDatagram::default()
     }
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -8,8 +8,8 @@
 use tokio::time;
 
 use crate::{
-    budget, catalog, comeback, delta, directory, evacuation, fleet, forecast, message, news,
-    notices, peers, place, relocate, request, room, runs, suspect, system, wait,
+    budget, capacity, catalog, delta, directory, evacuation, fleet, forecast, message, news,
+    notices, peers, place, relocate, request, returning, runs, suspect, system, wait,
 };
 
 /// Settings of the plane, fixed at its start.
@@ -55,13 +55,13 @@
     /// Requests suspected of crashing servers.
     pub suspects: suspect::SuspectTable,
     /// Refused requests whose retry is expected.
-    pub comebacks: comeback::ComebackTable,
+    pub returning: returning::ReturningRequests,
     /// Server updates that have not been announced to the other VMs yet.
-    pub untold: Vec<news::ServerNews>,
+    pub unannounced: Vec<news::ServerNews>,
     /// Notices of leaving servers, sent repeatedly to the other VMs.
     pub notices: notices::LeavingNotices,
     /// Server updates that another VM asked this one to relay.
-    pub told_on: Vec<message::NewsItem>,
+    pub updates_to_relay: Vec<message::NewsItem>,
     /// Sequence number of the last datagram.
     pub sequence: u64,
     /// Stage of this VM.
@@ -69,12 +69,12 @@
     /// When this VM began to stop.
     pub stopping_since: Option<time::Instant>,
     /// When the store last recovered from an outage.
-    pub store_back_at: Option<time::Instant>,
+    pub store_recovered_at: Option<time::Instant>,
     /// Whether the last call to the store failed.
     pub store_away: bool,
     /// Whether the list of servers was complete once: read from the store, or received from a VM
     /// that has it complete.
-    pub servers_whole: bool,
+    pub servers_complete: bool,
     /// When the set of evacuated failure domains last changed.
     pub evacuated_at: Option<time::Instant>,
     /// Since when a reachable VM has had a newer configuration.
@@ -90,7 +90,7 @@
     /// Since when most reachable VMs have had a different list of servers from this one.
     pub differs_since: Option<time::Instant>,
     queues: collections::HashMap<String, wait::WaitQueue>,
-    trends: collections::HashMap<String, room::RoomTrend>,
+    trends: collections::HashMap<String, capacity::CapacityTrend>,
     budgets: collections::HashMap<String, budget::RetryBudget>,
     rng: rngs::StdRng,
 }
@@ -114,16 +114,16 @@
             system: system::SystemBelief::default(),
             peers,
             suspects: suspect::SuspectTable::default(),
-            comebacks: comeback::ComebackTable::default(),
-            untold: Vec::new(),
+            returning: returning::ReturningRequests::default(),
+            unannounced: Vec::new(),
             notices: notices::LeavingNotices::default(),
-            told_on: Vec::new(),
+            updates_to_relay: Vec::new(),
             sequence: 0,
             stage: message::VmStage::Starting,
             stopping_since: None,
-            store_back_at: None,
+            store_recovered_at: None,
             store_away: false,
-            servers_whole: false,
+            servers_complete: false,
             evacuated_at: None,
             behind_since: None,
             peers_asked_at: None,
@@ -157,12 +157,12 @@
 
     /// Applies evacuations as of a later log position; returns whether the set of evacuated domains
     /// changed.
-    pub fn take_evacuations(
+    pub fn apply_evacuations(
         &mut self,
         evacuations: evacuation::EvacuationSet,
         now: time::Instant,
     ) -> bool {
-        let changed = self.fleet.take_evacuations(evacuations);
+        let changed = self.fleet.apply_evacuations(evacuations);
         if changed {
             self.evacuated_at = Some(now);
         }
@@ -176,14 +176,14 @@
     }
 
     /// Applies an update of a server from the store or from another VM.
-    pub fn take_news(
+    pub fn apply_update(
         &mut self,
         news: news::ServerNews,
         from_store: bool,
         now: time::Instant,
     ) -> fleet::FleetChange {
-        let spared = self.spared();
-        let change = self.fleet.take_news(&news, spared, now);
+        let lapse_grace = self.lapse_grace_until();
+        let change = self.fleet.apply_update(&news, lapse_grace, now);
         if let fleet::FleetChange::Leaves(key) = change
             && let Some(record) = self.fleet.server(key)
         {
@@ -195,7 +195,7 @@
             self.notices.note(notice, now);
         }
         if from_store && change != fleet::FleetChange::Nothing {
-            self.untold.push(news);
+            self.unannounced.push(news);
         }
         change
     }
@@ -203,8 +203,8 @@
     /// End of the grace period for entries that expire now; `None` if the store was never
     /// unavailable.
     #[must_use]
-    pub fn spared(&self) -> Option<time::Instant> {
-        self.store_back_at.map(|at| at + fleet::LAPSE_GRACE)
+    pub fn lapse_grace_until(&self) -> Option<time::Instant> {
+        self.store_recovered_at.map(|at| at + fleet::LAPSE_GRACE)
     }
 
     /// Records whether a call to the store succeeded. Returns whether its availability changed.
@@ -214,7 +214,7 @@
         }
         self.store_away = !answered;
         if answered {
-            self.store_back_at = Some(now);
+            self.store_recovered_at = Some(now);
         }
         true
     }
@@ -254,12 +254,16 @@
 
     /// Values that determine the rank of a request that arrives now.
     #[must_use]
-    pub fn claim(&self, request: &request::ExchangeRequest, now: time::Instant) -> wait::WaitClaim {
-        let first = wait::WaitClaim {
+    pub fn rank_basis(
+        &self,
+        request: &request::ExchangeRequest,
+        now: time::Instant,
+    ) -> wait::RankBasis {
+        let first = wait::RankBasis {
             step: wait::cost_step(request.priority, request.size.as_ref()),
-            on_time_until: Some(request.arrived + wait::time_to_start(request.aim)),
+            on_time_until: Some(request.arrived + wait::max_start_delay(request.aim)),
         };
-        self.comebacks.claim(request.fingerprint, first, now)
+        self.returning.rank_basis(request.fingerprint, first, now)
     }
 
     /// Memory planned for the generations that wait on this VM, by service.
@@ -287,7 +291,7 @@
     }
 
     /// Samples the free memory of the engines of each service, if a sample is due.
-    pub fn note_room(&mut self, now: time::Instant) {
+    pub fn sample_capacity(&mut self, now: time::Instant) {
         let Some(catalog) = self.catalog.clone() else {
             return;
         };
@@ -297,54 +301,57 @@
                 continue;
             }
             let loads = self.fleet.loads(service, now);
-            let room = room::MemoryRoom::measure(&self.fleet, service, engine, &loads, now);
-            entry_of(&mut self.trends, service).note(room, now);
+            let capacity =
+                capacity::MemoryCapacity::measure(&self.fleet, service, engine, &loads, now);
+            entry_of(&mut self.trends, service).add_sample(capacity, now);
         }
     }
 
     /// Memory demand of a generation of this rank; `None` for calls.
-    fn need(
+    fn demand(
         &self,
         request: &request::ExchangeRequest,
         rank: wait::WaitRank,
         now: time::Instant,
-    ) -> Option<room::RoomNeed> {
+    ) -> Option<capacity::MemoryDemand> {
         let size = request.size.as_ref()?;
         let service = service_hash(&request.service);
-        Some(room::RoomNeed {
+        Some(capacity::MemoryDemand {
             tokens: forecast::planned_tokens(size) as f64,
-            yielded: self.peers.waiting_before(service, rank, now) as f64,
-            kept_part: rank.kept_part(),
+            ahead_tokens: self.peers.waiting_before(service, rank, now) as f64,
+            reserve_fraction: rank.reserve_fraction(),
         })
     }
 
     /// Returns whether a generation of this rank is unlikely to start before its caller leaves.
     #[must_use]
-    pub fn is_hopeless(
+    pub fn is_unlikely_to_start(
         &self,
         request: &request::ExchangeRequest,
         rank: wait::WaitRank,
         now: time::Instant,
     ) -> bool {
-        let need = self.need(request, rank, now);
+        let demand = self.demand(request, rank, now);
         let trend = self.trends.get(&request.service);
-        need.zip(trend)
-            .is_some_and(|(need, trend)| trend.is_hopeless(&need, now))
+        demand
+            .zip(trend)
+            .is_some_and(|(demand, trend)| trend.is_exhausted(&demand, now))
     }
 
     /// How long there has been no memory for a generation of this rank.
     #[must_use]
-    pub fn closed_for(
+    pub fn exhausted_for(
         &self,
         request: &request::ExchangeRequest,
         rank: wait::WaitRank,
         now: time::Instant,
     ) -> time::Duration {
-        let need = self.need(request, rank, now);
+        let demand = self.demand(request, rank, now);
         let trend = self.trends.get(&request.service);
-        need.zip(trend)
-            .map_or(time::Duration::ZERO, |(need, trend)| {
-                trend.closed_for(&need, now)
+        demand
+            .zip(trend)
+            .map_or(time::Duration::ZERO, |(demand, trend)| {
+                trend.exhausted_for(&demand, now)
             })
     }
 
@@ -357,7 +364,7 @@
         now: time::Instant,
     ) -> Result<(fleet::RunKey, fleet::ServerKey), place::PlaceOutcome> {
         let entries = self.peers.heard(now);
-        let yielded_tokens = self
+        let ahead_tokens = self
             .peers
             .waiting_before(service_hash(&request.service), rank, now);
         let rule = self
@@ -370,8 +377,8 @@
             avoid,
             domain: &self.settings.domain,
             entries,
-            yielded_tokens,
-            kept_part: rank.kept_part(),
+            ahead_tokens,
+            reserve_fraction: rank.reserve_fraction(),
         };
         let outcome = place::choose(&self.fleet, rule, &wanted, now, &mut self.rng);
         let place::PlaceOutcome::Server(server) = outcome else {
@@ -389,7 +396,7 @@
             started: now,
             first_at: None,
         });
-        self.queue(&request.service).started(now);
+        self.queue(&request.service).record_start(now);
         Ok((run, server))
     }
 
@@ -413,7 +420,7 @@
         let wanted = place::CopyRequest {
             source: server,
             tokens: forecast::planned_tokens(size),
-            beforehand: true,
+            proactive: true,
             service: &request.service,
         };
         place::choose_copy(&self.fleet, engine, &wanted, now, &mut self.rng)
--- a/crates/exchange/src/suspect.rs
+++ b/crates/exchange/src/suspect.rs
@@ -35,7 +35,7 @@
 impl SuspectTable {
     /// Records that a server crashed when this request had just started there. Returns whether this
     /// was new.
-    pub fn accuse(&mut self, fingerprint: u64, server: u64, now: time::Instant) -> bool {
+    pub fn record_crash(&mut self, fingerprint: u64, server: u64, now: time::Instant) -> bool {
         self.suspects
             .retain(|_, record| now.saturating_duration_since(record.at) < SUSPICION_RETENTION);
         if self.suspects.len() >= MAX_SUSPECTS && !self.suspects.contains_key(&fingerprint) {
@@ -56,7 +56,7 @@
     }
 
     /// Clears a request that ran to completion.
-    pub fn acquit(&mut self, fingerprint: u64) {
+    pub fn clear_suspect(&mut self, fingerprint: u64) {
         self.suspects.remove(&fingerprint);
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// All suspicions as pairs of fingerprint and server hash, to be announced to other VMs.
-    pub fn accusations(&self) -> impl Iterator<Item = (u64, u64)> {
+    pub fn crash_reports(&self) -> impl Iterator<Item = (u64, u64)> {
         self.suspects.iter().flat_map(|(&fingerprint, record)| {
             record
                 .servers
--- a/crates/exchange/src/wait.rs
+++ b/crates/exchange/src/wait.rs
@@ -37,7 +37,7 @@
 const MIN_RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
 /// Max retry delay sent to a refused caller: callers honour a delay of up to a third of their
 /// remaining time, which is 39 s for the slowest.
-pub const RETRY_AFTER_MOST: time::Duration = time::Duration::from_secs(13);
+pub const MAX_RETRY_AFTER: time::Duration = time::Duration::from_secs(13);
 
 /// Number of cost steps; two steps are a factor of two.
 const COST_STEPS: usize = 8;
@@ -73,7 +73,7 @@
 
     /// Fraction of the total memory that a request of this rank must leave free.
     #[must_use]
-    pub fn kept_part(self) -> f64 {
+    pub fn reserve_fraction(self) -> f64 {
         let above = self.index().saturating_sub(RESERVE_FROM_RANK) as f64;
         above * RESERVE_FRACTION_STEP
     }
@@ -100,14 +100,14 @@
 
 /// Values that determine the rank of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WaitClaim {
+pub struct RankBasis {
     /// Cost step: see [`cost_step`].
     pub step: u8,
     /// Latest start for a response on time; `None` if the response is late in any case.
     pub on_time_until: Option<time::Instant>,
 }
 
-impl WaitClaim {
+impl RankBasis {
     /// Rank at `now`.
     #[must_use]
     pub fn rank(&self, now: time::Instant) -> WaitRank {
@@ -122,7 +122,7 @@
     /// Priority of the route; 0 goes first.
     pub priority: u8,
     /// Values that determine the rank.
-    pub claim: WaitClaim,
+    pub basis: RankBasis,
     /// Order of arrival on this VM.
     pub order: u64,
     /// When the wait times out.
@@ -135,9 +135,9 @@
     /// Time of the next check whether the request can still start: once when it becomes late, and
     /// every [`CHECK_INTERVAL`] from then on.
     #[must_use]
-    pub fn next_look(&self, now: time::Instant) -> time::Instant {
+    pub fn next_check(&self, now: time::Instant) -> time::Instant {
         let late_at = self
-            .claim
+            .basis
             .on_time_until
             .map(|until| until + LATE_CHECK_DELAY);
         match late_at {
@@ -180,7 +180,7 @@
     pub fn waiting_tokens(&self, now: time::Instant) -> [u64; RANKS] {
         let mut tokens = [0; RANKS];
         for record in self.waiting.values() {
-            tokens[record.claim.rank(now).index()] += record.tokens;
+            tokens[record.basis.rank(now).index()] += record.tokens;
         }
         tokens
     }
@@ -190,12 +190,12 @@
     pub fn ahead(&self, rank: WaitRank, now: time::Instant) -> usize {
         self.waiting
             .values()
-            .filter(|record| record.claim.rank(now) <= rank)
+            .filter(|record| record.basis.rank(now) <= rank)
             .count()
     }
 
     /// Records the start of a request, for the start rate.
-    pub fn started(&mut self, now: time::Instant) {
+    pub fn record_start(&mut self, now: time::Instant) {
         self.starts.push_back(now);
         while self
             .starts
@@ -219,15 +219,15 @@
     }
 
     /// Returns whether a new request should be refused at once: the queue is full, or the expected
-    /// wait exceeds `patience`.
+    /// wait exceeds `max_wait`.
     #[must_use]
-    pub fn is_hopeless(
+    pub fn should_refuse(
         &self,
         rank: WaitRank,
-        patience: time::Duration,
+        max_wait: time::Duration,
         now: time::Instant,
     ) -> bool {
-        let late = self.expected_wait(rank, now) > patience;
+        let late = self.expected_wait(rank, now) > max_wait;
         self.waiting.len() >= MAX_WAITING || (late && self.ahead(rank, now) > 0)
     }
 
@@ -238,20 +238,20 @@
     }
 
     /// Adds a waiting request.
-    pub fn enter(&mut self, record: WaitRecord) -> WaitKey {
+    pub fn insert(&mut self, record: WaitRecord) -> WaitKey {
         self.waiting.insert(record)
     }
 
     /// Removes a request, whether it was placed, refused or cancelled.
-    pub fn leave(&mut self, key: WaitKey) {
+    pub fn remove(&mut self, key: WaitKey) {
         self.waiting.remove(key);
     }
 
     /// Waiting requests in start order: requests that can still be on time first, and among them
     /// the cheapest. In a lasting overload a FIFO queue would make every response late.
     #[must_use]
-    pub fn in_order(&self, now: time::Instant) -> Vec<WaitKey> {
-        let rank = |record: &WaitRecord| (record.claim.rank(now), record.priority, record.order);
+    pub fn start_order(&self, now: time::Instant) -> Vec<WaitKey> {
+        let rank = |record: &WaitRecord| (record.basis.rank(now), record.priority, record.order);
         let mut keys: Vec<_> = self
             .waiting
             .iter()
@@ -266,7 +266,7 @@
 /// not come within a few multiples of the target latency, whatever their deadline: a stream held
 /// that long is lost, while one refused earlier is retried.
 #[must_use]
-pub fn patience(left: time::Duration, aim: time::Duration, stream: bool) -> time::Duration {
+pub fn max_wait(left: time::Duration, aim: time::Duration, stream: bool) -> time::Duration {
     let factor = if stream {
         MAX_STREAM_WAIT_FACTOR
     } else {
@@ -280,7 +280,7 @@
 #[must_use]
 pub fn retry_after(wait: time::Duration, left: time::Duration, draw: f64) -> time::Duration {
     let min = MIN_RETRY_AFTER.as_secs_f64();
-    let max = RETRY_AFTER_MOST.as_secs_f64();
+    let max = MAX_RETRY_AFTER.as_secs_f64();
     // Callers honour a delay of up to a third of their remaining time, and retry at any time if it
     // is longer.
     let max = max.min(left.as_secs_f64() * 0.3).max(0.1);
@@ -300,6 +300,6 @@
 
 /// Max delay between arrival and start for a response on time.
 #[must_use]
-pub fn time_to_start(aim: time::Duration) -> time::Duration {
+pub fn max_start_delay(aim: time::Duration) -> time::Duration {
     aim.mul_f64(1.0 - START_TO_FIRST_EVENT_FRACTION)
 }
--- a/crates/exchange/tests/audience.rs
+++ b/crates/exchange/tests/audience.rs
@@ -188,8 +188,8 @@
         for number in 0..3_000 {
             let entry = world::entry("llm", 9, "a");
             let news = world::news(&format!("i-{number}"), 10, Some(entry));
-            here.state().take_news(news.clone(), false, now);
-            there.state().take_news(news, false, now);
+            here.state().apply_update(news.clone(), false, now);
+            there.state().apply_update(news, false, now);
         }
         let mut leaving = world::entry("llm", 9, "a");
         leaving.leaving = true;
@@ -199,7 +199,7 @@
             world::news("i-new", 22, Some(world::entry("llm", 8, "a"))),
         ];
         for news in &changes {
-            there.state().take_news(news.clone(), false, now);
+            there.state().apply_update(news.clone(), false, now);
         }
         let ask = catchup::state_ask(&here.state());
         let reply = catchup::state_reply(&mut there.state(), &ask);
@@ -207,7 +207,7 @@
         assert_eq!(told.len(), 3, "{told:?}");
         for item in &reply.news {
             let news = item.decode_news().expect("sound");
-            here.state().take_news(news, false, now);
+            here.state().apply_update(news, false, now);
         }
         let hash = |plane: &world::TestPlane| plane.state().fleet.standing_hash();
         assert_eq!(hash(&here), hash(&there));
--- a/crates/exchange/tests/decisions.rs
+++ b/crates/exchange/tests/decisions.rs
@@ -5,8 +5,8 @@
 use std::time;
 
 use exchange::{
-    budget, comeback, directory, event, fleet, forecast, loads, message, peers, place, relocate,
-    request, server, suspect, wait,
+    budget, directory, event, fleet, forecast, loads, message, peers, place, relocate, request,
+    returning, server, suspect, wait,
 };
 use tokio::time::Instant;
 use world::engines;
@@ -23,7 +23,7 @@
 
 fn place_ask<'a>(
     size: &'a request::GenerationSize,
-    yielded_tokens: u64,
+    ahead_tokens: u64,
 ) -> place::PlacementRequest<'a> {
     place::PlacementRequest {
         service: "llm",
@@ -31,8 +31,8 @@
         avoid: &[],
         domain: "a",
         entries: 7,
-        yielded_tokens,
-        kept_part: 0.0,
+        ahead_tokens,
+        reserve_fraction: 0.0,
     }
 }
 
@@ -132,7 +132,7 @@
         assert_eq!(choose(&fleet), place::PlaceOutcome::Server(second));
         let mut leaving = world::entry("llm", 1, "b");
         leaving.leaving = true;
-        fleet.take_news(&world::news("e1", 2, Some(leaving)), None, now);
+        fleet.apply_update(&world::news("e1", 2, Some(leaving)), None, now);
         assert_eq!(choose(&fleet), place::PlaceOutcome::Full);
     });
 }
@@ -145,11 +145,11 @@
         let now = Instant::now();
         let fleet = engines::fleet_of(1);
         let size = engines::size(3_000);
-        let choose = |yielded| {
+        let choose = |ahead_tokens| {
             place::choose(
                 &fleet,
                 Some(&rule()),
-                &place_ask(&size, yielded),
+                &place_ask(&size, ahead_tokens),
                 now,
                 &mut engines::rng(),
             )
@@ -175,7 +175,7 @@
         assert!(relocate::plan(&mut fleet, "llm", &engine, now, &mut engines::rng()).is_empty());
         let mut leaving = world::entry("llm", 1, "b");
         leaving.leaving = true;
-        fleet.take_news(&world::news("e1", 2, Some(leaving)), None, now);
+        fleet.apply_update(&world::news("e1", 2, Some(leaving)), None, now);
         let orders = relocate::plan(&mut fleet, "llm", &engine, now, &mut engines::rng());
         let runs: Vec<_> = orders.iter().map(|(run, _)| *run).collect();
         assert_eq!(
@@ -209,9 +209,9 @@
                 order.swap(last, other);
             }
             let mut fleet = fleet::ServerFleet::default();
-            fleet.take_news(&words[0], None, now);
+            fleet.apply_update(&words[0], None, now);
             for word in order {
-                fleet.take_news(word, None, now);
+                fleet.apply_update(word, None, now);
             }
             let server = fleet
                 .server(fleet.find("e1").expect("known"))
@@ -238,13 +238,13 @@
         let key = fleet.find("e1").expect("e1");
         let now = Instant::now();
         let spared = Some(now + fleet::LAPSE_GRACE);
-        fleet.take_news(&world::news("e1", 2, None), spared, now);
+        fleet.apply_update(&world::news("e1", 2, None), spared, now);
         assert!(fleet.server(key).expect("e1").takes_work(now));
-        assert!(fleet.end_spared(now).is_empty());
+        assert!(fleet.end_lapse_grace(now).is_empty());
         let later = now + fleet::LAPSE_GRACE + time::Duration::from_millis(1);
         assert!(!fleet.server(key).expect("e1").takes_work(later));
-        assert_eq!(fleet.end_spared(later), [key]);
-        fleet.take_news(
+        assert_eq!(fleet.end_lapse_grace(later), [key]);
+        fleet.apply_update(
             &world::news("e1", 3, Some(world::entry("llm", 1, "b"))),
             None,
             later,
@@ -291,9 +291,9 @@
         let mut queue = wait::WaitQueue::default();
         let mut enter = |step, on_time_ms: u64| {
             let order = queue.next_order();
-            queue.enter(wait::WaitRecord {
+            queue.insert(wait::WaitRecord {
                 priority: 0,
-                claim: wait::WaitClaim {
+                basis: wait::RankBasis {
                     step,
                     on_time_until: Some(now + time::Duration::from_millis(on_time_ms)),
                 },
@@ -307,13 +307,13 @@
         let first = enter(0, 1_000);
         let third = enter(1, 1_000);
         let later = now + time::Duration::from_millis(20);
-        assert_eq!(queue.in_order(later), [first, second, third, late]);
+        assert_eq!(queue.start_order(later), [first, second, third, late]);
         let tokens = queue.waiting_tokens(later);
         let used: Vec<_> = tokens.iter().filter(|&&tokens| tokens > 0).collect();
         assert_eq!(used, [&10, &20, &10]);
         assert_eq!(tokens[wait::WaitRank::new(true, 0).index()], 10);
-        queue.leave(first);
-        assert_eq!(queue.in_order(later), [second, third, late]);
+        queue.remove(first);
+        assert_eq!(queue.start_order(later), [second, third, late]);
     });
 }
 
@@ -332,15 +332,15 @@
             }
         }
         let size = engines::size(1_000);
-        let choose = |kept_part| {
+        let choose = |reserve_fraction| {
             let ask = place::PlacementRequest {
-                kept_part,
+                reserve_fraction,
                 ..place_ask(&size, 0)
             };
             place::choose(&fleet, Some(&rule()), &ask, now, &mut engines::rng())
         };
-        let cheap = wait::WaitRank::new(false, 0).kept_part();
-        let dear = wait::WaitRank::new(true, 7).kept_part();
+        let cheap = wait::WaitRank::new(false, 0).reserve_fraction();
+        let dear = wait::WaitRank::new(true, 7).reserve_fraction();
         assert!(matches!(choose(cheap), place::PlaceOutcome::Server(_)));
         assert_eq!(choose(dear), place::PlaceOutcome::Full);
     });
@@ -378,18 +378,18 @@
             ..loads::PeerLoad::default()
         };
         let mut told = fleet.clone();
-        told.take_peer_loads(1, std::iter::once((first, failing)), now);
+        told.replace_peer_loads(1, std::iter::once((first, failing)), now);
         assert_eq!(choose(&told, now), there, "one VM may be at fault itself");
-        told.take_peer_loads(2, std::iter::once((first, failing)), now);
+        told.replace_peer_loads(2, std::iter::once((first, failing)), now);
         assert_ne!(choose(&told, now), there, "two are not");
         let mut lost = fleet.clone();
-        lost.judge(first, server::ServerVerdict::BrokeOff, now);
+        lost.record_outcome(first, server::ServerVerdict::BrokeOff, now);
         assert_ne!(choose(&lost, now), there, "one loss of its own is enough");
         let later = now + time::Duration::from_secs(20);
         assert_eq!(choose(&lost, later), there, "it is tried again");
         for server in ["e1", "e2", "e3"] {
             let server = key(&lost, server);
-            lost.judge(server, server::ServerVerdict::BrokeOff, now);
+            lost.record_outcome(server, server::ServerVerdict::BrokeOff, now);
         }
         let placed = choose(&lost, now);
         assert!(
@@ -408,7 +408,7 @@
         let fleet = engines::fleet_of(1);
         let size = engines::size(17_000);
         let ask = place::PlacementRequest {
-            kept_part: wait::WaitRank::new(true, 7).kept_part(),
+            reserve_fraction: wait::WaitRank::new(true, 7).reserve_fraction(),
             ..place_ask(&size, 0)
         };
         let placed = place::choose(&fleet, Some(&rule()), &ask, now, &mut engines::rng());
@@ -425,30 +425,33 @@
         let now = Instant::now();
         let span = time::Duration::from_secs(2);
         let (mut here, mut there) = (
-            comeback::ComebackTable::default(),
-            comeback::ComebackTable::default(),
+            returning::ReturningRequests::default(),
+            returning::ReturningRequests::default(),
         );
-        let first = wait::WaitClaim {
+        let first = wait::RankBasis {
             step: 5,
             on_time_until: Some(now + span),
         };
-        here.refused(0x0102_0304_0506_0708, span, now);
-        let told = here.take_untold(8);
+        here.record_refusal(0x0102_0304_0506_0708, span, now);
+        let told = here.take_unannounced(8);
         assert_eq!(told.len(), 1);
-        assert!(here.take_untold(8).is_empty(), "each is told once");
+        assert!(here.take_unannounced(8).is_empty(), "each is told once");
         for short in told {
-            there.told(short, now);
+            there.record_peer_refusal(short, now);
         }
-        let back = there.claim(0x0102_0304_0506_0708, first, now + span);
-        let new = there.claim(77, first, now + span);
-        let late = wait::WaitClaim {
+        let back = there.rank_basis(0x0102_0304_0506_0708, first, now + span);
+        let new = there.rank_basis(77, first, now + span);
+        let late = wait::RankBasis {
             on_time_until: None,
             ..first
         };
         assert_eq!(new, first);
         assert!(new.rank(now) < back.rank(now) && back.rank(now) < late.rank(now));
         let long_after = now + time::Duration::from_secs(60);
-        assert_eq!(there.claim(0x0102_0304_0506_0708, first, long_after), first);
+        assert_eq!(
+            there.rank_basis(0x0102_0304_0506_0708, first, long_after),
+            first
+        );
     });
 }
 
@@ -457,11 +460,11 @@
     // Load: refusals come faster than datagrams carry them, for long.
     world::run(async {
         let now = Instant::now();
-        let mut table = comeback::ComebackTable::default();
+        let mut table = returning::ReturningRequests::default();
         for fingerprint in 0..10_000 {
-            table.refused(fingerprint, time::Duration::from_secs(1), now);
+            table.record_refusal(fingerprint, time::Duration::from_secs(1), now);
         }
-        let told = table.take_untold(usize::MAX);
+        let told = table.take_unannounced(usize::MAX);
         assert!(told.len() <= 256, "{}", told.len());
         assert_eq!(told.last(), Some(&9_999), "the newest are told");
     });
@@ -502,7 +505,7 @@
     let long = engines::size(4_000);
     let short = request::GenerationSize {
         prompt_tokens: 2_000,
-        most_tokens: 36,
+        max_tokens: 36,
         hint_tokens: Some(10),
         parts: Vec::new(),
     };
@@ -523,7 +526,7 @@
             let draw = f64::from(u.int_in_range(0..=1_000_u32)?) / 1_000.0;
             let after = wait::retry_after(wait, left, draw);
             assert!(after <= left.mul_f64(0.3).max(time::Duration::from_millis(100)));
-            assert!(after <= wait::RETRY_AFTER_MOST);
+            assert!(after <= wait::MAX_RETRY_AFTER);
             let longest = wait.mul_f64(1.3).max(time::Duration::from_millis(650));
             assert!(after <= longest, "{after:?} for a wait of {wait:?}");
             let last = wait::retry_after(wait, left, 1.0);
@@ -583,18 +586,18 @@
     world::run(async {
         let now = Instant::now();
         let mut table = suspect::SuspectTable::default();
-        assert!(table.accuse(7, 1, now));
-        assert!(!table.accuse(7, 1, now));
+        assert!(table.record_crash(7, 1, now));
+        assert!(!table.record_crash(7, 1, now));
         assert!(!table.is_quarantined(7, now));
-        table.accuse(7, 2, now);
+        table.record_crash(7, 2, now);
         assert!(table.is_quarantined(7, now));
         assert!(!table.is_quarantined(7, now + time::Duration::from_secs(61)));
-        table.acquit(7);
+        table.clear_suspect(7);
         assert!(!table.is_quarantined(7, now));
         for fingerprint in 0..2_000 {
-            table.accuse(fingerprint, 1, now);
+            table.record_crash(fingerprint, 1, now);
         }
-        assert!(table.accusations().count() <= 512, "bounded");
+        assert!(table.crash_reports().count() <= 512, "bounded");
     });
 }
 
@@ -679,7 +682,7 @@
             runs: 2,
             ..loads::PeerLoad::default()
         };
-        fleet.take_peer_loads(vm, std::iter::once((server, load)), now);
+        fleet.replace_peer_loads(vm, std::iter::once((server, load)), now);
     }
 }
 
@@ -704,8 +707,8 @@
             avoid: &[],
             domain: "a",
             entries: 60,
-            yielded_tokens: 0,
-            kept_part: 0.0,
+            ahead_tokens: 0,
+            reserve_fraction: 0.0,
         };
         let mut rng = engines::rng();
         crowd(&mut fleet, first, 0..40, now);
@@ -740,8 +743,8 @@
             let entry = world::entry("llm", 9, "a");
             let now = Instant::now();
             let mut state = plane.state();
-            state.take_news(world::news(&id, 10, Some(entry)), false, now);
-            state.take_news(world::news(&id, 11, None), false, now);
+            state.apply_update(world::news(&id, 10, Some(entry)), false, now);
+            state.apply_update(world::news(&id, 11, None), false, now);
         }
         tokio::time::sleep(time::Duration::from_secs(60)).await;
         assert_eq!(
--- a/crates/exchange/tests/evacuation.rs
+++ b/crates/exchange/tests/evacuation.rs
@@ -103,7 +103,7 @@
     };
     plane
         .state()
-        .take_evacuations(evacuations, time::Instant::now());
+        .apply_evacuations(evacuations, time::Instant::now());
 }
 
 /// A plane whose servers `s2` and `e2` are in another failure domain than the others.
@@ -114,7 +114,7 @@
         let entry = world::entry(service, number, "b");
         plane
             .state()
-            .take_news(world::news(id, 1, Some(entry)), false, now);
+            .apply_update(world::news(id, 1, Some(entry)), false, now);
     }
     plane
 }
@@ -130,7 +130,7 @@
                 let ask = world::ask(&format!("r-{number}"), kind);
                 let now = time::Instant::now();
                 let mut state = plane.state();
-                let rank = state.claim(&ask, now).rank(now);
+                let rank = state.rank_basis(&ask, now).rank(now);
                 let (run, server) = state.place(&ask, &[], rank, now).expect("a place");
                 let domain = state.fleet.server(server).expect("known").domain.clone();
                 assert_eq!(domain, "b");
@@ -141,7 +141,7 @@
         let ask = world::ask("none", catalog::ExchangeKind::Once);
         let now = time::Instant::now();
         let mut state = plane.state();
-        let rank = state.claim(&ask, now).rank(now);
+        let rank = state.rank_basis(&ask, now).rank(now);
         let outcome = state.place(&ask, &[], rank, now);
         assert_eq!(outcome, Err(place::PlaceOutcome::NoServer));
     });
@@ -156,7 +156,7 @@
         let ask = world::ask("r-1", catalog::ExchangeKind::Stream);
         let reply = plane.serve(ask).await.expect("served");
         evacuate(&plane, 1, &["a", "b"]);
-        plane.stir();
+        plane.wake_decisions();
         let read = world::read(world::parts(reply)).await;
         assert!(read.whole);
         assert_eq!(plane.port().seen.borrow().len(), 1, "sent once");
@@ -175,7 +175,7 @@
         let wanted = place::CopyRequest {
             source,
             tokens: 1_000,
-            beforehand: false,
+            proactive: false,
             service: "llm",
         };
         let mut rng: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(3);
@@ -185,7 +185,7 @@
         };
         assert_eq!(chosen(&state), state.fleet.find("e2"), "in its domain");
         let evacuations = evacuation::EvacuationSet::of_all(&[record(0, "a", true)], 1);
-        state.take_evacuations(evacuations, now);
+        state.apply_evacuations(evacuations, now);
         assert_eq!(chosen(&state), state.fleet.find("e3"));
     });
 }
--- a/crates/exchange/tests/fuzz.rs
+++ b/crates/exchange/tests/fuzz.rs
@@ -153,8 +153,8 @@
     let now = tokio::time::Instant::now();
     plane
         .state()
-        .take_news(world::news(id, *offset, entry), false, now);
-    plane.stir();
+        .apply_update(world::news(id, *offset, entry), false, now);
+    plane.wake_decisions();
     Ok(())
 }
 
--- a/crates/exchange/tests/incarnations.rs
+++ b/crates/exchange/tests/incarnations.rs
@@ -4,7 +4,7 @@
 
 use std::{collections, time};
 
-use exchange::{catalog, fleet, news, port, room, server};
+use exchange::{capacity, catalog, fleet, news, port, server};
 use tokio::time::Instant;
 use world::ServerScript;
 
@@ -75,9 +75,9 @@
                     order.swap(last, other);
                 }
                 let mut fleet = fleet::ServerFleet::default();
-                fleet.take_news(&first, None, now);
+                fleet.apply_update(&first, None, now);
                 for word in order {
-                    fleet.take_news(word, None, now);
+                    fleet.apply_update(word, None, now);
                 }
                 let record = fleet.server(fleet.find("e1").expect("known"));
                 let record = record.expect("known");
@@ -100,16 +100,16 @@
     world::run(async {
         let now = Instant::now();
         let mut fleet = fleet::ServerFleet::default();
-        fleet.take_news(
+        fleet.apply_update(
             &world::news("e1", 1, Some(entry(1, 1_000, false))),
             None,
             now,
         );
         let before = fleet.find("e1").expect("known");
         for _ in 0..8 {
-            fleet.judge(before, server::ServerVerdict::Failed, now);
+            fleet.record_outcome(before, server::ServerVerdict::Failed, now);
         }
-        fleet.note_full(before, now + GAP);
+        fleet.mark_full(before, now + GAP);
         let load = exchange::loads::PeerLoad {
             runs: 3,
             tokens: 9_000,
@@ -117,9 +117,9 @@
             failing: true,
         };
         for vm in 1..4 {
-            fleet.take_peer_loads(vm, [(before, load)].into_iter(), now);
+            fleet.replace_peer_loads(vm, [(before, load)].into_iter(), now);
         }
-        fleet.take_news(
+        fleet.apply_update(
             &world::news("e1", 2, Some(entry(1, 1_000, true))),
             None,
             now,
@@ -127,7 +127,7 @@
         let hash = fleet.server(before).expect("known").name_hash();
 
         let back = world::news("e1", 3, Some(entry(1, 2_000, false)));
-        let change = fleet.take_news(&back, None, now);
+        let change = fleet.apply_update(&back, None, now);
         let after = fleet.find("e1").expect("known");
         assert_eq!(change, fleet::FleetChange::Arrived(after));
         assert_ne!(before, after);
@@ -137,19 +137,19 @@
         let loads = fleet.loads("llm", now);
         assert_eq!((loads[after].runs, loads[after].tokens), (0, 0));
         let engine = world::engine_rule();
-        let room = room::MemoryRoom::measure(&fleet, "llm", &engine, &loads, now);
+        let room = capacity::MemoryCapacity::measure(&fleet, "llm", &engine, &loads, now);
         assert!(
             room.moving < 1.0,
             "what ran there is over, and needs no room"
         );
         // What a VM that has not heard of it still tells is of the earlier one.
-        assert_eq!(fleet.find_hash(hash), Some(before));
+        assert_eq!(fleet.find_by_hash(hash), Some(before));
         let old = fleet.server(before).expect("kept");
         assert!(!old.takes_work(now) && old.superseded);
         // Nor does a late word of the earlier one end or revive anything.
         let late = world::news("e1", 9, Some(entry(1, 1_000, true)));
         assert_eq!(
-            fleet.take_news(&late, None, now),
+            fleet.apply_update(&late, None, now),
             fleet::FleetChange::Nothing
         );
         assert!(fleet.server(after).expect("known").takes_work(now));
@@ -165,11 +165,11 @@
         let now = Instant::now();
         let mut fleet = fleet::ServerFleet::default();
         let ready = || Some(entry(1, 1_000, false));
-        fleet.take_news(&world::news("e1", 1, ready()), None, now);
+        fleet.apply_update(&world::news("e1", 1, ready()), None, now);
         let leaving = Some(entry(1, 1_000, true));
-        fleet.take_news(&world::news("e1", 2, leaving), None, now);
-        fleet.take_news(&world::news("e1", 3, None), None, now);
-        fleet.take_news(&world::news("e1", 4, ready()), None, now);
+        fleet.apply_update(&world::news("e1", 2, leaving), None, now);
+        fleet.apply_update(&world::news("e1", 3, None), None, now);
+        fleet.apply_update(&world::news("e1", 4, ready()), None, now);
         assert_eq!(fleet.ready("llm", now).count(), 0);
     });
 }
@@ -180,10 +180,10 @@
         let now = Instant::now();
         let mut fleet = fleet::ServerFleet::default();
         let told = world::news("e1", 1, Some(entry(1, 1_000, false)));
-        assert!(!fleet.names_none(&told));
-        fleet.take_news(&told, None, now);
-        assert!(fleet.names_none(&world::news("e1", 2, Some(entry(1, 0, false)))));
-        assert!(!fleet.names_none(&world::news("e2", 2, Some(entry(2, 0, false)))));
+        assert!(!fleet.lacks_incarnation(&told));
+        fleet.apply_update(&told, None, now);
+        assert!(fleet.lacks_incarnation(&world::news("e1", 2, Some(entry(1, 0, false)))));
+        assert!(!fleet.lacks_incarnation(&world::news("e2", 2, Some(entry(2, 0, false)))));
     });
 }
 
@@ -200,7 +200,7 @@
         let now = Instant::now();
         for (number, id) in [(11, "e1"), (12, "e2")] {
             let told = world::news(id, 2, Some(entry(number, 1_000, false)));
-            plane.state().take_news(told, false, now);
+            plane.state().apply_update(told, false, now);
         }
         let ask = world::ask("a", catalog::ExchangeKind::Stream);
         let reply = plane.serve(ask).await.expect("served");
@@ -214,7 +214,7 @@
             }
         };
         let back = world::news(other, 3, Some(entry(number, 2_000, false)));
-        plane.state().take_news(back, false, Instant::now());
+        plane.state().apply_update(back, false, Instant::now());
         let read = world::read(world::parts(reply)).await;
         assert!(!read.whole);
         assert_eq!(read.text, world::events(9));
@@ -233,7 +233,7 @@
         let now = Instant::now();
         for (number, id) in [(11, "e1"), (12, "e2")] {
             let told = world::news(id, 2, Some(entry(number, 1_000, false)));
-            plane.state().take_news(told, false, now);
+            plane.state().apply_update(told, false, now);
             plane.port().tell(id, ServerScript::Events(100, GAP));
         }
         let ask = world::ask("a", catalog::ExchangeKind::Stream);
@@ -242,8 +242,8 @@
         let number = if first == "e1" { 11 } else { 12 };
         tokio::time::sleep(GAP * 6).await;
         let back = world::news(&first, 3, Some(entry(number, 2_000, false)));
-        plane.state().take_news(back, false, Instant::now());
-        plane.stir();
+        plane.state().apply_update(back, false, Instant::now());
+        plane.wake_decisions();
         let read = world::read(world::parts(reply)).await;
         assert!(read.whole);
         assert_eq!(read.text, world::events(100));
@@ -261,6 +261,12 @@
         address: world::address(1),
         known_for: time::Duration::from_millis(300),
     };
-    assert_eq!(target.kept(port::ReuseRule::Any), target.known_for);
-    assert_eq!(target.kept(port::ReuseRule::FRESH), target.known_for);
+    assert_eq!(
+        target.max_connection_age(port::ReuseRule::Any),
+        target.known_for
+    );
+    assert_eq!(
+        target.max_connection_age(port::ReuseRule::FRESH),
+        target.known_for
+    );
 }
--- a/crates/exchange/tests/moves.rs
+++ b/crates/exchange/tests/moves.rs
@@ -22,7 +22,7 @@
         let ask = place::CopyRequest {
             source,
             tokens: 3_000,
-            beforehand: false,
+            proactive: false,
             service: "llm",
         };
         let engine = world::engine_rule();
--- a/crates/exchange/tests/overload.rs
+++ b/crates/exchange/tests/overload.rs
@@ -69,7 +69,7 @@
             output: output as u32,
             size: request::GenerationSize {
                 prompt_tokens: prompt as u32,
-                most_tokens: 1_756,
+                max_tokens: 1_756,
                 hint_tokens: Some(hint.max(1.0) as u32),
                 parts: Vec::new(),
             },
@@ -104,7 +104,7 @@
             let mut entry = world::entry("llm", number, "a");
             entry.slots = SLOTS;
             let news = world::news(&format!("e{number}"), 1, Some(entry));
-            fleet.take_news(&news, None, Instant::now());
+            fleet.apply_update(&news, None, Instant::now());
         }
         Self {
             policy,
@@ -142,16 +142,16 @@
         };
         let on_time = match self.policy {
             WaitPolicy::Arrival => time::Duration::from_secs(100),
-            WaitPolicy::Rank => wait::time_to_start(AIM),
+            WaitPolicy::Rank => wait::max_start_delay(AIM),
         };
-        let key = self.queue.enter(wait::WaitRecord {
+        let key = self.queue.insert(wait::WaitRecord {
             priority: 0,
-            claim: wait::WaitClaim {
+            basis: wait::RankBasis {
                 step,
                 on_time_until: Some(now + on_time),
             },
             order: u64::from(self.tally.asked),
-            until: now + wait::patience(time::Duration::from_secs(39), AIM, true),
+            until: now + wait::max_wait(time::Duration::from_secs(39), AIM, true),
             tokens: forecast::planned_tokens(&ask.size),
         });
         self.waiting.push((key, ask));
@@ -173,24 +173,24 @@
         self.waiting.retain(|(key, _)| {
             let waits = queue.get(*key).is_some_and(|record| now < record.until);
             if !waits {
-                queue.leave(*key);
+                queue.remove(*key);
             }
             waits
         });
     }
 
     fn start_waiting(&mut self, now: Instant) {
-        for key in self.queue.in_order(now) {
+        for key in self.queue.start_order(now) {
             let index = self.waiting.iter().position(|(waits, _)| *waits == key);
             let index = index.expect("waits");
             let rank = match self.policy {
                 WaitPolicy::Arrival => wait::WaitRank::default(),
-                WaitPolicy::Rank => self.queue.get(key).expect("waits").claim.rank(now),
+                WaitPolicy::Rank => self.queue.get(key).expect("waits").basis.rank(now),
             };
             if !self.start(index, rank, now) {
                 return;
             }
-            self.queue.leave(key);
+            self.queue.remove(key);
             self.waiting.remove(index);
         }
     }
@@ -203,8 +203,8 @@
             avoid: &[],
             domain: "a",
             entries: 1,
-            yielded_tokens: 0,
-            kept_part: rank.kept_part(),
+            ahead_tokens: 0,
+            reserve_fraction: rank.reserve_fraction(),
         };
         let mut rule = exchange::catalog::ServiceRule {
             connections: 100,
--- a/crates/exchange/tests/recovery.rs
+++ b/crates/exchange/tests/recovery.rs
@@ -109,7 +109,7 @@
         if recovery.serves.is_zero() && all(&serves) {
             recovery.serves = began.elapsed();
         }
-        if all(&|state| state.servers_whole && state.fleet.servers().count() == servers) {
+        if all(&|state| state.servers_complete && state.fleet.servers().count() == servers) {
             recovery.knows = began.elapsed();
             recovery.calls_each = store.calls.get() as f64 / lost;
         }
--- a/crates/exchange/tests/room.rs
+++ b/crates/exchange/tests/room.rs
@@ -4,11 +4,11 @@
 
 use std::time;
 
-use exchange::{catalog, reply, room, wait};
+use exchange::{capacity, catalog, reply, wait};
 use tokio::time::Instant;
 
-fn full() -> room::MemoryRoom {
-    room::MemoryRoom {
+fn full() -> capacity::MemoryCapacity {
+    capacity::MemoryCapacity {
         all: 40_000.0,
         used: 35_000.0,
         free: 1_800.0,
@@ -16,25 +16,25 @@
     }
 }
 
-fn need(kept_part: f64) -> room::RoomNeed {
-    room::RoomNeed {
+fn need(reserve_fraction: f64) -> capacity::MemoryDemand {
+    capacity::MemoryDemand {
         tokens: 3_500.0,
-        yielded: 0.0,
-        kept_part,
+        ahead_tokens: 0.0,
+        reserve_fraction,
     }
 }
 
 /// A trend with a moment every 100 ms for `span`, up to `now`.
 fn trend(
-    moment: impl Fn(time::Duration) -> room::MemoryRoom,
+    moment: impl Fn(time::Duration) -> capacity::MemoryCapacity,
     span: time::Duration,
     now: Instant,
-) -> room::RoomTrend {
+) -> capacity::CapacityTrend {
     let gap = time::Duration::from_millis(100);
-    let mut trend = room::RoomTrend::default();
+    let mut trend = capacity::CapacityTrend::default();
     let mut ago = span;
     while ago > time::Duration::ZERO {
-        trend.note(moment(ago), now - ago);
+        trend.add_sample(moment(ago), now - ago);
         ago = ago.saturating_sub(gap);
     }
     trend
@@ -48,24 +48,24 @@
         let now = Instant::now();
         let seconds = time::Duration::from_secs;
         let lasting = trend(|_| full(), seconds(10), now);
-        assert!(lasting.is_hopeless(&need(0.0), now));
-        assert_eq!(lasting.closed_for(&need(0.0), now), seconds(10));
+        assert!(lasting.is_exhausted(&need(0.0), now));
+        assert_eq!(lasting.exhausted_for(&need(0.0), now), seconds(10));
         let burst = trend(|_| full(), seconds(3), now);
-        assert!(!burst.is_hopeless(&need(0.0), now));
-        let open = room::MemoryRoom {
+        assert!(!burst.is_exhausted(&need(0.0), now));
+        let open = capacity::MemoryCapacity {
             free: 9_000.0,
             ..full()
         };
         let at_times = |ago| if ago == seconds(2) { open } else { full() };
         let at_times = trend(at_times, seconds(10), now);
-        assert!(!at_times.is_hopeless(&need(0.0), now));
+        assert!(!at_times.is_exhausted(&need(0.0), now));
         // What must leave more free did not find it at that moment either.
-        assert!(at_times.is_hopeless(&need(0.39), now));
-        let unknown = room::RoomTrend::default();
-        assert!(!unknown.is_hopeless(&need(0.39), now));
+        assert!(at_times.is_exhausted(&need(0.39), now));
+        let unknown = capacity::CapacityTrend::default();
+        assert!(!unknown.is_exhausted(&need(0.39), now));
         // The past is forgotten in the end.
         let long = trend(|_| full(), seconds(100), now);
-        assert!(long.closed_for(&need(0.0), now) <= seconds(16));
+        assert!(long.exhausted_for(&need(0.0), now) <= seconds(16));
     });
 }
 
@@ -85,10 +85,10 @@
                 };
                 state
                     .fleet
-                    .take_peer_loads(vm, [(key, load)].into_iter(), now);
+                    .replace_peer_loads(vm, [(key, load)].into_iter(), now);
             }
         }
-        plane.stir();
+        plane.wake_decisions();
         tokio::time::sleep(time::Duration::from_millis(500)).await;
     }
 }
@@ -111,11 +111,11 @@
         assert!(plane.port().seen.borrow().is_empty(), "it has not run");
         let held = began.elapsed();
         let aim = time::Duration::from_millis(1_800);
-        assert!(held >= wait::time_to_start(aim), "it had its chance");
+        assert!(held >= wait::max_start_delay(aim), "it had its chance");
         assert!(held < time::Duration::from_millis(900), "{held:?}");
         let away = refusal.retry_after.expect("a time");
         assert!(away > time::Duration::from_secs(3), "{away:?}");
-        assert!(away <= wait::RETRY_AFTER_MOST);
+        assert!(away <= wait::MAX_RETRY_AFTER);
     });
 }
 
--- a/crates/exchange/tests/systems.rs
+++ b/crates/exchange/tests/systems.rs
@@ -71,8 +71,8 @@
     let now = clock::Instant::now();
     let mut state = plane.state();
     let peers: Vec<_> = state.peers.all().map(|peer| format!("{peer:?}")).collect();
-    let servers: Vec<_> = state.fleet.servers().map(|(_, it)| it.news()).collect();
-    let mut accused: Vec<_> = state.suspects.accusations().collect();
+    let servers: Vec<_> = state.fleet.servers().map(|(_, it)| it.update()).collect();
+    let mut accused: Vec<_> = state.suspects.crash_reports().collect();
     accused.sort_unstable();
     let greeted = state.peers.greetings(now);
     format!("{peers:?} {servers:?} {accused:?} {greeted:?}")
--- a/crates/exchange/tests/world/engines.rs
+++ b/crates/exchange/tests/world/engines.rs
@@ -10,7 +10,7 @@
 pub fn size(prompt: u32) -> request::GenerationSize {
     request::GenerationSize {
         prompt_tokens: prompt,
-        most_tokens: 2_000,
+        max_tokens: 2_000,
         hint_tokens: None,
         parts: Vec::new(),
     }
@@ -23,7 +23,7 @@
         let domain = if number % 2 == 0 { "a" } else { "b" };
         let entry = super::entry("llm", number, domain);
         let news = super::news(&format!("e{number}"), 1, Some(entry));
-        fleet.take_news(&news, None, Instant::now());
+        fleet.apply_update(&news, None, Instant::now());
     }
     fleet
 }
--- a/crates/exchange/tests/world/herd.rs
+++ b/crates/exchange/tests/world/herd.rs
@@ -282,10 +282,10 @@
     pub fn know_all(&self, store: &HerdStore, catalog: catalog::RouteCatalog) {
         let mut state = self.plane.state();
         for news in &store.entries {
-            state.take_news(news.clone(), false, Instant::now());
+            state.apply_update(news.clone(), false, Instant::now());
         }
         state.take_catalog(catalog, store.document.borrow().1.clone());
-        state.servers_whole = true;
+        state.servers_complete = true;
     }
 }
 
--- a/crates/exchange/tests/world/lossy.rs
+++ b/crates/exchange/tests/world/lossy.rs
@@ -199,10 +199,10 @@
 fn new_plane(number: usize, first: &[news::ServerNews]) -> super::TestPlane {
     let mut state = super::vm_state(number, DOMAINS);
     for news in first {
-        state.take_news(news.clone(), false, Instant::now());
+        state.apply_update(news.clone(), false, Instant::now());
     }
     state.take_catalog(super::catalog(1), bytes::Bytes::from_static(b"1"));
-    state.servers_whole = true;
+    state.servers_complete = true;
     rc::Rc::new(plane::ExchangePlane::new(super::FakePort::default(), state))
 }
 
--- a/crates/exchange/tests/world/mod.rs
+++ b/crates/exchange/tests/world/mod.rs
@@ -362,10 +362,10 @@
     let now = tokio::time::Instant::now();
     state.take_catalog(catalog(1), Bytes::from_static(b"1"));
     for (number, id) in [(1, "s1"), (2, "s2")] {
-        state.take_news(news(id, 1, Some(entry("app", number, "a"))), false, now);
+        state.apply_update(news(id, 1, Some(entry("app", number, "a"))), false, now);
     }
     for (number, id) in [(11, "e1"), (12, "e2")] {
-        state.take_news(news(id, 1, Some(entry("llm", number, "a"))), false, now);
+        state.apply_update(news(id, 1, Some(entry("llm", number, "a"))), false, now);
     }
     rc::Rc::new(plane::ExchangePlane::new(FakePort::default(), state))
 }
@@ -377,9 +377,9 @@
     let now = tokio::time::Instant::now();
     let change = plane
         .state()
-        .take_news(news(id, 50, Some(leaving)), false, now);
+        .apply_update(news(id, 50, Some(leaving)), false, now);
     assert!(matches!(change, fleet::FleetChange::Leaves(_)));
-    plane.stir();
+    plane.wake_decisions();
 }
 
 pub fn ask(id: &str, kind: catalog::ExchangeKind) -> request::ExchangeRequest {
@@ -387,7 +387,7 @@
     let stream = kind == catalog::ExchangeKind::Stream;
     let size = request::GenerationSize {
         prompt_tokens: 3_000,
-        most_tokens: 2_000,
+        max_tokens: 2_000,
         hint_tokens: Some(800),
         parts: Vec::new(),
     };
