--- a/crates/exchange/benches/scale.rs
+++ b/crates/exchange/benches/scale.rs
@@ -1,8 +1,8 @@
-//! What one VM's part costs as VMs and servers grow together, ten servers to a VM: a choice of a
-//! server, and a datagram of another VM taken.
+//! Cost per VM of choosing a server and of applying a datagram of another VM, as VMs and servers
+//! grow together at ten servers per VM.
 //!
-//! `cargo bench -p exchange --bench scale`. The last column is the time over that of the smallest
-//! size: near 1 is what the size of the brief needs.
+//! `cargo bench -p exchange --bench scale`. The last column is the time relative to the smallest
+//! size; it should stay near 1.
 
 #[path = "../tests/world/mod.rs"]
 mod world;
@@ -11,15 +11,15 @@
 
 use exchange::{catalog, link, message, news, server};
 
-/// VMs; servers are [`SERVERS_PER_VM`] times as many.
+/// Numbers of VMs; there are [`SERVERS_PER_VM`] times as many servers.
 const SIZES: [u32; 4] = [30, 100, 300, 410];
 const SERVERS_PER_VM: u32 = 10;
-/// Services; every second one is of engines.
+/// Number of services; one of them has engines.
 const SERVICES: u32 = 12;
-/// Servers on which another VM has something.
+/// Number of servers in each VM's load report.
 const LOADS: u32 = 12;
-/// Times that each is measured.
-const TIMES: u32 = 2_000;
+/// Repetitions of each measurement.
+const REPETITIONS: u32 = 2_000;
 
 fn plane(vms: u32) -> world::TestPlane {
     let plane = world::plane();
@@ -37,7 +37,7 @@
     plane
 }
 
-/// What VM `sender` tells for the `sequence`th time.
+/// The `sequence`th datagram of VM `sender`.
 fn datagram(sender: u32, sequence: u64, servers: u32) -> message::PeerDatagram {
     let loads = (0..LOADS).map(|index| message::LoadItem {
         server: {
@@ -65,11 +65,11 @@
 }
 
 fn micros(times: u32, mut work: impl FnMut(u32)) -> f64 {
-    let began = time::Instant::now();
+    let started = time::Instant::now();
     for number in 0..times {
         work(number);
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(times)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(times)
 }
 
 fn main() {
@@ -82,29 +82,29 @@
             for sender in 1..vms {
                 link::take_datagram(&plane, &datagram(sender, 1, servers));
             }
-            let stream = world::ask("a", catalog::ExchangeKind::Stream);
-            let call = world::ask("b", catalog::ExchangeKind::Idempotent);
-            let place = |ask| {
+            let stream = world::request("a", catalog::ExchangeKind::Stream);
+            let call = world::request("b", catalog::ExchangeKind::Idempotent);
+            let place = |request| {
                 let now = tokio::time::Instant::now();
-                let placed = plane.state().place(ask, &[], Default::default(), now);
+                let placed = plane.state().place(request, &[], Default::default(), now);
                 if let Ok((run, _)) = hint::black_box(placed) {
                     plane.state().fleet.end(run);
                 }
             };
-            let engine = micros(TIMES, |_| place(&stream));
-            let server = micros(TIMES, |_| place(&call));
+            let engine = micros(REPETITIONS, |_| place(&stream));
+            let server = micros(REPETITIONS, |_| place(&call));
             let sequence = |number: u32| u64::from(2 + number);
-            let told = micros(TIMES, |number| {
+            let datagram_us = micros(REPETITIONS, |number| {
                 let datagram = datagram(1 + number % (vms - 1), sequence(number), servers);
                 link::take_datagram(&plane, &datagram);
             });
-            let (engine_first, server_first, told_first) =
-                *first.get_or_insert((engine, server, told));
+            let (engine_first, server_first, datagram_first) =
+                *first.get_or_insert((engine, server, datagram_us));
             println!(
-                "{vms:>3}  {servers:>7}  {engine:>8.1} us {:>6.2}   {server:>8.1} us {:>6.2}  {told:>8.1} us {:>6.2}",
+                "{vms:>3}  {servers:>7}  {engine:>8.1} us {:>6.2}   {server:>8.1} us {:>6.2}  {datagram_us:>8.1} us {:>6.2}",
                 engine / engine_first,
                 server / server_first,
-                told / told_first,
+                datagram_us / datagram_first,
             );
         }
     });
--- a/crates/exchange/tests/calls.rs
+++ b/crates/exchange/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls with a short answer: what may be tried again, and what is promised.
+//! Tests of calls: which are retried, and what refusals guarantee.
 
 mod world;
 
@@ -12,10 +12,10 @@
     reply.as_ref().map_or(0, |reply| reply.status.as_u16())
 }
 
-/// Both servers do the same, in this order.
-fn both(plane: &world::TestPlane, script: &ServerScript) {
-    plane_port(plane).tell("s1", script.clone());
-    plane_port(plane).tell("s2", script.clone());
+/// Adds the same script for both servers.
+fn script_both(plane: &world::TestPlane, script: &ServerScript) {
+    plane_port(plane).push_script("s1", script.clone());
+    plane_port(plane).push_script("s2", script.clone());
 }
 
 fn plane_port(plane: &world::TestPlane) -> &world::FakePort {
@@ -23,17 +23,16 @@
 }
 
 #[test]
-fn a_single_call_whose_answer_is_lost_is_not_sent_again() {
-    // Symptom: a family is charged twice for one pass.
-    // Sequence: the server runs the call, its connection breaks before the answer.
-    // Cause: a lost answer taken for "not run".
+fn a_single_call_with_a_lost_response_is_not_retried() {
+    // Guards against running a single call twice: the server runs it, and the connection breaks
+    // before the response. A lost response does not mean that the call was not run.
     world::run(async {
         let plane = world::plane();
-        both(&plane, &ServerScript::Lost);
-        let told = plane
-            .serve(world::ask("a", catalog::ExchangeKind::Once))
+        script_both(&plane, &ServerScript::Lost);
+        let served = plane
+            .serve(world::request("a", catalog::ExchangeKind::Once))
             .await;
-        let refusal = told.expect_err("lost");
+        let refusal = served.expect_err("lost");
         assert_eq!(refusal.ran, outcome::RanState::Unknown);
         assert_eq!(refusal.cause, reply::RefusalCause::ServerLost);
         assert_eq!(plane_port(&plane).seen.borrow().len(), 1);
@@ -41,55 +40,52 @@
 }
 
 #[test]
-fn an_idempotent_call_is_tried_at_the_other_server() {
-    // Symptom: a phone shows an error although two servers of three work.
-    // Sequence: one server breaks off, the other answers.
-    // Cause: no second try of a call that may be repeated.
+fn an_idempotent_call_is_retried_on_the_other_server() {
+    // Guards against returning an error while another server works: one server breaks off, and the
+    // call may be retried on another one.
     world::run(async {
         for first in [
             ServerScript::Lost,
             ServerScript::Answer(500, time::Duration::ZERO),
         ] {
             let plane = world::plane();
-            both(&plane, &first);
-            plane_port(&plane).tell("s1", ServerScript::Answer(200, time::Duration::ZERO));
-            let told = plane
-                .serve(world::ask("a", catalog::ExchangeKind::Idempotent))
+            script_both(&plane, &first);
+            plane_port(&plane).push_script("s1", ServerScript::Answer(200, time::Duration::ZERO));
+            let served = plane
+                .serve(world::request("a", catalog::ExchangeKind::Idempotent))
                 .await;
-            // The other server fails as well: its own answer, or the loss, is told.
-            assert_ne!(status(&told), 200);
+            // The other server fails as well: the caller gets its response, or the loss.
+            assert_ne!(status(&served), 200);
             let seen = plane_port(&plane).seen.borrow();
-            assert_eq!(seen.len(), 2, "two servers at the most");
+            assert_eq!(seen.len(), 2, "at most two servers");
             assert_ne!(seen[0].server, seen[1].server);
         }
     });
 }
 
 #[test]
-fn a_call_that_nobody_ran_is_refused_with_that_promise() {
-    // Symptom: a caller that was told 503 finds its booking made.
-    // Sequence: every server says that it did not run the call.
-    // Cause: the promise given without proof; here each try has one.
+fn a_call_that_no_server_ran_is_refused_as_not_run() {
+    // Guards against a refusal that claims "not run" for a call that ran. Every server reports that
+    // it did not run the call, so the claim is proved for each attempt.
     world::run(async {
         let plane = world::plane();
-        both(&plane, &ServerScript::NotRun(port::NotRunCause::Rejected));
-        let told = plane
-            .serve(world::ask("a", catalog::ExchangeKind::Once))
+        script_both(&plane, &ServerScript::NotRun(port::NotRunCause::Rejected));
+        let served = plane
+            .serve(world::request("a", catalog::ExchangeKind::Once))
             .await;
-        let refusal = told.expect_err("refused");
+        let refusal = served.expect_err("refused");
         assert_eq!(refusal.ran, outcome::RanState::No);
         assert!(refusal.retry_after.is_some());
     });
 }
 
 #[test]
-fn a_server_that_is_another_now_costs_no_try() {
-    // Symptom: a booking is refused right after a server's address was given to another service.
-    // Sequence: the first server is another incarnation and says so, the second answers.
-    // Cause: a try that reached nobody counted against the route's one server.
+fn a_misdirected_attempt_does_not_count() {
+    // Guards against refusing a call right after a server's address was reassigned: the first
+    // server is another incarnation and says so, which must not use up the route's only attempt.
     world::run(async {
         let plane = world::plane();
-        both(
+        script_both(
             &plane,
             &ServerScript::NotRun(port::NotRunCause::Misdirected),
         );
@@ -100,22 +96,21 @@
             .expect("s2")
             .clear();
         for _ in 0..4 {
-            let told = plane
-                .serve(world::ask("a", catalog::ExchangeKind::Once))
+            let served = plane
+                .serve(world::request("a", catalog::ExchangeKind::Once))
                 .await;
-            assert_eq!(status(&told), 200);
+            assert_eq!(status(&served), 200);
         }
     });
 }
 
 #[test]
-fn a_silent_server_is_hedged_once_and_given_up_at_once() {
-    // Symptom: queue status freezes for a second on some phones.
-    // Sequence: a server takes the call and stays silent, the other is well.
-    // Cause: no hedge; and the silent try must be closed when the other answers.
+fn a_call_to_a_silent_server_is_hedged_once_and_cancelled() {
+    // Guards against calls that hang on a silent server: an idempotent call is hedged, and the
+    // silent attempt is cancelled when the other server responds.
     world::run(async {
         let plane = world::plane();
-        both(&plane, &ServerScript::Silent);
+        script_both(&plane, &ServerScript::Silent);
         plane_port(&plane)
             .scripts
             .borrow_mut()
@@ -124,49 +119,43 @@
             .clear();
         for number in 0..3 {
             let id = format!("a{number}");
-            let began = tokio::time::Instant::now();
-            let told = plane
-                .serve(world::ask(&id, catalog::ExchangeKind::Idempotent))
+            let started = tokio::time::Instant::now();
+            let served = plane
+                .serve(world::request(&id, catalog::ExchangeKind::Idempotent))
                 .await;
-            assert_eq!(status(&told), 200);
-            assert!(began.elapsed() < time::Duration::from_millis(100));
-            assert_eq!(
-                plane.state().fleet.runs().count(),
-                0,
-                "no try is left behind"
-            );
+            assert_eq!(status(&served), 200);
+            assert!(started.elapsed() < time::Duration::from_millis(100));
+            assert_eq!(plane.state().fleet.runs().count(), 0, "no attempt is left");
         }
     });
 }
 
 #[test]
-fn an_answer_is_given_at_the_limit_not_after() {
-    // Symptom: a request outlives its route's limit.
-    // Sequence: its server never answers.
-    // Cause: the limit counted from the try instead of the request.
+fn a_call_times_out_at_its_limit() {
+    // Guards against exceeding the route's time limit when the server never responds: the limit
+    // counts from the request, not from the attempt.
     world::run(async {
         let plane = world::plane();
-        both(&plane, &ServerScript::Silent);
-        let mut ask = world::ask("a", catalog::ExchangeKind::Once);
-        ask.limit = ask.arrived + time::Duration::from_millis(1_200);
-        let began = tokio::time::Instant::now();
-        let refusal = plane.serve(ask).await.expect_err("out of time");
+        script_both(&plane, &ServerScript::Silent);
+        let mut request = world::request("a", catalog::ExchangeKind::Once);
+        request.limit = request.arrived + time::Duration::from_millis(1_200);
+        let started = tokio::time::Instant::now();
+        let refusal = plane.serve(request).await.expect_err("out of time");
         assert_eq!(refusal.cause, reply::RefusalCause::Timeout);
         assert_eq!(refusal.ran, outcome::RanState::Unknown);
-        assert_eq!(began.elapsed(), time::Duration::from_millis(1_200));
+        assert_eq!(started.elapsed(), time::Duration::from_millis(1_200));
     });
 }
 
 #[test]
-fn a_caller_that_leaves_gives_its_place_back() {
-    // Symptom: servers look busy for ever, and work waits before idle ones.
-    // Sequence: callers leave while their calls run or wait.
-    // Cause: a place that only an answer gives back.
+fn a_call_is_freed_when_its_caller_leaves() {
+    // Guards against servers that look busy for ever: a caller that leaves while its call runs or
+    // waits must free the assignment.
     world::run(async {
         let plane = world::plane();
         world::start(&plane);
-        both(&plane, &ServerScript::Silent);
-        let served = plane.serve(world::ask("a", catalog::ExchangeKind::Once));
+        script_both(&plane, &ServerScript::Silent);
+        let served = plane.serve(world::request("a", catalog::ExchangeKind::Once));
         let left = tokio::time::timeout(time::Duration::from_millis(50), served).await;
         assert!(left.is_err());
         assert_eq!(plane.state().fleet.runs().count(), 0);
@@ -176,23 +165,22 @@
 
 #[test]
 fn retries_stop_when_the_budget_is_spent() {
-    // Symptom: a failing service gets twice its load.
-    // Sequence: all servers fail all calls, hundreds come.
-    // Cause: no bound on further tries.
+    // Guards against doubling the load of a failing service: all servers fail hundreds of calls,
+    // and retries are limited.
     world::run(async {
         let plane = world::plane();
         for number in 0..200 {
-            both(&plane, &ServerScript::Lost);
+            script_both(&plane, &ServerScript::Lost);
             let id = format!("a{number}");
-            let told = plane
-                .serve(world::ask(&id, catalog::ExchangeKind::Idempotent))
+            let served = plane
+                .serve(world::request(&id, catalog::ExchangeKind::Idempotent))
                 .await;
-            assert!(told.is_err());
+            assert!(served.is_err());
         }
-        let further = plane_port(&plane).seen.borrow().len() - 200;
+        let retries = plane_port(&plane).seen.borrow().len() - 200;
         assert!(
-            further <= 60,
-            "{further} further tries; the rule allows 0.2 x 200 + 20"
+            retries <= 60,
+            "{retries} retries; the rule allows 0.2 x 200 + 20"
         );
         let plane = rc::Rc::clone(&plane);
         assert!(
@@ -205,19 +193,18 @@
 }
 
 #[test]
-fn a_long_answer_counts_as_open_until_its_caller_has_it() {
-    // Symptom: a caller gets half of a large answer as its VM stops.
-    // Sequence: an answer over 256 KB is passed on as it comes; the VM is told to stop.
-    // Cause: a request that counted as ended with its head, so that the stop did not wait.
+fn a_long_response_counts_as_open_until_received() {
+    // Guards against truncating a large response when the VM stops: a response over 256 KB is
+    // streamed, and its request counts as open until the caller has all of it.
     world::run(async {
         let plane = world::plane();
         let large = ServerScript::Large(10, time::Duration::from_millis(500));
-        both(&plane, &large);
-        let ask = world::ask("a", catalog::ExchangeKind::Idempotent);
-        let reply = plane.serve(ask).await.expect("head");
+        script_both(&plane, &large);
+        let request = world::request("a", catalog::ExchangeKind::Idempotent);
+        let reply = plane.serve(request).await.expect("head");
         assert_eq!(plane.open_requests(), 1);
         let read = world::read(world::parts(reply)).await;
-        assert!(read.whole);
+        assert!(read.complete);
         assert_eq!(read.text.len(), 10 * world::LARGE_PART);
         tokio::task::yield_now().await;
         assert_eq!(plane.open_requests(), 0);
@@ -225,21 +212,20 @@
 }
 
 #[test]
-fn a_long_answer_ends_with_the_time_of_its_route() {
-    // Symptom: a server that sends one part a second holds its caller, and its own place, for
-    // minutes past the route's limit.
-    // Sequence: an answer over 256 KB whose parts come slower and slower.
-    // Cause: only the time up to the head was bounded.
+fn a_long_response_ends_at_the_route_limit() {
+    // Guards against responses over 256 KB that arrive slowly and hold their caller and their
+    // server's slot for minutes past the route's limit: the limit covers the body as well as the
+    // head.
     world::run(async {
         let plane = world::plane();
         let large = ServerScript::Large(100, time::Duration::from_secs(1));
-        both(&plane, &large);
-        let mut ask = world::ask("a", catalog::ExchangeKind::Idempotent);
-        ask.limit = ask.arrived + time::Duration::from_secs(8);
-        let limit = ask.limit;
-        let reply = plane.serve(ask).await.expect("head");
+        script_both(&plane, &large);
+        let mut request = world::request("a", catalog::ExchangeKind::Idempotent);
+        request.limit = request.arrived + time::Duration::from_secs(8);
+        let limit = request.limit;
+        let reply = plane.serve(request).await.expect("head");
         let read = world::read(world::parts(reply)).await;
-        assert!(!read.whole, "the caller sees that it is cut");
+        assert!(!read.complete, "the response is truncated");
         assert_eq!(tokio::time::Instant::now(), limit);
         tokio::task::yield_now().await;
         assert_eq!(plane.open_requests(), 0);
--- a/crates/exchange/tests/decisions.rs
+++ b/crates/exchange/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Pure decisions: placement, waiting, budgets, suspicion, events, lookup.
+//! Tests of the pure decisions: placement, waiting, budgets, suspects, events, lookup.
 
 mod world;
 
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use world::engines;
 
-/// Histories of each property.
+/// Number of random histories per property.
 const HISTORIES: u64 = 400;
 
 fn rule() -> exchange::catalog::ServiceRule {
@@ -21,7 +21,7 @@
     }
 }
 
-fn place_ask<'a>(
+fn placement<'a>(
     size: &'a request::GenerationSize,
     ahead_tokens: u64,
 ) -> place::PlacementRequest<'a> {
@@ -38,7 +38,8 @@
 
 #[test]
 fn memory_is_never_planned_beyond_an_engine() {
-    // Load: a burst of generations of every size, from several VMs, on few engines.
+    // Guards against planning more memory or slots on an engine than it has, under a burst of
+    // generations of all sizes from several VMs on few engines.
     world::run(async {
         world::histories(HISTORIES, |u| {
             let now = Instant::now();
@@ -48,7 +49,7 @@
                 let placed = place::choose(
                     &fleet,
                     Some(&rule()),
-                    &place_ask(&size, 0),
+                    &placement(&size, 0),
                     now,
                     &mut engines::rng(),
                 );
@@ -69,8 +70,8 @@
 
 #[test]
 fn prompts_are_spread_over_engines() {
-    // Load: every VM has something waiting as an empty engine comes up. Two long prompts at once
-    // on one engine make both late, and every stream beside them.
+    // Every VM has a waiting prompt when an empty engine starts. Two long prompts at once on one
+    // engine delay each other and all streams on it.
     world::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(2);
@@ -79,12 +80,12 @@
             let placed = place::choose(
                 &fleet,
                 Some(&rule()),
-                &place_ask(&size, 0),
+                &placement(&size, 0),
                 now,
                 &mut engines::rng(),
             );
             let place::PlaceOutcome::Server(server) = placed else {
-                panic!("room for two")
+                panic!("two engines have capacity")
             };
             fleet.start(engines::run(server, 3_000, false));
         }
@@ -94,23 +95,23 @@
         let third = place::choose(
             &fleet,
             Some(&rule()),
-            &place_ask(&size, 0),
+            &placement(&size, 0),
             now,
             &mut engines::rng(),
         );
         assert_eq!(
             third,
             place::PlaceOutcome::Full,
-            "it waits where it can still go elsewhere"
+            "the third generation waits on the VM"
         );
     });
 }
 
 #[test]
-fn new_work_leaves_room_for_runs_that_must_move() {
-    // Symptom: streams of a reclaimed engine are cut: no engine has room for their copies.
-    // Sequence: an engine leaves with much memory in use; waiting requests take all that is free.
-    // Cause: what waits was let in before what runs.
+fn new_work_leaves_memory_for_runs_that_must_move() {
+    // Guards against truncated streams of a reclaimed engine for lack of memory elsewhere: an
+    // engine with much memory in use leaves, and waiting requests take all free memory before its
+    // runs can be copied.
     world::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(2);
@@ -124,7 +125,7 @@
             place::choose(
                 fleet,
                 Some(&rule()),
-                &place_ask(&size, 0),
+                &placement(&size, 0),
                 now,
                 &mut engines::rng(),
             )
@@ -138,9 +139,9 @@
 }
 
 #[test]
-fn a_late_request_leaves_room_for_those_on_time_elsewhere() {
-    // Load: lasting overload over many VMs, each with a queue of its own. Without this one VM's
-    // late request starts beside another's that could still be on time, and soon all are late.
+fn late_requests_leave_memory_for_requests_on_time_at_other_vms() {
+    // Lasting overload over many VMs, each with its own queue. If a late request of one VM started
+    // before a request of another VM that can still be on time, soon all would be late.
     world::run(async {
         let now = Instant::now();
         let fleet = engines::fleet_of(1);
@@ -149,7 +150,7 @@
             place::choose(
                 &fleet,
                 Some(&rule()),
-                &place_ask(&size, ahead_tokens),
+                &placement(&size, ahead_tokens),
                 now,
                 &mut engines::rng(),
             )
@@ -160,8 +161,8 @@
 }
 
 #[test]
-fn moves_go_to_what_loses_most_and_are_ordered_once() {
-    // Load: an engine leaves with several runs; copies queue on its link, and it is soon gone.
+fn runs_with_most_to_lose_move_first_and_once() {
+    // An engine with several runs leaves; copies queue on its link, and it is soon gone.
     world::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(3);
@@ -181,37 +182,37 @@
         assert_eq!(
             runs,
             [large, small],
-            "what ends in time is left alone: {ending:?}"
+            "a run that ends soon is not moved: {ending:?}"
         );
         assert!(relocate::plan(&mut fleet, "llm", &engine, now, &mut engines::rng()).is_empty());
     });
 }
 
 #[test]
-fn news_count_by_their_place_in_the_store_whatever_way_they_come() {
-    // Symptom: a VM sends work to a server that left, since an older word of it came later.
-    // Sequence: news of one server from the store and from peers, in any order, some twice.
-    // Cause: the last word heard taken for the last word written.
+fn updates_are_ordered_by_store_offset() {
+    // Guards against sending work to a server that left. Updates of a server arrive from the store
+    // and from peers in any order, some twice; the newest is the one with the highest store offset,
+    // not the one received last.
     world::run(async {
         world::histories(HISTORIES, |u| {
             let now = Instant::now();
             let length = u.int_in_range(1..=8)?;
-            let mut words = vec![world::news("e1", 0, Some(world::entry("llm", 1, "a")))];
+            let mut updates = vec![world::news("e1", 0, Some(world::entry("llm", 1, "a")))];
             for offset in 1..length {
                 let mut entry = world::entry("llm", 1, "a");
                 entry.leaving = u.arbitrary()?;
-                words.push(world::news("e1", offset, u.ratio(3, 4)?.then_some(entry)));
+                updates.push(world::news("e1", offset, u.ratio(3, 4)?.then_some(entry)));
             }
-            let newest = words.last().cloned().expect("one");
-            let mut order: Vec<_> = words.iter().chain(&words).collect();
+            let newest = updates.last().cloned().expect("one");
+            let mut order: Vec<_> = updates.iter().chain(&updates).collect();
             for last in (1..order.len()).rev() {
                 let other = u.int_in_range(0..=last)?;
                 order.swap(last, other);
             }
             let mut fleet = fleet::ServerFleet::default();
-            fleet.apply_update(&words[0], None, now);
-            for word in order {
-                fleet.apply_update(word, None, now);
+            fleet.apply_update(&updates[0], None, now);
+            for update in order {
+                fleet.apply_update(update, None, now);
             }
             let server = fleet
                 .server(fleet.find("e1").expect("known"))
@@ -220,7 +221,7 @@
             match newest.entry {
                 None => assert!(!takes),
                 Some(entry) if entry.leaving => assert!(!takes),
-                // A word of leaving that was met stays, whatever follows for this incarnation.
+                // An announced departure is final for this incarnation, whatever follows.
                 Some(_) => {}
             }
             Ok(())
@@ -229,16 +230,15 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_with_the_store_has_time_to_come_back() {
-    // Symptom: every server is gone for seconds after each outage of the store.
-    // Sequence: the store is away, entries lapse, it returns, servers write themselves in again.
-    // Cause: a lapse during an outage taken for a server's end.
+fn entries_expired_in_a_store_outage_have_a_grace_period() {
+    // Guards against losing all servers for seconds after each outage of the store: entries expire
+    // during the outage, and the servers register again after it.
     world::run(async {
         let mut fleet = engines::fleet_of(1);
         let key = fleet.find("e1").expect("e1");
         let now = Instant::now();
-        let spared = Some(now + fleet::LAPSE_GRACE);
-        fleet.apply_update(&world::news("e1", 2, None), spared, now);
+        let grace_until = Some(now + fleet::LAPSE_GRACE);
+        fleet.apply_update(&world::news("e1", 2, None), grace_until, now);
         assert!(fleet.server(key).expect("e1").takes_work(now));
         assert!(fleet.end_lapse_grace(now).is_empty());
         let later = now + fleet::LAPSE_GRACE + time::Duration::from_millis(1);
@@ -254,8 +254,8 @@
 }
 
 #[test]
-fn further_tries_of_all_vms_stay_within_the_whole() {
-    // Load: all VMs see failures at once and try again as often as they may.
+fn retries_of_all_vms_stay_within_the_budget() {
+    // All VMs see failures at once and retry as often as their budgets allow.
     world::run(async {
         world::histories(HISTORIES, |u| {
             let rule = budget::BudgetRule {
@@ -266,7 +266,7 @@
             let vms = u.int_in_range(1..=12_u32)?;
             let now = Instant::now();
             let mut budgets: Vec<_> = (0..vms).map(|_| budget::RetryBudget::default()).collect();
-            let (mut first, mut further) = (0_u32, 0_u32);
+            let (mut first, mut retries) = (0_u32, 0_u32);
             for step in 0..u.int_in_range(0..=300_u32)? {
                 let now = now + time::Duration::from_millis(u64::from(step) * 5);
                 let budget = &mut budgets[u.choose_index(vms as usize)?];
@@ -274,22 +274,22 @@
                     budget.count_first(&rule, now);
                     first += 1;
                 } else if budget.take(&rule, vms, now) {
-                    further += 1;
+                    retries += 1;
                 }
             }
-            let whole = 0.2 * f64::from(first) + 54.0;
-            assert!(f64::from(further) <= whole, "{further} of {whole}");
+            let limit = 0.2 * f64::from(first) + 54.0;
+            assert!(f64::from(retries) <= limit, "{retries} of {limit}");
             Ok(())
         });
     });
 }
 
 #[test]
-fn on_time_waiters_go_first_then_by_cost_and_age() {
+fn on_time_requests_start_first_then_by_cost_and_age() {
     world::run(async {
         let now = Instant::now();
         let mut queue = wait::WaitQueue::default();
-        let mut enter = |step, on_time_ms: u64| {
+        let mut insert = |step, on_time_ms: u64| {
             let order = queue.next_order();
             queue.insert(wait::WaitRecord {
                 priority: 0,
@@ -302,10 +302,10 @@
                 tokens: 10,
             })
         };
-        let late = enter(0, 10);
-        let second = enter(1, 1_000);
-        let first = enter(0, 1_000);
-        let third = enter(1, 1_000);
+        let late = insert(0, 10);
+        let second = insert(1, 1_000);
+        let first = insert(0, 1_000);
+        let third = insert(1, 1_000);
         let later = now + time::Duration::from_millis(20);
         assert_eq!(queue.start_order(later), [first, second, third, late]);
         let tokens = queue.waiting_tokens(later);
@@ -318,10 +318,9 @@
 }
 
 #[test]
-fn dear_and_late_generations_leave_room_for_cheap_ones() {
-    // Symptom: a short answer waits for seconds behind long ones that are late already.
-    // Sequence: engines fill to the brim whenever room comes up; the next callers find none.
-    // Cause: whatever waits takes the last room.
+fn expensive_and_late_generations_leave_memory_for_cheap_ones() {
+    // Guards against short generations waiting for seconds behind long ones that are late anyway:
+    // if any waiting request may use the last free memory, new callers find none.
     world::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(2);
@@ -333,25 +332,24 @@
         }
         let size = engines::size(1_000);
         let choose = |reserve_fraction| {
-            let ask = place::PlacementRequest {
+            let request = place::PlacementRequest {
                 reserve_fraction,
-                ..place_ask(&size, 0)
+                ..placement(&size, 0)
             };
-            place::choose(&fleet, Some(&rule()), &ask, now, &mut engines::rng())
+            place::choose(&fleet, Some(&rule()), &request, now, &mut engines::rng())
         };
         let cheap = wait::WaitRank::new(false, 0).reserve_fraction();
-        let dear = wait::WaitRank::new(true, 7).reserve_fraction();
+        let expensive = wait::WaitRank::new(true, 7).reserve_fraction();
         assert!(matches!(choose(cheap), place::PlaceOutcome::Server(_)));
-        assert_eq!(choose(dear), place::PlaceOutcome::Full);
+        assert_eq!(choose(expensive), place::PlaceOutcome::Full);
     });
 }
 
 #[test]
 fn an_engine_that_breaks_generations_off_gets_no_more() {
-    // Symptom: 25 answers 502 within five seconds, all of one or two engines.
-    // Sequence: an engine goes down and up by turns. It is empty, so each VM in turn sends a prompt
-    // there, which breaks off and may not be sent again.
-    // Cause: no VM heard of the others' losses, and one loss of its own was too little.
+    // Guards against losing many generations on one engine that repeatedly goes down and up. Being
+    // empty, it attracts a prompt of each VM in turn, which breaks off and may not be sent again.
+    // VMs share their losses, and a single own loss is enough to avoid the engine.
     world::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(3);
@@ -366,27 +364,31 @@
             place::choose(
                 fleet,
                 Some(&rule()),
-                &place_ask(&size, 0),
+                &placement(&size, 0),
                 now,
                 &mut engines::rng(),
             )
         };
         let there = place::PlaceOutcome::Server(first);
-        assert_eq!(choose(&fleet, now), there, "it is empty");
+        assert_eq!(choose(&fleet, now), there, "the empty engine is chosen");
         let failing = loads::PeerLoad {
             failing: true,
             ..loads::PeerLoad::default()
         };
-        let mut told = fleet.clone();
-        told.replace_peer_loads(1, std::iter::once((first, failing)), now);
-        assert_eq!(choose(&told, now), there, "one VM may be at fault itself");
-        told.replace_peer_loads(2, std::iter::once((first, failing)), now);
-        assert_ne!(choose(&told, now), there, "two are not");
+        let mut reported = fleet.clone();
+        reported.replace_peer_loads(1, std::iter::once((first, failing)), now);
+        assert_eq!(
+            choose(&reported, now),
+            there,
+            "a single VM may be partitioned itself"
+        );
+        reported.replace_peer_loads(2, std::iter::once((first, failing)), now);
+        assert_ne!(choose(&reported, now), there, "two reports are enough");
         let mut lost = fleet.clone();
         lost.record_outcome(first, server::ServerVerdict::BrokeOff, now);
-        assert_ne!(choose(&lost, now), there, "one loss of its own is enough");
+        assert_ne!(choose(&lost, now), there, "one own loss is enough");
         let later = now + time::Duration::from_secs(20);
-        assert_eq!(choose(&lost, later), there, "it is tried again");
+        assert_eq!(choose(&lost, later), there, "the engine gets work again");
         for server in ["e1", "e2", "e3"] {
             let server = key(&lost, server);
             lost.record_outcome(server, server::ServerVerdict::BrokeOff, now);
@@ -394,33 +396,32 @@
         let placed = choose(&lost, now);
         assert!(
             matches!(placed, place::PlaceOutcome::Server(_)),
-            "not all at once"
+            "not all engines are avoided at once"
         );
     });
 }
 
 #[test]
-fn idle_engines_take_the_dearest() {
-    // Symptom: a long generation is refused while nothing runs.
-    // Cause: it must leave room for others that are not there.
+fn idle_engines_accept_the_most_expensive_generations() {
+    // Guards against refusing a long generation on idle engines because it must leave memory free
+    // for others that do not exist.
     world::run(async {
         let now = Instant::now();
         let fleet = engines::fleet_of(1);
         let size = engines::size(17_000);
-        let ask = place::PlacementRequest {
+        let request = place::PlacementRequest {
             reserve_fraction: wait::WaitRank::new(true, 7).reserve_fraction(),
-            ..place_ask(&size, 0)
+            ..placement(&size, 0)
         };
-        let placed = place::choose(&fleet, Some(&rule()), &ask, now, &mut engines::rng());
+        let placed = place::choose(&fleet, Some(&rule()), &request, now, &mut engines::rng());
         assert!(matches!(placed, place::PlaceOutcome::Server(_)));
     });
 }
 
 #[test]
-fn callers_that_come_back_go_after_those_on_time() {
-    // Symptom: the more callers are refused, the more of the others are late.
-    // Sequence: a caller is refused and comes back at another VM, as it was told.
-    // Cause: there it looks new, and takes the place of one that can still be on time.
+fn retried_requests_start_after_requests_on_time() {
+    // Guards against refusals that make other requests late: a refused request is retried at
+    // another VM after its delay, where it looks new and displaces one that can still be on time.
     world::run(async {
         let now = Instant::now();
         let span = time::Duration::from_secs(2);
@@ -433,20 +434,25 @@
             on_time_until: Some(now + span),
         };
         here.record_refusal(0x0102_0304_0506_0708, span, now);
-        let told = here.take_unannounced(8);
-        assert_eq!(told.len(), 1);
-        assert!(here.take_unannounced(8).is_empty(), "each is told once");
-        for short in told {
+        let announced = here.take_unannounced(8);
+        assert_eq!(announced.len(), 1);
+        assert!(
+            here.take_unannounced(8).is_empty(),
+            "each refusal is announced once"
+        );
+        for short in announced {
             there.record_peer_refusal(short, now);
         }
-        let back = there.rank_basis(0x0102_0304_0506_0708, first, now + span);
+        let returning_basis = there.rank_basis(0x0102_0304_0506_0708, first, now + span);
         let new = there.rank_basis(77, first, now + span);
         let late = wait::RankBasis {
             on_time_until: None,
             ..first
         };
         assert_eq!(new, first);
-        assert!(new.rank(now) < back.rank(now) && back.rank(now) < late.rank(now));
+        assert!(
+            new.rank(now) < returning_basis.rank(now) && returning_basis.rank(now) < late.rank(now)
+        );
         let long_after = now + time::Duration::from_secs(60);
         assert_eq!(
             there.rank_basis(0x0102_0304_0506_0708, first, long_after),
@@ -456,25 +462,24 @@
 }
 
 #[test]
-fn many_refusals_are_told_within_bounds() {
-    // Load: refusals come faster than datagrams carry them, for long.
+fn announced_refusals_are_bounded() {
+    // Refusals arrive faster than datagrams can announce them for a long time.
     world::run(async {
         let now = Instant::now();
         let mut table = returning::ReturningRequests::default();
         for fingerprint in 0..10_000 {
             table.record_refusal(fingerprint, time::Duration::from_secs(1), now);
         }
-        let told = table.take_unannounced(usize::MAX);
-        assert!(told.len() <= 256, "{}", told.len());
-        assert_eq!(told.last(), Some(&9_999), "the newest are told");
+        let announced = table.take_unannounced(usize::MAX);
+        assert!(announced.len() <= 256, "{}", announced.len());
+        assert_eq!(announced.last(), Some(&9_999), "the newest are announced");
     });
 }
 
 #[test]
-fn what_waits_for_one_service_holds_up_no_other() {
-    // Symptom: a service stands still while its engines are idle.
-    // Sequence: another service is in overload; its queues on other VMs are full.
-    // Cause: what waits was added up over all services.
+fn waiting_requests_of_one_service_do_not_block_another() {
+    // Guards against one overloaded service blocking another: the memory of waiting requests on
+    // other VMs must be counted per service.
     world::run(async {
         let now = Instant::now();
         let mut peers = peers::PeerTable::default();
@@ -491,17 +496,17 @@
             ..message::PeerDatagram::default()
         };
         peers.take(&datagram, now);
-        let dear = wait::WaitRank::new(false, 7);
+        let expensive = wait::WaitRank::new(false, 7);
         let middle = wait::WaitRank::new(false, 2);
-        assert_eq!(peers.waiting_before(1, dear, now), 570);
+        assert_eq!(peers.waiting_before(1, expensive, now), 570);
         assert_eq!(peers.waiting_before(1, middle, now), 500);
         assert_eq!(peers.waiting_before(1, wait::WaitRank::default(), now), 0);
-        assert_eq!(peers.waiting_before(2, dear, now), 0);
+        assert_eq!(peers.waiting_before(2, expensive, now), 0);
     });
 }
 
 #[test]
-fn cost_is_weighed_by_priority() {
+fn cost_is_weighted_by_priority() {
     let long = engines::size(4_000);
     let short = request::GenerationSize {
         prompt_tokens: 2_000,
@@ -516,9 +521,9 @@
 }
 
 #[test]
-fn refused_callers_come_back_spread_and_in_time() {
-    // Load: a burst is refused at one moment; if all came back at one moment it would be refused
-    // again. Callers honour up to a third of the time that they have left.
+fn retry_delays_are_spread_and_bounded() {
+    // A burst is refused at the same moment; simultaneous retries would be refused again. Callers
+    // honour a delay of up to a third of their remaining time.
     world::run(async {
         world::histories(HISTORIES, |u| {
             let wait = time::Duration::from_millis(u.int_in_range(0..=20_000)?);
@@ -527,8 +532,8 @@
             let after = wait::retry_after(wait, left, draw);
             assert!(after <= left.mul_f64(0.3).max(time::Duration::from_millis(100)));
             assert!(after <= wait::MAX_RETRY_AFTER);
-            let longest = wait.mul_f64(1.3).max(time::Duration::from_millis(650));
-            assert!(after <= longest, "{after:?} for a wait of {wait:?}");
+            let max = wait.mul_f64(1.3).max(time::Duration::from_millis(650));
+            assert!(after <= max, "{after:?} for a wait of {wait:?}");
             let last = wait::retry_after(wait, left, 1.0);
             let first = wait::retry_after(wait, left, 0.0);
             assert!(last.as_secs_f64() > first.as_secs_f64() * 1.5, "spread");
@@ -543,10 +548,10 @@
 }
 
 #[test]
-fn only_whole_events_are_passed_on_however_they_arrive() {
-    // Symptom: a caller reads an event that no engine sent: half of one, then another.
-    // Sequence: bytes split anywhere; the stream ends within an event and goes on elsewhere.
-    // Cause: bytes passed on before their event is whole.
+fn only_complete_events_are_forwarded() {
+    // Guards against events that no engine sent: bytes arrive split anywhere, the stream ends
+    // within an event and continues on another server. Forwarding a partial event would join two
+    // halves.
     world::histories(HISTORIES, |u| {
         let newline = if u.arbitrary()? { "\n" } else { "\r\n" };
         let count = u.int_in_range(0..=12)?;
@@ -560,29 +565,29 @@
             .collect();
         let cut = u.int_in_range(0..=text.len())?;
         let mut splitter = event::EventSplitter::default();
-        let mut passed = Vec::new();
+        let mut forwarded = Vec::new();
         let mut rest = &text.as_bytes()[..cut];
         while !rest.is_empty() {
             let (now, later) = rest.split_at(u.int_in_range(1..=rest.len())?);
-            passed.extend_from_slice(&splitter.take(now));
+            forwarded.extend_from_slice(&splitter.take(now));
             rest = later;
         }
-        let passed = String::from_utf8(passed).expect("text");
-        assert!(text.starts_with(&passed));
+        let forwarded = String::from_utf8(forwarded).expect("text");
+        assert!(text.starts_with(&forwarded));
         let end = newline.repeat(2);
-        assert!(passed.is_empty() || passed.ends_with(&end));
+        assert!(forwarded.is_empty() || forwarded.ends_with(&end));
         let whole = text[..cut].matches(&end).count();
-        assert_eq!(passed.matches(&end).count(), whole);
+        assert_eq!(forwarded.matches(&end).count(), whole);
         assert_eq!(splitter.events(), whole as u64);
         let last = whole.checked_sub(1).map(|id| id.to_string());
         assert_eq!(splitter.last_id().map(str::to_owned), last);
-        assert_eq!(passed.len() + splitter.rest().len(), cut);
+        assert_eq!(forwarded.len() + splitter.rest().len(), cut);
         Ok(())
     });
 }
 
 #[test]
-fn a_suspect_needs_two_different_servers_and_is_forgotten() {
+fn quarantine_needs_two_servers_and_expires() {
     world::run(async {
         let now = Instant::now();
         let mut table = suspect::SuspectTable::default();
@@ -617,10 +622,8 @@
 }
 
 #[test]
-fn callers_are_told_near_vms_that_are_heard() {
-    // Symptom: callers connect to a VM that was stopped or froze seconds ago.
-    // Sequence: one VM stops, one falls silent.
-    // Cause: lookups answered from what was once known.
+fn lookups_list_near_reachable_vms() {
+    // Guards against lookups that list a VM which stopped or froze seconds ago.
     world::run(async {
         let now = Instant::now();
         let mut peers = peers::PeerTable::default();
@@ -655,14 +658,14 @@
 }
 
 #[test]
-fn lengths_are_believed_less_the_farther_a_run_has_come() {
+fn expected_output_grows_with_progress() {
     let size = engines::size(3_000);
     let mut last = 0.0;
     for produced in 0..2_000 {
         let expected = forecast::expected_output(&size, produced);
         assert!(expected >= f64::from(produced));
         assert!(expected <= 2_000.0);
-        assert!(expected >= last, "expectation never falls as a run goes on");
+        assert!(expected >= last, "the expectation never decreases");
         last = expected;
     }
     let mut hinted = size;
@@ -670,8 +673,8 @@
     assert!(forecast::expected_output(&hinted, 0) <= 2_000.0);
 }
 
-/// Each of `vms` has two tries on a server.
-fn crowd(
+/// Gives each of `vms` two attempts on a server.
+fn add_peer_loads(
     fleet: &mut fleet::ServerFleet,
     server: fleet::ServerKey,
     vms: std::ops::Range<u64>,
@@ -688,10 +691,9 @@
 
 #[test]
 fn connections_to_one_server_are_limited_over_all_vms() {
-    // Symptom: bookings are lost while servers have room.
-    // Load: 60 VMs crowd on three small servers, each with a few calls of its own; a server takes
-    // 100 connections and resets what comes beyond.
-    // Cause: each VM counts its own connections only.
+    // Guards against lost calls on servers with free slots: 60 VMs use three small servers with a
+    // few calls each, a server accepts 100 connections and resets further ones, and a VM that
+    // counts only its own connections exceeds that.
     world::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(2);
@@ -701,7 +703,7 @@
             connections: 100,
             engine: None,
         };
-        let ask = place::PlacementRequest {
+        let request = place::PlacementRequest {
             service: "llm",
             size: None,
             avoid: &[],
@@ -711,30 +713,31 @@
             reserve_fraction: 0.0,
         };
         let mut rng = engines::rng();
-        crowd(&mut fleet, first, 0..40, now);
+        add_peer_loads(&mut fleet, first, 0..40, now);
         let there = place::PlaceOutcome::Server(second);
         for _ in 0..20 {
-            let placed = place::choose(&fleet, Some(&rule), &ask, now, &mut rng);
-            assert_eq!(placed, there, "80 of 100 are taken at the first");
+            let placed = place::choose(&fleet, Some(&rule), &request, now, &mut rng);
+            assert_eq!(
+                placed, there,
+                "the first server has 80 of 100 connections in use"
+            );
         }
-        crowd(&mut fleet, second, 100..140, now);
-        let placed = place::choose(&fleet, Some(&rule), &ask, now, &mut rng);
+        add_peer_loads(&mut fleet, second, 100..140, now);
+        let placed = place::choose(&fleet, Some(&rule), &request, now, &mut rng);
         assert_eq!(placed, place::PlaceOutcome::Full);
         let later = now + time::Duration::from_secs(4);
-        let placed = place::choose(&fleet, Some(&rule), &ask, later, &mut rng);
+        let placed = place::choose(&fleet, Some(&rule), &request, later, &mut rng);
         assert!(
             matches!(placed, place::PlaceOutcome::Server(_)),
-            "old words"
+            "outdated reports are ignored"
         );
     });
 }
 
 #[test]
-fn servers_that_went_are_forgotten_by_every_vm() {
-    // Symptom: the memory of a VM grows by gigabytes a day.
-    // Load: a hundred of 3,000 servers are replaced each second.
-    // Cause: only those VMs that read the store for all forgot servers; the others learn of them
-    // from them.
+fn removed_servers_are_dropped_on_every_vm() {
+    // Guards against unbounded memory growth when a hundred of 3,000 servers are replaced each
+    // second: VMs that learn of servers from peers only must drop removed servers too.
     world::run(async {
         let plane = world::plane();
         world::start(&plane);
@@ -750,11 +753,11 @@
         assert_eq!(
             plane.state().fleet.servers().count(),
             104,
-            "late news may come"
+            "records are kept for late updates"
         );
         tokio::time::sleep(time::Duration::from_secs(70)).await;
         assert_eq!(plane.state().fleet.servers().count(), 4);
         let ready = plane.state().fleet.of_service("llm").count();
-        assert_eq!(ready, 2, "nor are they looked through");
+        assert_eq!(ready, 2, "removed servers are dropped from the index");
     });
 }
--- a/crates/exchange/tests/evacuation.rs
+++ b/crates/exchange/tests/evacuation.rs
@@ -127,7 +127,7 @@
         evacuate(&plane, 1, &["a"]);
         for number in 0..40 {
             for kind in [catalog::ExchangeKind::Once, catalog::ExchangeKind::Stream] {
-                let ask = world::ask(&format!("r-{number}"), kind);
+                let ask = world::request(&format!("r-{number}"), kind);
                 let now = time::Instant::now();
                 let mut state = plane.state();
                 let rank = state.rank_basis(&ask, now).rank(now);
@@ -138,7 +138,7 @@
             }
         }
         evacuate(&plane, 2, &["a", "b"]);
-        let ask = world::ask("none", catalog::ExchangeKind::Once);
+        let ask = world::request("none", catalog::ExchangeKind::Once);
         let now = time::Instant::now();
         let mut state = plane.state();
         let rank = state.rank_basis(&ask, now).rank(now);
@@ -153,12 +153,12 @@
     world::run(async {
         let plane = plane_of_two_domains();
         world::start(&plane);
-        let ask = world::ask("r-1", catalog::ExchangeKind::Stream);
+        let ask = world::request("r-1", catalog::ExchangeKind::Stream);
         let reply = plane.serve(ask).await.expect("served");
         evacuate(&plane, 1, &["a", "b"]);
         plane.wake_decisions();
         let read = world::read(world::parts(reply)).await;
-        assert!(read.whole);
+        assert!(read.complete);
         assert_eq!(plane.port().seen.borrow().len(), 1, "sent once");
         assert_eq!(plane.port().copied.borrow().len(), 0, "not moved");
     });
@@ -200,15 +200,15 @@
             let gap = std::time::Duration::from_millis(10);
             plane
                 .port()
-                .tell(engine, world::ServerScript::Breaks(9, gap));
+                .push_script(engine, world::ServerScript::Breaks(9, gap));
         }
-        let ask = world::ask("r-1", catalog::ExchangeKind::Stream);
+        let ask = world::request("r-1", catalog::ExchangeKind::Stream);
         let reply = plane.serve(ask).await.expect("served");
         let backup = plane.port().seen.borrow()[0].backup;
         assert!(backup.is_some(), "a copy is kept");
         evacuate(&plane, 1, &["a", "b"]);
         let read = world::read(world::parts(reply)).await;
-        assert!(!read.whole, "an honest end");
+        assert!(!read.complete, "an honest end");
         assert_eq!(plane.port().seen.borrow().len(), 1, "sent once");
     });
 }
--- a/crates/exchange/tests/fuzz.rs
+++ b/crates/exchange/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzz of the plane against a simple oracle.
+//! Stateful fuzz test of the plane against a simple oracle.
 
 mod world;
 
@@ -8,21 +8,21 @@
 use exchange::{catalog, port, reply};
 use world::ServerScript;
 
-const GAP: time::Duration = time::Duration::from_millis(30);
+const INTERVAL: time::Duration = time::Duration::from_millis(30);
 const EVENTS: u32 = 40;
-/// Histories that are played twice.
-const HISTORIES_TWICE: u64 = 150;
+/// Number of histories that run twice.
+const REPEATED_HISTORIES: u64 = 150;
 
-/// What one caller saw.
+/// Result that one caller received.
 #[derive(Debug)]
 struct CallerRecord {
     id: String,
     kind: catalog::ExchangeKind,
-    seen: CallerSeen,
+    seen: CallerResult,
 }
 
 #[derive(Debug)]
-enum CallerSeen {
+enum CallerResult {
     Left,
     Stream(world::ReadStream),
     Whole,
@@ -32,12 +32,12 @@
 fn draw_script(u: &mut Unstructured<'_>) -> arbitrary::Result<ServerScript> {
     let events = u.int_in_range(0..=EVENTS)?;
     Ok(match u.int_in_range(0..=9_u8)? {
-        0 => ServerScript::Breaks(events, GAP),
+        0 => ServerScript::Breaks(events, INTERVAL),
         1 => ServerScript::NotRun(port::NotRunCause::Rejected),
         2 => ServerScript::NotRun(port::NotRunCause::Misdirected),
         3 => ServerScript::Lost,
         4 => ServerScript::Silent,
-        _ => ServerScript::Events(EVENTS, GAP),
+        _ => ServerScript::Events(EVENTS, INTERVAL),
     })
 }
 
@@ -59,23 +59,23 @@
     plane: world::TestPlane,
     id: String,
     kind: catalog::ExchangeKind,
-    leaves: Option<time::Duration>,
+    leaves_after: Option<time::Duration>,
     records: rc::Rc<cell::RefCell<Vec<CallerRecord>>>,
 ) {
-    let ask = world::ask(&id, kind);
+    let request = world::request(&id, kind);
     let served = async {
-        match plane.serve(ask).await {
-            Err(refusal) => CallerSeen::Refused(refusal),
+        match plane.serve(request).await {
+            Err(refusal) => CallerResult::Refused(refusal),
             Ok(reply) => match reply.body {
-                reply::ReplyBody::Whole(_) => CallerSeen::Whole,
-                reply::ReplyBody::Parts(parts) => CallerSeen::Stream(world::read(parts).await),
+                reply::ReplyBody::Whole(_) => CallerResult::Whole,
+                reply::ReplyBody::Parts(parts) => CallerResult::Stream(world::read(parts).await),
             },
         }
     };
-    let limit = leaves.unwrap_or(time::Duration::from_secs(60));
+    let limit = leaves_after.unwrap_or(time::Duration::from_secs(60));
     let seen = tokio::time::timeout(limit, served)
         .await
-        .unwrap_or(CallerSeen::Left);
+        .unwrap_or(CallerResult::Left);
     records.borrow_mut().push(CallerRecord { id, kind, seen });
 }
 
@@ -87,7 +87,7 @@
     })
 }
 
-/// Plays a history; gives all that servers and callers saw, in order.
+/// Runs a history and returns everything that servers and callers observed, in order.
 async fn history(u: &mut Unstructured<'_>) -> arbitrary::Result<String> {
     let plane = world::plane();
     plane.state().settings.backups = u.arbitrary()?;
@@ -95,7 +95,7 @@
     for server in ["s1", "s2", "e1", "e2"] {
         for _ in 0..12 {
             let script = draw_script(u)?;
-            plane.port().tell(server, script);
+            plane.port().push_script(server, script);
         }
     }
     for _ in 0..12 {
@@ -108,11 +108,17 @@
     for _ in 0..16 {
         match u.int_in_range(0..=9_u8)? {
             0..=5 => {
-                let leaves = u.ratio(1, 5)?.then(|| time::Duration::from_millis(300));
+                let leaves_after = u.ratio(1, 5)?.then(|| time::Duration::from_millis(300));
                 let id = format!("a{calls}");
                 calls += 1;
                 let kind = draw_kind(u)?;
-                tokio::task::spawn_local(call(plane.clone(), id, kind, leaves, records.clone()));
+                tokio::task::spawn_local(call(
+                    plane.clone(),
+                    id,
+                    kind,
+                    leaves_after,
+                    records.clone(),
+                ));
             }
             6 => change_server(u, &plane, &mut offset)?,
             7 => {
@@ -146,7 +152,7 @@
     };
     let mut entry = world::entry("llm", number, "a");
     entry.leaving = u.arbitrary()?;
-    // A new incarnation takes the place of one that left.
+    // A new incarnation replaces one that left.
     let fresh = format!("{id}-{offset}");
     let id = if u.arbitrary()? { id } else { &fresh };
     let entry = u.ratio(4, 5)?.then_some(entry);
@@ -158,14 +164,14 @@
     Ok(())
 }
 
-/// The oracle.
+/// Checks a finished history.
 fn check(plane: &world::TestPlane, records: &[CallerRecord], calls: usize) {
-    assert_eq!(records.len(), calls, "every caller has had its end");
+    assert_eq!(records.len(), calls, "every caller got a result");
     assert_eq!(plane.open_requests(), 0);
     assert_eq!(
         plane.state().fleet.runs().count(),
         0,
-        "every place is given back"
+        "every assignment is freed"
     );
     assert!(plane.port().open.borrow().values().all(|open| *open == 0));
     let seen = plane.port().seen.borrow();
@@ -175,21 +181,21 @@
             .filter(|call| call.request == record.id && call.resume.is_none())
             .map(|call| call.proved)
             .collect();
-        // All but the last try of what runs once must have been proved not to have run.
+        // A request that may run once must be proved not to have run in all attempts but one.
         if record.kind != catalog::ExchangeKind::Idempotent {
             let unproved = fresh.iter().filter(|proved| !**proved).count();
             assert!(unproved <= 1, "{record:?} may have run twice");
         }
         match &record.seen {
-            CallerSeen::Stream(read) => {
-                let whole = world::events(EVENTS);
-                assert!(whole.starts_with(&read.text), "{record:?}");
-                assert!(!read.whole || read.text == whole, "{record:?}");
+            CallerResult::Stream(read) => {
+                let complete = world::events(EVENTS);
+                assert!(complete.starts_with(&read.text), "{record:?}");
+                assert!(!read.complete || read.text == complete, "{record:?}");
             }
-            CallerSeen::Refused(refusal) if refusal.ran == base::outcome::RanState::No => {
+            CallerResult::Refused(refusal) if refusal.ran == base::outcome::RanState::No => {
                 assert!(
                     fresh.iter().all(|proved| *proved),
-                    "{record:?} was not proved"
+                    "{record:?} was not proved not to have run"
                 );
             }
             _ => {}
@@ -198,11 +204,10 @@
 }
 
 #[test]
-fn whatever_happens_answers_are_whole_or_honest() {
-    // Symptom: a doubled booking, a mixed stream, a false "not run", a place that is never free.
-    // Sequence: servers that reject, break, stay silent, leave, are replaced; copies that fail in
-    // every way; callers that leave; the store away; in any order.
-    // Cause: none known; this is the search for one.
+fn responses_are_complete_or_fail_correctly() {
+    // Searches for calls that run twice, mixed streams, false "not run" refusals and assignments
+    // that are never freed, under servers that reject, break off, stay silent, leave and are
+    // replaced, copies that fail in every way, callers that leave, and store outages in any order.
     world::histories(400, |u| {
         let mut result = Ok(());
         world::run(async { result = history(u).await.map(drop) });
@@ -212,32 +217,34 @@
 
 #[test]
 fn a_history_is_a_function_of_its_seed() {
-    // Symptom: one run of a test fails, the next passes, and nothing has changed.
-    // Sequence: the same draws, played twice.
-    // Cause: something random that no seed decides: the order of branches of a `select!`, the order
-    // of a hash map.
+    // Guards against tests that fail at random: the same draws must give the same history.
+    // Randomness outside the seed comes from the branch order of `select!` or the order of a hash
+    // map.
     let trace = |seed: u64| {
-        let told = rc::Rc::new(cell::RefCell::new(String::new()));
-        let teller = told.clone();
+        let recorded = rc::Rc::new(cell::RefCell::new(String::new()));
+        let recorder = recorded.clone();
         arbtest::arbtest(move |u| {
             let mut result = Ok(());
             world::run(async {
                 result = history(u).await.map(|text| {
-                    teller.replace(text);
+                    recorder.replace(text);
                 });
             });
             result
         })
         .seed(seed)
         .run();
-        told.take()
+        recorded.take()
     };
-    let mut played = 0;
-    for number in 0..HISTORIES_TWICE {
+    let mut compared = 0;
+    for number in 0..REPEATED_HISTORIES {
         let seed = (number.wrapping_mul(0x9E37_79B9) << 32) | 2_048;
         let first = trace(seed);
         assert_eq!(first, trace(seed), "history {number}");
-        played += usize::from(!first.is_empty());
+        compared += usize::from(!first.is_empty());
     }
-    assert!(played > 100, "{played} histories had enough to draw from");
+    assert!(
+        compared > 100,
+        "{compared} histories had enough to draw from"
+    );
 }
--- a/crates/exchange/tests/incarnations.rs
+++ b/crates/exchange/tests/incarnations.rs
@@ -195,14 +195,16 @@
     world::run(async {
         let plane = world::plane();
         for server in ["e1", "e2"] {
-            plane.port().tell(server, ServerScript::Breaks(9, GAP));
+            plane
+                .port()
+                .push_script(server, ServerScript::Breaks(9, GAP));
         }
         let now = Instant::now();
         for (number, id) in [(11, "e1"), (12, "e2")] {
             let told = world::news(id, 2, Some(entry(number, 1_000, false)));
             plane.state().apply_update(told, false, now);
         }
-        let ask = world::ask("a", catalog::ExchangeKind::Stream);
+        let ask = world::request("a", catalog::ExchangeKind::Stream);
         let reply = plane.serve(ask).await.expect("served");
         let (other, number) = {
             let seen = plane.port().seen.borrow();
@@ -216,7 +218,7 @@
         let back = world::news(other, 3, Some(entry(number, 2_000, false)));
         plane.state().apply_update(back, false, Instant::now());
         let read = world::read(world::parts(reply)).await;
-        assert!(!read.whole);
+        assert!(!read.complete);
         assert_eq!(read.text, world::events(9));
         assert_eq!(plane.port().seen.borrow().len(), 1);
     });
@@ -234,9 +236,9 @@
         for (number, id) in [(11, "e1"), (12, "e2")] {
             let told = world::news(id, 2, Some(entry(number, 1_000, false)));
             plane.state().apply_update(told, false, now);
-            plane.port().tell(id, ServerScript::Events(100, GAP));
+            plane.port().push_script(id, ServerScript::Events(100, GAP));
         }
-        let ask = world::ask("a", catalog::ExchangeKind::Stream);
+        let ask = world::request("a", catalog::ExchangeKind::Stream);
         let reply = plane.serve(ask).await.expect("served");
         let first = plane.port().seen.borrow()[0].server.clone();
         let number = if first == "e1" { 11 } else { 12 };
@@ -245,7 +247,7 @@
         plane.state().apply_update(back, false, Instant::now());
         plane.wake_decisions();
         let read = world::read(world::parts(reply)).await;
-        assert!(read.whole);
+        assert!(read.complete);
         assert_eq!(read.text, world::events(100));
         let seen = plane.port().seen.borrow();
         assert_ne!(seen[1].server, first);
--- a/crates/exchange/tests/moves.rs
+++ b/crates/exchange/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Which runs go where, and why.
+//! Tests of the choice of the target of a move.
 
 mod world;
 
@@ -7,10 +7,10 @@
 use world::engines;
 
 #[test]
-fn runs_that_leave_together_stay_within_their_domain() {
-    // Symptom: four streams of one engine are cut as it is reclaimed, 1.4 s after its notice.
-    // Sequence: each was copied to an idle engine of another domain, at 0.31 s each.
-    // Cause: the engine of their own domain was reading one prompt, which counted for more.
+fn runs_that_move_together_stay_in_their_failure_domain() {
+    // Guards against truncated streams of an engine that is gone 1.4 s after its notice: each run
+    // was copied to an idle engine of another domain for 0.31 s, because a single prompt in prefill
+    // on the engine of their own domain counted for more.
     world::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(3);
@@ -19,7 +19,7 @@
             fleet.start(engines::run(source, 2_600, true));
         }
         fleet.start(engines::run(near, 2_600, false));
-        let ask = place::CopyRequest {
+        let request = place::CopyRequest {
             source,
             tokens: 3_000,
             proactive: false,
@@ -28,14 +28,14 @@
         let engine = world::engine_rule();
         for seed in 0..40 {
             let mut rng: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed);
-            let chosen = place::choose_copy(&fleet, &engine, &ask, now, &mut rng);
+            let chosen = place::choose_copy(&fleet, &engine, &request, now, &mut rng);
             assert_eq!(chosen, Some(near));
         }
-        // Where there is no room in the domain, another one is better than none.
+        // If no engine of the domain has memory, one of another domain is chosen.
         for _ in 0..5 {
             fleet.start(engines::run(near, 3_000, true));
         }
-        let chosen = place::choose_copy(&fleet, &engine, &ask, now, &mut engines::rng());
+        let chosen = place::choose_copy(&fleet, &engine, &request, now, &mut engines::rng());
         assert_eq!(chosen, Some(other));
     });
 }
--- a/crates/exchange/tests/overload.rs
+++ b/crates/exchange/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Replays lasting overload of engine memory against the decisions on what waits.
+//! Simulates lasting overload of engine memory with the decisions on waiting requests.
 
 mod world;
 
@@ -8,57 +8,58 @@
 use rand::RngExt as _;
 use tokio::time::Instant;
 
-/// Engines, and the memory and slots of each.
+/// Number of engines, and memory and slots of each.
 const ENGINES: u8 = 12;
 const MEMORY: u64 = 22_000;
 const SLOTS: u32 = 24;
-/// Length of a replay and step of its clock.
-const SPAN_MS: u64 = 60_000;
+/// Duration of a simulation and step of its clock.
+const DURATION_MS: u64 = 60_000;
 const STEP_MS: u64 = 20;
-/// Aim of a generation: its first event.
-const AIM: time::Duration = time::Duration::from_millis(1_800);
-/// What an answer that comes late is worth to its caller, beside one on time.
-const LATE_WORTH: f64 = 0.15;
+/// Target latency of the first event of a generation.
+const TARGET_LATENCY: time::Duration = time::Duration::from_millis(1_800);
+/// Value of a late response, as a fraction of one on time.
+const LATE_VALUE: f64 = 0.15;
 
-/// In which order, and within which limits, waiting generations start.
+/// Order and limits of starting waiting generations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WaitPolicy {
-    /// In the order of arrival, wherever there is room: the baseline.
+    /// In order of arrival, wherever memory is free: the baseline.
     Arrival,
-    /// By rank, each rank leaving room for those before it.
+    /// By rank, each rank leaving memory free for better ones.
     Rank,
 }
 
-/// What came of a replay.
+/// Results of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
-struct ReplayTally {
-    asked: u32,
+struct SimulationResult {
+    requested: u32,
     on_time: u32,
     late: u32,
-    worth: f64,
-    worth_asked: f64,
+    value: f64,
+    requested_value: f64,
 }
 
-impl ReplayTally {
-    fn on_time_part(&self) -> f64 {
-        f64::from(self.on_time) / f64::from(self.asked)
+impl SimulationResult {
+    fn on_time_fraction(&self) -> f64 {
+        f64::from(self.on_time) / f64::from(self.requested)
     }
 
-    fn worth_part(&self) -> f64 {
-        self.worth / self.worth_asked
+    fn value_fraction(&self) -> f64 {
+        self.value / self.requested_value
     }
 }
 
-/// One generation of the load.
+/// One generation of the simulated load.
 #[derive(Clone, Debug)]
-struct ReplayAsk {
+struct SimulatedRequest {
     arrived: Instant,
     size: request::GenerationSize,
     output: u32,
 }
 
-impl ReplayAsk {
-    /// Drawn as users' requests are: outputs from a few tokens to the cap, hints often far off.
+impl SimulatedRequest {
+    /// Draws a generation from a distribution like that of production: outputs from a few tokens to
+    /// the cap, hints often far off.
     fn draw(rng: &mut rand::rngs::StdRng, arrived: Instant) -> Self {
         let mut normal = || (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         let output = (420.0 * normal().exp()).clamp(20.0, 1_756.0);
@@ -76,28 +77,28 @@
         }
     }
 
-    fn worth(&self) -> f64 {
+    fn value(&self) -> f64 {
         0.3 + 0.7 * f64::from(self.size.prompt_tokens + 10 * self.output) / 9_000.0
     }
 }
 
-/// Generations that run, with when their first event comes and when they end.
-struct ReplayRun {
+/// A running generation and its end.
+struct SimulatedRun {
     key: fleet::RunKey,
     until: Instant,
 }
 
-struct LoadReplay {
+struct LoadSimulation {
     policy: WaitPolicy,
     rng: rand::rngs::StdRng,
     fleet: fleet::ServerFleet,
     queue: wait::WaitQueue,
-    waiting: Vec<(wait::WaitKey, ReplayAsk)>,
-    running: Vec<ReplayRun>,
-    tally: ReplayTally,
+    waiting: Vec<(wait::WaitKey, SimulatedRequest)>,
+    running: Vec<SimulatedRun>,
+    result: SimulationResult,
 }
 
-impl LoadReplay {
+impl LoadSimulation {
     fn new(policy: WaitPolicy, seed: u64) -> Self {
         let mut fleet = fleet::ServerFleet::default();
         for number in 1..=ENGINES {
@@ -113,36 +114,36 @@
             queue: wait::WaitQueue::default(),
             waiting: Vec::new(),
             running: Vec::new(),
-            tally: ReplayTally::default(),
+            result: SimulationResult::default(),
         }
     }
 
-    /// Plays `per_s` generations a second, and tells what came of them.
-    fn play(mut self, per_s: f64) -> ReplayTally {
+    /// Simulates `per_s` generations a second and returns the results.
+    fn simulate(mut self, per_s: f64) -> SimulationResult {
         let start = Instant::now();
-        for step in 0..SPAN_MS / STEP_MS {
+        for step in 0..DURATION_MS / STEP_MS {
             let now = start + time::Duration::from_millis(step * STEP_MS);
             if self.rng.random::<f64>() < per_s * STEP_MS as f64 / 1_000.0 {
                 self.arrive(now);
             }
             self.end_runs(now);
-            self.give_up(now);
+            self.expire_waiting(now);
             self.start_waiting(now);
         }
-        self.tally
+        self.result
     }
 
     fn arrive(&mut self, now: Instant) {
-        let ask = ReplayAsk::draw(&mut self.rng, now);
-        self.tally.asked += 1;
-        self.tally.worth_asked += ask.worth();
+        let request = SimulatedRequest::draw(&mut self.rng, now);
+        self.result.requested += 1;
+        self.result.requested_value += request.value();
         let step = match self.policy {
             WaitPolicy::Arrival => 0,
-            WaitPolicy::Rank => wait::cost_step(0, Some(&ask.size)),
+            WaitPolicy::Rank => wait::cost_step(0, Some(&request.size)),
         };
         let on_time = match self.policy {
             WaitPolicy::Arrival => time::Duration::from_secs(100),
-            WaitPolicy::Rank => wait::max_start_delay(AIM),
+            WaitPolicy::Rank => wait::max_start_delay(TARGET_LATENCY),
         };
         let key = self.queue.insert(wait::WaitRecord {
             priority: 0,
@@ -150,25 +151,25 @@
                 step,
                 on_time_until: Some(now + on_time),
             },
-            order: u64::from(self.tally.asked),
-            until: now + wait::max_wait(time::Duration::from_secs(39), AIM, true),
-            tokens: forecast::planned_tokens(&ask.size),
+            order: u64::from(self.result.requested),
+            until: now + wait::max_wait(time::Duration::from_secs(39), TARGET_LATENCY, true),
+            tokens: forecast::planned_tokens(&request.size),
         });
-        self.waiting.push((key, ask));
+        self.waiting.push((key, request));
     }
 
     fn end_runs(&mut self, now: Instant) {
         let fleet = &mut self.fleet;
         self.running.retain(|run| {
-            let goes_on = now < run.until;
-            if !goes_on {
+            let is_running = now < run.until;
+            if !is_running {
                 fleet.end(run.key);
             }
-            goes_on
+            is_running
         });
     }
 
-    fn give_up(&mut self, now: Instant) {
+    fn expire_waiting(&mut self, now: Instant) {
         let queue = &mut self.queue;
         self.waiting.retain(|(key, _)| {
             let waits = queue.get(*key).is_some_and(|record| now < record.until);
@@ -196,10 +197,10 @@
     }
 
     fn start(&mut self, index: usize, rank: wait::WaitRank, now: Instant) -> bool {
-        let ask = self.waiting[index].1.clone();
-        let wanted = place::PlacementRequest {
+        let request = self.waiting[index].1.clone();
+        let placement = place::PlacementRequest {
             service: "llm",
-            size: Some(&ask.size),
+            size: Some(&request.size),
             avoid: &[],
             domain: "a",
             entries: 1,
@@ -211,65 +212,68 @@
             engine: Some(world::engine_rule()),
         };
         rule.engine.as_mut().expect("set").memory_tokens = MEMORY;
-        let placed = place::choose(&self.fleet, Some(&rule), &wanted, now, &mut self.rng);
+        let placed = place::choose(&self.fleet, Some(&rule), &placement, now, &mut self.rng);
         let place::PlaceOutcome::Server(server) = placed else {
             return false;
         };
-        let unread =
-            self.fleet.loads("llm", now)[server].backlog + u64::from(ask.size.prompt_tokens);
-        let reading = time::Duration::from_secs_f64(unread as f64 / 7_000.0);
-        let making = time::Duration::from_millis(8 * u64::from(ask.output));
-        let first_at = now + reading;
+        let backlog =
+            self.fleet.loads("llm", now)[server].backlog + u64::from(request.size.prompt_tokens);
+        let prefill = time::Duration::from_secs_f64(backlog as f64 / 7_000.0);
+        let decode = time::Duration::from_millis(8 * u64::from(request.output));
+        let first_at = now + prefill;
         let key = self.fleet.start(runs::RunRecord {
             server,
             backup: None,
             moving_to: None,
             move_after: None,
-            size: Some(ask.size.clone()),
+            size: Some(request.size.clone()),
             produced: 0,
             started: now,
             first_at: Some(first_at),
         });
-        self.running.push(ReplayRun {
+        self.running.push(SimulatedRun {
             key,
-            until: first_at + making,
+            until: first_at + decode,
         });
-        if first_at - ask.arrived <= AIM {
-            self.tally.on_time += 1;
-            self.tally.worth += ask.worth();
+        if first_at - request.arrived <= TARGET_LATENCY {
+            self.result.on_time += 1;
+            self.result.value += request.value();
         } else {
-            self.tally.late += 1;
-            self.tally.worth += ask.worth() * LATE_WORTH;
+            self.result.late += 1;
+            self.result.value += request.value() * LATE_VALUE;
         }
         true
     }
 }
 
 #[test]
-fn lasting_overload_makes_few_answers_late() {
-    // Symptom: half of all answers are late, and none of those that cost little are spared.
-    // Sequence: callers ask for more memory than engines have, for a minute.
-    // Cause: waiting in the order of arrival fills all memory; each new caller then waits for as
-    // long as the oldest one did, and the longest generations keep out the most.
+fn lasting_overload_makes_few_responses_late() {
+    // Guards against late responses in a lasting overload, when callers need more memory than
+    // engines have for a minute. In order of arrival each new caller waits as long as the oldest
+    // one did, half of all responses are late, and the longest generations displace the most
+    // others.
     world::run(async {
-        let play = |policy, seed| LoadReplay::new(policy, seed).play(13.5);
+        let simulate = |policy, seed| LoadSimulation::new(policy, seed).simulate(13.5);
         for seed in 1..=5 {
-            let arrival = play(WaitPolicy::Arrival, seed);
-            let rank = play(WaitPolicy::Rank, seed);
+            let arrival = simulate(WaitPolicy::Arrival, seed);
+            let rank = simulate(WaitPolicy::Rank, seed);
             println!(
-                "seed {seed}: on time {:.3} by arrival, {:.3} by rank; worth {:.3}, {:.3}; late {}, {}",
-                arrival.on_time_part(),
-                rank.on_time_part(),
-                arrival.worth_part(),
-                rank.worth_part(),
+                "seed {seed}: on time {:.3} by arrival, {:.3} by rank; value {:.3}, {:.3}; late {}, {}",
+                arrival.on_time_fraction(),
+                rank.on_time_fraction(),
+                arrival.value_fraction(),
+                rank.value_fraction(),
                 arrival.late,
                 rank.late
             );
             assert!(
-                rank.on_time_part() > arrival.on_time_part() * 1.15,
+                rank.on_time_fraction() > arrival.on_time_fraction() * 1.15,
+                "seed {seed}"
+            );
+            assert!(
+                rank.value_fraction() > arrival.value_fraction(),
                 "seed {seed}"
             );
-            assert!(rank.worth_part() > arrival.worth_part(), "seed {seed}");
             assert!(rank.late < arrival.late, "seed {seed}");
         }
     });
@@ -277,11 +281,11 @@
 
 #[test]
 fn light_load_starts_everything_at_once() {
-    // What is kept free for others must cost nothing while there is room.
+    // Memory reserved for other requests must cost nothing while there is enough.
     world::run(async {
         for seed in 1..=5 {
-            let rank = LoadReplay::new(WaitPolicy::Rank, seed).play(6.0);
-            assert!(rank.on_time_part() > 0.97, "seed {seed}: {rank:?}");
+            let rank = LoadSimulation::new(WaitPolicy::Rank, seed).simulate(6.0);
+            assert!(rank.on_time_fraction() > 0.97, "seed {seed}: {rank:?}");
         }
     });
 }
--- a/crates/exchange/tests/storm.rs
+++ b/crates/exchange/tests/storm.rs
@@ -1,4 +1,4 @@
-//! What the store is asked for, and when: a storm of configurations, VMs that look for each other.
+//! Tests of the load on the store: rapid configuration changes, and discovery of other VMs.
 
 mod world;
 
@@ -8,10 +8,10 @@
 use tokio::time::Instant;
 use world::store;
 
-/// Other VMs; six of all VMs read the store for all.
+/// Number of other VMs; six of all VMs read the store on behalf of all.
 const OTHERS: u8 = 40;
-/// Time between two changes.
-const CHANGE_GAP: time::Duration = time::Duration::from_millis(165);
+/// Interval between configuration changes.
+const CHANGE_INTERVAL: time::Duration = time::Duration::from_millis(165);
 
 fn decode(bytes: &[u8]) -> Result<exchange::catalog::RouteCatalog, String> {
     let text = std::str::from_utf8(bytes).map_err(|error| error.to_string())?;
@@ -19,7 +19,7 @@
     Ok(world::catalog(version))
 }
 
-/// What another VM tells while the newest version is in force there.
+/// Datagram of another VM that has the newest version in force.
 fn datagram(number: u8, sequence: u64, version: u64) -> message::PeerDatagram {
     message::PeerDatagram {
         sender: u64::from(number),
@@ -37,52 +37,54 @@
 }
 
 #[test]
-fn in_a_storm_of_changes_a_vm_reads_few_of_them_and_is_never_far_behind() {
-    // Load: a configuration each 165 ms for 4.6 s. Each of 68 VMs that do not read for all asked the
-    // store for each version: 3,629 calls a day at 74 VMs.
+fn rapid_changes_cause_few_reads_and_little_lag() {
+    // A configuration change every 165 ms for 4.6 s. Guards against every VM reading every version
+    // from the store although only a few VMs should read it on behalf of all.
     world::run(async {
         let plane = world::plane();
-        let store = store::FakeStore::changing(CHANGE_GAP);
+        let store = store::FakeStore::changing(CHANGE_INTERVAL);
         let mut sequence = 0;
-        let mut hear = |version| {
+        let mut receive = |version| {
             sequence += 1;
             let now = Instant::now();
             for number in 1..=OTHERS {
-                let told = datagram(number, sequence, version);
-                plane.state().peers.take(&told, now);
+                let received = datagram(number, sequence, version);
+                plane.state().peers.take(&received, now);
             }
         };
-        hear(store.version());
-        assert!(!plane.state().reads_store(Instant::now()), "others read");
+        receive(store.version());
+        assert!(
+            !plane.state().reads_store(Instant::now()),
+            "other VMs read the store"
+        );
         let following = follow::follow_catalog(plane.clone(), store.clone(), decode);
         tokio::task::spawn_local(following);
         for _ in 0..28 {
-            tokio::time::sleep(CHANGE_GAP).await;
-            hear(store.version());
+            tokio::time::sleep(CHANGE_INTERVAL).await;
+            receive(store.version());
             let behind = store.version() - plane.state().version();
             assert!(behind <= 5, "{behind} versions behind");
         }
         let read = store.read.get();
-        assert!((5..=12).contains(&read), "{read} readings of 28 versions");
+        assert!((5..=12).contains(&read), "{read} reads of 28 versions");
     });
 }
 
 #[test]
-fn vms_that_are_told_of_no_others_look_for_them_at_once() {
-    // Symptom: for 2.4 s after all VMs lost power each believes that it is alone: it counts no stream
-    // of the others, and reads the store for all.
-    // Sequence: their settings name no other VM; all start within 0.4 s.
-    // Cause: each waited to be found through addresses that nobody had.
+fn vms_without_seeds_discover_others_at_once() {
+    // Guards against VMs that each believe to be alone for 2.4 s after a common power loss, ignore
+    // the streams of the others and all read the store: their settings name no other VM, all start
+    // within 0.4 s, and each waits to be found at an address that nobody has.
     world::run(async {
-        for (seeds, least, most) in [(vec![], 0, 300), (vec![world::address(202)], 2_500, 2_500)] {
+        for (seeds, min, max) in [(vec![], 0, 300), (vec![world::address(202)], 2_500, 2_500)] {
             let plane = world::plane();
             plane.state().settings.seeds = seeds;
-            let began = Instant::now();
-            let store = store::FakeStore::changing(CHANGE_GAP);
+            let started = Instant::now();
+            let store = store::FakeStore::changing(CHANGE_INTERVAL);
             follow::meet(plane, store.clone()).await;
-            let after = store.registered_at.get().expect("registered") - began;
+            let after = store.registered_at.get().expect("registered") - started;
             let millis = after.as_millis();
-            assert!((least..=most).contains(&millis), "{millis} ms");
+            assert!((min..=max).contains(&millis), "{millis} ms");
         }
     });
 }
--- a/crates/exchange/tests/streams.rs
+++ b/crates/exchange/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Streams: each event once and in order, from a single run, wherever it goes on.
+//! Tests of streams: each event arrives once and in order, from a single run, on whichever server
+//! it continues.
 
 mod world;
 
@@ -8,70 +9,73 @@
 use exchange::{catalog, port, reply};
 use world::ServerScript;
 
-const GAP: time::Duration = time::Duration::from_millis(40);
+const INTERVAL: time::Duration = time::Duration::from_millis(40);
 
 fn stream(id: &str) -> exchange::request::ExchangeRequest {
-    world::ask(id, catalog::ExchangeKind::Stream)
+    world::request(id, catalog::ExchangeKind::Stream)
 }
 
-fn both(plane: &world::TestPlane, script: &ServerScript) {
+fn script_both(plane: &world::TestPlane, script: &ServerScript) {
     for server in ["e1", "e2"] {
-        plane.port().tell(server, script.clone());
+        plane.port().push_script(server, script.clone());
     }
 }
 
 #[test]
-fn a_stream_is_passed_on_whole() {
+fn a_stream_is_forwarded_completely() {
     world::run(async {
         let plane = world::plane();
-        both(&plane, &ServerScript::Events(30, GAP));
+        script_both(&plane, &ServerScript::Events(30, INTERVAL));
         let reply = plane.serve(stream("a")).await.expect("served");
         let read = world::read(world::parts(reply)).await;
         assert_eq!(
             read,
             world::ReadStream {
                 text: world::events(30),
-                whole: true
+                complete: true
             }
         );
         let seen = plane.port().seen.borrow();
-        assert!(seen[0].reservation.is_some(), "memory was set aside first");
+        assert!(seen[0].reservation.is_some(), "memory was reserved first");
     });
 }
 
 #[test]
-fn a_stream_that_breaks_off_never_looks_whole() {
-    // Symptom: half a review passes for a whole one.
-    // Sequence: the engine dies in the middle of an event, no copy is kept.
-    // Cause: the end of the channel taken for the end of the answer.
+fn a_stream_that_breaks_off_never_looks_complete() {
+    // Guards against a truncated stream that looks complete: the engine crashes within an event,
+    // and there is no copy.
     world::run(async {
         let plane = world::plane();
         plane.state().settings.backups = false;
-        both(&plane, &ServerScript::Breaks(5, GAP));
+        script_both(&plane, &ServerScript::Breaks(5, INTERVAL));
         let reply = plane.serve(stream("a")).await.expect("head");
         let read = world::read(world::parts(reply)).await;
         assert_eq!(
             read,
             world::ReadStream {
                 text: world::events(5),
-                whole: false
+                complete: false
             }
         );
-        assert_eq!(plane.port().seen.borrow().len(), 1, "it is not run again");
+        assert_eq!(
+            plane.port().seen.borrow().len(),
+            1,
+            "the stream is not retried"
+        );
     });
 }
 
 #[test]
-fn a_stream_whose_engine_dies_goes_on_at_its_backup() {
-    // Symptom: a review is cut although a copy of its run is kept elsewhere.
-    // Sequence: the engine dies within an event; the copy is at the other engine.
-    // Cause: no continuation; or one that repeats or joins the half event.
+fn a_stream_continues_on_its_backup_after_a_crash() {
+    // Guards against losing a stream whose run has a copy, and against a continuation that repeats
+    // events or joins a partial one: the engine crashes within an event, and the other engine has
+    // the copy.
     world::run(async {
         let plane = world::plane();
-        both(&plane, &ServerScript::Breaks(5, GAP));
-        both(&plane, &ServerScript::Events(20, GAP));
+        script_both(&plane, &ServerScript::Breaks(5, INTERVAL));
+        script_both(&plane, &ServerScript::Events(20, INTERVAL));
         let reply = plane.serve(stream("a")).await.expect("served");
-        // Whichever engine came first, the other answers its second script only when asked twice.
+        // Whichever engine was first, the other one uses its second script only on its second call.
         let first = plane.port().seen.borrow()[0].clone();
         let other = if first.server == "e1" { "e2" } else { "e1" };
         plane
@@ -86,7 +90,7 @@
             read,
             world::ReadStream {
                 text: world::events(20),
-                whole: true
+                complete: true
             }
         );
         let seen = plane.port().seen.borrow();
@@ -99,18 +103,19 @@
 }
 
 #[test]
-fn a_stream_whose_engine_is_gone_before_it_has_moved_goes_on_from_what_was_copied() {
-    // Symptom: four of five streams are cut as an engine is reclaimed, though each was copied.
-    // Sequence: five runs leave an engine; its link copies one after the other. The rest of the first
-    // waits behind the others, and the engine is gone.
-    // Cause: what had been copied was released, since the move was not finished.
+fn a_stream_continues_from_the_copy_of_an_unfinished_move() {
+    // Guards against releasing copies of unfinished moves: five runs leave an engine whose link
+    // copies one after the other, the last part of the first run waits behind the others, and the
+    // engine is gone before it is copied. The run must continue from the part copied before.
     world::run(async {
         let plane = world::plane();
         plane.state().settings.backups = false;
         world::start(&plane);
         let reply = {
             for server in ["e1", "e2"] {
-                plane.port().tell(server, ServerScript::Breaks(20, GAP));
+                plane
+                    .port()
+                    .push_script(server, ServerScript::Breaks(20, INTERVAL));
             }
             plane.serve(stream("a")).await.expect("served")
         };
@@ -121,7 +126,9 @@
             (12, "e1")
         };
         plane.port().scripts.borrow_mut().clear();
-        plane.port().tell(other, ServerScript::Events(60, GAP));
+        plane
+            .port()
+            .push_script(other, ServerScript::Events(60, INTERVAL));
         {
             let mut copies = plane.port().copies.borrow_mut();
             copies.push_back(Ok(port::CopyDone {
@@ -133,13 +140,13 @@
                 copies.push_back(Err(port::CopyFault::Unreachable));
             }
         }
-        tokio::time::sleep(GAP * 6).await;
+        tokio::time::sleep(INTERVAL * 6).await;
         world::leave(&plane, &first, number);
         let read = world::read(world::parts(reply)).await;
-        assert!(read.whole);
+        assert!(read.complete);
         assert_eq!(read.text, world::events(60));
         let seen = plane.port().seen.borrow();
-        assert_eq!(seen.len(), 2, "one run, gone on once");
+        assert_eq!(seen.len(), 2, "one run, resumed once");
         let resume = seen[1].resume.clone().expect("from the copy");
         assert_eq!(
             (seen[1].server.as_str(), resume.handle.as_str()),
@@ -150,15 +157,15 @@
 }
 
 #[test]
-fn a_stream_on_a_leaving_engine_is_copied_and_goes_on_elsewhere() {
-    // Symptom: four in ten reviews are cut when engines are reclaimed.
-    // Sequence: the engine is told to leave while the stream runs; no copy is kept.
-    // Cause: runs left where they are. Here: copied while it runs, stopped, copied, gone on.
+fn a_stream_on_a_leaving_engine_is_moved() {
+    // Guards against losing streams on reclaimed engines: the engine is told to leave while the
+    // stream runs, and there is no proactive copy. The run is copied while it continues, then
+    // stopped, copied again and continued on the other engine.
     world::run(async {
         let plane = world::plane();
         plane.state().settings.backups = false;
         world::start(&plane);
-        both(&plane, &ServerScript::Events(100, GAP));
+        script_both(&plane, &ServerScript::Events(100, INTERVAL));
         let reply = plane.serve(stream("a")).await.expect("served");
         let first = plane.port().seen.borrow()[0].server.clone();
         let (number, other) = if first == "e1" {
@@ -166,14 +173,14 @@
         } else {
             (12, "e1")
         };
-        tokio::time::sleep(GAP * 6).await;
+        tokio::time::sleep(INTERVAL * 6).await;
         world::leave(&plane, &first, number);
         let read = world::read(world::parts(reply)).await;
         assert_eq!(
             read,
             world::ReadStream {
                 text: world::events(100),
-                whole: true
+                complete: true
             }
         );
         let copied: Vec<_> = plane
@@ -183,7 +190,7 @@
             .iter()
             .map(|copy| copy.2)
             .collect();
-        assert_eq!(copied, [false, true], "first while it runs, then stopped");
+        assert_eq!(copied, [false, true], "copied while running, then stopped");
         let seen = plane.port().seen.borrow();
         assert_eq!(seen[1].server, other);
         assert_eq!(seen[1].resume.as_ref().expect("copy").handle, "h1");
@@ -191,16 +198,15 @@
 }
 
 #[test]
-fn a_stopped_run_without_room_goes_on_where_it_was() {
-    // Symptom: a run that was stopped to be moved is lost.
-    // Sequence: the last copy finds no room; the source keeps the stopped run.
-    // Cause: the handle in the refusal not used.
+fn a_stopped_run_continues_on_its_source_if_the_target_is_full() {
+    // Guards against losing a run that was stopped for a move: the last copy finds no memory on the
+    // target, and the source keeps the stopped run under the handle in the error.
     world::run(async {
         let plane = world::plane();
         plane.state().settings.backups = false;
         world::start(&plane);
-        both(&plane, &ServerScript::Events(100, GAP));
-        both(&plane, &ServerScript::Events(100, GAP));
+        script_both(&plane, &ServerScript::Events(100, INTERVAL));
+        script_both(&plane, &ServerScript::Events(100, INTERVAL));
         let done = port::CopyDone {
             handle: String::from("h0"),
             events: 1,
@@ -213,10 +219,10 @@
             .extend([Ok(done), Err(full)]);
         let reply = plane.serve(stream("a")).await.expect("served");
         let first = plane.port().seen.borrow()[0].server.clone();
-        tokio::time::sleep(GAP * 6).await;
+        tokio::time::sleep(INTERVAL * 6).await;
         world::leave(&plane, &first, if first == "e1" { 11 } else { 12 });
         let read = world::read(world::parts(reply)).await;
-        assert!(read.whole);
+        assert!(read.complete);
         assert_eq!(read.text, world::events(100));
         let seen = plane.port().seen.borrow();
         assert_eq!(seen[1].server, first);
@@ -226,9 +232,8 @@
 
 #[test]
 fn a_full_engine_is_not_sent_a_stream() {
-    // Symptom: streams wait in an engine's queue until it is reclaimed, and die with it.
-    // Sequence: beliefs say that there is room, the engine has none.
-    // Cause: beliefs of other VMs' loads are old; only the engine knows its memory.
+    // Guards against streams that wait in an engine's queue and are lost with it: load reports of
+    // other VMs are outdated and show free memory; only the engine's reservation is reliable.
     world::run(async {
         let plane = world::plane();
         world::start(&plane);
@@ -250,10 +255,9 @@
 }
 
 #[test]
-fn a_stream_without_room_is_refused_before_its_caller_leaves() {
-    // Symptom: callers wait seven seconds for a stream that never starts, and leave.
-    // Sequence: all engines stay full.
-    // Cause: patience measured by the deadline of 39 s, while callers leave after four aims.
+fn a_stream_without_capacity_is_refused_before_its_caller_leaves() {
+    // Guards against holding a stream until its caller leaves: all engines stay full, and callers
+    // leave after four times the target latency, long before the deadline of 39 s.
     world::run(async {
         let plane = world::plane();
         world::start(&plane);
@@ -262,9 +266,9 @@
             .full
             .borrow_mut()
             .extend([String::from("e1"), String::from("e2")]);
-        let began = tokio::time::Instant::now();
-        let refusal = plane.serve(stream("a")).await.expect_err("no room");
-        assert!(began.elapsed() < time::Duration::from_millis(4 * 1_800));
+        let started = tokio::time::Instant::now();
+        let refusal = plane.serve(stream("a")).await.expect_err("no capacity");
+        assert!(started.elapsed() < time::Duration::from_millis(4 * 1_800));
         assert_eq!(refusal.ran, outcome::RanState::No);
         assert!(refusal.retry_after.is_some());
         assert!(plane.port().seen.borrow().is_empty());
@@ -272,15 +276,13 @@
 }
 
 #[test]
-fn a_stream_is_given_up_when_its_caller_leaves() {
-    // Symptom: engines work for callers that are gone.
-    // Sequence: the caller leaves in the middle of its stream.
-    // Cause: the run held by a task that nobody ends.
+fn a_stream_is_cancelled_when_its_caller_leaves() {
+    // Guards against runs whose caller has left in the middle of the stream.
     world::run(async {
         let plane = world::plane();
-        both(&plane, &ServerScript::Events(1_000, GAP));
+        script_both(&plane, &ServerScript::Events(1_000, INTERVAL));
         let reply = plane.serve(stream("a")).await.expect("served");
-        tokio::time::sleep(GAP * 3).await;
+        tokio::time::sleep(INTERVAL * 3).await;
         drop(reply);
         tokio::time::sleep(time::Duration::from_millis(200)).await;
         assert_eq!(plane.state().fleet.runs().count(), 0);
@@ -290,13 +292,12 @@
 }
 
 #[test]
-fn a_stream_lost_before_its_head_is_not_run_again() {
-    // Symptom: one stream runs on two engines.
-    // Sequence: the connection breaks before the head; the engine may be reading the prompt.
-    // Cause: "no event yet" taken for "not run".
+fn a_stream_lost_before_its_head_is_not_retried() {
+    // Guards against running one stream on two engines: the connection breaks before the head,
+    // while the engine may be in prefill. No event yet does not mean not run.
     world::run(async {
         let plane = world::plane();
-        both(&plane, &ServerScript::Lost);
+        script_both(&plane, &ServerScript::Lost);
         let refusal = plane.serve(stream("a")).await.expect_err("lost");
         assert_eq!(refusal.ran, outcome::RanState::Unknown);
         assert_eq!(plane.port().seen.borrow().len(), 1);
@@ -304,25 +305,24 @@
 }
 
 #[test]
-fn a_request_that_crashes_engines_is_kept_away_after_two() {
-    // Symptom: one dossier takes engine after engine down, each with all its streams.
-    // Sequence: the request kills each engine that begins it, and comes again.
-    // Cause: nobody connects the crashes.
+fn a_request_that_crashed_two_engines_is_quarantined() {
+    // Guards against one request that crashes each engine that starts it, with all its streams, and
+    // is retried.
     world::run(async {
         let plane = world::plane();
         plane.state().settings.backups = false;
-        both(&plane, &ServerScript::Breaks(0, GAP));
-        let mut told = Vec::new();
+        script_both(&plane, &ServerScript::Breaks(0, INTERVAL));
+        let mut causes = Vec::new();
         for _ in 0..6 {
-            let mut ask = stream("a");
-            ask.fingerprint = 77;
-            match plane.serve(ask).await {
-                Ok(reply) => assert!(!world::read(world::parts(reply)).await.whole),
-                Err(refusal) => told.push(refusal.cause),
+            let mut request = stream("a");
+            request.fingerprint = 77;
+            match plane.serve(request).await {
+                Ok(reply) => assert!(!world::read(world::parts(reply)).await.complete),
+                Err(refusal) => causes.push(refusal.cause),
             }
             tokio::time::sleep(time::Duration::from_secs(3)).await;
         }
-        assert!(told.contains(&reply::RefusalCause::Quarantined));
+        assert!(causes.contains(&reply::RefusalCause::Quarantined));
         let crashed = plane.port().seen.borrow().len();
         assert!(crashed <= 4, "it reached engines {crashed} times");
     });
@@ -330,12 +330,11 @@
 
 #[test]
 fn a_stream_sent_to_a_silent_engine_may_have_run() {
-    // Symptom: a caller is told 503 ("not run") of a stream that its engine was running.
-    // Sequence: the engine takes the request and stays silent until the time is up.
-    // Cause: what was sent counted as not run until its answer said otherwise.
+    // Guards against reporting a stream as not run while its engine runs it: the engine accepts the
+    // request and stays silent until the time limit.
     world::run(async {
         let plane = world::plane();
-        both(&plane, &ServerScript::Silent);
+        script_both(&plane, &ServerScript::Silent);
         let refusal = plane.serve(stream("a")).await.expect_err("out of time");
         assert_eq!(refusal.ran, outcome::RanState::Unknown);
         assert_eq!(refusal.cause, reply::RefusalCause::Timeout);
@@ -343,23 +342,22 @@
 }
 
 #[test]
-fn a_vm_that_stops_takes_no_stream_that_it_can_not_finish() {
-    // Symptom: a review that was taken six seconds after its VM was told to stop is cut.
-    // Sequence: a stop; a caller that kept an old lookup sends a stream late in the grace time.
-    // Cause: whatever still came was taken, until the process ended.
+fn a_stopping_vm_refuses_streams_that_it_cannot_finish() {
+    // Guards against truncating streams at the end of a stop: a caller with an outdated lookup
+    // sends a stream late in the grace period.
     world::run(async {
         let plane = world::plane();
-        both(&plane, &ServerScript::Events(20, GAP));
+        script_both(&plane, &ServerScript::Events(20, INTERVAL));
         plane.stop();
         tokio::time::sleep(time::Duration::from_secs(1)).await;
         let reply = plane.serve(stream("a")).await.expect("early enough");
-        assert!(world::read(world::parts(reply)).await.whole);
+        assert!(world::read(world::parts(reply)).await.complete);
         tokio::time::sleep(time::Duration::from_secs(1)).await;
         let refusal = plane.serve(stream("b")).await.expect_err("too late");
         assert_eq!(refusal.cause, reply::RefusalCause::Stopping);
         assert_eq!(refusal.ran, outcome::RanState::No);
         let call = plane
-            .serve(world::ask("c", catalog::ExchangeKind::Once))
+            .serve(world::request("c", catalog::ExchangeKind::Once))
             .await;
         assert!(call.is_ok(), "a call still ends in time");
         assert_eq!(plane.port().seen.borrow().len(), 2);
--- a/crates/exchange/tests/world/mod.rs
+++ b/crates/exchange/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A small world for tests of the plane: servers that behave as told, on the paused clock.
+//! Test cluster for the plane: fake servers with scripted behaviour, on the paused clock.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -13,29 +13,29 @@
 use exchange::{budget, catalog, fleet, news, plane, port, reply, request, state, system};
 use tokio::sync::mpsc;
 
-/// How one server answers the next try that it gets.
+/// Behaviour of a server for its next attempt.
 #[derive(Clone, Debug)]
 pub enum ServerScript {
-    /// A whole answer after a time.
+    /// A complete response after a delay.
     Answer(u16, time::Duration),
-    /// An answer in this many parts of [`LARGE_PART`] bytes, one every so often.
+    /// A response in this many parts of [`LARGE_PART`] bytes, at an interval.
     Large(u32, time::Duration),
-    /// A stream of this many events, one every so often.
+    /// A stream of this many events, at an interval.
     Events(u32, time::Duration),
     /// A stream that breaks off after this many events.
     Breaks(u32, time::Duration),
-    /// It was not run.
+    /// The request was not run.
     NotRun(port::NotRunCause),
-    /// It may have run.
+    /// The request may have run.
     Lost,
-    /// Nothing, ever.
+    /// The server never responds.
     Silent,
 }
 
-/// Bytes of a part of a large answer.
+/// Size in bytes of a part of a large response.
 pub const LARGE_PART: usize = 100_000;
 
-/// What the servers saw.
+/// A call received by a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeenCall {
     pub server: String,
@@ -43,30 +43,30 @@
     pub reservation: Option<String>,
     pub backup: Option<net::SocketAddr>,
     pub resume: Option<port::ResumePoint>,
-    /// The server proved that it did not run it.
+    /// Whether the server proved that it did not run the request.
     pub proved: bool,
 }
 
-/// Servers that behave as told.
+/// Fake servers with scripted behaviour.
 #[derive(Debug, Default)]
 pub struct FakePort {
     pub scripts: cell::RefCell<collections::HashMap<String, collections::VecDeque<ServerScript>>>,
     pub seen: cell::RefCell<Vec<SeenCall>>,
-    /// Servers that set nothing aside.
+    /// Servers that refuse reservations.
     pub full: cell::RefCell<collections::HashSet<String>>,
-    /// Answers to copies, in order.
+    /// Results of copies, in order.
     pub copies: cell::RefCell<collections::VecDeque<Result<port::CopyDone, port::CopyFault>>>,
-    /// Copies asked for: source, destination, whether the run was to stop.
+    /// Requested copies: source, target, whether the run was to stop.
     pub copied: cell::RefCell<Vec<(String, net::SocketAddr, bool)>>,
-    /// Runs whose answers are still open, by server.
+    /// Runs whose responses are still open, by server.
     pub open: rc::Rc<cell::RefCell<collections::BTreeMap<String, u32>>>,
 }
 
-/// Body of a fake answer.
+/// Body of a fake response.
 #[derive(Debug)]
 pub struct FakeBody {
     left: collections::VecDeque<Result<Bytes, port::LostCause>>,
-    gap: time::Duration,
+    interval: time::Duration,
     server: String,
     open: rc::Rc<cell::RefCell<collections::BTreeMap<String, u32>>>,
 }
@@ -83,13 +83,13 @@
 
 impl port::AnswerBody for FakeBody {
     async fn next(&mut self) -> Option<Result<Bytes, port::LostCause>> {
-        tokio::time::sleep(self.gap).await;
+        tokio::time::sleep(self.interval).await;
         self.left.pop_front()
     }
 }
 
 impl FakePort {
-    pub fn tell(&self, server: &str, script: ServerScript) {
+    pub fn push_script(&self, server: &str, script: ServerScript) {
         self.scripts
             .borrow_mut()
             .entry(server.to_owned())
@@ -101,7 +101,7 @@
         &self,
         call: &port::ServerCall,
         events: u32,
-        gap: time::Duration,
+        interval: time::Duration,
         ok: bool,
     ) -> FakeBody {
         let first = call
@@ -120,7 +120,7 @@
         *self.open.borrow_mut().entry(server.clone()).or_default() += 1;
         FakeBody {
             left,
-            gap,
+            interval,
             server,
             open: self.open.clone(),
         }
@@ -136,10 +136,10 @@
             let script = scripts
                 .get_mut(&call.target.id)
                 .and_then(collections::VecDeque::pop_front);
-            let gap = time::Duration::from_millis(10);
+            let interval = time::Duration::from_millis(10);
             script.unwrap_or(match call.request.kind {
-                catalog::ExchangeKind::Stream => ServerScript::Events(40, gap),
-                _ => ServerScript::Answer(200, gap),
+                catalog::ExchangeKind::Stream => ServerScript::Events(40, interval),
+                _ => ServerScript::Answer(200, interval),
             })
         };
         self.seen.borrow_mut().push(SeenCall {
@@ -155,14 +155,18 @@
                 tokio::time::sleep(after).await;
                 (status, self.body(&call, 1, time::Duration::ZERO, true))
             }
-            ServerScript::Large(parts, gap) => {
-                let mut body = self.body(&call, 0, gap, true);
+            ServerScript::Large(parts, interval) => {
+                let mut body = self.body(&call, 0, interval, true);
                 let part = Ok(Bytes::from_static(&[b'x'; LARGE_PART]));
                 body.left = vec![part; parts as usize].into();
                 (200, body)
             }
-            ServerScript::Events(events, gap) => (200, self.body(&call, events, gap, true)),
-            ServerScript::Breaks(events, gap) => (200, self.body(&call, events, gap, false)),
+            ServerScript::Events(events, interval) => {
+                (200, self.body(&call, events, interval, true))
+            }
+            ServerScript::Breaks(events, interval) => {
+                (200, self.body(&call, events, interval, false))
+            }
             ServerScript::NotRun(cause) => return port::CallOutcome::NotRun(cause),
             ServerScript::Lost => return port::CallOutcome::Lost(port::LostCause::Broken),
             ServerScript::Silent => std::future::pending().await,
@@ -195,8 +199,8 @@
     ) -> Result<port::CopyDone, port::CopyFault> {
         self.copied.borrow_mut().push((source.id, to, stop));
         tokio::time::sleep(time::Duration::from_millis(20)).await;
-        let told = self.copies.borrow_mut().pop_front();
-        told.unwrap_or(Ok(port::CopyDone {
+        let result = self.copies.borrow_mut().pop_front();
+        result.unwrap_or(Ok(port::CopyDone {
             handle: String::from("h1"),
             events: 3,
         }))
@@ -229,18 +233,18 @@
     }
 }
 
-/// Name of one of many VMs.
+/// Name of a VM by number.
 pub fn vm_name(number: usize) -> String {
     format!("vm-{number:04}")
 }
 
-/// Where the others reach one of many VMs.
+/// Link address of a VM by number.
 pub fn vm_address(number: usize) -> net::SocketAddr {
     let [high, low] = u16::try_from(number).expect("small").to_be_bytes();
     net::SocketAddr::from(([10, 1, high, low], 81))
 }
 
-/// Which of many VMs is reached there.
+/// Number of the VM with this link address.
 pub fn vm_number(address: net::SocketAddr) -> usize {
     let net::IpAddr::V4(ip) = address.ip() else {
         unreachable!("all are V4");
@@ -249,7 +253,7 @@
     usize::from(u16::from_be_bytes([high, low]))
 }
 
-/// One of many VMs in so many failure domains, which knows nothing but its system.
+/// State of a VM by number, spread over so many failure domains; it knows only its system.
 pub fn vm_state(number: usize, domains: usize) -> state::PlaneState {
     let settings = state::PlaneSettings {
         name: vm_name(number),
@@ -347,7 +351,7 @@
     }
 }
 
-/// Number of the system that all VMs here belong to.
+/// Number of the system that all test VMs belong to.
 pub const SYSTEM: u64 = 41;
 
 pub fn system_id(number: u64) -> system::SystemId {
@@ -370,7 +374,7 @@
     rc::Rc::new(plane::ExchangePlane::new(FakePort::default(), state))
 }
 
-/// A server of `plane` stops taking work.
+/// Lets a server of `plane` announce that it leaves.
 pub fn leave(plane: &TestPlane, id: &str, number: u8) {
     let mut leaving = entry("llm", number, "a");
     leaving.leaving = true;
@@ -382,7 +386,7 @@
     plane.wake_decisions();
 }
 
-pub fn ask(id: &str, kind: catalog::ExchangeKind) -> request::ExchangeRequest {
+pub fn request(id: &str, kind: catalog::ExchangeKind) -> request::ExchangeRequest {
     let now = tokio::time::Instant::now();
     let stream = kind == catalog::ExchangeKind::Stream;
     let size = request::GenerationSize {
@@ -417,11 +421,11 @@
     }
 }
 
-/// A streamed answer as its caller reads it.
+/// A streamed response as its caller received it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ReadStream {
     pub text: String,
-    pub whole: bool,
+    pub complete: bool,
 }
 
 pub async fn read(mut parts: mpsc::Receiver<reply::StreamPart>) -> ReadStream {
@@ -431,10 +435,18 @@
             reply::StreamPart::Bytes(bytes) => {
                 text.push_str(std::str::from_utf8(&bytes).expect("text"))
             }
-            reply::StreamPart::End => return ReadStream { text, whole: true },
+            reply::StreamPart::End => {
+                return ReadStream {
+                    text,
+                    complete: true,
+                };
+            }
         }
     }
-    ReadStream { text, whole: false }
+    ReadStream {
+        text,
+        complete: false,
+    }
 }
 
 pub fn parts(reply: reply::Reply) -> mpsc::Receiver<reply::StreamPart> {
@@ -461,24 +473,24 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Lets the plane decide in the background.
+/// Runs the decision loop of the plane in the background.
 pub fn start(plane: &TestPlane) {
     let plane = plane.clone();
     tokio::task::spawn_local(async move { plane.run_decisions().await });
 }
 
-/// Checks a property on `count` histories; the number of one that fails is printed.
+/// Checks a property on `count` histories; prints the number of a failing one.
 pub fn histories(
     count: u64,
     property: impl Fn(&mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()>,
 ) {
     for number in 0..count {
-        // The low half of a seed says how many bytes there are to draw from.
+        // The low half of a seed is the number of bytes to draw from.
         let seed = (number.wrapping_mul(0x9E37_79B9) << 32) | 2_048;
-        let ran = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+        let outcome = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             arbtest::arbtest(|u| property(u)).seed(seed).run();
         }));
-        if let Err(cause) = ran {
+        if let Err(cause) = outcome {
             eprintln!("history {number} failed (seed {seed:#x})");
             std::panic::resume_unwind(cause);
         }
--- a/crates/exchange/tests/world/store.rs
+++ b/crates/exchange/tests/world/store.rs
@@ -1,4 +1,4 @@
-//! A store that holds no servers, and whose configuration changes all the time if it is told so.
+//! Fake store without servers, whose configuration changes continuously if configured so.
 
 use std::{cell, net, rc, time};
 
@@ -7,18 +7,19 @@
 use exchange::{follow, system};
 use tokio::time::{self as clock, Instant};
 
-/// Time that a reading of the configuration takes.
+/// Duration of a read of the configuration.
 const READ_TIME: time::Duration = time::Duration::from_millis(8);
 
 #[derive(Debug)]
 pub struct FakeStore {
-    began: Instant,
-    /// Time between two versions of the configuration; there is none without it.
-    pub change_gap: Option<time::Duration>,
-    /// When it begins to say which system it belongs to.
+    started: Instant,
+    /// Interval between versions of the configuration; `None` for a single version.
+    pub change_interval: Option<time::Duration>,
+    /// When the store begins to return its system.
     pub answers_at: Instant,
-    /// Readings of the configuration, and questions which system this is.
+    /// Reads of the configuration.
     pub read: cell::Cell<u32>,
+    /// Calls that ask for the system.
     pub asked: cell::Cell<u32>,
     pub registered_at: cell::Cell<Option<Instant>>,
 }
@@ -27,8 +28,8 @@
     pub fn new() -> Self {
         let now = Instant::now();
         Self {
-            began: now,
-            change_gap: None,
+            started: now,
+            change_interval: None,
             answers_at: now,
             read: cell::Cell::new(0),
             asked: cell::Cell::new(0),
@@ -36,15 +37,15 @@
         }
     }
 
-    /// One in which a new version is written every `gap`.
-    pub fn changing(gap: time::Duration) -> rc::Rc<Self> {
+    /// Creates a store with a new version every `interval`.
+    pub fn changing(interval: time::Duration) -> rc::Rc<Self> {
         rc::Rc::new(Self {
-            change_gap: Some(gap),
+            change_interval: Some(interval),
             ..Self::new()
         })
     }
 
-    /// One that does not say which system it belongs to until `span` has passed.
+    /// Creates a store that returns no system until `span` has passed.
     pub fn silent_for(span: time::Duration) -> rc::Rc<Self> {
         rc::Rc::new(Self {
             answers_at: Instant::now() + span,
@@ -53,8 +54,10 @@
     }
 
     pub fn version(&self) -> u64 {
-        let gap = self.change_gap.map_or(u128::MAX, |gap| gap.as_millis());
-        1 + (self.began.elapsed().as_millis() / gap) as u64
+        let interval = self
+            .change_interval
+            .map_or(u128::MAX, |interval| interval.as_millis());
+        1 + (self.started.elapsed().as_millis() / interval) as u64
     }
 }
 
