--- a/crates/exchange/src/capacity.rs
+++ b/crates/exchange/src/capacity.rs
@@ -20,7 +20,7 @@
 /// How long a generation must not have fitted to be refused: longer than it takes until memory is
 /// free again after engines were replaced, 3 to 4 s in production, and as long as a caller waits.
 const EXHAUSTED_TIMEOUT: time::Duration = time::Duration::from_secs(4);
-/// How long samples are reserve: a third of the longest time limit of callers.
+/// How long samples are kept: a third of the longest time limit of callers.
 const SAMPLE_RETENTION: time::Duration = time::Duration::from_secs(15);
 /// Interval between samples.
 const SAMPLE_INTERVAL: time::Duration = time::Duration::from_millis(100);
--- a/crates/exchange/src/fleet.rs
+++ b/crates/exchange/src/fleet.rs
@@ -62,37 +62,38 @@
     /// changes nothing, whichever way it arrives: a server that leaves never becomes ready again
     /// because of an older update that arrives later.
     ///
-    /// `lapse_grace` is set if the store was unavailable when the entry expired: see [`LAPSE_GRACE`].
+    /// `grace_until` is set if the store was unavailable when the entry expired: see
+    /// [`LAPSE_GRACE`].
     pub fn apply_update(
         &mut self,
-        news: &news::ServerNews,
-        lapse_grace: Option<time::Instant>,
+        update: &news::ServerNews,
+        grace_until: Option<time::Instant>,
         now: time::Instant,
     ) -> FleetChange {
-        let Some(&key) = self.by_id.get(&news.id) else {
-            return self.insert_new(news, now);
+        let Some(&key) = self.by_id.get(&update.id) else {
+            return self.insert_new(update, now);
         };
         let known = self.servers[key].born;
-        match &news.entry {
+        match &update.entry {
             // A late update of a previous incarnation, or of a writer that does not know
             // incarnations.
             Some(entry) if entry.born < known => return FleetChange::Nothing,
             Some(entry) if entry.born > known && known.is_told() => {
-                return self.replace_incarnation(key, news, entry, now);
+                return self.replace_incarnation(key, update, entry, now);
             }
             Some(entry) if entry.born > known => self.set_start(key, entry.born),
             _ => {}
         }
         let record = &mut self.servers[key];
         let before = record.standing;
-        let after = record.apply_update(news);
+        let after = record.apply_update(update);
         if after == before {
             return FleetChange::Nothing;
         }
         self.set_standing(key, after, now);
         let record = &mut self.servers[key];
         record.lapse_grace_until = match (before, after) {
-            (server::ServerStanding::Ready, server::ServerStanding::Gone) => lapse_grace,
+            (server::ServerStanding::Ready, server::ServerStanding::Gone) => grace_until,
             _ => None,
         };
         if record.lapse_grace_until.is_some() {
@@ -107,11 +108,11 @@
         }
     }
 
-    fn insert_new(&mut self, news: &news::ServerNews, now: time::Instant) -> FleetChange {
-        let Some(entry) = &news.entry else {
+    fn insert_new(&mut self, update: &news::ServerNews, now: time::Instant) -> FleetChange {
+        let Some(entry) = &update.entry else {
             return FleetChange::Nothing;
         };
-        let record = server::ServerRecord::new(&news.id, news.offset, entry, now);
+        let record = server::ServerRecord::new(&update.id, update.offset, entry, now);
         FleetChange::Arrived(self.insert(record))
     }
 
@@ -122,7 +123,7 @@
     fn replace_incarnation(
         &mut self,
         before: ServerKey,
-        news: &news::ServerNews,
+        update: &news::ServerNews,
         entry: &news::ServerEntry,
         now: time::Instant,
     ) -> FleetChange {
@@ -130,7 +131,7 @@
         let old = &mut self.servers[before];
         old.superseded = true;
         old.lapse_grace_until = None;
-        let mut record = server::ServerRecord::new(&news.id, news.offset, entry, now);
+        let mut record = server::ServerRecord::new(&update.id, update.offset, entry, now);
         record.record_removal(old.removed_offset);
         let gone = record.standing == server::ServerStanding::Gone;
         let key = self.insert(record);
@@ -179,10 +180,10 @@
     /// Returns whether a store update lacks the incarnation although the server is known with one.
     /// Such an update was written by a foreign process and applies to no server.
     #[must_use]
-    pub fn lacks_incarnation(&self, news: &news::ServerNews) -> bool {
-        let known = self.by_id.get(&news.id);
+    pub fn lacks_incarnation(&self, update: &news::ServerNews) -> bool {
+        let known = self.by_id.get(&update.id);
         let known = known.is_some_and(|&key| self.servers[key].born.is_told());
-        let entry = news.entry.as_ref();
+        let entry = update.entry.as_ref();
         known && entry.is_some_and(|entry| !entry.born.is_told())
     }
 
@@ -192,10 +193,10 @@
         &mut self,
         listed: &collections::HashSet<String>,
         end: u64,
-        lapse_grace: Option<time::Instant>,
+        grace_until: Option<time::Instant>,
         now: time::Instant,
     ) -> Vec<ServerKey> {
-        let absent: Vec<_> = self
+        let removed: Vec<_> = self
             .servers
             .iter()
             .filter(|(_, record)| record.offset < end && !listed.contains(&record.id))
@@ -206,9 +207,9 @@
                 entry: None,
             })
             .collect();
-        let changes = absent
+        let changes = removed
             .iter()
-            .map(|news| self.apply_update(news, lapse_grace, now));
+            .map(|update| self.apply_update(update, grace_until, now));
         changes
             .filter_map(|change| match change {
                 FleetChange::Leaves(key) => Some(key),
--- a/crates/exchange/src/forecast.rs
+++ b/crates/exchange/src/forecast.rs
@@ -13,7 +13,7 @@
 /// Fraction of a generation's expected output for which memory is planned. A generation observed at
 /// a random moment has produced 0.7 of the mean length, since long ones are observed more often;
 /// memory of generations that end serves those that grow.
-pub const PLANNED_PART: f64 = 0.7;
+pub const PLANNED_FRACTION: f64 = 0.7;
 /// Assumed time per token before the rate of a run is known; engines take 7 to 9 ms.
 pub const TOKEN_MS: f64 = 8.0;
 
@@ -41,7 +41,7 @@
 /// Memory planned for a generation before it starts.
 #[must_use]
 pub fn planned_tokens(size: &request::GenerationSize) -> u64 {
-    u64::from(size.prompt_tokens) + (expected_output(size, 0) * PLANNED_PART) as u64
+    u64::from(size.prompt_tokens) + (expected_output(size, 0) * PLANNED_FRACTION) as u64
 }
 
 /// Expected memory of a generation times its expected run time, in thousands of token seconds: the
--- a/crates/exchange/src/loads.rs
+++ b/crates/exchange/src/loads.rs
@@ -19,7 +19,7 @@
 /// Load that one VM puts on a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeerLoad {
-    /// Tries there.
+    /// Attempts there.
     pub runs: u32,
     /// Expected memory of the attempts and copies there.
     pub tokens: u64,
@@ -32,13 +32,13 @@
 /// Load of a server, summed over all VMs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerLoad {
-    /// Tries there.
+    /// Attempts there.
     pub runs: u32,
     /// Expected memory of the attempts and copies there.
     pub tokens: u64,
     /// Prompt tokens of generations without a first event.
     pub backlog: u64,
-    /// Tries of this VM alone.
+    /// Attempts of this VM alone.
     pub own_runs: u32,
 }
 
--- a/crates/exchange/src/moving.rs
+++ b/crates/exchange/src/moving.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     fleet, port,
-    port::AnswerBody as _,
+    port::ResponseBody as _,
     serve_stream::{CopyPlace, LiveRun, RelayEnd, StreamDriver, millis},
     server,
 };
@@ -109,7 +109,7 @@
             // Copies of other runs queue on the same links. The run continues while its copy waits
             // for them, and stops for the last part only once that is fast or time is short.
             let stop = links_free || notice.elapsed() > STOP_DELAY;
-            let began = time::Instant::now();
+            let copy_started = time::Instant::now();
             let (copied, ended) = self.copy_once(live, &source, &target, stop).await;
             log::info!(
                 request:% = self.request.id, from:% = source.id, to:% = target.id, stop,
@@ -128,7 +128,7 @@
                     if ended.is_some() {
                         return ended;
                     }
-                    links_free = began.elapsed() < MAX_QUICK_COPY;
+                    links_free = copy_started.elapsed() < MAX_QUICK_COPY;
                     continue;
                 }
                 (Ok(done), true) => copy(to, Some(from), done.handle),
@@ -156,8 +156,8 @@
         if matches!(copied, Err(port::CopyFault::NoRoom(_))) {
             self.mark_full(to);
         }
-        let gone = matches!(copied, Err(port::CopyFault::Unreachable));
-        if gone || matches!(ended, Some(RelayEnd::Broken)) {
+        let source_lost = matches!(copied, Err(port::CopyFault::Unreachable));
+        if source_lost || matches!(ended, Some(RelayEnd::Broken)) {
             return;
         }
         let spare = self.spare.take().map(|spare| spare.handle);
@@ -249,10 +249,10 @@
             };
             let opened = self.plane.port.open(call).await;
             match opened {
-                port::CallOutcome::Answered(answer) if answer.status.is_success() => {
+                port::CallOutcome::Responded(response) if response.status.is_success() => {
                     self.moved(live, server);
                     self.spare = None;
-                    live.body = Some(answer.body);
+                    live.body = Some(response.body);
                     self.moves += 1;
                     metrics::counter!("pollenchute_exchange_resumed_total").increment(1);
                     log::info!(
--- a/crates/exchange/src/placing.rs
+++ b/crates/exchange/src/placing.rs
@@ -74,7 +74,7 @@
                 Err(_) => {}
             }
         }
-        self.wait_for_place(request, avoid, waited, now).await
+        self.wait_for_server(request, avoid, waited, now).await
     }
 
     pub(crate) fn placed(
@@ -89,7 +89,7 @@
         }
     }
 
-    async fn wait_for_place(
+    async fn wait_for_server(
         self: &rc::Rc<Self>,
         request: &rc::Rc<request::ExchangeRequest>,
         avoid: &[fleet::ServerKey],
@@ -112,16 +112,16 @@
             (queue.insert(record), ahead)
         };
         let index = (request.service.clone(), key);
-        let (assigned, place) = oneshot::channel();
+        let (assigned, assignment) = oneshot::channel();
         let waiter = Waiter {
             request: request.clone(),
             avoid: avoid.to_vec(),
             assigned,
         };
         self.waiters.borrow_mut().insert(index.clone(), waiter);
-        let place = AssignmentReceiver {
+        let receiver = AssignmentReceiver {
             plane: self.clone(),
-            place,
+            assignment,
         };
         let guard = WaitGuard { plane: self, index };
         log::info!(
@@ -131,7 +131,7 @@
         );
         self.decisions_due.notify_one();
         self.announce_loads();
-        let placed = self.receive_assignment(request, &record, place).await;
+        let placed = self.receive_assignment(request, &record, receiver).await;
         drop(guard);
         metrics::histogram!("pollenchute_exchange_waited_seconds")
             .record(now.elapsed().as_secs_f64());
@@ -144,9 +144,9 @@
         &self,
         request: &request::ExchangeRequest,
         record: &wait::WaitRecord,
-        place: AssignmentReceiver<P>,
+        receiver: AssignmentReceiver<P>,
     ) -> Result<plane::PlacedRun<P>, reply::RefusalCause> {
-        let receiving = place.receive();
+        let receiving = receiver.receive();
         tokio::pin!(receiving);
         loop {
             let now = time::Instant::now();
@@ -174,7 +174,7 @@
         now: time::Instant,
     ) -> Option<wait::WaitRecord> {
         let stream = request.kind == catalog::ExchangeKind::Stream;
-        let max_wait = wait::max_wait(request.left(now), request.aim, stream);
+        let max_wait = wait::max_wait(request.left(now), request.target_latency, stream);
         let mut state = self.state.borrow_mut();
         let basis = state.rank_basis(request, now);
         let rank = basis.rank(now);
@@ -195,12 +195,12 @@
 /// Receiver of an assignment, which may be sent at the moment when the request stops waiting.
 struct AssignmentReceiver<P> {
     plane: rc::Rc<plane::ExchangePlane<P>>,
-    place: oneshot::Receiver<(fleet::RunKey, fleet::ServerKey)>,
+    assignment: oneshot::Receiver<(fleet::RunKey, fleet::ServerKey)>,
 }
 
 impl<P> AssignmentReceiver<P> {
     async fn receive(mut self) -> Option<plane::PlacedRun<P>> {
-        let (run, server) = (&mut self.place).await.ok()?;
+        let (run, server) = (&mut self.assignment).await.ok()?;
         Some(plane::PlacedRun {
             plane: self.plane.clone(),
             run,
@@ -213,7 +213,7 @@
     fn drop(&mut self) {
         // Without this, an assignment sent at the moment when the caller leaves would never be
         // freed.
-        if let Ok((run, _)) = self.place.try_recv() {
+        if let Ok((run, _)) = self.assignment.try_recv() {
             self.plane.state.borrow_mut().fleet.end(run);
         }
     }
--- a/crates/exchange/src/port.rs
+++ b/crates/exchange/src/port.rs
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 pub enum CallOutcome<B> {
     /// The server responded.
-    Answered(ServerAnswer<B>),
+    Responded(ServerResponse<B>),
     /// The attempt has not run and never will.
     NotRun(NotRunCause),
     /// The attempt may have run.
@@ -111,7 +111,7 @@
     #[must_use]
     pub const fn ran(&self) -> outcome::RanState {
         match self {
-            Self::Answered(_) => outcome::RanState::Yes,
+            Self::Responded(_) => outcome::RanState::Yes,
             Self::NotRun(_) => outcome::RanState::No,
             Self::Lost(_) => outcome::RanState::Unknown,
         }
@@ -120,7 +120,7 @@
 
 /// Response of a server.
 #[derive(Debug)]
-pub struct ServerAnswer<B> {
+pub struct ServerResponse<B> {
     /// Status.
     pub status: http::StatusCode,
     /// Headers to forward.
@@ -130,7 +130,7 @@
 }
 
 /// A streamed response body.
-pub trait AnswerBody {
+pub trait ResponseBody {
     /// Returns the next bytes; `None` at the regular end.
     fn next(&mut self) -> impl Future<Output = Option<Result<Bytes, LostCause>>>;
 }
@@ -170,7 +170,7 @@
 /// Backend servers.
 pub trait ServerPort {
     /// Body of a response.
-    type Body: AnswerBody;
+    type Body: ResponseBody;
 
     /// Sends one attempt; dropping the future cancels it and closes its connection.
     fn open(&self, call: ServerCall) -> impl Future<Output = CallOutcome<Self::Body>>;
--- a/crates/exchange/src/relocate.rs
+++ b/crates/exchange/src/relocate.rs
@@ -61,8 +61,8 @@
                 .server(run.server)
                 .is_some_and(|server| server.service == service && !server.takes_work(now))
         })
-        .filter(|(_, run)| run.expected_rest(now) > MIN_REST_TO_MOVE)
-        .map(|(key, run)| (key, run.held_tokens()))
+        .filter(|(_, run)| run.expected_remaining(now) > MIN_REST_TO_MOVE)
+        .map(|(key, run)| (key, run.used_tokens()))
         .collect()
 }
 
--- a/crates/exchange/src/reply.rs
+++ b/crates/exchange/src/reply.rs
@@ -83,7 +83,7 @@
 #[derive(Debug)]
 pub enum ReplyBody {
     /// Complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// Body streamed as it arrives.
     Parts(mpsc::Receiver<StreamPart>),
 }
--- a/crates/exchange/src/request.rs
+++ b/crates/exchange/src/request.rs
@@ -69,7 +69,7 @@
     /// When the final response is due; never after `deadline`.
     pub limit: time::Instant,
     /// Target latency of the response.
-    pub aim: time::Duration,
+    pub target_latency: time::Duration,
     /// Size of a generation; `None` for calls.
     pub size: Option<GenerationSize>,
     /// Fingerprint of path, caller and body.
--- a/crates/exchange/src/runs.rs
+++ b/crates/exchange/src/runs.rs
@@ -37,21 +37,21 @@
     #[must_use]
     pub fn planned_tokens(&self) -> u64 {
         match &self.size {
-            Some(size) => forecast::planned_tokens(size).max(self.held_tokens()),
+            Some(size) => forecast::planned_tokens(size).max(self.used_tokens()),
             None => 0,
         }
     }
 
     /// Memory in use.
     #[must_use]
-    pub fn held_tokens(&self) -> u64 {
+    pub fn used_tokens(&self) -> u64 {
         let prompt = self.size.as_ref().map_or(0, |size| size.prompt_tokens);
         u64::from(prompt) + u64::from(self.produced)
     }
 
     /// Expected remaining run time.
     #[must_use]
-    pub fn expected_rest(&self, now: time::Instant) -> time::Duration {
+    pub fn expected_remaining(&self, now: time::Instant) -> time::Duration {
         let tokens = (self.expected_output() - f64::from(self.produced)).max(0.0);
         let ms_per_token = match self.first_at {
             Some(first) if self.produced >= 16 => {
--- a/crates/exchange/src/serve_call.rs
+++ b/crates/exchange/src/serve_call.rs
@@ -9,7 +9,8 @@
 use tokio::{sync::mpsc, time};
 
 use crate::{
-    catalog, fleet, plane, port, port::AnswerBody as _, reply, request, serve_stream, server, wait,
+    catalog, fleet, plane, port, port::ResponseBody as _, reply, request, serve_stream, server,
+    wait,
 };
 
 /// Max size of a response that is buffered completely; a longer one is streamed to the caller and
@@ -27,19 +28,19 @@
 
 /// Outcome of one attempt.
 enum AttemptEnd<P: port::ServerPort> {
-    Whole(WholeAnswer),
-    Long(LongAnswer<P>),
+    Complete(CompleteResponse),
+    Long(LongResponse<P>),
     NotRun(port::NotRunCause),
     Lost,
 }
 
-struct WholeAnswer {
+struct CompleteResponse {
     status: http::StatusCode,
     headers: http::HeaderMap,
     body: Bytes,
 }
 
-struct LongAnswer<P: port::ServerPort> {
+struct LongResponse<P: port::ServerPort> {
     status: http::StatusCode,
     headers: http::HeaderMap,
     first: Bytes,
@@ -86,7 +87,7 @@
         let mut attempts = stream::FuturesUnordered::new();
         let first = self.plane.place(self.request, &self.avoid).await?;
         attempts.push(self.send(first));
-        let mut last_answer = None;
+        let mut last_response = None;
         let hedge = time::sleep(self.hedge_after());
         tokio::pin!(hedge);
         let mut hedged = self.request.kind != catalog::ExchangeKind::Idempotent;
@@ -102,19 +103,19 @@
                 }
             };
             let Some((server, end)) = end else {
-                return last_answer.unwrap_or_else(|| Err(self.lost()));
+                return last_response.unwrap_or_else(|| Err(self.lost()));
             };
-            match self.judge(server, end) {
-                Step::Answer(answer) => return answer,
-                Step::Again(answer) => last_answer = Some(answer),
+            match self.next_step(server, end) {
+                Step::Respond(response) => return response,
+                Step::Retry(response) => last_response = Some(response),
             }
             if attempts.is_empty() && !self.retry_allowed() {
-                return last_answer.unwrap_or_else(|| Err(self.lost()));
+                return last_response.unwrap_or_else(|| Err(self.lost()));
             }
             if attempts.is_empty() {
                 match self.plane.place(self.request, &self.avoid).await {
                     Ok(placed) => attempts.push(self.send(placed)),
-                    Err(refusal) => return last_answer.unwrap_or(Err(refusal)),
+                    Err(refusal) => return last_response.unwrap_or(Err(refusal)),
                 }
             }
         }
@@ -124,7 +125,7 @@
     /// still on time.
     fn hedge_after(&self) -> time::Duration {
         self.request
-            .aim
+            .target_latency
             .mul_f64(HEDGE_AFTER_FRACTION)
             .max(MIN_HEDGE_DELAY)
     }
@@ -161,28 +162,28 @@
         }
     }
 
-    fn judge(&mut self, server: fleet::ServerKey, end: AttemptEnd<P>) -> Step {
+    fn next_step(&mut self, server: fleet::ServerKey, end: AttemptEnd<P>) -> Step {
         let idempotent = self.request.kind == catalog::ExchangeKind::Idempotent;
         match end {
-            AttemptEnd::Whole(answer) => {
+            AttemptEnd::Complete(response) => {
                 self.ran = outcome::RanState::Yes;
-                let failed = answer.status.is_server_error();
+                let failed = response.status.is_server_error();
                 let reply = Ok(reply::Reply {
-                    status: answer.status,
-                    headers: answer.headers,
-                    body: reply::ReplyBody::Whole(answer.body),
+                    status: response.status,
+                    headers: response.headers,
+                    body: reply::ReplyBody::Complete(response.body),
                 });
                 if failed && idempotent {
-                    Step::Again(reply)
+                    Step::Retry(reply)
                 } else {
-                    Step::Answer(reply)
+                    Step::Respond(reply)
                 }
             }
-            AttemptEnd::Long(answer) => {
+            AttemptEnd::Long(response) => {
                 self.ran = outcome::RanState::Yes;
-                Step::Answer(Ok(stream_long(
+                Step::Respond(Ok(stream_long(
                     self.request.clone(),
-                    answer,
+                    response,
                     self.guard.take(),
                 )))
             }
@@ -198,9 +199,9 @@
                 };
                 self.log_failed(server, cause_name(cause));
                 if self.ran == outcome::RanState::No {
-                    Step::Again(Err(self.plane.refuse(self.request, refused)))
+                    Step::Retry(Err(self.plane.refuse(self.request, refused)))
                 } else {
-                    Step::Again(Err(self.lost()))
+                    Step::Retry(Err(self.lost()))
                 }
             }
             AttemptEnd::Lost => {
@@ -208,9 +209,9 @@
                 self.log_failed(server, "lost");
                 let lost = Err(self.lost());
                 if idempotent {
-                    Step::Again(lost)
+                    Step::Retry(lost)
                 } else {
-                    Step::Answer(lost)
+                    Step::Respond(lost)
                 }
             }
         }
@@ -259,9 +260,9 @@
 
 enum Step {
     /// The final response.
-    Answer(Result<reply::Reply, reply::Refusal>),
+    Respond(Result<reply::Reply, reply::Refusal>),
     /// Response to return if no further attempt succeeds.
-    Again(Result<reply::Reply, reply::Refusal>),
+    Retry(Result<reply::Reply, reply::Refusal>),
 }
 
 const fn cause_name(cause: port::NotRunCause) -> &'static str {
@@ -300,7 +301,7 @@
         reuse,
     };
     let end = match plane.port.open(call).await {
-        port::CallOutcome::Answered(answer) => read_answer(answer, placed).await,
+        port::CallOutcome::Responded(response) => read_response(response, placed).await,
         port::CallOutcome::NotRun(cause) => {
             let verdict = match cause {
                 port::NotRunCause::Misdirected => server::ServerVerdict::Failed,
@@ -316,10 +317,10 @@
     };
     let (server, end) = end;
     let verdict = match &end {
-        AttemptEnd::Whole(answer) if answer.status.is_server_error() => {
+        AttemptEnd::Complete(response) if response.status.is_server_error() => {
             server::ServerVerdict::Erred
         }
-        AttemptEnd::Whole(_) | AttemptEnd::Long(_) => {
+        AttemptEnd::Complete(_) | AttemptEnd::Long(_) => {
             server::ServerVerdict::Good(started.elapsed())
         }
         _ => server::ServerVerdict::Failed,
@@ -328,34 +329,34 @@
     end
 }
 
-async fn read_answer<P: port::ServerPort>(
-    answer: port::ServerAnswer<P::Body>,
+async fn read_response<P: port::ServerPort>(
+    response: port::ServerResponse<P::Body>,
     placed: plane::PlacedRun<P>,
 ) -> (fleet::ServerKey, AttemptEnd<P>) {
     let server = placed.server;
-    let port::ServerAnswer {
+    let port::ServerResponse {
         status,
         headers,
         mut body,
         ..
-    } = answer;
-    let mut whole = BytesMut::new();
+    } = response;
+    let mut buffer = BytesMut::new();
     let end = loop {
         match body.next().await {
             None => {
-                let body = whole.freeze();
-                break AttemptEnd::Whole(WholeAnswer {
+                let body = buffer.freeze();
+                break AttemptEnd::Complete(CompleteResponse {
                     status,
                     headers,
                     body,
                 });
             }
             Some(Err(_)) => break AttemptEnd::Lost,
-            Some(Ok(bytes)) => whole.extend_from_slice(&bytes),
+            Some(Ok(bytes)) => buffer.extend_from_slice(&bytes),
         }
-        if whole.len() > MAX_BUFFERED_BYTES {
-            let first = whole.freeze();
-            break AttemptEnd::Long(LongAnswer {
+        if buffer.len() > MAX_BUFFERED_BYTES {
+            let first = buffer.freeze();
+            break AttemptEnd::Long(LongResponse {
                 status,
                 headers,
                 first,
@@ -372,17 +373,17 @@
 /// it.
 fn stream_long<P: port::ServerPort + 'static, G: 'static>(
     request: rc::Rc<request::ExchangeRequest>,
-    answer: LongAnswer<P>,
+    response: LongResponse<P>,
     guard: G,
 ) -> reply::Reply {
     let (sender, receiver) = mpsc::channel(MAX_BUFFERED_PARTS);
-    let LongAnswer {
+    let LongResponse {
         status,
         headers,
         first,
         mut body,
         placed,
-    } = answer;
+    } = response;
     tokio::task::spawn_local(async move {
         let end = tokio::select! {
             biased;
@@ -403,7 +404,7 @@
 async fn forward_parts(
     sender: &mpsc::Sender<reply::StreamPart>,
     first: Bytes,
-    body: &mut impl port::AnswerBody,
+    body: &mut impl port::ResponseBody,
 ) -> outcome::EndKind {
     let mut next = Some(Ok(first));
     while let Some(Ok(bytes)) = next {
--- a/crates/exchange/src/serve_stream.rs
+++ b/crates/exchange/src/serve_stream.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::{
-    event, fleet, forecast, moving, pace, plane, port, port::AnswerBody as _, relocate, reply,
+    event, fleet, forecast, moving, pace, plane, port, port::ResponseBody as _, relocate, reply,
     request, server,
 };
 
@@ -26,9 +26,9 @@
 
 /// Max duration of a memory reservation: the request follows at once.
 const MAX_RESERVATION: time::Duration = time::Duration::from_millis(500);
-/// Delay before a run whose copy failed is moved may_retry: other runs end or start meanwhile.
+/// Delay before a run whose copy failed is moved again: other runs end or start meanwhile.
 const MOVE_RETRY_DELAY: time::Duration = time::Duration::from_millis(70);
-/// Mean delay before a full server gets a request may_retry: generations end there about once a second.
+/// Mean delay before a full server gets a request again: generations end there about once a second.
 const FULL_RETRY_DELAY: time::Duration = time::Duration::from_millis(150);
 
 type HeadSender = oneshot::Sender<Result<StreamHead, reply::Refusal>>;
@@ -227,9 +227,9 @@
             let before = self.ran;
             self.ran = before.and(outcome::RanState::Unknown);
             match self.plane.port.open(call).await {
-                port::CallOutcome::Answered(answer) => {
+                port::CallOutcome::Responded(response) => {
                     self.ran = outcome::RanState::Yes;
-                    self.answered(&mut live, answer, sent);
+                    self.begin_response(&mut live, response, sent);
                     return Ok(live);
                 }
                 port::CallOutcome::NotRun(cause) => {
@@ -266,17 +266,17 @@
         let reserved = self.plane.port.reserve(target, tokens, span).await;
         match reserved {
             Ok(handle) => Ok(Some(handle)),
-            Err(fault) => {
+            Err(error) => {
                 log::info!(
                     request:% = self.request.id, server:% = self.plane.server_id(server), tokens,
-                    fault:? = fault; "no room"
+                    fault:? = error; "no room"
                 );
-                if fault == port::ReserveFault::Unreachable {
+                if error == port::ReserveFault::Unreachable {
                     self.plane
                         .record_outcome(server, server::ServerVerdict::Failed);
                 }
                 self.mark_full(server);
-                Err(fault)
+                Err(error)
             }
         }
     }
@@ -327,27 +327,27 @@
         })
     }
 
-    fn answered(
+    fn begin_response(
         &mut self,
         live: &mut LiveRun<P>,
-        answer: port::ServerAnswer<P::Body>,
+        response: port::ServerResponse<P::Body>,
         sent: time::Instant,
     ) {
         if let Some(head) = self.head.take() {
             let stream_head = StreamHead {
-                status: answer.status,
-                headers: answer.headers,
+                status: response.status,
+                headers: response.headers,
             };
             let _ = head.send(Ok(stream_head));
         }
-        if answer.status.is_server_error() {
+        if response.status.is_server_error() {
             self.plane
                 .record_outcome(live.placed.server, server::ServerVerdict::Erred);
         } else {
             let verdict = server::ServerVerdict::Good(sent.elapsed());
             self.plane.record_outcome(live.placed.server, verdict);
         }
-        live.body = Some(answer.body);
+        live.body = Some(response.body);
     }
 
     /// Forwards events until the stream ends or the run stops on this server.
@@ -383,7 +383,7 @@
 
     /// Forwards bytes and records the progress of the run.
     pub(crate) async fn pass(&mut self, live: &LiveRun<P>, bytes: &[u8]) {
-        let whole = self.splitter.take(bytes);
+        let complete = self.splitter.take(bytes);
         {
             let mut state = self.plane.state();
             let engine = state
@@ -399,9 +399,9 @@
                 }
             }
         }
-        if !whole.is_empty() {
+        if !complete.is_empty() {
             self.pace.note(time::Instant::now());
-            let _ = self.parts.send(reply::StreamPart::Bytes(whole)).await;
+            let _ = self.parts.send(reply::StreamPart::Bytes(complete)).await;
         }
     }
 
--- a/crates/exchange/src/server.rs
+++ b/crates/exchange/src/server.rs
@@ -68,14 +68,14 @@
     pub(crate) announced_leaving: bool,
     /// End of the grace period while the entry's expiry may be due to an outage of the store.
     pub lapse_grace_until: Option<time::Instant>,
-    /// Fraction of recent attempts that failed, as of `judged_at`.
+    /// Fraction of recent attempts that failed, as of `failure_rate_at`.
     failure_rate: f64,
     /// The server reported that it is full, and gets no requests until then.
     full_until: Option<time::Instant>,
     /// When this VM last sent an attempt to the server.
     used_at: Option<time::Instant>,
     /// When `failure_rate` was last updated.
-    judged_at: time::Instant,
+    failure_rate_at: time::Instant,
     /// Estimated latency of a call in milliseconds; zero while unknown.
     latency_ms: f64,
 }
@@ -108,7 +108,7 @@
             failure_rate: 0.0,
             full_until: None,
             used_at: None,
-            judged_at: now,
+            failure_rate_at: now,
             latency_ms: 0.0,
         }
     }
@@ -119,20 +119,20 @@
     /// The store's order decides which of two updates is newer. The announcement that an
     /// incarnation leaves is never undone, in whatever order updates arrive: a heartbeat sent
     /// before it may be written seconds later.
-    pub(crate) fn apply_update(&mut self, news: &news::ServerNews) -> ServerStanding {
-        let leaving = news.entry.as_ref().is_some_and(|entry| entry.leaving);
+    pub(crate) fn apply_update(&mut self, update: &news::ServerNews) -> ServerStanding {
+        let leaving = update.entry.as_ref().is_some_and(|entry| entry.leaving);
         self.announced_leaving |= leaving && self.born.is_told();
-        if news.entry.is_none() {
-            self.removed_offset = self.removed_offset.max(news.offset);
+        if update.entry.is_none() {
+            self.removed_offset = self.removed_offset.max(update.offset);
         }
-        if news.offset <= self.offset {
+        if update.offset <= self.offset {
             return match self.standing {
                 ServerStanding::Ready if self.announced_leaving => ServerStanding::Leaving,
                 standing => standing,
             };
         }
-        self.offset = news.offset;
-        let Some(entry) = &news.entry else {
+        self.offset = update.offset;
+        let Some(entry) = &update.entry else {
             return ServerStanding::Gone;
         };
         self.slots = entry.slots;
@@ -189,7 +189,7 @@
         };
         let rate = self.failure_rate(now);
         self.failure_rate = rate + (verdict.sample() - rate) * weight;
-        self.judged_at = now;
+        self.failure_rate_at = now;
         if let ServerVerdict::Good(latency) = verdict {
             let latency = latency.as_secs_f64() * 1_000.0;
             self.latency_ms = if self.latency_ms == 0.0 {
@@ -232,7 +232,9 @@
     /// Fraction of recent attempts that failed, decaying over time.
     #[must_use]
     pub fn failure_rate(&self, now: time::Instant) -> f64 {
-        let age = now.saturating_duration_since(self.judged_at).as_secs_f64();
+        let age = now
+            .saturating_duration_since(self.failure_rate_at)
+            .as_secs_f64();
         self.failure_rate * 0.5_f64.powf(age / FAILURE_HALF_LIFE_S)
     }
 
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -178,24 +178,24 @@
     /// Applies an update of a server from the store or from another VM.
     pub fn apply_update(
         &mut self,
-        news: news::ServerNews,
+        update: news::ServerNews,
         from_store: bool,
         now: time::Instant,
     ) -> fleet::FleetChange {
-        let lapse_grace = self.lapse_grace_until();
-        let change = self.fleet.apply_update(&news, lapse_grace, now);
+        let grace_until = self.lapse_grace_until();
+        let change = self.fleet.apply_update(&update, grace_until, now);
         if let fleet::FleetChange::Leaves(key) = change
             && let Some(record) = self.fleet.server(key)
         {
             let notice = message::NoticeItem {
                 server: record.incarnation_hash(),
-                offset: news.offset,
-                gone: news.entry.is_none(),
+                offset: update.offset,
+                gone: update.entry.is_none(),
             };
             self.notices.note(notice, now);
         }
         if from_store && change != fleet::FleetChange::Nothing {
-            self.unannounced.push(news);
+            self.unannounced.push(update);
         }
         change
     }
@@ -261,7 +261,7 @@
     ) -> wait::RankBasis {
         let first = wait::RankBasis {
             step: wait::cost_step(request.priority, request.size.as_ref()),
-            on_time_until: Some(request.arrived + wait::max_start_delay(request.aim)),
+            on_time_until: Some(request.arrived + wait::max_start_delay(request.target_latency)),
         };
         self.returning.rank_basis(request.fingerprint, first, now)
     }
--- a/crates/exchange/src/wait.rs
+++ b/crates/exchange/src/wait.rs
@@ -36,7 +36,7 @@
 /// Min retry delay sent to a refused caller.
 const MIN_RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
 /// Max retry delay sent to a refused caller: callers honour a delay of up to a third of their
-/// remaining time, which is 39 s for the slowest.
+/// remaining time, and no time limit is longer than 39 s.
 pub const MAX_RETRY_AFTER: time::Duration = time::Duration::from_secs(13);
 
 /// Number of cost steps; two steps are a factor of two.
@@ -57,10 +57,10 @@
 /// Rank of a waiting request; lower ranks start first.
 ///
 /// Load pattern: for as long as an overload lasts, callers need a tenth more memory than engines
-/// have. In order of arrival all of them wait and max responses are late, while the longest fifth
+/// have. In order of arrival all of them wait and most responses are late, while the longest fifth
 /// takes half of the memory. Starting the cheapest requests first, weighted by priority, lets the
 /// same memory serve three to six times as many on time, and the refused requests are the ones that
-/// cost max to serve.
+/// cost most to serve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WaitRank(u8);
 
@@ -266,13 +266,18 @@
 /// not come within a few multiples of the target latency, whatever their deadline: a stream held
 /// that long is lost, while one refused earlier is retried.
 #[must_use]
-pub fn max_wait(left: time::Duration, aim: time::Duration, stream: bool) -> time::Duration {
+pub fn max_wait(
+    left: time::Duration,
+    target_latency: time::Duration,
+    stream: bool,
+) -> time::Duration {
     let factor = if stream {
         MAX_STREAM_WAIT_FACTOR
     } else {
         MAX_CALL_WAIT_FACTOR
     };
-    left.mul_f64(MAX_WAIT_FRACTION).min(aim.mul_f64(factor))
+    left.mul_f64(MAX_WAIT_FRACTION)
+        .min(target_latency.mul_f64(factor))
 }
 
 /// Retry delay for a refused caller: the time until the queue has moved on, spread evenly so that
@@ -300,6 +305,6 @@
 
 /// Max delay between arrival and start for a response on time.
 #[must_use]
-pub fn max_start_delay(aim: time::Duration) -> time::Duration {
-    aim.mul_f64(1.0 - START_TO_FIRST_EVENT_FRACTION)
+pub fn max_start_delay(target_latency: time::Duration) -> time::Duration {
+    target_latency.mul_f64(1.0 - START_TO_FIRST_EVENT_FRACTION)
 }
--- a/crates/exchange/tests/fuzz.rs
+++ b/crates/exchange/tests/fuzz.rs
@@ -25,7 +25,7 @@
 enum CallerResult {
     Left,
     Stream(world::ReadStream),
-    Whole,
+    Complete,
     Refused(reply::Refusal),
 }
 
@@ -67,7 +67,7 @@
         match plane.serve(request).await {
             Err(refusal) => CallerResult::Refused(refusal),
             Ok(reply) => match reply.body {
-                reply::ReplyBody::Whole(_) => CallerResult::Whole,
+                reply::ReplyBody::Complete(_) => CallerResult::Complete,
                 reply::ReplyBody::Parts(parts) => CallerResult::Stream(world::read(parts).await),
             },
         }
--- a/crates/exchange/tests/world/mod.rs
+++ b/crates/exchange/tests/world/mod.rs
@@ -81,7 +81,7 @@
     }
 }
 
-impl port::AnswerBody for FakeBody {
+impl port::ResponseBody for FakeBody {
     async fn next(&mut self) -> Option<Result<Bytes, port::LostCause>> {
         tokio::time::sleep(self.interval).await;
         self.left.pop_front()
@@ -171,7 +171,7 @@
             ServerScript::Lost => return port::CallOutcome::Lost(port::LostCause::Broken),
             ServerScript::Silent => std::future::pending().await,
         };
-        port::CallOutcome::Answered(port::ServerAnswer {
+        port::CallOutcome::Responded(port::ServerResponse {
             status: http::StatusCode::from_u16(status).expect("status"),
             headers: http::HeaderMap::new(),
             body,
@@ -415,7 +415,7 @@
         arrived: now,
         deadline: now + time::Duration::from_secs(20),
         limit: now + time::Duration::from_secs(20),
-        aim: time::Duration::from_millis(if stream { 1_800 } else { 100 }),
+        target_latency: time::Duration::from_millis(if stream { 1_800 } else { 100 }),
         size: stream.then_some(size),
         fingerprint: request::fingerprint(id, None, b""),
     }
@@ -452,7 +452,7 @@
 pub fn parts(reply: reply::Reply) -> mpsc::Receiver<reply::StreamPart> {
     match reply.body {
         reply::ReplyBody::Parts(parts) => parts,
-        reply::ReplyBody::Whole(_) => panic!("not a stream"),
+        reply::ReplyBody::Complete(_) => panic!("not a stream"),
     }
 }
 
