--- a/crates/exchange/src/event.rs
+++ b/crates/exchange/src/event.rs
@@ -26,7 +26,7 @@
         let mut end = 0;
         let mut at = self.scanned_bytes.saturating_sub(3);
         while let Some(after) = end_of_event(&self.buffer, at) {
-            self.note(end, after);
+            self.record_event(end, after);
             end = after;
             at = after;
         }
@@ -62,7 +62,7 @@
         self.events
     }
 
-    fn note(&mut self, start: usize, end: usize) {
+    fn record_event(&mut self, start: usize, end: usize) {
         self.events += 1;
         for line in self.buffer[start..end].split(|&byte| byte == b'\n') {
             if let Some(id) = line.strip_prefix(b"id:") {
--- a/crates/exchange/src/moving.rs
+++ b/crates/exchange/src/moving.rs
@@ -187,7 +187,7 @@
                 biased;
                 copied = &mut copying => return (copied, ended),
                 part = body.next(), if ended.is_none() => match part {
-                    Some(Ok(bytes)) => self.pass(live, &bytes).await,
+                    Some(Ok(bytes)) => self.forward(live, &bytes).await,
                     Some(Err(_)) => ended = Some(RelayEnd::Broken),
                     None => ended = Some(RelayEnd::Finished),
                 },
@@ -218,7 +218,7 @@
         let until = time::Instant::now() + REST_TIMEOUT;
         while let Some(body) = live.body.as_mut() {
             match time::timeout_at(until, body.next()).await {
-                Ok(Some(Ok(bytes))) => self.pass(live, &bytes).await,
+                Ok(Some(Ok(bytes))) => self.forward(live, &bytes).await,
                 _ => return,
             }
         }
--- a/crates/exchange/src/pace.rs
+++ b/crates/exchange/src/pace.rs
@@ -9,27 +9,27 @@
 pub(crate) struct EventPace {
     first: Option<time::Instant>,
     last: Option<time::Instant>,
-    worst: time::Duration,
+    max_pause: time::Duration,
 }
 
 impl EventPace {
-    pub(crate) fn note(&mut self, now: time::Instant) {
+    pub(crate) fn record_event(&mut self, now: time::Instant) {
         if let Some(last) = self.last {
-            self.worst = self.worst.max(now.saturating_duration_since(last));
+            self.max_pause = self.max_pause.max(now.saturating_duration_since(last));
         }
         self.first.get_or_insert(now);
         self.last = Some(now);
     }
 
-    pub(crate) fn count(&self, request: &request::ExchangeRequest) {
+    pub(crate) fn record_metrics(&self, request: &request::ExchangeRequest) {
         if let Some(first) = self.first {
             let first = first
                 .saturating_duration_since(request.arrived)
                 .as_secs_f64();
             metrics::histogram!("pollenchute_exchange_first_event_seconds").record(first);
         }
-        let worst = self.worst.as_secs_f64();
-        metrics::histogram!("pollenchute_exchange_worst_pause_seconds").record(worst);
+        let max_pause = self.max_pause.as_secs_f64();
+        metrics::histogram!("pollenchute_exchange_worst_pause_seconds").record(max_pause);
     }
 
     /// Time between the arrival of the request and its first event.
@@ -39,7 +39,7 @@
     }
 
     /// Longest pause between two events.
-    pub(crate) fn worst_ms(&self) -> u64 {
-        u64::try_from(self.worst.as_millis()).unwrap_or(u64::MAX)
+    pub(crate) fn max_pause_ms(&self) -> u64 {
+        u64::try_from(self.max_pause.as_millis()).unwrap_or(u64::MAX)
     }
 }
--- a/crates/exchange/src/place.rs
+++ b/crates/exchange/src/place.rs
@@ -93,7 +93,7 @@
 
 /// Result of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlaceOutcome {
+pub enum PlacementOutcome {
     /// The chosen server.
     Server(fleet::ServerKey),
     /// All eligible servers are full.
@@ -109,7 +109,7 @@
     request: &PlacementRequest<'_>,
     now: time::Instant,
     rng: &mut impl rand::Rng,
-) -> PlaceOutcome {
+) -> PlacementOutcome {
     let loads = fleet.loads(request.service, now);
     let engine = rule.and_then(|rule| rule.engine);
     let affinity_server = affinity_server(fleet, request, now);
@@ -119,9 +119,9 @@
     {
         let any = fleet.ready(request.service, now).next().is_some();
         return if any {
-            PlaceOutcome::Full
+            PlacementOutcome::Full
         } else {
-            PlaceOutcome::NoServer
+            PlacementOutcome::NoServer
         };
     }
     let spread = (SPREAD_MS * f64::from(request.entries)).min(MAX_SPREAD_MS);
@@ -156,9 +156,9 @@
         }
     }
     match best {
-        Some((_, key)) => PlaceOutcome::Server(key),
-        None if any => PlaceOutcome::Full,
-        None => PlaceOutcome::NoServer,
+        Some((_, key)) => PlacementOutcome::Server(key),
+        None if any => PlacementOutcome::Full,
+        None => PlacementOutcome::NoServer,
     }
 }
 
--- a/crates/exchange/src/placing.rs
+++ b/crates/exchange/src/placing.rs
@@ -68,7 +68,7 @@
             let placed = self.state.borrow_mut().place(request, avoid, rank, now);
             match placed {
                 Ok((run, server)) => return Ok(self.placed(run, server)),
-                Err(place::PlaceOutcome::NoServer) if !avoid.is_empty() => {
+                Err(place::PlacementOutcome::NoServer) if !avoid.is_empty() => {
                     return Err(self.refuse(request, reply::RefusalCause::NoServer));
                 }
                 Err(_) => {}
--- a/crates/exchange/src/plane.rs
+++ b/crates/exchange/src/plane.rs
@@ -164,7 +164,10 @@
         }
         let ended = self.state.borrow_mut().fleet.end_lapse_grace(now);
         for server in ended {
-            log::info!(server:? = self.server_id(server); "server did not register again after its entry expired");
+            log::info!(
+                server:? = self.server_id(server);
+                "server did not register again after its entry expired"
+            );
         }
         let orders = self.state.borrow_mut().relocations(now);
         for (run, order) in orders {
--- a/crates/exchange/src/relocate.rs
+++ b/crates/exchange/src/relocate.rs
@@ -10,7 +10,7 @@
 
 /// A run that is expected to end within this time is not moved: servers serve for longer than this
 /// after their notice.
-const MIN_REST_TO_MOVE: time::Duration = time::Duration::from_millis(600);
+const MIN_REMAINING_TO_MOVE: time::Duration = time::Duration::from_millis(600);
 
 /// How one run is moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,7 +61,7 @@
                 .server(run.server)
                 .is_some_and(|server| server.service == service && !server.takes_work(now))
         })
-        .filter(|(_, run)| run.expected_remaining(now) > MIN_REST_TO_MOVE)
+        .filter(|(_, run)| run.expected_remaining(now) > MIN_REMAINING_TO_MOVE)
         .map(|(key, run)| (key, run.used_tokens()))
         .collect()
 }
--- a/crates/exchange/src/serve_stream.rs
+++ b/crates/exchange/src/serve_stream.rs
@@ -95,10 +95,10 @@
     match ended {
         Ok(Ok(())) => {
             let pace = &driver.pace;
-            pace.count(&request);
+            pace.record_metrics(&request);
             log::info!(
                 request:% = request.id, events, passed = driver.moves,
-                first_ms = pace.first_ms(&request), worst_pause_ms = pace.worst_ms(),
+                first_ms = pace.first_ms(&request), worst_pause_ms = pace.max_pause_ms(),
                 end:% = outcome::EndKind::Whole.name();
                 "stream whole"
             );
@@ -243,7 +243,7 @@
                     self.check_retry(avoid.len(), cause)?;
                 }
                 port::CallOutcome::Lost(cause) => {
-                    self.note_lost(server, cause);
+                    self.record_lost(server, cause);
                     return Err(self.lost());
                 }
             }
@@ -359,7 +359,7 @@
             let order = tokio::select! {
                 part = body.next() => {
                     match part {
-                        Some(Ok(bytes)) => self.pass(live, &bytes).await,
+                        Some(Ok(bytes)) => self.forward(live, &bytes).await,
                         Some(Err(_)) => return RelayEnd::Broken,
                         None => return RelayEnd::Finished,
                     }
@@ -382,7 +382,7 @@
     }
 
     /// Forwards bytes and records the progress of the run.
-    pub(crate) async fn pass(&mut self, live: &LiveRun<P>, bytes: &[u8]) {
+    pub(crate) async fn forward(&mut self, live: &LiveRun<P>, bytes: &[u8]) {
         let complete = self.splitter.take(bytes);
         {
             let mut state = self.plane.state();
@@ -400,7 +400,7 @@
             }
         }
         if !complete.is_empty() {
-            self.pace.note(time::Instant::now());
+            self.pace.record_event(time::Instant::now());
             let _ = self.parts.send(reply::StreamPart::Bytes(complete)).await;
         }
     }
@@ -427,7 +427,7 @@
     }
 
     /// Records that a server broke the request off before its first byte.
-    fn note_lost(&self, server: fleet::ServerKey, cause: port::LostCause) {
+    fn record_lost(&self, server: fleet::ServerKey, cause: port::LostCause) {
         log::info!(
             request:% = self.request.id, server:% = self.plane.server_id(server),
             cause:? = cause; "stream lost before its head"
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -362,7 +362,7 @@
         avoid: &[fleet::ServerKey],
         rank: wait::WaitRank,
         now: time::Instant,
-    ) -> Result<(fleet::RunKey, fleet::ServerKey), place::PlaceOutcome> {
+    ) -> Result<(fleet::RunKey, fleet::ServerKey), place::PlacementOutcome> {
         let entries = self.peers.heard(now);
         let ahead_tokens = self
             .peers
@@ -381,7 +381,7 @@
             reserve_fraction: rank.reserve_fraction(),
         };
         let outcome = place::choose(&self.fleet, rule, &wanted, now, &mut self.rng);
-        let place::PlaceOutcome::Server(server) = outcome else {
+        let place::PlacementOutcome::Server(server) = outcome else {
             return Err(outcome);
         };
         let engine = rule.and_then(|rule| rule.engine);
--- a/crates/exchange/tests/decisions.rs
+++ b/crates/exchange/tests/decisions.rs
@@ -53,7 +53,7 @@
                     now,
                     &mut engines::rng(),
                 );
-                if let place::PlaceOutcome::Server(server) = placed {
+                if let place::PlacementOutcome::Server(server) = placed {
                     let mut record = engines::run(server, size.prompt_tokens, u.arbitrary()?);
                     record.size = Some(size);
                     fleet.start(record);
@@ -84,7 +84,7 @@
                 now,
                 &mut engines::rng(),
             );
-            let place::PlaceOutcome::Server(server) = placed else {
+            let place::PlacementOutcome::Server(server) = placed else {
                 panic!("two engines have capacity")
             };
             fleet.start(engines::run(server, 3_000, false));
@@ -101,7 +101,7 @@
         );
         assert_eq!(
             third,
-            place::PlaceOutcome::Full,
+            place::PlacementOutcome::Full,
             "the third generation waits on the VM"
         );
     });
@@ -130,11 +130,11 @@
                 &mut engines::rng(),
             )
         };
-        assert_eq!(choose(&fleet), place::PlaceOutcome::Server(second));
+        assert_eq!(choose(&fleet), place::PlacementOutcome::Server(second));
         let mut leaving = world::entry("llm", 1, "b");
         leaving.leaving = true;
         fleet.apply_update(&world::news("e1", 2, Some(leaving)), None, now);
-        assert_eq!(choose(&fleet), place::PlaceOutcome::Full);
+        assert_eq!(choose(&fleet), place::PlacementOutcome::Full);
     });
 }
 
@@ -155,8 +155,8 @@
                 &mut engines::rng(),
             )
         };
-        assert!(matches!(choose(0), place::PlaceOutcome::Server(_)));
-        assert_eq!(choose(17_000), place::PlaceOutcome::Full);
+        assert!(matches!(choose(0), place::PlacementOutcome::Server(_)));
+        assert_eq!(choose(17_000), place::PlacementOutcome::Full);
     });
 }
 
@@ -340,8 +340,8 @@
         };
         let cheap = wait::WaitRank::new(false, 0).reserve_fraction();
         let expensive = wait::WaitRank::new(true, 7).reserve_fraction();
-        assert!(matches!(choose(cheap), place::PlaceOutcome::Server(_)));
-        assert_eq!(choose(expensive), place::PlaceOutcome::Full);
+        assert!(matches!(choose(cheap), place::PlacementOutcome::Server(_)));
+        assert_eq!(choose(expensive), place::PlacementOutcome::Full);
     });
 }
 
@@ -369,7 +369,7 @@
                 &mut engines::rng(),
             )
         };
-        let there = place::PlaceOutcome::Server(first);
+        let there = place::PlacementOutcome::Server(first);
         assert_eq!(choose(&fleet, now), there, "the empty engine is chosen");
         let failing = loads::PeerLoad {
             failing: true,
@@ -395,7 +395,7 @@
         }
         let placed = choose(&lost, now);
         assert!(
-            matches!(placed, place::PlaceOutcome::Server(_)),
+            matches!(placed, place::PlacementOutcome::Server(_)),
             "not all engines are avoided at once"
         );
     });
@@ -414,7 +414,7 @@
             ..placement(&size, 0)
         };
         let placed = place::choose(&fleet, Some(&rule()), &request, now, &mut engines::rng());
-        assert!(matches!(placed, place::PlaceOutcome::Server(_)));
+        assert!(matches!(placed, place::PlacementOutcome::Server(_)));
     });
 }
 
@@ -714,7 +714,7 @@
         };
         let mut rng = engines::rng();
         add_peer_loads(&mut fleet, first, 0..40, now);
-        let there = place::PlaceOutcome::Server(second);
+        let there = place::PlacementOutcome::Server(second);
         for _ in 0..20 {
             let placed = place::choose(&fleet, Some(&rule), &request, now, &mut rng);
             assert_eq!(
@@ -724,11 +724,11 @@
         }
         add_peer_loads(&mut fleet, second, 100..140, now);
         let placed = place::choose(&fleet, Some(&rule), &request, now, &mut rng);
-        assert_eq!(placed, place::PlaceOutcome::Full);
+        assert_eq!(placed, place::PlacementOutcome::Full);
         let later = now + time::Duration::from_secs(4);
         let placed = place::choose(&fleet, Some(&rule), &request, later, &mut rng);
         assert!(
-            matches!(placed, place::PlaceOutcome::Server(_)),
+            matches!(placed, place::PlacementOutcome::Server(_)),
             "outdated reports are ignored"
         );
     });
--- a/crates/exchange/tests/evacuation.rs
+++ b/crates/exchange/tests/evacuation.rs
@@ -143,7 +143,7 @@
         let mut state = plane.state();
         let rank = state.rank_basis(&ask, now).rank(now);
         let outcome = state.place(&ask, &[], rank, now);
-        assert_eq!(outcome, Err(place::PlaceOutcome::NoServer));
+        assert_eq!(outcome, Err(place::PlacementOutcome::NoServer));
     });
 }
 
--- a/crates/exchange/tests/overload.rs
+++ b/crates/exchange/tests/overload.rs
@@ -213,7 +213,7 @@
         };
         rule.engine.as_mut().expect("set").memory_tokens = MEMORY;
         let placed = place::choose(&self.fleet, Some(&rule), &placement, now, &mut self.rng);
-        let place::PlaceOutcome::Server(server) = placed else {
+        let place::PlacementOutcome::Server(server) = placed else {
             return false;
         };
         let backlog =
