--- a/crates/exchange/src/wait.rs
+++ b/crates/exchange/src/wait.rs
@@ -133,7 +133,7 @@
 
 impl WaitRecord {
     /// Time of the next check whether the request can still start: once when it becomes late, and
-    /// every [`CHECK_INTERVAL`] from then on.
+    /// every `CHECK_INTERVAL` from then on.
     #[must_use]
     pub fn next_check(&self, now: time::Instant) -> time::Instant {
         let late_at = self
--- a/crates/exchange/tests/moves.rs
+++ b/crates/exchange/tests/moves.rs
@@ -9,8 +9,8 @@
 #[test]
 fn runs_that_move_together_stay_in_their_failure_domain() {
     // Guards against truncated streams of an engine that is gone 1.4 s after its notice: each run
-    // was copied to an idle engine of another domain for 0.31 s, because a single prompt in prefill
-    // on the engine of their own domain counted for more.
+    // was copied to an idle engine of another domain, which took 0.31 s per run, because a single
+    // prompt in prefill on the engine of their own domain counted for more.
     world::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(3);
--- a/crates/exchange/tests/storm.rs
+++ b/crates/exchange/tests/storm.rs
@@ -72,9 +72,9 @@
 
 #[test]
 fn vms_without_seeds_discover_others_at_once() {
-    // Guards against VMs that each believe to be alone for 2.4 s after a common power loss, ignore
-    // the streams of the others and all read the store: their settings name no other VM, all start
-    // within 0.4 s, and each waits to be found at an address that nobody has.
+    // Guards against VMs that ignore the streams of all others and all read the store for 2.4 s
+    // after a common power loss: their settings name no other VM, all start within 0.4 s, and each
+    // waits to be found at an address that nobody has.
     world::run(async {
         for (seeds, min, max) in [(vec![], 0, 300), (vec![world::address(202)], 2_500, 2_500)] {
             let plane = world::plane();
