--- a/crates/exchange/src/placing.rs
+++ b/crates/exchange/src/placing.rs
@@ -1,26 +1,27 @@
-//! How a request comes by its place on a server: at once, or by waiting here.
+//! Assigns requests to servers, at once or after a wait.
 //!
-//! What waits is kept in order by `wait`; which server has room is `place`'s to say. A request waits
-//! until it is told a place, its patience is over, or `room` says that none is to be had.
+//! The queue in `wait` orders the waiting requests, and `place` decides which server has capacity.
+//! A request waits until it gets a server, its max wait ends, or the memory samples show that it
+//! can't start in time.
 
 use std::{collections, rc};
 
 use tokio::{sync::oneshot, time};
 
-use crate::{ask, catalog, fleet, forecast, place, plane, port, reply, wait};
+use crate::{catalog, fleet, forecast, place, plane, port, reply, request, wait};
 
-/// Where each waiting request learns of its place, by service.
+/// Waiting requests by service and key in its queue.
 pub(crate) type WaiterTable = collections::HashMap<(String, wait::WaitKey), Waiter>;
 
-/// A request that waits for a place.
+/// A request that waits for a server.
 #[derive(Debug)]
 pub(crate) struct Waiter {
-    pub(crate) ask: rc::Rc<ask::ExchangeAsk>,
+    pub(crate) request: rc::Rc<request::ExchangeRequest>,
     pub(crate) avoid: Vec<fleet::ServerKey>,
-    pub(crate) told: oneshot::Sender<(fleet::RunKey, fleet::ServerKey)>,
+    pub(crate) assigned: oneshot::Sender<(fleet::RunKey, fleet::ServerKey)>,
 }
 
-/// Takes a waiting request out of its queue, whatever ends its wait.
+/// Removes a waiting request from its queue when its wait ends for any reason.
 struct WaitGuard<'a, P> {
     plane: &'a plane::ExchangePlane<P>,
     index: (String, wait::WaitKey),
@@ -33,42 +34,47 @@
             .state
             .borrow_mut()
             .queue(&self.index.0)
-            .leave(self.index.1);
-        // Had its place been told in the same moment, the receiver's drop gives it back.
+            .remove(self.index.1);
+        // If a server was assigned at the same moment, dropping the receiver frees it.
     }
 }
 
 impl<P: port::ServerPort + 'static> plane::ExchangePlane<P> {
-    /// Gets a place for a try, waiting for one if need be.
+    /// Assigns a server to an attempt, after a wait if necessary.
     pub(crate) async fn place(
         self: &rc::Rc<Self>,
-        ask: &rc::Rc<ask::ExchangeAsk>,
+        request: &rc::Rc<request::ExchangeRequest>,
         avoid: &[fleet::ServerKey],
     ) -> Result<plane::PlacedRun<P>, reply::Refusal> {
-        self.place_again(ask, avoid, &mut None).await
+        self.place_requeued(request, avoid, &mut None).await
     }
 
-    /// Gets a place for a try that may have waited before: it keeps its place in the queue.
-    pub(crate) async fn place_again(
+    /// Assigns a server to an attempt that may have waited before: it keeps its position in the
+    /// queue.
+    pub(crate) async fn place_requeued(
         self: &rc::Rc<Self>,
-        ask: &rc::Rc<ask::ExchangeAsk>,
+        request: &rc::Rc<request::ExchangeRequest>,
         avoid: &[fleet::ServerKey],
         waited: &mut Option<wait::WaitRecord>,
     ) -> Result<plane::PlacedRun<P>, reply::Refusal> {
         let now = time::Instant::now();
-        let rank = self.state.borrow().claim(ask, now).rank(now);
-        let ahead = self.state.borrow_mut().queue(&ask.service).ahead(rank, now);
+        let rank = self.state.borrow().rank_basis(request, now).rank(now);
+        let ahead = self
+            .state
+            .borrow_mut()
+            .queue(&request.service)
+            .ahead(rank, now);
         if ahead == 0 {
-            let placed = self.state.borrow_mut().place(ask, avoid, rank, now);
+            let placed = self.state.borrow_mut().place(request, avoid, rank, now);
             match placed {
                 Ok((run, server)) => return Ok(self.placed(run, server)),
-                Err(place::PlaceOutcome::NoServer) if !avoid.is_empty() => {
-                    return Err(self.refuse(ask, reply::RefusalCause::NoServer));
+                Err(place::PlacementOutcome::NoServer) if !avoid.is_empty() => {
+                    return Err(self.refuse(request, reply::RefusalCause::NoServer));
                 }
                 Err(_) => {}
             }
         }
-        self.wait_for_place(ask, avoid, waited, now).await
+        self.wait_for_server(request, avoid, waited, now).await
     }
 
     pub(crate) fn placed(
@@ -83,9 +89,9 @@
         }
     }
 
-    async fn wait_for_place(
+    async fn wait_for_server(
         self: &rc::Rc<Self>,
-        ask: &rc::Rc<ask::ExchangeAsk>,
+        request: &rc::Rc<request::ExchangeRequest>,
         avoid: &[fleet::ServerKey],
         waited: &mut Option<wait::WaitRecord>,
         now: time::Instant,
@@ -93,103 +99,108 @@
         let record = match *waited {
             Some(record) => record,
             None => {
-                let record = self.wait_record(ask, now);
-                record.ok_or_else(|| self.refuse(ask, reply::RefusalCause::Overload))?
+                let record = self.wait_record(request, now);
+                record.ok_or_else(|| self.refuse(request, reply::RefusalCause::Overload))?
             }
         };
         *waited = Some(record);
-        let rank = record.claim.rank(now);
+        let rank = record.basis.rank(now);
         let (key, ahead) = {
             let mut state = self.state.borrow_mut();
-            let queue = state.queue(&ask.service);
+            let queue = state.queue(&request.service);
             let ahead = queue.ahead(rank, now);
-            (queue.enter(record), ahead)
+            (queue.insert(record), ahead)
         };
-        let index = (ask.service.clone(), key);
-        let (told, place) = oneshot::channel();
+        let index = (request.service.clone(), key);
+        let (assigned, assignment) = oneshot::channel();
         let waiter = Waiter {
-            ask: ask.clone(),
+            request: request.clone(),
             avoid: avoid.to_vec(),
-            told,
+            assigned,
         };
         self.waiters.borrow_mut().insert(index.clone(), waiter);
-        let place = PlaceReceiver {
+        let receiver = AssignmentReceiver {
             plane: self.clone(),
-            place,
+            assignment,
         };
         let guard = WaitGuard { plane: self, index };
         log::info!(
-            request:% = ask.id, service:% = ask.service, rank = rank.index(), ahead,
-            came_back = record.claim.on_time_until.is_none();
+            request:% = request.id, service:% = request.service, rank = rank.index(), ahead,
+            came_back = record.basis.on_time_until.is_none();
             "waits for a place"
         );
-        self.stirred.notify_one();
-        self.tell_loads();
-        let placed = self.receive_place(ask, &record, place).await;
+        self.decisions_due.notify_one();
+        self.announce_loads();
+        let placed = self.receive_assignment(request, &record, receiver).await;
         drop(guard);
         metrics::histogram!("pollenchute_exchange_waited_seconds")
             .record(now.elapsed().as_secs_f64());
-        placed.map_err(|cause| self.refuse(ask, cause))
+        placed.map_err(|cause| self.refuse(request, cause))
     }
 
-    /// Waits for a place until it is told, or none is to be had any more.
-    async fn receive_place(
+    /// Waits until a server is assigned, the max wait ends, or the request can't start in time any
+    /// more.
+    async fn receive_assignment(
         &self,
-        ask: &ask::ExchangeAsk,
+        request: &request::ExchangeRequest,
         record: &wait::WaitRecord,
-        place: PlaceReceiver<P>,
+        receiver: AssignmentReceiver<P>,
     ) -> Result<plane::PlacedRun<P>, reply::RefusalCause> {
-        let receiving = place.receive();
+        let receiving = receiver.receive();
         tokio::pin!(receiving);
         loop {
             let now = time::Instant::now();
-            let look_at = record.next_look(now);
-            if let Ok(placed) = time::timeout_at(look_at, &mut receiving).await {
+            let check_at = record.next_check(now);
+            if let Ok(placed) = time::timeout_at(check_at, &mut receiving).await {
                 return placed.ok_or(reply::RefusalCause::Patience);
             }
             let now = time::Instant::now();
             if now >= record.until {
                 return Err(reply::RefusalCause::Patience);
             }
-            let rank = record.claim.rank(now);
-            if record.claim.on_time_until.is_some()
-                && self.state.borrow().is_hopeless(ask, rank, now)
+            let rank = record.basis.rank(now);
+            if record.basis.on_time_until.is_some()
+                && self.state.borrow().is_unlikely_to_start(request, rank, now)
             {
                 return Err(reply::RefusalCause::Overload);
             }
         }
     }
 
-    /// How a request that comes now waits; absent when it should be refused at once.
-    fn wait_record(&self, ask: &ask::ExchangeAsk, now: time::Instant) -> Option<wait::WaitRecord> {
-        let stream = ask.kind == catalog::ExchangeKind::Stream;
-        let patience = wait::patience(ask.left(now), ask.aim, stream);
+    /// Queue entry of a new request; `None` if it should be refused at once.
+    fn wait_record(
+        &self,
+        request: &request::ExchangeRequest,
+        now: time::Instant,
+    ) -> Option<wait::WaitRecord> {
+        let stream = request.kind == catalog::ExchangeKind::Stream;
+        let max_wait = wait::max_wait(request.left(now), request.target_latency, stream);
         let mut state = self.state.borrow_mut();
-        let claim = state.claim(ask, now);
-        let rank = claim.rank(now);
-        let queue = state.queue(&ask.service);
-        if queue.is_hopeless(rank, patience, now) {
+        let basis = state.rank_basis(request, now);
+        let rank = basis.rank(now);
+        let queue = state.queue(&request.service);
+        if queue.should_refuse(rank, max_wait, now) {
             return None;
         }
         Some(wait::WaitRecord {
-            priority: ask.priority,
-            claim,
+            priority: request.priority,
+            basis,
             order: queue.next_order(),
-            until: now + patience,
-            tokens: ask.size.as_ref().map_or(0, forecast::planned_tokens),
+            until: now + max_wait,
+            tokens: request.size.as_ref().map_or(0, forecast::planned_tokens),
         })
     }
 }
 
-/// A place that may be told in the very moment in which nobody waits for it any more.
-struct PlaceReceiver<P> {
+/// Receiver of an assignment, which may be sent at the moment when the request stops waiting.
+struct AssignmentReceiver<P> {
     plane: rc::Rc<plane::ExchangePlane<P>>,
-    place: oneshot::Receiver<(fleet::RunKey, fleet::ServerKey)>,
+    assignment: oneshot::Receiver<(fleet::RunKey, fleet::ServerKey)>,
 }
 
-impl<P> PlaceReceiver<P> {
+impl<P> AssignmentReceiver<P> {
     async fn receive(mut self) -> Option<plane::PlacedRun<P>> {
-        let (run, server) = (&mut self.place).await.ok()?;
+        let (run, server) = (&mut self.assignment).await.ok()?;
         Some(plane::PlacedRun {
             plane: self.plane.clone(),
             run,
@@ -198,10 +209,11 @@
     }
 }
 
-impl<P> Drop for PlaceReceiver<P> {
+impl<P> Drop for AssignmentReceiver<P> {
     fn drop(&mut self) {
-        // Without this the place of a request whose caller left in this moment would stay taken.
-        if let Ok((run, _)) = self.place.try_recv() {
+        // Without this, an assignment sent at the moment when the caller leaves would never be
+        // freed.
+        if let Ok((run, _)) = self.assignment.try_recv() {
             self.plane.state.borrow_mut().fleet.end(run);
         }
     }
--- a/crates/exchange/src/plane.rs
+++ b/crates/exchange/src/plane.rs
@@ -1,4 +1,4 @@
-//! Performs the decisions: takes requests in, sends tries, answers.
+//! Executes the decisions: accepts requests, sends attempts and returns responses.
 
 use std::{cell, rc};
 
@@ -6,46 +6,46 @@
 use tokio::{sync::mpsc, time};
 
 use crate::{
-    ask, catalog, fleet, message, placing, port, relocate, reply, serve_call, serve_stream, server,
-    state, stopping, wait,
+    catalog, fleet, message, placing, port, relocate, reply, request, serve_call, serve_stream,
+    server, state, stopping, wait,
 };
 
-/// Time between two looks at what waits and what should move, while there is any: a tenth of the
-/// time that the shortest decision may take.
-const POLL_GAP: time::Duration = time::Duration::from_millis(20);
-/// Time between two sweeps of what is known of servers that went.
-const SWEEP_GAP: time::Duration = time::Duration::from_secs(5);
+/// Interval between checks of waiting requests and due moves, while there are any: a tenth of the
+/// time allowed for the fastest decision.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
+/// Interval between sweeps of removed servers.
+const SWEEP_INTERVAL: time::Duration = time::Duration::from_secs(5);
 
-/// The plane of one VM.
+/// The exchange plane of one VM.
 ///
-/// It runs on one thread; nothing is borrowed across an await.
+/// It runs on a single thread; no `RefCell` is borrowed across an await.
 #[derive(Debug)]
 pub struct ExchangePlane<P> {
     pub(crate) port: P,
     pub(crate) state: cell::RefCell<state::PlaneState>,
-    /// Where each waiting request learns of its place.
+    /// Waiting requests, each with the sender for its assignment.
     pub(crate) waiters: cell::RefCell<placing::WaiterTable>,
-    /// Where each stream learns that it should move.
-    movers: cell::RefCell<slotmap::SecondaryMap<fleet::RunKey, MoveSender>>,
-    /// Something changed that may let a waiting request start, or make a stream move.
-    pub(crate) stirred: tokio::sync::Notify,
-    /// Something was learnt that the other VMs should hear at once.
-    pub(crate) spread: tokio::sync::Notify,
-    /// There is news of servers to be told.
-    pub(crate) news: tokio::sync::Notify,
-    /// What this VM has on servers changed.
+    /// Senders of relocation orders to the running streams.
+    relocation_senders: cell::RefCell<slotmap::SecondaryMap<fleet::RunKey, RelocationSender>>,
+    /// Wakes the decision loop: a waiting request may start, or a stream should move.
+    pub(crate) decisions_due: tokio::sync::Notify,
+    /// Signals a change to be announced to the other VMs at once.
+    pub(crate) announce: tokio::sync::Notify,
+    /// Signals server updates to be announced.
+    pub(crate) updates: tokio::sync::Notify,
+    /// Signals a change of this VM's load on servers.
     pub(crate) loads: tokio::sync::Notify,
-    /// It is known which system this VM belongs to, or that the store does not say it.
+    /// Signals that this VM's system is known, or that the store does not name one.
     pub(crate) identified: tokio::sync::Notify,
-    /// Requests that have no final answer yet.
+    /// Number of requests without a final response.
     open: cell::Cell<usize>,
-    /// Long answers that are being sent to other VMs.
+    /// Number of long answers being sent to other VMs.
     pub(crate) long_sent: cell::Cell<usize>,
 }
 
-type MoveSender = mpsc::UnboundedSender<relocate::RelocationOrder>;
+type RelocationSender = mpsc::UnboundedSender<relocate::RelocationOrder>;
 
-/// A try's place on a server; given back when dropped.
+/// An attempt's assignment to a server; freed on drop.
 #[derive(Debug)]
 pub(crate) struct PlacedRun<P> {
     pub(crate) plane: rc::Rc<ExchangePlane<P>>,
@@ -56,9 +56,9 @@
 impl<P> Drop for PlacedRun<P> {
     fn drop(&mut self) {
         self.plane.state.borrow_mut().fleet.end(self.run);
-        self.plane.movers.borrow_mut().remove(self.run);
-        self.plane.tell_loads();
-        self.plane.stirred.notify_one();
+        self.plane.relocation_senders.borrow_mut().remove(self.run);
+        self.plane.announce_loads();
+        self.plane.decisions_due.notify_one();
     }
 }
 
@@ -73,17 +73,17 @@
 }
 
 impl<P> ExchangePlane<P> {
-    /// A plane over `port`.
+    /// Creates a plane over `port`.
     #[must_use]
     pub fn new(port: P, state: state::PlaneState) -> Self {
         Self {
             port,
             state: cell::RefCell::new(state),
             waiters: cell::RefCell::default(),
-            movers: cell::RefCell::default(),
-            stirred: tokio::sync::Notify::new(),
-            spread: tokio::sync::Notify::new(),
-            news: tokio::sync::Notify::new(),
+            relocation_senders: cell::RefCell::default(),
+            decisions_due: tokio::sync::Notify::new(),
+            announce: tokio::sync::Notify::new(),
+            updates: tokio::sync::Notify::new(),
             loads: tokio::sync::Notify::new(),
             identified: tokio::sync::Notify::new(),
             open: cell::Cell::new(0),
@@ -91,12 +91,12 @@
         }
     }
 
-    /// The servers that this plane sends to.
+    /// Port to the backend servers.
     pub const fn port(&self) -> &P {
         &self.port
     }
 
-    /// What this VM believes; not to be held across an await.
+    /// State of this VM; the borrow must not be held across an await.
     pub fn state(&self) -> cell::RefMut<'_, state::PlaneState> {
         self.state.borrow_mut()
     }
@@ -107,68 +107,72 @@
         self.state.borrow().catalog.clone()
     }
 
-    /// Requests that have no final answer yet.
+    /// Number of requests without a final response.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.open.get()
     }
 
-    /// From now on this VM is named to nobody and finishes what it has.
+    /// Begins to stop: this VM is no longer listed for callers, and finishes its running requests.
     pub fn stop(&self) {
         let mut state = self.state.borrow_mut();
         state.stage = message::VmStage::Stopping;
         state.stopping_since = Some(time::Instant::now());
-        self.spread.notify_one();
+        self.announce.notify_one();
     }
 
-    /// Something was learnt that may change what waits or should move.
-    pub fn stir(&self) {
-        self.stirred.notify_one();
+    /// Wakes the decision loop after a change that may affect waiting requests or moves.
+    pub fn wake_decisions(&self) {
+        self.decisions_due.notify_one();
     }
 
-    /// What this VM has on servers changed.
-    pub(crate) fn tell_loads(&self) {
+    /// Signals a change of this VM's load on servers.
+    pub(crate) fn announce_loads(&self) {
         self.loads.notify_one();
     }
 
-    /// Something was learnt that the other VMs should hear at once.
-    pub fn spread(&self) {
-        self.spread.notify_one();
+    /// Signals a change to be announced to the other VMs at once.
+    pub fn announce(&self) {
+        self.announce.notify_one();
     }
 
-    /// Keeps looking at what waits and what should move; never ends.
+    /// Runs the decision loop; never returns.
     pub async fn run_decisions(&self) {
         let mut swept_at = time::Instant::now();
         loop {
             let now = time::Instant::now();
-            if now.saturating_duration_since(swept_at) >= SWEEP_GAP {
+            if now.saturating_duration_since(swept_at) >= SWEEP_INTERVAL {
                 swept_at = now;
                 self.state.borrow_mut().fleet.sweep(now);
             }
             let busy = self.poll(now);
             if busy {
-                time::sleep(POLL_GAP).await;
+                time::sleep(POLL_INTERVAL).await;
             } else {
-                let _ = time::timeout(time::Duration::from_secs(1), self.stirred.notified()).await;
+                let _ = time::timeout(time::Duration::from_secs(1), self.decisions_due.notified())
+                    .await;
             }
         }
     }
 
-    /// Starts what can start and moves what should; says whether there is more to look at soon.
+    /// Starts waiting requests and orders moves. Returns whether the next check is due soon.
     fn poll(&self, now: time::Instant) -> bool {
-        self.state.borrow_mut().note_room(now);
+        self.state.borrow_mut().sample_capacity(now);
         let services = self.state.borrow().waiting_services();
         for service in &services {
             self.start_waiting(service, now);
         }
-        let ended = self.state.borrow_mut().fleet.end_spared(now);
+        let ended = self.state.borrow_mut().fleet.end_lapse_grace(now);
         for server in ended {
-            log::info!(server:? = self.server_id(server); "lapsed entry did not come back");
+            log::info!(
+                server:? = self.server_id(server);
+                "server did not register again after its entry expired"
+            );
         }
         let orders = self.state.borrow_mut().relocations(now);
         for (run, order) in orders {
-            if let Some(mover) = self.movers.borrow().get(run) {
-                let _ = mover.send(order);
+            if let Some(sender) = self.relocation_senders.borrow().get(run) {
+                let _ = sender.send(order);
             }
         }
         let state = self.state.borrow();
@@ -183,7 +187,7 @@
     }
 
     fn start_waiting(&self, service: &str, now: time::Instant) {
-        let order = self.state.borrow_mut().queue(service).in_order(now);
+        let order = self.state.borrow_mut().queue(service).start_order(now);
         for key in order {
             let mut waiters = self.waiters.borrow_mut();
             let index = (service.to_owned(), key);
@@ -194,16 +198,16 @@
             let rank = state
                 .queue(service)
                 .get(key)
-                .map(|record| record.claim.rank(now));
+                .map(|record| record.basis.rank(now));
             let rank = rank.unwrap_or_default();
-            let Ok(placed) = state.place(&waiter.ask, &waiter.avoid, rank, now) else {
-                // Whoever is first gets the next room: were smaller ones let past, a large one
-                // would wait for ever.
+            let Ok(placed) = state.place(&waiter.request, &waiter.avoid, rank, now) else {
+                // The first request in the queue gets the next free memory: if smaller ones could
+                // overtake it, a large one would starve.
                 return;
             };
-            state.queue(service).leave(key);
+            state.queue(service).remove(key);
             if let Some(waiter) = waiters.remove(&index)
-                && waiter.told.send(placed).is_err()
+                && waiter.assigned.send(placed).is_err()
             {
                 state.fleet.end(placed.0);
             }
@@ -218,7 +222,7 @@
             .map_or_else(String::new, |server| server.id.clone())
     }
 
-    /// Where to reach a server; absent once a later incarnation has its name and address.
+    /// Target for calls to a server; `None` once a later incarnation uses its name and address.
     pub(crate) fn target(&self, key: fleet::ServerKey) -> Option<port::ServerTarget> {
         let state = self.state.borrow();
         let server = state.fleet.server(key)?;
@@ -232,28 +236,30 @@
         })
     }
 
-    pub(crate) fn judge(&self, server: fleet::ServerKey, verdict: server::ServerVerdict) {
+    pub(crate) fn record_outcome(&self, server: fleet::ServerKey, verdict: server::ServerVerdict) {
         self.state
             .borrow_mut()
             .fleet
-            .judge(server, verdict, time::Instant::now());
+            .record_outcome(server, verdict, time::Instant::now());
     }
 
-    /// A refusal that promises that the request did not run.
+    /// Refusal of a request that certainly did not run.
     pub(crate) fn refuse(
         &self,
-        ask: &ask::ExchangeAsk,
+        request: &request::ExchangeRequest,
         cause: reply::RefusalCause,
     ) -> reply::Refusal {
         let now = time::Instant::now();
         let mut state = self.state.borrow_mut();
-        let rank = state.claim(ask, now).rank(now);
-        let wait = state.queue(&ask.service).expected_wait(rank, now);
-        let wait = wait.max(state.closed_for(ask, rank, now));
+        let rank = state.rank_basis(request, now).rank(now);
+        let wait = state.queue(&request.service).expected_wait(rank, now);
+        let wait = wait.max(state.exhausted_for(request, rank, now));
         let draw = state.draw();
-        let retry_after = wait::retry_after(wait, ask.left(now), draw);
-        if ask.size.is_some() {
-            state.comebacks.refused(ask.fingerprint, retry_after, now);
+        let retry_after = wait::retry_after(wait, request.left(now), draw);
+        if request.size.is_some() {
+            state
+                .returning
+                .record_refusal(request.fingerprint, retry_after, now);
         }
         reply::Refusal {
             cause,
@@ -262,56 +268,57 @@
         }
     }
 
-    /// Where a stream learns that it should move.
-    pub(crate) fn moves_of(
+    /// Registers a stream for relocation orders and returns their receiver.
+    pub(crate) fn relocation_orders(
         &self,
         run: fleet::RunKey,
     ) -> mpsc::UnboundedReceiver<relocate::RelocationOrder> {
         let (sender, receiver) = mpsc::unbounded_channel();
-        self.movers.borrow_mut().insert(run, sender);
-        self.stirred.notify_one();
-        self.tell_loads();
+        self.relocation_senders.borrow_mut().insert(run, sender);
+        self.decisions_due.notify_one();
+        self.announce_loads();
         receiver
     }
 }
 
 impl<P: port::ServerPort + 'static> ExchangePlane<P> {
-    /// Serves one request. The future may be dropped when its caller leaves: what runs for it is
-    /// then given up at once.
+    /// Serves one request. The future may be dropped when the caller leaves, which cancels the
+    /// attempts of the request.
     ///
     /// # Errors
     ///
-    /// When it is turned away or given up here.
+    /// Returns a refusal if the request is rejected or abandoned on this VM.
     pub async fn serve(
         self: &rc::Rc<Self>,
-        ask: ask::ExchangeAsk,
+        request: request::ExchangeRequest,
     ) -> Result<reply::Reply, reply::Refusal> {
         self.open.set(self.open.get() + 1);
         let guard = OpenGuard(self.clone());
-        let ask = rc::Rc::new(ask);
+        let request = rc::Rc::new(request);
         let now = time::Instant::now();
         let quarantined = {
             let mut state = self.state.borrow_mut();
-            state.count_first(&ask.service, now);
-            state.suspects.is_quarantined(ask.fingerprint, now)
+            state.count_first(&request.service, now);
+            state.suspects.is_quarantined(request.fingerprint, now)
         };
         let since = self.state.borrow().stopping_since;
-        if since.is_some_and(|since| !stopping::takes(ask.kind, since, now)) {
-            return Err(self.refuse(&ask, reply::RefusalCause::Stopping));
+        if since.is_some_and(|since| !stopping::takes(request.kind, since, now)) {
+            return Err(self.refuse(&request, reply::RefusalCause::Stopping));
         }
         if quarantined {
-            return Err(self.refuse(&ask, reply::RefusalCause::Quarantined));
+            return Err(self.refuse(&request, reply::RefusalCause::Quarantined));
         }
-        match ask.kind {
-            catalog::ExchangeKind::Stream => serve_stream::serve(self, ask, guard).await,
-            _ => serve_call::serve(self, ask, guard).await,
+        match request.kind {
+            catalog::ExchangeKind::Stream => serve_stream::serve(self, request, guard).await,
+            _ => serve_call::serve(self, request, guard).await,
         }
     }
 
-    /// Time that a try may take when sent now.
-    pub(crate) fn left(ask: &ask::ExchangeAsk) -> time::Duration {
-        ask.limit
-            .min(ask.deadline)
+    /// Remaining time for an attempt sent now.
+    pub(crate) fn left(request: &request::ExchangeRequest) -> time::Duration {
+        request
+            .limit
+            .min(request.deadline)
             .saturating_duration_since(time::Instant::now())
     }
 }
--- a/crates/exchange/src/serve_call.rs
+++ b/crates/exchange/src/serve_call.rs
@@ -1,5 +1,5 @@
-//! Calls with a short answer: read whole before it is passed on, so that what a server breaks off
-//! can be asked of another where that is allowed.
+//! Calls: a short response is read completely before it is forwarded, so that a call broken off by
+//! its server can be retried on another one where that is allowed.
 
 use std::rc;
 
@@ -9,36 +9,38 @@
 use tokio::{sync::mpsc, time};
 
 use crate::{
-    ask, catalog, fleet, plane, port, port::AnswerBody as _, reply, serve_stream, server, wait,
+    catalog, fleet, plane, port, port::ResponseBody as _, reply, request, serve_stream, server,
+    wait,
 };
 
-/// Answers up to this size are read whole before they are passed on; longer ones are passed on as
-/// they come and can't be tried again.
-const WHOLE_BYTES: usize = 256 * 1_024;
-/// Parts of a long answer that are under way to a slow caller: bounds what it can make us hold.
-const LONG_PARTS: usize = 4;
-/// Part of the aim after which an idempotent call is also sent to another server.
-const HEDGE_PART: f64 = 0.6;
-/// Least time before that: a hedge sooner doubles load for nothing.
-const HEDGE_LEAST: time::Duration = time::Duration::from_millis(50);
-/// Further tries that must be left before one is spent on a hedge: failures go first.
-const HEDGE_RESERVE: f64 = 3.0;
+/// Max size of a response that is buffered completely; a longer one is streamed to the caller and
+/// can't be retried.
+const MAX_BUFFERED_BYTES: usize = 256 * 1_024;
+/// Parts of a long response buffered for a slow caller: limits the memory that it can hold.
+const MAX_BUFFERED_PARTS: usize = 4;
+/// Fraction of the target latency after which an idempotent call is hedged: sent to a second server
+/// as well.
+const HEDGE_AFTER_FRACTION: f64 = 0.6;
+/// Min delay before a hedge: a hedge sent sooner doubles the load without benefit.
+const MIN_HEDGE_DELAY: time::Duration = time::Duration::from_millis(50);
+/// Min retries left for a hedge to be sent: retries after failures take precedence.
+const MIN_RETRIES_TO_HEDGE: f64 = 3.0;
 
-/// What one try came to.
-enum TryEnd<P: port::ServerPort> {
-    Whole(WholeAnswer),
-    Long(LongAnswer<P>),
+/// Outcome of one attempt.
+enum AttemptEnd<P: port::ServerPort> {
+    Complete(CompleteResponse),
+    Long(LongResponse<P>),
     NotRun(port::NotRunCause),
     Lost,
 }
 
-struct WholeAnswer {
+struct CompleteResponse {
     status: http::StatusCode,
     headers: http::HeaderMap,
     body: Bytes,
 }
 
-struct LongAnswer<P: port::ServerPort> {
+struct LongResponse<P: port::ServerPort> {
     status: http::StatusCode,
     headers: http::HeaderMap,
     first: Bytes,
@@ -46,21 +48,22 @@
     placed: plane::PlacedRun<P>,
 }
 
-/// Serves an idempotent or single call. `guard` lives until its caller has all of the answer.
+/// Serves an idempotent or single call. `guard` is held until the caller has received the complete
+/// response.
 pub(crate) async fn serve<P: port::ServerPort + 'static, G: 'static>(
     plane: &rc::Rc<plane::ExchangePlane<P>>,
-    ask: rc::Rc<ask::ExchangeAsk>,
+    request: rc::Rc<request::ExchangeRequest>,
     guard: G,
 ) -> Result<reply::Reply, reply::Refusal> {
     let mut call = CallState {
         plane,
-        ask: &ask,
+        request: &request,
         avoid: Vec::new(),
         sent: 0,
         ran: outcome::RanState::No,
         guard: Some(guard),
     };
-    match time::timeout_at(ask.limit, call.run()).await {
+    match time::timeout_at(request.limit, call.run()).await {
         Ok(end) => end,
         Err(_) => Err(call.timed_out()),
     }
@@ -68,117 +71,125 @@
 
 struct CallState<'a, P: port::ServerPort, G> {
     plane: &'a rc::Rc<plane::ExchangePlane<P>>,
-    ask: &'a rc::Rc<ask::ExchangeAsk>,
-    /// Servers that had a try.
+    request: &'a rc::Rc<request::ExchangeRequest>,
+    /// Servers that already got an attempt.
     avoid: Vec<fleet::ServerKey>,
-    /// Tries that may have reached a server that could run it.
+    /// Attempts that may have reached a server able to run the call.
     sent: u32,
-    /// What is known of the tries so far.
+    /// Whether any attempt so far ran.
     ran: outcome::RanState,
-    /// Goes with a long answer that is passed on.
+    /// Handed over to a long response that is streamed.
     guard: Option<G>,
 }
 
 impl<P: port::ServerPort + 'static, G: 'static> CallState<'_, P, G> {
     async fn run(&mut self) -> Result<reply::Reply, reply::Refusal> {
-        let mut tries = stream::FuturesUnordered::new();
-        let first = self.plane.place(self.ask, &self.avoid).await?;
-        tries.push(self.send(first));
-        let mut last_answer = None;
+        let mut attempts = stream::FuturesUnordered::new();
+        let first = self.plane.place(self.request, &self.avoid).await?;
+        attempts.push(self.send(first));
+        let mut last_response = None;
         let hedge = time::sleep(self.hedge_after());
         tokio::pin!(hedge);
-        let mut hedged = self.ask.kind != catalog::ExchangeKind::Idempotent;
+        let mut hedged = self.request.kind != catalog::ExchangeKind::Idempotent;
         loop {
             let end = tokio::select! {
-                end = tries.next() => end,
+                end = attempts.next() => end,
                 () = &mut hedge, if !hedged => {
                     hedged = true;
                     if let Some(placed) = self.hedge() {
-                        tries.push(self.send(placed));
+                        attempts.push(self.send(placed));
                     }
                     continue;
                 }
             };
             let Some((server, end)) = end else {
-                return last_answer.unwrap_or_else(|| Err(self.lost()));
+                return last_response.unwrap_or_else(|| Err(self.lost()));
             };
-            match self.judge(server, end) {
-                Step::Answer(answer) => return answer,
-                Step::Again(answer) => last_answer = Some(answer),
+            match self.next_step(server, end) {
+                Step::Respond(response) => return response,
+                Step::Retry(response) => last_response = Some(response),
             }
-            if tries.is_empty() && !self.retry_allowed() {
-                return last_answer.unwrap_or_else(|| Err(self.lost()));
+            if attempts.is_empty() && !self.retry_allowed() {
+                return last_response.unwrap_or_else(|| Err(self.lost()));
             }
-            if tries.is_empty() {
-                match self.plane.place(self.ask, &self.avoid).await {
-                    Ok(placed) => tries.push(self.send(placed)),
-                    Err(refusal) => return last_answer.unwrap_or(Err(refusal)),
+            if attempts.is_empty() {
+                match self.plane.place(self.request, &self.avoid).await {
+                    Ok(placed) => attempts.push(self.send(placed)),
+                    Err(refusal) => return last_response.unwrap_or(Err(refusal)),
                 }
             }
         }
     }
 
-    /// When another server is asked as well: late enough that few need it, soon enough that its
-    /// answer is still on time.
+    /// Delay of the hedge: late enough that few calls need it, early enough that its response is
+    /// still on time.
     fn hedge_after(&self) -> time::Duration {
-        self.ask.aim.mul_f64(HEDGE_PART).max(HEDGE_LEAST)
+        self.request
+            .target_latency
+            .mul_f64(HEDGE_AFTER_FRACTION)
+            .max(MIN_HEDGE_DELAY)
     }
 
     fn hedge(&mut self) -> Option<plane::PlacedRun<P>> {
         let now = time::Instant::now();
         let mut state = self.plane.state();
-        if self.sent >= self.ask.attempts
-            || state.retries_left(&self.ask.service, now) < HEDGE_RESERVE
+        if self.sent >= self.request.attempts
+            || state.retries_left(&self.request.service, now) < MIN_RETRIES_TO_HEDGE
         {
             return None;
         }
         let (run, server) = state
-            .place(self.ask, &self.avoid, wait::WaitRank::default(), now)
+            .place(self.request, &self.avoid, wait::WaitRank::default(), now)
             .ok()?;
-        state.take_retry(&self.ask.service, now);
+        state.take_retry(&self.request.service, now);
         drop(state);
         metrics::counter!("pollenchute_exchange_hedges_total").increment(1);
         Some(self.plane.placed(run, server))
     }
 
-    /// Sends one try; its place is given back when the future ends or is dropped.
+    /// Sends one attempt; its assignment is freed when the future ends or is dropped.
     fn send(
         &mut self,
         placed: plane::PlacedRun<P>,
-    ) -> impl Future<Output = (fleet::ServerKey, TryEnd<P>)> + use<P, G> {
+    ) -> impl Future<Output = (fleet::ServerKey, AttemptEnd<P>)> + use<P, G> {
         self.avoid.push(placed.server);
         self.sent += 1;
         let plane = self.plane.clone();
-        let ask = self.ask.clone();
+        let request = self.request.clone();
         async move {
             let server = placed.server;
-            (server, try_once(plane, ask, placed).await)
+            (server, run_attempt(plane, request, placed).await)
         }
     }
 
-    fn judge(&mut self, server: fleet::ServerKey, end: TryEnd<P>) -> Step {
-        let idempotent = self.ask.kind == catalog::ExchangeKind::Idempotent;
+    fn next_step(&mut self, server: fleet::ServerKey, end: AttemptEnd<P>) -> Step {
+        let idempotent = self.request.kind == catalog::ExchangeKind::Idempotent;
         match end {
-            TryEnd::Whole(answer) => {
+            AttemptEnd::Complete(response) => {
                 self.ran = outcome::RanState::Yes;
-                let failed = answer.status.is_server_error();
+                let failed = response.status.is_server_error();
                 let reply = Ok(reply::Reply {
-                    status: answer.status,
-                    headers: answer.headers,
-                    body: reply::ReplyBody::Whole(answer.body),
+                    status: response.status,
+                    headers: response.headers,
+                    body: reply::ReplyBody::Complete(response.body),
                 });
                 if failed && idempotent {
-                    Step::Again(reply)
+                    Step::Retry(reply)
                 } else {
-                    Step::Answer(reply)
+                    Step::Respond(reply)
                 }
             }
-            TryEnd::Long(answer) => {
+            AttemptEnd::Long(response) => {
                 self.ran = outcome::RanState::Yes;
-                Step::Answer(Ok(pass_on(self.ask.clone(), answer, self.guard.take())))
+                Step::Respond(Ok(stream_long(
+                    self.request.clone(),
+                    response,
+                    self.guard.take(),
+                )))
             }
-            TryEnd::NotRun(cause) => {
-                // What never reached a server that could run it is no try in the route's sense.
+            AttemptEnd::NotRun(cause) => {
+                // An attempt that no server could have run does not count towards the route's
+                // limit.
                 if cause != port::NotRunCause::Rejected {
                     self.sent -= 1;
                 }
@@ -188,19 +199,19 @@
                 };
                 self.log_failed(server, cause_name(cause));
                 if self.ran == outcome::RanState::No {
-                    Step::Again(Err(self.plane.refuse(self.ask, refused)))
+                    Step::Retry(Err(self.plane.refuse(self.request, refused)))
                 } else {
-                    Step::Again(Err(self.lost()))
+                    Step::Retry(Err(self.lost()))
                 }
             }
-            TryEnd::Lost => {
+            AttemptEnd::Lost => {
                 self.ran = self.ran.and(outcome::RanState::Unknown);
                 self.log_failed(server, "lost");
                 let lost = Err(self.lost());
                 if idempotent {
-                    Step::Again(lost)
+                    Step::Retry(lost)
                 } else {
-                    Step::Answer(lost)
+                    Step::Respond(lost)
                 }
             }
         }
@@ -208,15 +219,15 @@
 
     fn retry_allowed(&self) -> bool {
         let now = time::Instant::now();
-        let idempotent = self.ask.kind == catalog::ExchangeKind::Idempotent;
+        let idempotent = self.request.kind == catalog::ExchangeKind::Idempotent;
         let may = idempotent || self.ran == outcome::RanState::No;
-        may && self.sent < self.ask.attempts
-            && self.plane.state().take_retry(&self.ask.service, now)
+        may && self.sent < self.request.attempts
+            && self.plane.state().take_retry(&self.request.service, now)
     }
 
     fn log_failed(&self, server: fleet::ServerKey, why: &str) {
         log::info!(
-            request:% = self.ask.id, server:% = self.plane.server_id(server), cause:% = why;
+            request:% = self.request.id, server:% = self.plane.server_id(server), cause:% = why;
             "try failed"
         );
     }
@@ -231,10 +242,13 @@
 
     fn timed_out(&self) -> reply::Refusal {
         for &server in &self.avoid {
-            self.plane.judge(server, server::ServerVerdict::Failed);
+            self.plane
+                .record_outcome(server, server::ServerVerdict::Failed);
         }
         if self.sent == 0 {
-            return self.plane.refuse(self.ask, reply::RefusalCause::Patience);
+            return self
+                .plane
+                .refuse(self.request, reply::RefusalCause::Patience);
         }
         reply::Refusal {
             cause: reply::RefusalCause::Timeout,
@@ -245,10 +259,10 @@
 }
 
 enum Step {
-    /// This is the final answer.
-    Answer(Result<reply::Reply, reply::Refusal>),
-    /// Another try may do better; this is the answer if there is none.
-    Again(Result<reply::Reply, reply::Refusal>),
+    /// The final response.
+    Respond(Result<reply::Reply, reply::Refusal>),
+    /// Response to return if no further attempt succeeds.
+    Retry(Result<reply::Reply, reply::Refusal>),
 }
 
 const fn cause_name(cause: port::NotRunCause) -> &'static str {
@@ -259,26 +273,26 @@
     }
 }
 
-async fn try_once<P: port::ServerPort + 'static>(
+async fn run_attempt<P: port::ServerPort + 'static>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
-    ask: rc::Rc<ask::ExchangeAsk>,
+    request: rc::Rc<request::ExchangeRequest>,
     placed: plane::PlacedRun<P>,
-) -> TryEnd<P> {
+) -> AttemptEnd<P> {
     let started = time::Instant::now();
     let Some(target) = plane.target(placed.server) else {
-        return TryEnd::NotRun(port::NotRunCause::Unreachable);
+        return AttemptEnd::NotRun(port::NotRunCause::Unreachable);
     };
-    let reuse = match ask.kind {
+    let reuse = match request.kind {
         catalog::ExchangeKind::Idempotent => port::ReuseRule::Any,
         _ => port::ReuseRule::FRESH,
     };
     log::info!(
-        request:% = ask.id, server:% = target.id,
-        waited_ms = serve_stream::millis(ask.arrived); "try sent"
+        request:% = request.id, server:% = target.id,
+        waited_ms = serve_stream::millis(request.arrived); "try sent"
     );
-    let left = plane::ExchangePlane::<P>::left(&ask);
+    let left = plane::ExchangePlane::<P>::left(&request);
     let call = port::ServerCall {
-        ask,
+        request,
         target,
         left,
         resume: None,
@@ -287,58 +301,62 @@
         reuse,
     };
     let end = match plane.port.open(call).await {
-        port::CallOutcome::Answered(answer) => read_answer(answer, placed).await,
+        port::CallOutcome::Responded(response) => read_response(response, placed).await,
         port::CallOutcome::NotRun(cause) => {
             let verdict = match cause {
                 port::NotRunCause::Misdirected => server::ServerVerdict::Failed,
                 _ => server::ServerVerdict::Refused,
             };
-            plane.judge(placed.server, verdict);
-            return TryEnd::NotRun(cause);
+            plane.record_outcome(placed.server, verdict);
+            return AttemptEnd::NotRun(cause);
         }
         port::CallOutcome::Lost(_) => {
-            plane.judge(placed.server, server::ServerVerdict::Failed);
-            return TryEnd::Lost;
+            plane.record_outcome(placed.server, server::ServerVerdict::Failed);
+            return AttemptEnd::Lost;
         }
     };
     let (server, end) = end;
     let verdict = match &end {
-        TryEnd::Whole(answer) if answer.status.is_server_error() => server::ServerVerdict::Erred,
-        TryEnd::Whole(_) | TryEnd::Long(_) => server::ServerVerdict::Good(started.elapsed()),
+        AttemptEnd::Complete(response) if response.status.is_server_error() => {
+            server::ServerVerdict::Erred
+        }
+        AttemptEnd::Complete(_) | AttemptEnd::Long(_) => {
+            server::ServerVerdict::Good(started.elapsed())
+        }
         _ => server::ServerVerdict::Failed,
     };
-    plane.judge(server, verdict);
+    plane.record_outcome(server, verdict);
     end
 }
 
-async fn read_answer<P: port::ServerPort>(
-    answer: port::ServerAnswer<P::Body>,
+async fn read_response<P: port::ServerPort>(
+    response: port::ServerResponse<P::Body>,
     placed: plane::PlacedRun<P>,
-) -> (fleet::ServerKey, TryEnd<P>) {
+) -> (fleet::ServerKey, AttemptEnd<P>) {
     let server = placed.server;
-    let port::ServerAnswer {
+    let port::ServerResponse {
         status,
         headers,
         mut body,
         ..
-    } = answer;
-    let mut whole = BytesMut::new();
+    } = response;
+    let mut buffer = BytesMut::new();
     let end = loop {
         match body.next().await {
             None => {
-                let body = whole.freeze();
-                break TryEnd::Whole(WholeAnswer {
+                let body = buffer.freeze();
+                break AttemptEnd::Complete(CompleteResponse {
                     status,
                     headers,
                     body,
                 });
             }
-            Some(Err(_)) => break TryEnd::Lost,
-            Some(Ok(bytes)) => whole.extend_from_slice(&bytes),
+            Some(Err(_)) => break AttemptEnd::Lost,
+            Some(Ok(bytes)) => buffer.extend_from_slice(&bytes),
         }
-        if whole.len() > WHOLE_BYTES {
-            let first = whole.freeze();
-            break TryEnd::Long(LongAnswer {
+        if buffer.len() > MAX_BUFFERED_BYTES {
+            let first = buffer.freeze();
+            break AttemptEnd::Long(LongResponse {
                 status,
                 headers,
                 first,
@@ -350,29 +368,30 @@
     (server, end)
 }
 
-/// Passes a long answer on as it comes, until its route's time is up. Until its caller has all of
-/// it, its server's place is taken and `guard` lives, so that a stop waits for it.
-fn pass_on<P: port::ServerPort + 'static, G: 'static>(
-    ask: rc::Rc<ask::ExchangeAsk>,
-    answer: LongAnswer<P>,
+/// Streams a long response to the caller until the route's time limit. The server's assignment and
+/// `guard` are held until the caller has received all of it, so that a stop of this VM waits for
+/// it.
+fn stream_long<P: port::ServerPort + 'static, G: 'static>(
+    request: rc::Rc<request::ExchangeRequest>,
+    response: LongResponse<P>,
     guard: G,
 ) -> reply::Reply {
-    let (sender, receiver) = mpsc::channel(LONG_PARTS);
-    let LongAnswer {
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_PARTS);
+    let LongResponse {
         status,
         headers,
         first,
         mut body,
         placed,
-    } = answer;
+    } = response;
     tokio::task::spawn_local(async move {
         let end = tokio::select! {
             biased;
             () = sender.closed() => outcome::EndKind::Left,
-            () = time::sleep_until(ask.limit) => outcome::EndKind::Failed,
-            end = pass_parts(&sender, first, &mut body) => end,
+            () = time::sleep_until(request.limit) => outcome::EndKind::Failed,
+            end = forward_parts(&sender, first, &mut body) => end,
         };
-        log::info!(request:% = ask.id, end:% = end.name(); "long answer ended");
+        log::info!(request:% = request.id, end:% = end.name(); "long answer ended");
         drop((placed, guard));
     });
     reply::Reply {
@@ -382,14 +401,14 @@
     }
 }
 
-async fn pass_parts(
+async fn forward_parts(
     sender: &mpsc::Sender<reply::StreamPart>,
     first: Bytes,
-    body: &mut impl port::AnswerBody,
+    body: &mut impl port::ResponseBody,
 ) -> outcome::EndKind {
     let mut next = Some(Ok(first));
     while let Some(Ok(bytes)) = next {
-        // It fails when the caller has left, which is noticed beside this.
+        // The send fails if the caller has left, which the caller of this function detects itself.
         let _ = sender.send(reply::StreamPart::Bytes(bytes)).await;
         next = body.next().await;
     }
