--- a/crates/exchange/src/audience.rs
+++ b/crates/exchange/src/audience.rs
@@ -1,10 +1,11 @@
-//! Who is told what, as there are more VMs.
+//! Selects which VMs receive which datagrams, depending on the number of VMs.
 //!
-//! Load pattern: every VM tells every other what it has, so what one VM hears grows with their
-//! number, and what all hear with its square. Up to [`MESH_MOST`] VMs that is the best there is.
-//! Beyond it, a VM of the same failure domain (which callers are sent to, and which shares the
-//! nearest engines) is told as before, the others by turns; news of servers, of which thousands of
-//! servers make hundreds a second, goes through a few VMs that each tell a part of the others.
+//! Load pattern: every VM sends its load to every other, so the traffic that one VM receives grows
+//! with the number of VMs, and the total with its square. Up to [`MAX_MESH_VMS`] VMs a full mesh is
+//! the best choice. Beyond it, VMs of the same failure domain (to which callers are sent, and which
+//! share the nearest engines) still receive every datagram, while the others take turns. Updates of
+//! servers, of which thousands of servers produce hundreds a second, go through a few relay VMs,
+//! each of which forwards them to its group.
 
 use std::net;
 
@@ -12,52 +13,53 @@
 
 use crate::peers;
 
-/// VMs up to which each tells all others each time. At 100, with ten servers to a VM, a VM sends and
-/// hears 57 KB a second by it; at 300 it was 1.4 MB.
+/// Number of VMs up to which each sends to all others every time. At 100 VMs with ten servers each,
+/// a VM sends and receives 57 KB a second this way; at 300 it was 1.4 MB.
 pub const MESH_MOST: usize = 128;
-/// Turns in which VMs of other failure domains are told once: what they have on servers is then
-/// 2.4 s old at the most, and still counts.
+/// Number of turns in which each VM of another failure domain receives one datagram. Its view of
+/// the sender's load is then at most 2.4 s old, which is still accepted.
 pub const FAR_TURNS: u64 = 4;
-/// VMs on each side of a part that are told as well: those that tell on may know of some more or
-/// some fewer VMs than others do.
+/// Number of VMs on each side of a group that also receive its updates, because relays may know of
+/// slightly more or fewer VMs than others do.
 const PART_OVERLAP: usize = 2;
 
-/// Whether there are too many VMs for all to be told each time.
+/// Whether there are too many VMs for a full mesh.
 #[must_use]
 pub const fn is_large(others: usize) -> bool {
     others > MESH_MOST
 }
 
-/// All VMs that are heard.
+/// All VMs that count as alive.
 #[must_use]
 pub fn heard(table: &peers::PeerTable, now: time::Instant) -> Vec<net::SocketAddr> {
-    let heard = table.all().filter(|(_, peer)| peer.is_heard(now));
+    let heard = table.all().filter(|(_, peer)| peer.is_alive(now));
     heard.map(|(_, peer)| peer.link_address).collect()
 }
 
-/// VMs that are known and not heard.
+/// Known VMs that do not count as alive.
 #[must_use]
 pub fn silent(table: &peers::PeerTable, now: time::Instant) -> Vec<net::SocketAddr> {
-    let silent = table.all().filter(|(_, peer)| !peer.is_heard(now));
+    let silent = table.all().filter(|(_, peer)| !peer.is_alive(now));
     silent.map(|(_, peer)| peer.link_address).collect()
 }
 
-/// VMs of this one's failure domain that are heard.
+/// VMs of this VM's failure domain that count as alive.
 #[must_use]
 pub fn near(table: &peers::PeerTable, now: time::Instant) -> Vec<net::SocketAddr> {
-    let heard = table.all().filter(|(_, peer)| peer.is_heard(now));
+    let heard = table.all().filter(|(_, peer)| peer.is_alive(now));
     let near = heard.filter(|(_, peer)| peer.near);
     near.map(|(_, peer)| peer.link_address).collect()
 }
 
-/// VMs that get the regular datagram of a turn.
+/// VMs that receive the regular datagram of a turn.
 #[must_use]
 pub fn regular(table: &peers::PeerTable, turn: u64, now: time::Instant) -> Vec<net::SocketAddr> {
     if !is_large(table.len()) {
         return heard(table, now);
     }
-    // Turns go by the place among all that are known. By that among those that are heard, each VM that
-    // falls silent would move others to a turn that is just over, and so make them silent in turn.
+    // Turns go by the position among all known VMs. If they went by the position among those alive,
+    // each VM that falls silent would shift others to a turn that has just passed, so that they
+    // would look silent in turn.
     let mut far = 0;
     let due = table.all().filter(|(_, peer)| {
         if peer.near {
@@ -66,12 +68,12 @@
         far += 1;
         far % FAR_TURNS == turn % FAR_TURNS
     });
-    let heard = due.filter(|(_, peer)| peer.is_heard(now));
+    let heard = due.filter(|(_, peer)| peer.is_alive(now));
     heard.map(|(_, peer)| peer.link_address).collect()
 }
 
-/// VMs that are told news first hand, each to tell its part of the others: one of each part.
-/// Absent while all are told first hand.
+/// Relays: the VMs that receive updates directly, one of each group, each to forward them to its
+/// group. `None` while all VMs receive updates directly.
 #[must_use]
 pub fn tellers(
     table: &peers::PeerTable,
@@ -92,7 +94,7 @@
     Some(tellers.collect())
 }
 
-/// VMs to which this one tells news on: the part that it is in, and some on each side.
+/// VMs to which this one forwards updates: its own group and a few VMs on each side.
 #[must_use]
 pub fn own_part(table: &peers::PeerTable, own: &str, now: time::Instant) -> Vec<net::SocketAddr> {
     let ranked = ranked(table, own, now);
@@ -104,10 +106,11 @@
     part.iter().flatten().copied().collect()
 }
 
-/// All VMs that are heard by failure domain and name, the same order on each; this one has no
-/// address. A part is then within one domain but for its ends: bytes between domains are dear.
+/// All VMs that count as alive, ordered by failure domain and name, which gives the same order on
+/// each VM; this VM has no address. A group then lies within one domain except at its ends, which
+/// saves expensive traffic between domains.
 fn ranked(table: &peers::PeerTable, own: &str, now: time::Instant) -> Vec<Option<net::SocketAddr>> {
-    let heard = table.all().filter(|(_, peer)| peer.is_heard(now));
+    let heard = table.all().filter(|(_, peer)| peer.is_alive(now));
     let placed = heard.map(|(name, peer)| {
         let address = Some(peer.link_address);
         (peer.domain.as_str(), name.as_str(), address)
@@ -118,8 +121,8 @@
     ranked.into_iter().map(|(_, _, address)| address).collect()
 }
 
-/// Parts as many as each has members: what the first teller sends and what each other does is then
-/// equal, and least together.
+/// Length of a group: there are as many groups as each has members. The first sender and each relay
+/// then send equally much, and the total is smallest.
 fn part_length(vms: usize) -> usize {
     vms.isqrt().max(1)
 }
--- a/crates/exchange/src/catchup.rs
+++ b/crates/exchange/src/catchup.rs
@@ -1,4 +1,5 @@
-//! One TCP exchange for what another VM knows otherwise, and neither the store nor datagrams bring.
+//! Fetches state from another VM over TCP: differences that neither the store nor datagrams have
+//! delivered.
 
 use std::{collections, io, net, rc};
 
@@ -11,50 +12,54 @@
 
 use crate::{delta, follow, link, message, peers, plane, server, speak, state};
 
-/// How long most VMs must know other news of servers before one is asked for what differs.
+/// How long most VMs must have a different view of the servers before this VM requests the
+/// difference from one of them.
 pub const DIFFERS_FOR: time::Duration = time::Duration::from_millis(400);
-/// Largest state that is taken: a configuration of 38,000 organisations takes about 8 MB.
+/// Maximum size of a state reply: a configuration of 38,000 organisations takes about 8 MB.
 const MOST_STATE: usize = 32 * 1_024 * 1_024;
-/// Time without a byte after which an exchange of state is given up.
+/// Time without a byte after which a state exchange is aborted.
 const STATE_SILENCE: time::Duration = time::Duration::from_millis(700);
-/// Longest time of an exchange.
+/// Maximum duration of a state exchange.
 const STATE_MOST: time::Duration = time::Duration::from_secs(20);
-/// Limit of one exchange of state.
+/// Limits of a state exchange.
 const STATE_LIMIT: transfer::TransferLimit = transfer::TransferLimit {
     first: STATE_SILENCE,
     silence: STATE_SILENCE,
     whole: STATE_MOST,
 };
-/// The same while the asker has only a part of the list of servers, and for the VM that answers:
-/// others ask too.
+/// Limits while the requester has only a part of the list of servers, and for the VM that replies.
+/// The first byte may take longer, because other VMs send requests at the same time.
 const LIST_LIMIT: transfer::TransferLimit = transfer::TransferLimit {
     first: time::Duration::from_millis(1_500),
     ..STATE_LIMIT
 };
-/// Mean pause after a VM that was busy, of an asker that lacks a configuration or a part of the list.
+/// Mean pause of a VM that lacks a configuration or a part of the list, after the VM that it asked
+/// was busy.
 const RETRY_GAP: time::Duration = time::Duration::from_millis(100);
-/// A list is long from this many servers on that the asker does not know.
+/// A list reply is long from this many servers on that the requester does not know.
 const LONG_LIST: usize = 200;
-/// A document is long from this many bytes on that the asker does not have.
+/// A document reply is long from this many bytes on that the requester does not have.
 const LONG_DOCUMENT: usize = 32 * 1_024;
-/// Long answers that one VM sends at a time.
+/// Maximum number of long replies that one VM sends at the same time.
 const MOST_LONG: usize = 2;
-/// Time between two looks whether another VM knows more.
+/// Interval between two checks whether another VM has newer state.
 const LOOK_GAP: time::Duration = time::Duration::from_millis(60);
-/// Time that the store has to bring a configuration to a VM that reads it for all, before it is asked of
-/// a VM that has it.
+/// Time for the store to deliver a configuration to a VM that reads the store for all, before it is
+/// requested from a VM that has it.
 const STORE_FIRST: time::Duration = time::Duration::from_millis(500);
-/// Time between two askings of state.
+/// Base interval between two state requests.
 const STATE_GAP: time::Duration = time::Duration::from_millis(300);
-/// Added to it for each server. Where thousands come and go, no two VMs know quite the same at any
-/// moment, and each asks all the time. An asking carries 5 bytes a server: at 3,000 servers 12 KB a
-/// second. What was lost twice on its way is found within this and [`DIFFERS_FOR`]: a notice of
-/// leaving must be known everywhere within two seconds or so.
+/// Added to the interval for each server. Where thousands of servers come and go, no two VMs ever
+/// have exactly the same view, and each sends requests all the time. A request carries 5 bytes per
+/// server: at 3,000 servers that makes 12 KB a second. A notice that was lost twice is recovered
+/// within this and [`DIFFERENCE_DELAY`]: a notice of leaving must be known everywhere within about
+/// two seconds.
 const STATE_GAP_EACH: time::Duration = time::Duration::from_micros(300);
 
-/// Other VMs, as far as they are asked for state.
+/// State requests to other VMs.
 pub trait PeerPort {
-    /// Asks the VM at an address; `meter` notes what comes. An error is a VM that is gone or busy.
+    /// Requests state from the VM at an address; `meter` counts the bytes received. An error means
+    /// that the VM is unreachable or busy.
     fn ask_state(
         &self,
         address: net::SocketAddr,
@@ -63,7 +68,7 @@
     ) -> impl Future<Output = io::Result<message::StateReply>>;
 }
 
-/// Other VMs over TCP.
+/// State requests over TCP.
 #[derive(Clone, Copy, Debug)]
 pub struct TcpPeers;
 
@@ -83,7 +88,7 @@
     }
 }
 
-/// Asks other VMs for what the store does not bring; never ends.
+/// Requests from other VMs what the store does not deliver; never ends.
 pub async fn catch_up<P, Q: PeerPort>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
     port: Q,
@@ -136,13 +141,13 @@
     metrics::counter!("pollenchute_exchange_states_failed_total", "cause" => cause).increment(1);
 }
 
-/// Time until the next asking.
+/// Interval until the next state request.
 #[must_use]
 pub fn pace(servers: usize) -> time::Duration {
     STATE_GAP + STATE_GAP_EACH * u32::try_from(servers).unwrap_or(u32::MAX)
 }
 
-/// Asks for what a VM knows otherwise than this one.
+/// Creates a request for the differences between another VM's state and this one's.
 #[must_use]
 pub fn state_ask(state: &state::PlaneState) -> message::StateAsk {
     let hashes = |standing| {
@@ -166,14 +171,14 @@
     }
 }
 
-/// Notes whether most VMs know other news of servers than this one, for instance since a datagram
-/// with news was lost on its way here.
+/// Notes whether most VMs have a different view of the servers than this one, for instance because
+/// a datagram with updates was lost on its way here.
 fn note_difference(state: &mut state::PlaneState) {
     let now = time::Instant::now();
     let own = state.fleet.standing_hash();
     let version = state.version();
     let (mut behind, mut same, mut other) = (false, 0, 0);
-    for (_, peer) in state.peers.all().filter(|(_, peer)| peer.is_heard(now)) {
+    for (_, peer) in state.peers.all().filter(|(_, peer)| peer.is_alive(now)) {
         behind |= peer.catalog_version > version;
         if peer.standing_hash == own {
             same += 1;
@@ -185,7 +190,7 @@
     note_since(&mut state.differs_since, other > same, now);
 }
 
-/// Keeps since when something holds.
+/// Sets the time since which a condition holds, or clears it.
 fn note_since(since: &mut Option<time::Instant>, holds: bool, now: time::Instant) {
     if holds {
         since.get_or_insert(now);
@@ -194,19 +199,20 @@
     }
 }
 
-/// A VM that has a newer configuration, or newer news while the store is away.
+/// Selects a VM that has a newer configuration, a complete list of servers that this VM lacks, or a
+/// different view of the servers.
 fn who_knows_more<P>(plane: &plane::ExchangePlane<P>) -> Option<net::SocketAddr> {
     let mut state = plane.state();
     let now = time::Instant::now();
     let version = state.version();
-    // Any one of those that know more, so that no single VM sends it to all others.
+    // Choose at random among the candidates, so that no single VM has to serve all others.
     let draw = (state.draw() * 1e6) as usize;
     let heard = || {
         state
             .peers
             .all()
             .map(|(_, peer)| peer)
-            .filter(|peer| peer.is_heard(now))
+            .filter(|peer| peer.is_alive(now))
     };
     let late = !state.from_store.is_moving()
         && state.behind_since.is_some_and(|since| {
@@ -237,17 +243,17 @@
     newer.map(|peer| peer.link_address)
 }
 
-/// VMs of this VM's failure domain if there are some, as bytes between domains are dear; else all. One
-/// alone would be asked by its whole domain.
+/// The candidates in this VM's failure domain if there are at least two, because traffic between
+/// domains is expensive; otherwise all. A single one would have to serve its whole domain.
 fn near_first(peers: Vec<&peers::PeerRecord>) -> Vec<&peers::PeerRecord> {
     let near = peers.iter().filter(|peer| peer.near);
     let near: Vec<_> = near.copied().collect();
     if near.len() > 1 { near } else { peers }
 }
 
-/// Of VMs that know other news than this one, those that know what most of them know: one that was
-/// cut off knows otherwise too. Of these, those of this VM's failure domain if there are any: bytes
-/// between domains are dear.
+/// Of the VMs whose view of the servers differs from this VM's, returns those that share the most
+/// common view, because a VM that was cut off has a different view too. Of these, prefers VMs of
+/// this failure domain, because traffic between domains is expensive.
 #[must_use]
 pub fn worth_asking<'a>(
     others: Vec<&'a peers::PeerRecord>,
@@ -265,7 +271,7 @@
     if near.is_empty() { far } else { near }
 }
 
-/// Takes what a VM answered that was asked when `base` was the document in force.
+/// Applies a state reply to a request that was sent when `base` was the document in force.
 pub fn take_state<P>(
     plane: &plane::ExchangePlane<P>,
     base: &delta::PiecedDocument,
@@ -273,7 +279,7 @@
     decode: follow::DocumentDecoder,
 ) {
     let now = time::Instant::now();
-    // A VM that was heard a moment ago may be gone, and another system's have its address.
+    // The VM may have stopped a moment ago, and a VM of another system may have its address now.
     if !plane.state().system.is_own(reply.system) {
         return;
     }
@@ -290,7 +296,7 @@
     state.servers_whole |= !reply.partial;
     for known in reply.known.iter().filter_map(|known| known.parse().ok()) {
         if known != state.settings.link_address {
-            state.peers.tell(known);
+            state.peers.add_address(known);
         }
     }
     drop(state);
@@ -299,7 +305,7 @@
     }
 }
 
-/// The document in an answer, if there is one.
+/// The document in a reply, if there is one.
 fn document_of<P>(
     plane: &plane::ExchangePlane<P>,
     base: &delta::PiecedDocument,
@@ -316,7 +322,7 @@
     applied.ok()
 }
 
-/// Answers VMs that ask for all that this one knows.
+/// Serves state requests of other VMs.
 pub(crate) async fn answer_states<P: 'static>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
     listener: sockets::TcpListener,
@@ -348,11 +354,11 @@
     let ask = message::StateAsk::decode(frame).map_err(io::Error::other)?;
     let (reply, _guard) = answer(&plane, &ask).ok_or(io::ErrorKind::ResourceBusy)?;
     framed.send(Bytes::from(reply.encode_to_vec())).await?;
-    // What is still in the socket's buffer counts as being sent until the asker closes.
+    // Data in the socket's buffer counts as being sent until the requester closes the connection.
     framed.next().await.transpose().map(drop)
 }
 
-/// Counts a long answer as being sent until dropped.
+/// Counts a long reply as being sent until dropped.
 #[derive(Debug)]
 pub struct LongGuard<P>(rc::Rc<plane::ExchangePlane<P>>);
 
@@ -362,9 +368,9 @@
     }
 }
 
-/// The answer to a VM that asks, with a guard to be kept until it is sent; absent while this VM sends
-/// as many long answers as it may. If all that ask at a mass restart were answered, each would arrive
-/// late, and none could be passed on meanwhile.
+/// The reply to a state request, with a guard that is kept until the reply is sent; `None` while
+/// this VM already sends the maximum number of long replies. If all requests were served at a mass
+/// restart, each reply would arrive late, and none could be passed on meanwhile.
 pub fn answer<P>(
     plane: &rc::Rc<plane::ExchangePlane<P>>,
     ask: &message::StateAsk,
@@ -389,14 +395,15 @@
     Some((reply, guard))
 }
 
-/// Bytes of a document in an answer.
+/// Bytes of the document in a reply.
 fn document_bytes(reply: &message::StateReply) -> usize {
     let delta = reply.delta.as_ref();
     reply.catalog.len() + delta.map_or(0, prost::Message::encoded_len)
 }
 
-/// What this VM knows otherwise than the asker. Where thousands of servers come and go, all that it
-/// knows is 300 KB, and all but a few hundred bytes of it are known to the asker.
+/// The differences between this VM's state and the requester's. Where thousands of servers come and
+/// go, the complete state is 300 KB, of which the requester already knows all but a few hundred
+/// bytes.
 #[must_use]
 pub fn state_reply(state: &mut state::PlaneState, ask: &message::StateAsk) -> message::StateReply {
     let newer = state.version() > ask.catalog_version;
--- a/crates/exchange/src/follow.rs
+++ b/crates/exchange/src/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the operator's records in the store: few VMs wait for them and tell the others of a new
-//! version, which they then read.
+//! Follows the operator's records in the store. A few VMs wait for changes and announce a new
+//! version to the others, which then fetch it.
 
 use std::{net, rc};
 
@@ -11,111 +11,113 @@
 use crate::{catalog, evacuation, news, plane, state, system};
 
 /// How long one call waits for a configuration: short enough that a connection that went silent
-/// costs less than the users' bound for a VM to be in touch again, 3 s.
+/// costs less than the users' bound of 3 s for a VM to be in touch again.
 const CATALOG_WAIT: time::Duration = time::Duration::from_millis(2_500);
-/// Time between two looks whether other VMs have a newer configuration.
+/// Interval between two checks whether other VMs have a newer configuration.
 const BEHIND_GAP: time::Duration = time::Duration::from_millis(60);
-/// Time that other VMs have to bring a configuration before a VM that does not read for all asks the
-/// store for it, and what is added at random, so that not all do so at once.
+/// Time for other VMs to deliver a configuration before a VM that does not read the store for all
+/// reads it there, and the random time added so that not all VMs do so at once.
 const PEERS_FIRST: time::Duration = time::Duration::from_millis(1_200);
 const PEERS_FIRST_SPREAD: time::Duration = time::Duration::from_millis(600);
-/// The same where no other VM is asked.
+/// The same where this VM has not requested the configuration from another VM.
 const PEERS_IDLE: time::Duration = time::Duration::from_millis(150);
-/// Shortest time between two readings of the configuration by a VM that does not read for all. In a
-/// storm of changes, one each 165 ms, 68 such VMs asked for each version: 3,629 calls a day at 74 VMs.
-/// Callers are bound to see a change within 2 s.
+/// Minimum interval between two reads of the configuration by a VM that does not read for all.
+/// Without it, in a burst of changes, one every 165 ms, 68 such VMs read each version: 3,629 calls
+/// a day at 74 VMs. Callers must see a change within 2 s.
 const STORM_GAP: time::Duration = time::Duration::from_millis(500);
-/// Time between two tries while the store is away: within its first second back each VM is served.
+/// Pause after the store did not answer: within the first second after it is back, each VM is
+/// served.
 pub(crate) const AWAY_GAP: time::Duration = time::Duration::from_millis(400);
 
-/// Why the store did not answer a call.
+/// Reason why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum StoreFault {
-    /// It can't be reached, is slow or turns this VM away.
+    /// The store can't be reached, is slow or rejects this VM.
     #[snafu(display("the store did not answer"))]
     Away,
-    /// The records asked for are gone; read the newest ones instead.
+    /// The requested records were trimmed; read the newest ones instead.
     #[snafu(display("the store no longer has these records"))]
     Trimmed,
 }
 
-/// Server entries as of one position.
+/// Server updates up to one position in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NewsPage {
     /// Records, oldest first.
     pub news: Vec<news::ServerNews>,
-    /// Position from which to read on.
+    /// Position from which to continue reading.
     pub end: u64,
-    /// Name after which a list goes on; absent on its last page.
+    /// Name after which the list continues; `None` on its last page.
     pub next: Option<String>,
 }
 
-/// The operator's document and evacuations as of one position.
+/// The operator's document and evacuations up to one position in the store.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentPage {
-    /// The newest, if there is one.
+    /// The newest document, if there is one.
     pub document: Option<Bytes>,
-    /// What it says of failure domains, oldest first.
+    /// The operator's evacuation records, oldest first.
     pub evacuations: Vec<evacuation::EvacuationRecord>,
-    /// Position from which to read on.
+    /// Position from which to continue reading.
     pub end: u64,
 }
 
-/// The platform's store, as far as this plane needs it.
+/// The parts of the platform's store that this plane needs.
 pub trait StorePort {
-    /// A page of the entries that stand now, by name: the first, or the one after a name.
+    /// Reads a page of the current server entries, by name: the first page, or the one after a
+    /// name.
     fn read_servers(
         &self,
         after: Option<&str>,
     ) -> impl Future<Output = Result<NewsPage, StoreFault>>;
 
-    /// What came since `from`.
+    /// Reads the server updates since `from`.
     fn read_news(&self, from: u64) -> impl Future<Output = Result<NewsPage, StoreFault>>;
 
-    /// The newest document.
+    /// Reads the newest document.
     fn read_document(&self) -> impl Future<Output = Result<DocumentPage, StoreFault>>;
 
-    /// Waits for a document at or behind `from`.
+    /// Waits for a document at or after position `from`.
     fn wait_document(
         &self,
         from: u64,
         wait: time::Duration,
     ) -> impl Future<Output = Result<DocumentPage, StoreFault>>;
 
-    /// What has come of the document that is being read.
+    /// Meter of the document transfer in progress.
     fn arriving(&self) -> transfer::TransferMeter;
 
-    /// The system that the store belongs to: `proposed` if none was written down yet. All that ask
-    /// get the same.
+    /// Returns the system that the store belongs to, which becomes `proposed` if none was stored
+    /// yet. All callers get the same one.
     fn system(
         &self,
         proposed: system::SystemId,
     ) -> impl Future<Output = Result<system::SystemId, StoreFault>>;
 
-    /// Writes down where other VMs reach this one.
+    /// Stores the address at which other VMs reach this one.
     fn register(
         &self,
         name: &str,
         address: net::SocketAddr,
     ) -> impl Future<Output = Result<(), StoreFault>>;
 
-    /// Where VMs that wrote themselves down can be reached.
+    /// Addresses of the VMs that are registered in the store.
     fn registered(&self) -> impl Future<Output = Result<Vec<net::SocketAddr>, StoreFault>>;
 }
 
-/// Time for VMs to meet through the addresses in their settings.
+/// Time for VMs to find each other through the addresses in their settings.
 const MEET_AFTER: time::Duration = time::Duration::from_millis(2_500);
-/// Most time before VMs whose settings name no others look for them in the store, each at its own
-/// moment: those that are found meanwhile need not. All VMs that come back at once know nothing of each
-/// other's streams until they meet.
+/// Maximum random delay before VMs whose settings name no others look for them in the store. VMs
+/// that are found meanwhile need not look. VMs that all restart at once know nothing of each
+/// other's streams until they find each other.
 const MEET_SPREAD: time::Duration = time::Duration::from_millis(300);
-/// Time between two looks whether this VM should be found in the store.
+/// Interval between two checks whether this VM must be registered in the store.
 const MEET_LOOK: time::Duration = time::Duration::from_secs(1);
-/// Pause before this VM tries again to write itself down.
+/// Pause before another attempt to register.
 const REGISTER_GAP: time::Duration = time::Duration::from_millis(700);
 
-/// Writes this VM down in the store and learns of the others there, once it is one of those that
-/// read the store for all: while enough others can be found there, it need not.
+/// Registers this VM in the store and reads the addresses of the others there, once this VM is one
+/// of those that read the store for all. While enough other VMs are registered, it need not be.
 pub async fn meet<P, S: StorePort>(plane: rc::Rc<plane::ExchangePlane<P>>, store: rc::Rc<S>) {
     let (name, own, meet_after) = {
         let mut state = plane.state();
@@ -136,7 +138,7 @@
         if let Ok(addresses) = store.registered().await {
             let mut state = plane.state();
             for address in addresses.into_iter().filter(|address| *address != own) {
-                state.peers.tell(address);
+                state.peers.add_address(address);
             }
             return;
         }
@@ -144,13 +146,13 @@
     }
 }
 
-/// Name in the log of what the store told.
+/// Value of `source` in log lines for data from the store.
 pub(crate) const SOURCE_STORE: &str = "store";
 
-/// Reads the operator's document.
+/// Decodes the operator's document.
 pub type DocumentDecoder = fn(&[u8]) -> Result<catalog::RouteCatalog, String>;
 
-/// Takes a document, from wherever it came.
+/// Puts a document in force if it is newer, whichever source it came from.
 pub fn take_document<P>(
     plane: &plane::ExchangePlane<P>,
     decode: DocumentDecoder,
@@ -174,7 +176,7 @@
     }
 }
 
-/// Takes which failure domains are evacuated, from wherever it came.
+/// Applies the set of evacuated failure domains, whichever source it came from.
 pub fn take_evacuations<P>(
     plane: &plane::ExchangePlane<P>,
     evacuations: evacuation::EvacuationSet,
@@ -191,8 +193,9 @@
     tell_version(plane, source);
 }
 
-/// Tells all others at once of a configuration that those who read the store for all have found.
-/// Did each VM that takes it tell all, they would be as many datagrams as VMs squared.
+/// Announces a new configuration to all VMs at once, if this VM reads the store for all and found
+/// it there. If each VM that receives it announced it, the number of datagrams would grow with the
+/// square of the number of VMs.
 fn tell_version<P>(plane: &plane::ExchangePlane<P>, source: &str) {
     let reader = plane.state().reads_store(time::Instant::now());
     if reader && source == SOURCE_STORE {
@@ -250,7 +253,7 @@
     }
 }
 
-/// How long other VMs are waited for.
+/// How long to wait for other VMs to deliver a configuration.
 #[derive(Debug)]
 struct PeerPatience {
     span: time::Duration,
@@ -266,7 +269,8 @@
         }
     }
 
-    /// Whether it is over: others had time to bring the configuration, or none of them is asked.
+    /// Whether the wait is over: others had time to deliver the configuration, or it was not
+    /// requested from any of them.
     fn is_over(&mut self, state: &state::PlaneState, now: time::Instant) -> bool {
         if !is_behind(state, now) {
             self.behind_since = None;
@@ -285,5 +289,5 @@
     state
         .peers
         .all()
-        .any(|(_, peer)| peer.is_heard(now) && peer.catalog_version > version)
+        .any(|(_, peer)| peer.is_alive(now) && peer.catalog_version > version)
 }
--- a/crates/exchange/src/link.rs
+++ b/crates/exchange/src/link.rs
@@ -139,7 +139,7 @@
 ) {
     for known in datagram.known.iter().filter_map(|known| known.parse().ok()) {
         if known != state.settings.link_address {
-            state.peers.tell(known);
+            state.peers.add_address(known);
         }
     }
     take_loads(state, datagram, now);
--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/listing.rs
@@ -226,7 +226,7 @@
 /// Time until this VM polls again.
 fn poll_gap<P>(plane: &plane::ExchangePlane<P>, now: time::Instant) -> time::Duration {
     let mut state = plane.state();
-    let gap = POLL_GAP * state.peers.heard(now).min(POLLERS);
+    let gap = POLL_GAP * state.peers.alive_count(now).min(POLLERS);
     let draw = state.draw();
     gap.clamp(POLL_LEAST, POLL_MOST).mul_f64(0.85 + 0.3 * draw)
 }
--- a/crates/exchange/src/notices.rs
+++ b/crates/exchange/src/notices.rs
@@ -1,14 +1,15 @@
-//! Notices that servers leave, as VMs that read the store repeat them to all others.
+//! Notices of leaving servers, which VMs that read the store repeat to all others.
 //!
-//! Load pattern: hundreds of servers leave or come in each second, so that no two VMs ever know quite the
-//! same, and a VM that missed one notice can't tell it from what is on its way. A notice must reach each of
-//! hundreds of VMs all the same, whatever datagrams are lost and whichever VMs fail.
+//! Load pattern: hundreds of servers leave or join each second, so no two VMs ever have exactly the
+//! same state, and a VM that missed one notice can't tell that from updates that are still in
+//! flight. Still, a notice must reach each of hundreds of VMs, whichever datagrams are lost and
+//! whichever VMs fail.
 //!
-//! Each VM that reads the store tells all others after each poll which servers it has learnt to leave of
-//! late. A notice is short, names one incarnation and is never unlearnt for it, so any VM may take it any
-//! number of times. With a poll each second at the most and [`READERS`](crate::state::READERS) VMs that
-//! poll, the last VM knows within one poll, unless the datagrams of all of them are lost; each then tells
-//! it once more.
+//! After each poll, each VM that reads the store sends all others the servers that it recently
+//! found to be leaving. A notice is short, names one incarnation and is never revoked for it, so a
+//! VM may apply it any number of times. With at most a second between polls and
+//! [`READERS`](crate::state::READERS) VMs that poll, the last VM learns of it within one poll,
+//! unless the datagrams of all of them are lost; each then sends it once more.
 
 use std::collections;
 
@@ -16,24 +17,24 @@
 
 use crate::{fleet, message, news};
 
-/// For how long a notice is repeated: by two polls of each VM that reads the store, and a half.
+/// Time for which a notice is repeated: two and a half polls of each VM that reads the store.
 const REPEATED_FOR: time::Duration = time::Duration::from_millis(1_500);
-/// Notices in one datagram, of 16 bytes each, beside the loads of one VM.
+/// Maximum number of notices in one datagram, of 16 bytes each, next to the loads of one VM.
 pub const MOST_NOTICES: usize = 48;
-/// Notices that are kept; the oldest go first.
+/// Maximum number of notices kept; the oldest are dropped first.
 const MOST_KEPT: usize = 4_096;
 
-/// Notices that this VM took of late.
+/// Notices that this VM received or found recently.
 #[derive(Debug, Default)]
 pub struct LeavingNotices {
     /// Oldest first.
     recent: collections::VecDeque<(time::Instant, message::NoticeItem)>,
-    /// Whether they are to be told with the next datagram to all.
+    /// Whether the notices go out with the next datagram to all VMs.
     due: bool,
 }
 
 impl LeavingNotices {
-    /// A server takes no new work any more.
+    /// Adds a notice that a server takes no new work any more.
     pub fn note(&mut self, notice: message::NoticeItem, now: time::Instant) {
         self.forget_old(now);
         if self.recent.len() >= MOST_KEPT {
@@ -42,13 +43,13 @@
         self.recent.push_back((now, notice));
     }
 
-    /// This VM polled the store: what it has is to be told.
+    /// Marks the notices as due, after this VM has polled the store.
     pub fn make_due(&mut self, now: time::Instant) {
         self.forget_old(now);
         self.due = true;
     }
 
-    /// Notices that are to be told now.
+    /// Returns the notices that are due, once.
     pub fn take_due(&mut self) -> Vec<message::NoticeItem> {
         if !std::mem::take(&mut self.due) {
             return Vec::new();
@@ -65,7 +66,8 @@
 }
 
 impl fleet::ServerFleet {
-    /// The news that a notice stands for; absent unless the server is known and takes work.
+    /// The server update that a notice stands for; `None` unless the server is known and takes
+    /// work.
     #[must_use]
     pub fn news_of(
         &self,
--- a/crates/exchange/src/peers.rs
+++ b/crates/exchange/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other entry VMs, as this one hears them.
+//! Table of the other entry VMs, built from the datagrams that this VM receives.
 
 use std::{collections, net};
 
@@ -6,62 +6,65 @@
 
 use crate::{audience, message, wait};
 
-/// A VM that was not heard for this long is not named to callers any more; the users' bound for a
-/// stopped or frozen VM is two seconds.
-const HEARD_LEAST: time::Duration = time::Duration::from_millis(1_000);
-/// Times between two datagrams of a VM after which it is taken to be silent: two may be lost.
-const HEARD_GAPS: u32 = 3;
-/// Time between two datagrams of a VM that has nothing new to say.
-const SPEAK_GAP: time::Duration = time::Duration::from_millis(150);
-/// Added to it for each VM that is told each time, so that what one VM receives stays bounded.
-const SPEAK_GAP_EACH: time::Duration = time::Duration::from_millis(6);
-/// Longest time between two of them: three, after which a VM counts as silent, are within the
-/// users' two seconds.
-const SPEAK_GAP_MOST: time::Duration = time::Duration::from_millis(600);
-/// A VM that was not heard for this long counts for nothing in limits that VMs share. Longer than
-/// the window of the retry budget: what it spent may still count.
-const COUNTED: time::Duration = time::Duration::from_secs(12);
-/// A VM that was not heard for this long is forgotten.
-const KEPT: time::Duration = time::Duration::from_secs(180);
+/// Shortest time for which a VM counts as alive after its last datagram. A VM that does not count
+/// as alive is not offered to callers; the users' bound for a stopped or frozen VM is two seconds.
+const MIN_ALIVE_TIME: time::Duration = time::Duration::from_millis(1_000);
+/// A VM counts as silent after this many announce intervals without a datagram, so two datagrams
+/// may be lost.
+const ALIVE_INTERVALS: u32 = 3;
+/// Base interval between two datagrams of a VM that has nothing new to send.
+const ANNOUNCE_INTERVAL: time::Duration = time::Duration::from_millis(150);
+/// Added to the base interval for each recipient, so that the traffic each VM receives stays
+/// bounded.
+const ANNOUNCE_INTERVAL_PER_VM: time::Duration = time::Duration::from_millis(6);
+/// Upper bound of the interval. A VM counts as silent after three intervals, which stay within the
+/// users' bound of two seconds.
+const MAX_ANNOUNCE_INTERVAL: time::Duration = time::Duration::from_millis(600);
+/// A VM that sent nothing for this long no longer counts in limits that VMs share. Longer than the
+/// window of the retry budget, because what the VM spent before may still count.
+const LIMIT_SHARE_TIME: time::Duration = time::Duration::from_secs(12);
+/// A VM that sent nothing for this long is removed from the table.
+const PEER_RETENTION: time::Duration = time::Duration::from_secs(180);
 
-/// Another VM.
+/// Another entry VM.
 #[derive(Clone, Debug)]
 pub struct PeerRecord {
     /// Failure domain.
     pub domain: String,
-    /// Whether that is this VM's domain, too.
+    /// Whether that is also this VM's failure domain.
     pub near: bool,
-    /// Later processes have greater ones.
+    /// Incarnation of the VM's process; later processes have greater ones.
     pub incarnation: u64,
-    /// Newest datagram of that process.
+    /// Sequence number of the newest datagram received from that process.
     pub sequence: u64,
-    /// What it does.
+    /// Stage of the VM.
     pub stage: message::VmStage,
-    /// Where callers reach it.
+    /// Address for callers.
     pub entry_address: net::SocketAddr,
-    /// Where other VMs reach it.
+    /// Address for other VMs.
     pub link_address: net::SocketAddr,
-    /// Configuration in force there.
+    /// Version of the configuration in force at that VM.
     pub catalog_version: u64,
-    /// Whether the store does not answer it.
+    /// Whether the store does not answer that VM.
     pub store_away: bool,
-    /// Hash of which servers stand how, as far as it knows.
+    /// Hash of the standing of all servers, as far as that VM knows.
     pub standing_hash: u64,
-    /// Whether it never knew the list of servers to its end.
+    /// Whether that VM has not yet received the complete list of servers.
     pub partial: bool,
-    /// Memory planned for generations that wait there.
+    /// Memory planned for generations that wait at that VM.
     pub waiting: Vec<message::WaitingItem>,
-    /// When it was last heard.
-    pub heard_at: time::Instant,
-    /// Until when it counts as heard.
-    heard_until: time::Instant,
-    /// Hash by which that process names itself.
+    /// When the last datagram was received.
+    pub received_at: time::Instant,
+    /// Until when the VM counts as alive.
+    alive_until: time::Instant,
+    /// Sender hash of that process, as its datagrams carry it.
     sender: u64,
 }
 
 impl PeerRecord {
-    /// A VM that introduces itself; absent if its addresses are none.
-    fn introduced(
+    /// Creates the record of a VM that introduces itself; `None` if one of its addresses does not
+    /// parse.
+    fn from_introduction(
         datagram: &message::PeerDatagram,
         own_domain: &str,
         now: time::Instant,
@@ -79,20 +82,21 @@
             standing_hash: 0,
             partial: false,
             waiting: Vec::new(),
-            heard_at: now,
-            heard_until: now,
+            received_at: now,
+            alive_until: now,
             sender: datagram.sender,
         })
     }
 
-    /// Takes what its process says of itself; says whether that is news to others.
+    /// Updates the record from a datagram of the VM and returns whether that changes what callers
+    /// see.
     fn take(
         &mut self,
         datagram: &message::PeerDatagram,
-        heard_for: time::Duration,
+        alive_time: time::Duration,
         now: time::Instant,
     ) -> PeerChange {
-        let same = self.stage == datagram.stage() && self.is_heard(now);
+        let same = self.stage == datagram.stage() && self.is_alive(now);
         self.sequence = datagram.sequence;
         self.stage = datagram.stage();
         self.catalog_version = datagram.catalog_version;
@@ -100,8 +104,8 @@
         self.standing_hash = datagram.standing_hash;
         self.partial = datagram.partial;
         self.waiting.clone_from(&datagram.waiting);
-        self.heard_at = now;
-        self.heard_until = now + heard_for;
+        self.received_at = now;
+        self.alive_until = now + alive_time;
         if same {
             PeerChange::Same
         } else {
@@ -109,53 +113,53 @@
         }
     }
 
-    /// Whether callers may be sent there.
+    /// Whether callers may be sent to this VM.
     #[must_use]
     pub fn serves(&self, now: time::Instant) -> bool {
-        self.stage == message::VmStage::Serving && self.is_heard(now)
+        self.stage == message::VmStage::Serving && self.is_alive(now)
     }
 
-    /// Whether it is alive, as far as can be heard.
+    /// Whether a datagram was received recently enough for the VM to count as alive.
     #[must_use]
-    pub fn is_heard(&self, now: time::Instant) -> bool {
-        now < self.heard_until
+    pub fn is_alive(&self, now: time::Instant) -> bool {
+        now < self.alive_until
     }
 }
 
-/// What a datagram says of its sender.
+/// What a datagram changed in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerChange {
-    /// Older than what is known.
+    /// Nothing: the datagram is older than what is known.
     Stale,
-    /// Nothing new but that it lives.
+    /// Only the time of the last datagram.
     Same,
-    /// It came, or its stage changed.
+    /// The VM is new or back after a silence, or its stage changed.
     Changed,
 }
 
-/// All other VMs.
+/// All other known VMs.
 #[derive(Debug, Default)]
 pub struct PeerTable {
     /// Failure domain of this VM.
     own_domain: String,
     peers: collections::BTreeMap<String, PeerRecord>,
-    /// How many of them are near.
+    /// Number of peers in this VM's failure domain.
     near: usize,
-    /// Where they are reached.
+    /// Addresses of all peers for VM-to-VM traffic.
     addresses: collections::HashSet<net::SocketAddr>,
-    /// Names by the hash that most datagrams carry in their place.
+    /// Names of peers by the sender hash, which most datagrams carry instead of the name.
     senders: collections::HashMap<u64, String>,
-    /// Addresses that were told but not heard from, with the time of the last greeting.
-    told: collections::BTreeMap<net::SocketAddr, Option<time::Instant>>,
+    /// Addresses that were reported but have not answered, with the time of the last greeting.
+    unanswered: collections::BTreeMap<net::SocketAddr, Option<time::Instant>>,
 }
 
-/// Time between two greetings of an address that does not answer.
-const GREETING_GAP: time::Duration = time::Duration::from_secs(1);
-/// Addresses that are greeted without an answer; more are dropped.
-const MOST_TOLD: usize = 512;
+/// Interval between two greetings of an address that does not answer.
+const GREETING_INTERVAL: time::Duration = time::Duration::from_secs(1);
+/// Maximum number of addresses to greet that have not answered; further ones are dropped.
+const MAX_UNANSWERED: usize = 512;
 
 impl PeerTable {
-    /// Knows nobody yet.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(own_domain: &str) -> Self {
         Self {
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Takes the part of a datagram that speaks of its sender.
+    /// Updates the table from the fields of a datagram that describe its sender.
     pub fn take(&mut self, datagram: &message::PeerDatagram, now: time::Instant) -> PeerChange {
         if datagram.name.is_empty() {
             self.take_known(datagram, now)
@@ -173,27 +177,28 @@
         }
     }
 
-    /// Takes a datagram of a VM that is known, by its hash.
+    /// Handles a datagram that identifies a known VM by its sender hash.
     fn take_known(&mut self, datagram: &message::PeerDatagram, now: time::Instant) -> PeerChange {
-        let (near, far) = self.heard_for();
+        let (near, far) = self.alive_time();
         let name = self.senders.get(&datagram.sender);
         let known = name.and_then(|name| self.peers.get_mut(name));
         match known {
             Some(peer) if peer.sequence < datagram.sequence => {
-                let heard_for = if peer.near { near } else { far };
-                peer.take(datagram, heard_for, now)
+                let alive_time = if peer.near { near } else { far };
+                peer.take(datagram, alive_time, now)
             }
             _ => PeerChange::Stale,
         }
     }
 
-    /// Takes a datagram that says who sent it.
+    /// Handles a datagram that carries the sender's name and addresses.
     fn take_introduced(
         &mut self,
         datagram: &message::PeerDatagram,
         now: time::Instant,
     ) -> PeerChange {
-        let Some(mut record) = PeerRecord::introduced(datagram, &self.own_domain, now) else {
+        let Some(mut record) = PeerRecord::from_introduction(datagram, &self.own_domain, now)
+        else {
             return PeerChange::Stale;
         };
         if let Some(known) = self.peers.get(&datagram.name) {
@@ -202,15 +207,16 @@
                 return PeerChange::Stale;
             }
             record.stage = known.stage;
-            record.heard_until = known.heard_until;
-            // What a process before sent late would else count as of this one, whose numbers begin anew.
+            record.alive_until = known.alive_until;
+            // Late datagrams of an earlier process would otherwise count for the current one, whose
+            // sequence numbers start again.
             self.senders.remove(&known.sender);
         }
-        let (near, far) = self.heard_for();
-        let heard_for = if record.near { near } else { far };
-        let change = record.take(datagram, heard_for, now);
+        let (near, far) = self.alive_time();
+        let alive_time = if record.near { near } else { far };
+        let change = record.take(datagram, alive_time, now);
         let address = record.link_address;
-        self.told.remove(&address);
+        self.unanswered.remove(&address);
         self.senders.insert(datagram.sender, datagram.name.clone());
         let before = self.peers.insert(datagram.name.clone(), record);
         self.near += usize::from(datagram.domain == self.own_domain);
@@ -223,17 +229,18 @@
         change
     }
 
-    /// How long a VM of this failure domain and one of another count as heard after a datagram.
-    fn heard_for(&self) -> (time::Duration, time::Duration) {
-        let near = self.speak_gap();
+    /// Returns how long a VM of this failure domain and one of another domain count as alive after
+    /// a datagram.
+    fn alive_time(&self) -> (time::Duration, time::Duration) {
+        let near = self.announce_interval();
         let far = if audience::is_large(self.len()) {
             near * u32::try_from(audience::FAR_TURNS).unwrap_or(u32::MAX)
         } else {
             near
         };
         (
-            HEARD_LEAST.max(near * HEARD_GAPS),
-            HEARD_LEAST.max(far * HEARD_GAPS),
+            MIN_ALIVE_TIME.max(near * ALIVE_INTERVALS),
+            MIN_ALIVE_TIME.max(far * ALIVE_INTERVALS),
         )
     }
 
@@ -242,20 +249,20 @@
         self.addresses = addresses.collect();
     }
 
-    /// An address of another VM, from settings, the store or another VM.
-    pub fn tell(&mut self, address: net::SocketAddr) {
-        if !self.addresses.contains(&address) && self.told.len() < MOST_TOLD {
-            self.told.entry(address).or_default();
+    /// Adds an address of another VM, from the settings, the store or another VM.
+    pub fn add_address(&mut self, address: net::SocketAddr) {
+        if !self.addresses.contains(&address) && self.unanswered.len() < MAX_UNANSWERED {
+            self.unanswered.entry(address).or_default();
         }
     }
 
-    /// Addresses that should be greeted now.
+    /// Returns the addresses that are due for a greeting and notes the time.
     pub fn greetings(&mut self, now: time::Instant) -> Vec<net::SocketAddr> {
         let due = |last: &Option<time::Instant>| {
-            last.is_none_or(|at| now.saturating_duration_since(at) >= GREETING_GAP)
+            last.is_none_or(|at| now.saturating_duration_since(at) >= GREETING_INTERVAL)
         };
         let mut greeted = Vec::new();
-        for (address, last) in &mut self.told {
+        for (address, last) in &mut self.unanswered {
             if due(last) {
                 *last = Some(now);
                 greeted.push(*address);
@@ -264,31 +271,32 @@
         greeted
     }
 
-    /// Time between two datagrams of a VM that has nothing new to say.
+    /// Interval between two datagrams of a VM that has nothing new to send.
     #[must_use]
-    pub fn speak_gap(&self) -> time::Duration {
-        let told = if audience::is_large(self.len()) {
+    pub fn announce_interval(&self) -> time::Duration {
+        let recipient_count = if audience::is_large(self.len()) {
             self.near + (self.len() - self.near) / audience::FAR_TURNS as usize
         } else {
             self.len()
         };
-        let gap = SPEAK_GAP + SPEAK_GAP_EACH * u32::try_from(told).unwrap_or(u32::MAX);
-        gap.min(SPEAK_GAP_MOST)
+        let interval = ANNOUNCE_INTERVAL
+            + ANNOUNCE_INTERVAL_PER_VM * u32::try_from(recipient_count).unwrap_or(u32::MAX);
+        interval.min(MAX_ANNOUNCE_INTERVAL)
     }
 
-    /// Other VMs that are known, heard or not.
+    /// Number of known VMs, alive or not.
     #[must_use]
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Other VMs of this one's failure domain that are known.
+    /// Number of known VMs in this VM's failure domain.
     #[must_use]
-    pub const fn near(&self) -> usize {
+    pub const fn near_count(&self) -> usize {
         self.near
     }
 
-    /// Where the VM that sends with this hash is reached.
+    /// Address of the VM that sends with this hash.
     #[must_use]
     pub fn address_of(&self, sender: u64) -> Option<net::SocketAddr> {
         let name = self.senders.get(&sender)?;
@@ -307,50 +315,51 @@
         &self.own_domain
     }
 
-    /// Forgets VMs that are gone for long.
+    /// Removes VMs that have been silent for longer than [`PEER_RETENTION`].
     pub fn sweep(&mut self, now: time::Instant) {
         self.peers
-            .retain(|_, peer| now.saturating_duration_since(peer.heard_at) < KEPT);
+            .retain(|_, peer| now.saturating_duration_since(peer.received_at) < PEER_RETENTION);
         self.near = self.peers.values().filter(|peer| peer.near).count();
         self.collect_addresses();
         let peers = &self.peers;
         self.senders.retain(|_, name| peers.contains_key(name));
     }
 
-    /// All known VMs but this one.
+    /// All known VMs except this one.
     pub fn all(&self) -> impl Iterator<Item = (&String, &PeerRecord)> {
         self.peers.iter()
     }
 
-    /// VMs that share limits, this one included.
+    /// Number of VMs that share limits, including this one.
     #[must_use]
-    pub fn counted(&self, now: time::Instant) -> u32 {
+    pub fn limit_share_count(&self, now: time::Instant) -> u32 {
         let others = self
             .peers
             .values()
-            .filter(|peer| now.saturating_duration_since(peer.heard_at) < COUNTED)
+            .filter(|peer| now.saturating_duration_since(peer.received_at) < LIMIT_SHARE_TIME)
             .count();
         u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1)
     }
 
-    /// Memory planned for generations of a service that wait at other VMs and go before one of `rank`.
+    /// Memory planned for generations of a service that wait at other VMs and go before one of
+    /// `rank`.
     #[must_use]
     pub fn waiting_before(&self, service: u32, rank: wait::WaitRank, now: time::Instant) -> u64 {
-        let heard = self.peers.values().filter(|peer| peer.is_heard(now));
-        heard
+        let alive = self.peers.values().filter(|peer| peer.is_alive(now));
+        alive
             .flat_map(|peer| &peer.waiting)
             .filter(|item| item.service == service)
             .map(|item| item.before(rank))
             .sum()
     }
 
-    /// VMs that are heard, this one included.
+    /// Number of VMs that count as alive, including this one.
     #[must_use]
-    pub fn heard(&self, now: time::Instant) -> u32 {
+    pub fn alive_count(&self, now: time::Instant) -> u32 {
         let others = self
             .peers
             .values()
-            .filter(|peer| peer.is_heard(now))
+            .filter(|peer| peer.is_alive(now))
             .count();
         u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1)
     }
--- a/crates/exchange/src/speak.rs
+++ b/crates/exchange/src/speak.rs
@@ -120,7 +120,7 @@
         SpeakCause::Loads | SpeakCause::News => !audience::is_large(state.peers.len()),
     };
     if told {
-        time::Instant::now() + state.peers.speak_gap()
+        time::Instant::now() + state.peers.announce_interval()
     } else {
         due
     }
@@ -135,7 +135,7 @@
     let (large, tells_loads) = {
         let state = plane.state();
         let large = audience::is_large(state.peers.len());
-        let tells_loads = !large || state.peers.near() < MOST_TOLD_LOADS;
+        let tells_loads = !large || state.peers.near_count() < MOST_TOLD_LOADS;
         (large, tells_loads)
     };
     let news_gap = if large { NEWS_GAP } else { LOADS_GAP };
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -101,7 +101,7 @@
         let mut peers = peers::PeerTable::new(&settings.domain);
         for &seed in &settings.seeds {
             if seed != settings.link_address {
-                peers.tell(seed);
+                peers.add_address(seed);
             }
         }
         Self {
@@ -225,7 +225,7 @@
         let ahead = self
             .peers
             .all()
-            .filter(|(_, peer)| peer.is_heard(now) && peer.store_away == self.store_away)
+            .filter(|(_, peer)| peer.is_alive(now) && peer.store_away == self.store_away)
             .filter(|(name, _)| rank(name) < own)
             .count();
         ahead
@@ -351,7 +351,7 @@
         rank: wait::WaitRank,
         now: time::Instant,
     ) -> Result<(fleet::RunKey, fleet::ServerKey), place::PlaceOutcome> {
-        let entries = self.peers.heard(now);
+        let entries = self.peers.alive_count(now);
         let yielded_tokens = self
             .peers
             .waiting_before(service_hash(&ask.service), rank, now);
@@ -444,7 +444,7 @@
     /// Takes one further try of a service, if this VM has one left.
     pub fn take_retry(&mut self, service: &str, now: time::Instant) -> bool {
         let rule = self.settings.retries;
-        let entries = self.peers.counted(now);
+        let entries = self.peers.limit_share_count(now);
         self.budget(service).take(&rule, entries, now)
     }
 
@@ -457,7 +457,7 @@
     /// Further tries of a service that this VM has left.
     pub fn retries_left(&mut self, service: &str, now: time::Instant) -> f64 {
         let rule = self.settings.retries;
-        let entries = self.peers.counted(now);
+        let entries = self.peers.limit_share_count(now);
         self.budget(service).left(&rule, entries, now)
     }
 
--- a/crates/exchange/tests/audience.rs
+++ b/crates/exchange/tests/audience.rs
@@ -95,7 +95,7 @@
             let told = audience::regular(&table, turn as u64, now);
             for (name, peer) in table.all() {
                 let missed = missed.entry(name.clone()).or_default();
-                let counts = peer.is_heard(now) && !told.contains(&peer.link_address);
+                let counts = peer.is_alive(now) && !told.contains(&peer.link_address);
                 *missed = if counts { *missed + 1 } else { 0 };
                 assert!(*missed < audience::FAR_TURNS, "{name}: {missed} turns");
             }
--- a/crates/exchange/tests/world/herd.rs
+++ b/crates/exchange/tests/world/herd.rs
@@ -348,7 +348,7 @@
                 regular.into_iter().map(super::vm_number).collect()
             };
             let told = speak::introduction(&mut state);
-            (told, audience, state.peers.speak_gap())
+            (told, audience, state.peers.announce_interval())
         };
         if !audience.is_empty() {
             due = Instant::now() + gap;
