--- a/crates/exchange/src/audience.rs
+++ b/crates/exchange/src/audience.rs
@@ -15,25 +15,25 @@
 
 /// Number of VMs up to which each sends to all others every time. At 100 VMs with ten servers each,
 /// a VM sends and receives 57 KB a second this way; at 300 it was 1.4 MB.
-pub const MESH_MOST: usize = 128;
+pub const MAX_MESH_VMS: usize = 128;
 /// Number of turns in which each VM of another failure domain receives one datagram. Its view of
 /// the sender's load is then at most 2.4 s old, which is still accepted.
 pub const FAR_TURNS: u64 = 4;
 /// Number of VMs on each side of a group that also receive its updates, because relays may know of
 /// slightly more or fewer VMs than others do.
-const PART_OVERLAP: usize = 2;
+const GROUP_OVERLAP: usize = 2;
 
 /// Whether there are too many VMs for a full mesh.
 #[must_use]
 pub const fn is_large(others: usize) -> bool {
-    others > MESH_MOST
+    others > MAX_MESH_VMS
 }
 
 /// All VMs that count as alive.
 #[must_use]
-pub fn heard(table: &peers::PeerTable, now: time::Instant) -> Vec<net::SocketAddr> {
-    let heard = table.all().filter(|(_, peer)| peer.is_alive(now));
-    heard.map(|(_, peer)| peer.link_address).collect()
+pub fn alive(table: &peers::PeerTable, now: time::Instant) -> Vec<net::SocketAddr> {
+    let alive = table.all().filter(|(_, peer)| peer.is_alive(now));
+    alive.map(|(_, peer)| peer.link_address).collect()
 }
 
 /// Known VMs that do not count as alive.
@@ -46,8 +46,8 @@
 /// VMs of this VM's failure domain that count as alive.
 #[must_use]
 pub fn near(table: &peers::PeerTable, now: time::Instant) -> Vec<net::SocketAddr> {
-    let heard = table.all().filter(|(_, peer)| peer.is_alive(now));
-    let near = heard.filter(|(_, peer)| peer.near);
+    let alive = table.all().filter(|(_, peer)| peer.is_alive(now));
+    let near = alive.filter(|(_, peer)| peer.near);
     near.map(|(_, peer)| peer.link_address).collect()
 }
 
@@ -55,7 +55,7 @@
 #[must_use]
 pub fn regular(table: &peers::PeerTable, turn: u64, now: time::Instant) -> Vec<net::SocketAddr> {
     if !is_large(table.len()) {
-        return heard(table, now);
+        return alive(table, now);
     }
     // Turns go by the position among all known VMs. If they went by the position among those alive,
     // each VM that falls silent would shift others to a turn that has just passed, so that they
@@ -68,14 +68,14 @@
         far += 1;
         far % FAR_TURNS == turn % FAR_TURNS
     });
-    let heard = due.filter(|(_, peer)| peer.is_alive(now));
-    heard.map(|(_, peer)| peer.link_address).collect()
+    let alive = due.filter(|(_, peer)| peer.is_alive(now));
+    alive.map(|(_, peer)| peer.link_address).collect()
 }
 
 /// Relays: the VMs that receive updates directly, one of each group, each to forward them to its
 /// group. `None` while all VMs receive updates directly.
 #[must_use]
-pub fn tellers(
+pub fn relays(
     table: &peers::PeerTable,
     own: &str,
     turn: u64,
@@ -85,33 +85,37 @@
         return None;
     }
     let ranked = ranked(table, own, now);
-    let length = part_length(ranked.len());
-    let tellers = ranked.chunks(length).filter_map(|part| {
-        let others: Vec<_> = part.iter().flatten().collect();
-        let chosen = usize::try_from(turn).unwrap_or_default() % others.len().max(1);
-        others.get(chosen).map(|address| **address)
+    let length = group_length(ranked.len());
+    let relays = ranked.chunks(length).filter_map(|group| {
+        let others: Vec<_> = group.iter().flatten().collect();
+        let index = usize::try_from(turn).unwrap_or_default() % others.len().max(1);
+        others.get(index).map(|address| **address)
     });
-    Some(tellers.collect())
+    Some(relays.collect())
 }
 
 /// VMs to which this one forwards updates: its own group and a few VMs on each side.
 #[must_use]
-pub fn own_part(table: &peers::PeerTable, own: &str, now: time::Instant) -> Vec<net::SocketAddr> {
+pub fn relay_group(
+    table: &peers::PeerTable,
+    own: &str,
+    now: time::Instant,
+) -> Vec<net::SocketAddr> {
     let ranked = ranked(table, own, now);
-    let length = part_length(ranked.len());
+    let length = group_length(ranked.len());
     let rank = ranked.iter().position(Option::is_none).unwrap_or_default();
     let first = rank - rank % length;
-    let last = (first + length + PART_OVERLAP).min(ranked.len());
-    let part = &ranked[first.saturating_sub(PART_OVERLAP)..last];
-    part.iter().flatten().copied().collect()
+    let last = (first + length + GROUP_OVERLAP).min(ranked.len());
+    let group = &ranked[first.saturating_sub(GROUP_OVERLAP)..last];
+    group.iter().flatten().copied().collect()
 }
 
 /// All VMs that count as alive, ordered by failure domain and name, which gives the same order on
 /// each VM; this VM has no address. A group then lies within one domain except at its ends, which
 /// saves expensive traffic between domains.
 fn ranked(table: &peers::PeerTable, own: &str, now: time::Instant) -> Vec<Option<net::SocketAddr>> {
-    let heard = table.all().filter(|(_, peer)| peer.is_alive(now));
-    let placed = heard.map(|(name, peer)| {
+    let alive = table.all().filter(|(_, peer)| peer.is_alive(now));
+    let placed = alive.map(|(name, peer)| {
         let address = Some(peer.link_address);
         (peer.domain.as_str(), name.as_str(), address)
     });
@@ -123,6 +127,6 @@
 
 /// Length of a group: there are as many groups as each has members. The first sender and each relay
 /// then send equally much, and the total is smallest.
-fn part_length(vms: usize) -> usize {
+fn group_length(vms: usize) -> usize {
     vms.isqrt().max(1)
 }
--- a/crates/exchange/src/catchup.rs
+++ b/crates/exchange/src/catchup.rs
@@ -14,18 +14,18 @@
 
 /// How long most VMs must have a different view of the servers before this VM requests the
 /// difference from one of them.
-pub const DIFFERS_FOR: time::Duration = time::Duration::from_millis(400);
+pub const DIFFERENCE_DELAY: time::Duration = time::Duration::from_millis(400);
 /// Maximum size of a state reply: a configuration of 38,000 organisations takes about 8 MB.
-const MOST_STATE: usize = 32 * 1_024 * 1_024;
+const MAX_STATE_BYTES: usize = 32 * 1_024 * 1_024;
 /// Time without a byte after which a state exchange is aborted.
-const STATE_SILENCE: time::Duration = time::Duration::from_millis(700);
+const STATE_IDLE_TIMEOUT: time::Duration = time::Duration::from_millis(700);
 /// Maximum duration of a state exchange.
-const STATE_MOST: time::Duration = time::Duration::from_secs(20);
+const STATE_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 /// Limits of a state exchange.
 const STATE_LIMIT: transfer::TransferLimit = transfer::TransferLimit {
-    first: STATE_SILENCE,
-    silence: STATE_SILENCE,
-    whole: STATE_MOST,
+    first: STATE_IDLE_TIMEOUT,
+    silence: STATE_IDLE_TIMEOUT,
+    whole: STATE_TIMEOUT,
 };
 /// Limits while the requester has only a part of the list of servers, and for the VM that replies.
 /// The first byte may take longer, because other VMs send requests at the same time.
@@ -35,35 +35,35 @@
 };
 /// Mean pause of a VM that lacks a configuration or a part of the list, after the VM that it asked
 /// was busy.
-const RETRY_GAP: time::Duration = time::Duration::from_millis(100);
+const RETRY_INTERVAL: time::Duration = time::Duration::from_millis(100);
 /// A list reply is long from this many servers on that the requester does not know.
-const LONG_LIST: usize = 200;
+const LONG_LIST_SERVERS: usize = 200;
 /// A document reply is long from this many bytes on that the requester does not have.
-const LONG_DOCUMENT: usize = 32 * 1_024;
+const LONG_DOCUMENT_BYTES: usize = 32 * 1_024;
 /// Maximum number of long replies that one VM sends at the same time.
-const MOST_LONG: usize = 2;
+const MAX_LONG_REPLIES: usize = 2;
 /// Interval between two checks whether another VM has newer state.
-const LOOK_GAP: time::Duration = time::Duration::from_millis(60);
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(60);
 /// Time for the store to deliver a configuration to a VM that reads the store for all, before it is
 /// requested from a VM that has it.
-const STORE_FIRST: time::Duration = time::Duration::from_millis(500);
+const STORE_GRACE: time::Duration = time::Duration::from_millis(500);
 /// Base interval between two state requests.
-const STATE_GAP: time::Duration = time::Duration::from_millis(300);
+const REQUEST_INTERVAL: time::Duration = time::Duration::from_millis(300);
 /// Added to the interval for each server. Where thousands of servers come and go, no two VMs ever
 /// have exactly the same view, and each sends requests all the time. A request carries 5 bytes per
 /// server: at 3,000 servers that makes 12 KB a second. A notice that was lost twice is recovered
 /// within this and [`DIFFERENCE_DELAY`]: a notice of leaving must be known everywhere within about
 /// two seconds.
-const STATE_GAP_EACH: time::Duration = time::Duration::from_micros(300);
+const REQUEST_INTERVAL_PER_SERVER: time::Duration = time::Duration::from_micros(300);
 
 /// State requests to other VMs.
 pub trait PeerPort {
     /// Requests state from the VM at an address; `meter` counts the bytes received. An error means
     /// that the VM is unreachable or busy.
-    fn ask_state(
+    fn request_state(
         &self,
         address: net::SocketAddr,
-        ask: &message::StateAsk,
+        request: &message::StateRequest,
         meter: &transfer::TransferMeter,
     ) -> impl Future<Output = io::Result<message::StateReply>>;
 }
@@ -73,16 +73,16 @@
 pub struct TcpPeers;
 
 impl PeerPort for TcpPeers {
-    async fn ask_state(
+    async fn request_state(
         &self,
         address: net::SocketAddr,
-        ask: &message::StateAsk,
+        request: &message::StateRequest,
         meter: &transfer::TransferMeter,
     ) -> io::Result<message::StateReply> {
         let stream = sockets::TcpStream::connect(address).await?;
         let stream = taps::InspectReader::new(stream, |bytes: &[u8]| meter.note(bytes.len()));
         let mut framed = codec::Framed::new(stream, state_codec());
-        framed.send(Bytes::from(ask.encode_to_vec())).await?;
+        framed.send(Bytes::from(request.encode_to_vec())).await?;
         let frame = framed.next().await.ok_or(io::ErrorKind::UnexpectedEof)??;
         message::StateReply::decode(frame).map_err(io::Error::other)
     }
@@ -95,45 +95,45 @@
     decode: follow::DocumentDecoder,
 ) {
     loop {
-        time::sleep(LOOK_GAP).await;
+        time::sleep(CHECK_INTERVAL).await;
         note_difference(&mut plane.state());
-        let Some(address) = who_knows_more(&plane) else {
+        let Some(address) = choose_source(&plane) else {
             continue;
         };
-        let whole = plane.state().servers_whole;
-        let ask = state_ask(&plane.state());
+        let complete = plane.state().servers_whole;
+        let request = state_request(&plane.state());
         let base = plane.state().document.clone();
         let behind = plane.state().behind_since.is_some();
         if behind {
             plane.state().peers_asked_at = Some(time::Instant::now());
         }
-        let limit = if whole { STATE_LIMIT } else { LIST_LIMIT };
+        let limit = if complete { STATE_LIMIT } else { LIST_LIMIT };
         let meter = plane.state().from_peers.clone();
-        let asking = port.ask_state(address, &ask, &meter);
-        let reply = meter.limit(&limit, asking).await;
+        let exchange = port.request_state(address, &request, &meter);
+        let reply = meter.limit(&limit, exchange).await;
         let taken = match reply {
             Ok(Ok(reply)) => {
                 take_state(&plane, &base, reply, decode);
                 true
             }
-            Ok(Err(fault)) => {
+            Ok(Err(error)) => {
                 count_failed("refused");
-                log::debug!(vm:% = address, fault:% = fault; "VM gave no state");
+                log::debug!(vm:% = address, fault:% = error; "VM did not send its state");
                 false
             }
             Err(stalled) => {
                 count_failed("late");
-                log::warn!(vm:% = address, fault:% = stalled; "state of another VM not whole");
+                log::warn!(vm:% = address, fault:% = stalled; "state reply of another VM is incomplete");
                 false
             }
         };
-        let still_behind = behind && plane.state().version() == ask.catalog_version;
-        let gap = if still_behind || !whole && !taken {
-            RETRY_GAP.mul_f64(0.5 + plane.state().draw())
+        let still_behind = behind && plane.state().version() == request.catalog_version;
+        let interval = if still_behind || !complete && !taken {
+            RETRY_INTERVAL.mul_f64(0.5 + plane.state().draw())
         } else {
-            pace(ask.ready.len() + ask.leaving.len())
+            request_interval(request.ready.len() + request.leaving.len())
         };
-        time::sleep(gap).await;
+        time::sleep(interval).await;
     }
 }
 
@@ -143,13 +143,13 @@
 
 /// Interval until the next state request.
 #[must_use]
-pub fn pace(servers: usize) -> time::Duration {
-    STATE_GAP + STATE_GAP_EACH * u32::try_from(servers).unwrap_or(u32::MAX)
+pub fn request_interval(servers: usize) -> time::Duration {
+    REQUEST_INTERVAL + REQUEST_INTERVAL_PER_SERVER * u32::try_from(servers).unwrap_or(u32::MAX)
 }
 
 /// Creates a request for the differences between another VM's state and this one's.
 #[must_use]
-pub fn state_ask(state: &state::PlaneState) -> message::StateAsk {
+pub fn state_request(state: &state::PlaneState) -> message::StateRequest {
     let hashes = |standing| {
         let servers = state.fleet.servers();
         let servers = servers.filter(move |(_, server)| server.standing == standing);
@@ -162,7 +162,7 @@
     } else {
         Vec::new()
     };
-    message::StateAsk {
+    message::StateRequest {
         catalog_version: state.version(),
         ready: hashes(server::ServerStanding::Ready).collect(),
         leaving: hashes(server::ServerStanding::Leaving).collect(),
@@ -201,13 +201,13 @@
 
 /// Selects a VM that has a newer configuration, a complete list of servers that this VM lacks, or a
 /// different view of the servers.
-fn who_knows_more<P>(plane: &plane::ExchangePlane<P>) -> Option<net::SocketAddr> {
+fn choose_source<P>(plane: &plane::ExchangePlane<P>) -> Option<net::SocketAddr> {
     let mut state = plane.state();
     let now = time::Instant::now();
     let version = state.version();
     // Choose at random among the candidates, so that no single VM has to serve all others.
     let draw = (state.draw() * 1e6) as usize;
-    let heard = || {
+    let alive = || {
         state
             .peers
             .all()
@@ -217,35 +217,35 @@
     let late = !state.from_store.is_moving()
         && state.behind_since.is_some_and(|since| {
             let first = if state.reads_store(now) && !state.store_away {
-                STORE_FIRST
+                STORE_GRACE
             } else {
                 time::Duration::ZERO
             };
             now.saturating_duration_since(since) >= first
         });
-    let newer = heard().filter(|peer| late && peer.catalog_version > version);
-    let newer = near_first(newer.collect());
+    let newer = alive().filter(|peer| late && peer.catalog_version > version);
+    let newer = prefer_near(newer.collect());
     let newer = newer.get(draw % newer.len().max(1)).copied();
     let newer = newer.or_else(|| {
-        let whole = heard().filter(|peer| !state.servers_whole && !peer.partial);
-        let asked = near_first(whole.collect());
-        asked.get(draw % asked.len().max(1)).copied()
+        let complete = alive().filter(|peer| !state.servers_whole && !peer.partial);
+        let candidates = prefer_near(complete.collect());
+        candidates.get(draw % candidates.len().max(1)).copied()
     });
     let differs = state
         .differs_since
-        .is_some_and(|since| now.saturating_duration_since(since) >= DIFFERS_FOR);
+        .is_some_and(|since| now.saturating_duration_since(since) >= DIFFERENCE_DELAY);
     let own = state.fleet.standing_hash();
     let newer = newer.or_else(|| {
-        let other = heard().filter(|peer| differs && peer.standing_hash != own);
-        let asked = worth_asking(other.collect(), &state.settings.domain);
-        asked.get(draw % asked.len().max(1)).copied()
+        let other = alive().filter(|peer| differs && peer.standing_hash != own);
+        let candidates = preferred_sources(other.collect(), &state.settings.domain);
+        candidates.get(draw % candidates.len().max(1)).copied()
     });
     newer.map(|peer| peer.link_address)
 }
 
 /// The candidates in this VM's failure domain if there are at least two, because traffic between
 /// domains is expensive; otherwise all. A single one would have to serve its whole domain.
-fn near_first(peers: Vec<&peers::PeerRecord>) -> Vec<&peers::PeerRecord> {
+fn prefer_near(peers: Vec<&peers::PeerRecord>) -> Vec<&peers::PeerRecord> {
     let near = peers.iter().filter(|peer| peer.near);
     let near: Vec<_> = near.copied().collect();
     if near.len() > 1 { near } else { peers }
@@ -255,7 +255,7 @@
 /// common view, because a VM that was cut off has a different view too. Of these, prefers VMs of
 /// this failure domain, because traffic between domains is expensive.
 #[must_use]
-pub fn worth_asking<'a>(
+pub fn preferred_sources<'a>(
     others: Vec<&'a peers::PeerRecord>,
     domain: &str,
 ) -> Vec<&'a peers::PeerRecord> {
@@ -263,10 +263,10 @@
     for peer in &others {
         *counts.entry(peer.standing_hash).or_default() += 1;
     }
-    let most = counts.values().copied().max().unwrap_or_default();
+    let max = counts.values().copied().max().unwrap_or_default();
     let agreed = others
         .into_iter()
-        .filter(|peer| counts.get(&peer.standing_hash) == Some(&most));
+        .filter(|peer| counts.get(&peer.standing_hash) == Some(&max));
     let (near, far): (Vec<_>, Vec<_>) = agreed.partition(|peer| peer.domain == domain);
     if near.is_empty() { far } else { near }
 }
@@ -314,16 +314,16 @@
     let Some(delta) = &reply.delta else {
         return (!reply.catalog.is_empty()).then(|| reply.catalog.clone());
     };
-    let applied = base.apply(delta).map_err(|fault| {
+    let applied = base.apply(delta).map_err(|error| {
         count_failed("delta");
-        log::warn!(fault:% = fault; "document not taken, the next one is asked for whole");
+        log::warn!(fault:% = error; "document delta can't be applied; requesting the complete document next");
         plane.state().delta_failed = true;
     });
     applied.ok()
 }
 
 /// Serves state requests of other VMs.
-pub(crate) async fn answer_states<P: 'static>(
+pub(crate) async fn serve_state_requests<P: 'static>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
     listener: sockets::TcpListener,
 ) {
@@ -335,15 +335,15 @@
         let plane = plane.clone();
         tokio::task::spawn_local(async move {
             let meter = transfer::TransferMeter::default();
-            let answering = answer_state(plane, stream, &meter);
-            if let Err(stalled) = meter.limit(&LIST_LIMIT, answering).await {
-                log::debug!(fault:% = stalled; "a VM does not take the state that it asked for");
+            let serving = serve_state_request(plane, stream, &meter);
+            if let Err(stalled) = meter.limit(&LIST_LIMIT, serving).await {
+                log::debug!(fault:% = stalled; "VM does not read the state that it requested");
             }
         });
     }
 }
 
-async fn answer_state<P>(
+async fn serve_state_request<P>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
     stream: sockets::TcpStream,
     meter: &transfer::TransferMeter,
@@ -351,8 +351,8 @@
     let stream = taps::InspectWriter::new(stream, |bytes: &[u8]| meter.note(bytes.len()));
     let mut framed = codec::Framed::new(stream, state_codec());
     let frame = framed.next().await.ok_or(io::ErrorKind::UnexpectedEof)??;
-    let ask = message::StateAsk::decode(frame).map_err(io::Error::other)?;
-    let (reply, _guard) = answer(&plane, &ask).ok_or(io::ErrorKind::ResourceBusy)?;
+    let request = message::StateRequest::decode(frame).map_err(io::Error::other)?;
+    let (reply, _guard) = answer(&plane, &request).ok_or(io::ErrorKind::ResourceBusy)?;
     framed.send(Bytes::from(reply.encode_to_vec())).await?;
     // Data in the socket's buffer counts as being sent until the requester closes the connection.
     framed.next().await.transpose().map(drop)
@@ -360,9 +360,9 @@
 
 /// Counts a long reply as being sent until dropped.
 #[derive(Debug)]
-pub struct LongGuard<P>(rc::Rc<plane::ExchangePlane<P>>);
+pub struct LongReplyGuard<P>(rc::Rc<plane::ExchangePlane<P>>);
 
-impl<P> Drop for LongGuard<P> {
+impl<P> Drop for LongReplyGuard<P> {
     fn drop(&mut self) {
         self.0.long_sent.set(self.0.long_sent.get() - 1);
     }
@@ -373,24 +373,24 @@
 /// restart, each reply would arrive late, and none could be passed on meanwhile.
 pub fn answer<P>(
     plane: &rc::Rc<plane::ExchangePlane<P>>,
-    ask: &message::StateAsk,
-) -> Option<(message::StateReply, Option<LongGuard<P>>)> {
+    request: &message::StateRequest,
+) -> Option<(message::StateReply, Option<LongReplyGuard<P>>)> {
     let mut state = plane.state();
     let known = state
         .fleet
         .servers()
         .filter(|(_, server)| server.is_listed());
-    let long_list = known.count() > ask.ready.len() + ask.leaving.len() + LONG_LIST;
-    let newer = state.version() > ask.catalog_version;
+    let long_list = known.count() > request.ready.len() + request.leaving.len() + LONG_LIST_SERVERS;
+    let newer = state.version() > request.catalog_version;
     let sent = plane.long_sent.get();
-    if (long_list || newer) && sent >= MOST_LONG {
+    if (long_list || newer) && sent >= MAX_LONG_REPLIES {
         return None;
     }
-    let reply = state_reply(&mut state, ask);
-    let long = long_list || document_bytes(&reply) > LONG_DOCUMENT;
+    let reply = state_reply(&mut state, request);
+    let long = long_list || document_bytes(&reply) > LONG_DOCUMENT_BYTES;
     let guard = long.then(|| {
         plane.long_sent.set(sent + 1);
-        LongGuard(plane.clone())
+        LongReplyGuard(plane.clone())
     });
     Some((reply, guard))
 }
@@ -405,10 +405,13 @@
 /// go, the complete state is 300 KB, of which the requester already knows all but a few hundred
 /// bytes.
 #[must_use]
-pub fn state_reply(state: &mut state::PlaneState, ask: &message::StateAsk) -> message::StateReply {
-    let newer = state.version() > ask.catalog_version;
-    let ready: collections::HashSet<_> = ask.ready.iter().copied().collect();
-    let leaving: collections::HashSet<_> = ask.leaving.iter().copied().collect();
+pub fn state_reply(
+    state: &mut state::PlaneState,
+    request: &message::StateRequest,
+) -> message::StateReply {
+    let newer = state.version() > request.catalog_version;
+    let ready: collections::HashSet<_> = request.ready.iter().copied().collect();
+    let leaving: collections::HashSet<_> = request.leaving.iter().copied().collect();
     let differs = |server: &server::ServerRecord| {
         let hash = server.name_hash();
         let known = match server.standing {
@@ -423,7 +426,7 @@
         .filter(|server| !server.superseded && differs(server))
         .map(|server| message::NewsItem::from(&server.news()));
     let news = news.collect();
-    let delta = (newer && ask.takes_delta).then(|| state.document.delta(&ask.pieces));
+    let delta = (newer && request.takes_delta).then(|| state.document.delta(&request.pieces));
     let catalog = if newer && delta.is_none() {
         state.document.bytes().clone()
     } else {
@@ -441,6 +444,6 @@
 
 fn state_codec() -> codec::LengthDelimitedCodec {
     codec::LengthDelimitedCodec::builder()
-        .max_frame_length(MOST_STATE)
+        .max_frame_length(MAX_STATE_BYTES)
         .new_codec()
 }
--- a/crates/exchange/src/follow.rs
+++ b/crates/exchange/src/follow.rs
@@ -12,29 +12,29 @@
 
 /// How long one call waits for a configuration: short enough that a connection that went silent
 /// costs less than the users' bound of 3 s for a VM to be in touch again.
-const CATALOG_WAIT: time::Duration = time::Duration::from_millis(2_500);
+const CATALOG_LONG_POLL: time::Duration = time::Duration::from_millis(2_500);
 /// Interval between two checks whether other VMs have a newer configuration.
-const BEHIND_GAP: time::Duration = time::Duration::from_millis(60);
+const BEHIND_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(60);
 /// Time for other VMs to deliver a configuration before a VM that does not read the store for all
 /// reads it there, and the random time added so that not all VMs do so at once.
-const PEERS_FIRST: time::Duration = time::Duration::from_millis(1_200);
-const PEERS_FIRST_SPREAD: time::Duration = time::Duration::from_millis(600);
+const PEERS_GRACE: time::Duration = time::Duration::from_millis(1_200);
+const PEERS_GRACE_JITTER: time::Duration = time::Duration::from_millis(600);
 /// The same where this VM has not requested the configuration from another VM.
-const PEERS_IDLE: time::Duration = time::Duration::from_millis(150);
+const PEERS_GRACE_UNREQUESTED: time::Duration = time::Duration::from_millis(150);
 /// Minimum interval between two reads of the configuration by a VM that does not read for all.
 /// Without it, in a burst of changes, one every 165 ms, 68 such VMs read each version: 3,629 calls
 /// a day at 74 VMs. Callers must see a change within 2 s.
-const STORM_GAP: time::Duration = time::Duration::from_millis(500);
+const MIN_CATALOG_READ_INTERVAL: time::Duration = time::Duration::from_millis(500);
 /// Pause after the store did not answer: within the first second after it is back, each VM is
 /// served.
-pub(crate) const AWAY_GAP: time::Duration = time::Duration::from_millis(400);
+pub(crate) const STORE_RETRY_INTERVAL: time::Duration = time::Duration::from_millis(400);
 
 /// Reason why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum StoreFault {
+pub enum StoreError {
     /// The store can't be reached, is slow or rejects this VM.
     #[snafu(display("the store did not answer"))]
-    Away,
+    Unavailable,
     /// The requested records were trimmed; read the newest ones instead.
     #[snafu(display("the store no longer has these records"))]
     Trimmed,
@@ -42,9 +42,9 @@
 
 /// Server updates up to one position in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct NewsPage {
+pub struct UpdatePage {
     /// Records, oldest first.
-    pub news: Vec<news::ServerNews>,
+    pub updates: Vec<news::ServerNews>,
     /// Position from which to continue reading.
     pub end: u64,
     /// Name after which the list continues; `None` on its last page.
@@ -69,70 +69,77 @@
     fn read_servers(
         &self,
         after: Option<&str>,
-    ) -> impl Future<Output = Result<NewsPage, StoreFault>>;
+    ) -> impl Future<Output = Result<UpdatePage, StoreError>>;
 
     /// Reads the server updates since `from`.
-    fn read_news(&self, from: u64) -> impl Future<Output = Result<NewsPage, StoreFault>>;
+    fn read_updates(&self, from: u64) -> impl Future<Output = Result<UpdatePage, StoreError>>;
 
     /// Reads the newest document.
-    fn read_document(&self) -> impl Future<Output = Result<DocumentPage, StoreFault>>;
+    fn read_document(&self) -> impl Future<Output = Result<DocumentPage, StoreError>>;
 
     /// Waits for a document at or after position `from`.
     fn wait_document(
         &self,
         from: u64,
         wait: time::Duration,
-    ) -> impl Future<Output = Result<DocumentPage, StoreFault>>;
+    ) -> impl Future<Output = Result<DocumentPage, StoreError>>;
 
     /// Meter of the document transfer in progress.
-    fn arriving(&self) -> transfer::TransferMeter;
+    fn document_meter(&self) -> transfer::TransferMeter;
 
     /// Returns the system that the store belongs to, which becomes `proposed` if none was stored
     /// yet. All callers get the same one.
     fn system(
         &self,
         proposed: system::SystemId,
-    ) -> impl Future<Output = Result<system::SystemId, StoreFault>>;
+    ) -> impl Future<Output = Result<system::SystemId, StoreError>>;
 
     /// Stores the address at which other VMs reach this one.
     fn register(
         &self,
         name: &str,
         address: net::SocketAddr,
-    ) -> impl Future<Output = Result<(), StoreFault>>;
+    ) -> impl Future<Output = Result<(), StoreError>>;
 
     /// Addresses of the VMs that are registered in the store.
-    fn registered(&self) -> impl Future<Output = Result<Vec<net::SocketAddr>, StoreFault>>;
+    fn registered(&self) -> impl Future<Output = Result<Vec<net::SocketAddr>, StoreError>>;
 }
 
 /// Time for VMs to find each other through the addresses in their settings.
-const MEET_AFTER: time::Duration = time::Duration::from_millis(2_500);
+const DISCOVERY_DELAY: time::Duration = time::Duration::from_millis(2_500);
 /// Maximum random delay before VMs whose settings name no others look for them in the store. VMs
 /// that are found meanwhile need not look. VMs that all restart at once know nothing of each
 /// other's streams until they find each other.
-const MEET_SPREAD: time::Duration = time::Duration::from_millis(300);
+const MAX_DISCOVERY_JITTER: time::Duration = time::Duration::from_millis(300);
 /// Interval between two checks whether this VM must be registered in the store.
-const MEET_LOOK: time::Duration = time::Duration::from_secs(1);
+const DISCOVERY_CHECK_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Pause before another attempt to register.
-const REGISTER_GAP: time::Duration = time::Duration::from_millis(700);
+const REGISTER_RETRY_INTERVAL: time::Duration = time::Duration::from_millis(700);
 
 /// Registers this VM in the store and reads the addresses of the others there, once this VM is one
 /// of those that read the store for all. While enough other VMs are registered, it need not be.
-pub async fn meet<P, S: StorePort>(plane: rc::Rc<plane::ExchangePlane<P>>, store: rc::Rc<S>) {
-    let (name, own, meet_after) = {
+pub async fn discover_peers<P, S: StorePort>(
+    plane: rc::Rc<plane::ExchangePlane<P>>,
+    store: rc::Rc<S>,
+) {
+    let (name, own, discovery_delay) = {
         let mut state = plane.state();
-        let alone = state.settings.seeds.is_empty();
-        let spread = MEET_SPREAD.mul_f64(state.draw());
-        let meet_after = if alone { spread } else { MEET_AFTER };
+        let no_seeds = state.settings.seeds.is_empty();
+        let jitter = MAX_DISCOVERY_JITTER.mul_f64(state.draw());
+        let discovery_delay = if no_seeds { jitter } else { DISCOVERY_DELAY };
         let settings = &state.settings;
-        (settings.name.clone(), settings.link_address, meet_after)
+        (
+            settings.name.clone(),
+            settings.link_address,
+            discovery_delay,
+        )
     };
-    time::sleep(meet_after).await;
+    time::sleep(discovery_delay).await;
     while !plane.state().reads_store(time::Instant::now()) {
-        time::sleep(MEET_LOOK).await;
+        time::sleep(DISCOVERY_CHECK_INTERVAL).await;
     }
     while store.register(&name, own).await.is_err() {
-        time::sleep(REGISTER_GAP).await;
+        time::sleep(REGISTER_RETRY_INTERVAL).await;
     }
     loop {
         if let Ok(addresses) = store.registered().await {
@@ -142,7 +149,7 @@
             }
             return;
         }
-        time::sleep(REGISTER_GAP).await;
+        time::sleep(REGISTER_RETRY_INTERVAL).await;
     }
 }
 
@@ -166,12 +173,12 @@
             if taken {
                 log::info!(version, source:% = source; "configuration in force");
                 plane.stir();
-                tell_version(plane, source);
+                announce_version(plane, source);
             }
         }
-        Err(fault) => {
+        Err(error) => {
             metrics::counter!("pollenchute_exchange_documents_refused_total").increment(1);
-            log::warn!(source:% = source, fault:% = fault; "document not understood, the one in force stays");
+            log::warn!(source:% = source, fault:% = error; "document not understood, the one in force stays");
         }
     }
 }
@@ -190,13 +197,13 @@
     let domains = plane.state().fleet.evacuations().domains.clone();
     log::info!(domains:? = domains, position, source:% = source; "evacuated failure domains");
     plane.stir();
-    tell_version(plane, source);
+    announce_version(plane, source);
 }
 
 /// Announces a new configuration to all VMs at once, if this VM reads the store for all and found
 /// it there. If each VM that receives it announced it, the number of datagrams would grow with the
 /// square of the number of VMs.
-fn tell_version<P>(plane: &plane::ExchangePlane<P>, source: &str) {
+fn announce_version<P>(plane: &plane::ExchangePlane<P>, source: &str) {
     let reader = plane.state().reads_store(time::Instant::now());
     if reader && source == SOURCE_STORE {
         plane.spread();
@@ -209,31 +216,31 @@
     store: rc::Rc<S>,
     decode: DocumentDecoder,
 ) {
-    plane.state().from_store = store.arriving();
+    plane.state().from_store = store.document_meter();
     let mut cursor = None;
     let mut read_at = None::<time::Instant>;
-    let mut patience = PeerPatience::draw(plane.state().draw());
+    let mut grace = PeerGrace::draw(plane.state().draw());
     loop {
         let first = cursor.is_none() && plane.state().version() == 0;
         let reader = first || plane.state().reads_store(time::Instant::now());
-        let rests = read_at.is_some_and(|at| at.elapsed() < STORM_GAP)
+        let pausing = read_at.is_some_and(|at| at.elapsed() < MIN_CATALOG_READ_INTERVAL)
             || plane.state().from_peers.is_moving();
         let now = time::Instant::now();
-        if !reader && (rests || !patience.is_over(&plane.state(), now)) {
-            time::sleep(BEHIND_GAP).await;
+        if !reader && (pausing || !grace.is_over(&plane.state(), now)) {
+            time::sleep(BEHIND_CHECK_INTERVAL).await;
             continue;
         }
         read_at = Some(time::Instant::now());
-        patience = PeerPatience::draw(plane.state().draw());
-        let whole = !reader || cursor.is_none();
+        grace = PeerGrace::draw(plane.state().draw());
+        let complete = !reader || cursor.is_none();
         let page = match cursor {
-            Some(from) if !whole => store.wait_document(from, CATALOG_WAIT).await,
+            Some(from) if !complete => store.wait_document(from, CATALOG_LONG_POLL).await,
             _ => store.read_document().await,
         };
         match page {
             Ok(page) => {
                 cursor = Some(page.end);
-                let evacuations = if whole {
+                let evacuations = if complete {
                     evacuation::EvacuationSet::of_all(&page.evacuations, page.end)
                 } else {
                     let known = plane.state().fleet.evacuations().clone();
@@ -244,8 +251,8 @@
                     take_document(&plane, decode, document, SOURCE_STORE);
                 }
             }
-            Err(StoreFault::Trimmed) => cursor = None,
-            Err(StoreFault::Away) => time::sleep(AWAY_GAP).await,
+            Err(StoreError::Trimmed) => cursor = None,
+            Err(StoreError::Unavailable) => time::sleep(STORE_RETRY_INTERVAL).await,
         }
         if !reader {
             cursor = None;
@@ -255,16 +262,16 @@
 
 /// How long to wait for other VMs to deliver a configuration.
 #[derive(Debug)]
-struct PeerPatience {
-    span: time::Duration,
+struct PeerGrace {
+    duration: time::Duration,
     /// Since when another VM has a newer configuration.
     behind_since: Option<time::Instant>,
 }
 
-impl PeerPatience {
+impl PeerGrace {
     fn draw(draw: f64) -> Self {
         Self {
-            span: PEERS_FIRST + PEERS_FIRST_SPREAD.mul_f64(draw),
+            duration: PEERS_GRACE + PEERS_GRACE_JITTER.mul_f64(draw),
             behind_since: None,
         }
     }
@@ -278,8 +285,13 @@
         }
         let behind_since = *self.behind_since.get_or_insert(now);
         let waited = now.saturating_duration_since(behind_since);
-        let asked = state.peers_asked_at.is_some_and(|at| at >= behind_since);
-        waited >= if asked { self.span } else { PEERS_IDLE }
+        let requested = state.peers_asked_at.is_some_and(|at| at >= behind_since);
+        waited
+            >= if requested {
+                self.duration
+            } else {
+                PEERS_GRACE_UNREQUESTED
+            }
     }
 }
 
--- a/crates/exchange/src/link.rs
+++ b/crates/exchange/src/link.rs
@@ -40,7 +40,7 @@
     tokio::join!(
         speak::run(plane.clone(), datagrams.clone()),
         listen(plane.clone(), datagrams),
-        catchup::answer_states(plane.clone(), listener),
+        catchup::serve_state_requests(plane.clone(), listener),
         catchup::catch_up(plane, catchup::TcpPeers, decode),
     );
 }
@@ -127,7 +127,7 @@
 ) -> Vec<news::ServerNews> {
     let state = plane.state();
     let notices = datagram.notices.iter();
-    let news = notices.filter_map(|notice| state.fleet.news_of(notice, now));
+    let news = notices.filter_map(|notice| state.fleet.update_of(notice, now));
     news.collect()
 }
 
--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/listing.rs
@@ -72,8 +72,8 @@
     }
 
     /// Adds a page; says whether it is the last one.
-    fn add(&mut self, page: follow::NewsPage) -> bool {
-        let names = page.news.into_iter().map(|news| news.id);
+    fn add(&mut self, page: follow::UpdatePage) -> bool {
+        let names = page.updates.into_iter().map(|news| news.id);
         self.listed.extend(names);
         let last = page.next.is_none();
         self.after = page.next.unwrap_or_default();
@@ -99,10 +99,10 @@
         let page = match &cursor {
             ListCursor::Start => store.read_servers(None).await,
             ListCursor::Within(part) => store.read_servers(Some(&part.after)).await,
-            ListCursor::Whole(from) => store.read_news(*from).await,
+            ListCursor::Whole(from) => store.read_updates(*from).await,
         };
         let now = time::Instant::now();
-        let answered = page != Err(follow::StoreFault::Away);
+        let answered = page != Err(follow::StoreError::Unavailable);
         if plane.state().note_store(answered, now) {
             log::warn!(answered; "store changed");
         }
@@ -115,8 +115,8 @@
                     time::sleep(gap).await;
                 }
             }
-            Err(follow::StoreFault::Trimmed) => cursor = ListCursor::Start,
-            Err(follow::StoreFault::Away) => time::sleep(follow::AWAY_GAP).await,
+            Err(follow::StoreError::Trimmed) => cursor = ListCursor::Start,
+            Err(follow::StoreError::Unavailable) => time::sleep(follow::STORE_RETRY_INTERVAL).await,
         }
     }
 }
@@ -152,7 +152,7 @@
 fn take_page<P>(
     plane: &plane::ExchangePlane<P>,
     cursor: ListCursor,
-    page: follow::NewsPage,
+    page: follow::UpdatePage,
     now: time::Instant,
 ) -> ListCursor {
     let part = match cursor {
@@ -160,8 +160,8 @@
         ListCursor::Within(part) => Some(part),
         ListCursor::Whole(_) => None,
     };
-    let told = part.is_none() || page.news.len() <= MOST_TOLD;
-    let mut changed = take_news(plane, &page.news, told, now);
+    let told = part.is_none() || page.updates.len() <= MOST_TOLD;
+    let mut changed = take_news(plane, &page.updates, told, now);
     let cursor = match part {
         None => ListCursor::Whole(page.end),
         Some(mut part) => {
--- a/crates/exchange/src/message.rs
+++ b/crates/exchange/src/message.rs
@@ -234,7 +234,7 @@
 /// Asks a VM for what it knows otherwise.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct StateAsk {
+pub struct StateRequest {
     /// Version of the configuration that the asker has.
     #[prost(uint64, tag = "1")]
     pub catalog_version: u64,
--- a/crates/exchange/src/notices.rs
+++ b/crates/exchange/src/notices.rs
@@ -18,11 +18,11 @@
 use crate::{fleet, message, news};
 
 /// Time for which a notice is repeated: two and a half polls of each VM that reads the store.
-const REPEATED_FOR: time::Duration = time::Duration::from_millis(1_500);
+const REPEAT_TIME: time::Duration = time::Duration::from_millis(1_500);
 /// Maximum number of notices in one datagram, of 16 bytes each, next to the loads of one VM.
-pub const MOST_NOTICES: usize = 48;
+pub const MAX_NOTICES_PER_DATAGRAM: usize = 48;
 /// Maximum number of notices kept; the oldest are dropped first.
-const MOST_KEPT: usize = 4_096;
+const MAX_RECENT: usize = 4_096;
 
 /// Notices that this VM received or found recently.
 #[derive(Debug, Default)]
@@ -35,9 +35,9 @@
 
 impl LeavingNotices {
     /// Adds a notice that a server takes no new work any more.
-    pub fn note(&mut self, notice: message::NoticeItem, now: time::Instant) {
+    pub fn add(&mut self, notice: message::NoticeItem, now: time::Instant) {
         self.forget_old(now);
-        if self.recent.len() >= MOST_KEPT {
+        if self.recent.len() >= MAX_RECENT {
             self.recent.pop_front();
         }
         self.recent.push_back((now, notice));
@@ -58,7 +58,7 @@
     }
 
     fn forget_old(&mut self, now: time::Instant) {
-        let old = |at: time::Instant| now.saturating_duration_since(at) >= REPEATED_FOR;
+        let old = |at: time::Instant| now.saturating_duration_since(at) >= REPEAT_TIME;
         while self.recent.front().is_some_and(|(at, _)| old(*at)) {
             self.recent.pop_front();
         }
@@ -69,7 +69,7 @@
     /// The server update that a notice stands for; `None` unless the server is known and takes
     /// work.
     #[must_use]
-    pub fn news_of(
+    pub fn update_of(
         &self,
         notice: &message::NoticeItem,
         now: time::Instant,
--- a/crates/exchange/src/speak.rs
+++ b/crates/exchange/src/speak.rs
@@ -11,7 +11,7 @@
 
 /// Changes of load within this are told together.
 const LOADS_GAP: time::Duration = time::Duration::from_millis(15);
-/// News within this is told together where it goes through tellers: at 3,000 servers a hundred
+/// News within this is told together where it goes through relays: at 3,000 servers a hundred
 /// pieces come each second.
 const NEWS_GAP: time::Duration = time::Duration::from_millis(60);
 /// VMs of one's failure domain up to which they are told of each change of load where there are too
@@ -174,15 +174,15 @@
         SpeakCause::Regular => audience::regular(&state.peers, turn, now),
         SpeakCause::Loads if large => audience::near(&state.peers, now),
         SpeakCause::News if large => Vec::new(),
-        _ => audience::heard(&state.peers, now),
+        _ => audience::alive(&state.peers, now),
     };
     // Tellers and parts are worked out from all VMs in order: only where there is news for them.
-    let tellers = (!news.is_empty())
-        .then(|| audience::tellers(&state.peers, &own, turn + state.sequence, now))
+    let relays = (!news.is_empty())
+        .then(|| audience::relays(&state.peers, &own, turn + state.sequence, now))
         .flatten();
     let mut datagram = datagram(state);
     datagram.refused = state.comebacks.take_untold(MOST_REFUSED);
-    let first_hand = tellers.as_ref().unwrap_or(&audience);
+    let first_hand = relays.as_ref().unwrap_or(&audience);
     for news in news.chunks(MOST_NEWS) {
         let bytes = with_news(state, &datagram, news, large);
         composed.push((first_hand.clone(), bytes));
@@ -193,7 +193,7 @@
     }
     let told_on = take_told_on(state);
     if !told_on.is_empty() {
-        let part = audience::own_part(&state.peers, &own, now);
+        let part = audience::relay_group(&state.peers, &own, now);
         for news in told_on.chunks(MOST_NEWS) {
             let bytes = with_news(state, &datagram, news, false);
             composed.push((part.clone(), bytes));
@@ -247,7 +247,7 @@
         return Vec::new();
     }
     let notices = state.notices.take_due();
-    let chunks = notices.chunks(notices::MOST_NOTICES);
+    let chunks = notices.chunks(notices::MAX_NOTICES_PER_DATAGRAM);
     let chunks = chunks.map(|chunk| {
         with(state, datagram, |datagram| {
             datagram.notices = chunk.to_vec();
@@ -365,7 +365,7 @@
 
 /// Addresses of some other VMs that are heard: other ones each time, so that a new VM learns of all.
 pub(crate) fn known(state: &mut state::PlaneState) -> Vec<String> {
-    let heard = audience::heard(&state.peers, time::Instant::now());
+    let heard = audience::alive(&state.peers, time::Instant::now());
     let first = (state.draw() * heard.len() as f64) as usize;
     let some = heard.iter().cycle().skip(first).take(heard.len());
     some.take(MOST_KNOWN).map(ToString::to_string).collect()
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -190,7 +190,7 @@
                 offset: news.offset,
                 gone: news.entry.is_none(),
             };
-            self.notices.note(notice, now);
+            self.notices.add(notice, now);
         }
         if from_store && change != fleet::FleetChange::Nothing {
             self.untold.push(news);
--- a/crates/exchange/tests/audience.rs
+++ b/crates/exchange/tests/audience.rs
@@ -42,7 +42,7 @@
         for vms in [2, 30, 100] {
             let table = table(0, vms, &[], now);
             assert_eq!(audience::regular(&table, 3, now).len(), vms - 1);
-            assert_eq!(audience::tellers(&table, &world::vm_name(0), 3, now), None);
+            assert_eq!(audience::relays(&table, &world::vm_name(0), 3, now), None);
         }
     });
 }
@@ -129,18 +129,18 @@
         for vms in [130, 200, 300, 410] {
             for (reader, turn) in [(0, 0), (7, 5), (vms / 2, 91), (vms - 1, 12_345)] {
                 let own = table(reader, vms, &[], now);
-                let tellers =
-                    audience::tellers(&own, &world::vm_name(reader), turn, now).expect("large");
-                assert!(tellers.len() < 25, "{} tellers", tellers.len());
-                let mut told: collections::BTreeSet<_> = tellers.iter().copied().collect();
-                for teller in 0..vms {
-                    if !tellers.contains(&world::vm_address(teller)) {
+                let relays =
+                    audience::relays(&own, &world::vm_name(reader), turn, now).expect("large");
+                assert!(relays.len() < 25, "{} relays", relays.len());
+                let mut told: collections::BTreeSet<_> = relays.iter().copied().collect();
+                for relay in 0..vms {
+                    if !relays.contains(&world::vm_address(relay)) {
                         continue;
                     }
                     // One VM is not known here yet.
-                    let unknown = [(teller + 3) % vms];
-                    let table = table(teller, vms, &unknown, now);
-                    let part = audience::own_part(&table, &world::vm_name(teller), now);
+                    let unknown = [(relay + 3) % vms];
+                    let table = table(relay, vms, &unknown, now);
+                    let part = audience::relay_group(&table, &world::vm_name(relay), now);
                     assert!(part.len() < 26, "{} told by one", part.len());
                     told.extend(part);
                 }
@@ -148,10 +148,7 @@
                     *number != reader && !told.contains(&world::vm_address(*number))
                 });
                 // Each may miss the one that it does not know; the second telling finds it.
-                assert!(
-                    missed.count() <= tellers.len(),
-                    "{vms} VMs, reader {reader}"
-                );
+                assert!(missed.count() <= relays.len(), "{vms} VMs, reader {reader}");
             }
         }
     });
@@ -201,8 +198,8 @@
         for news in &changes {
             there.state().take_news(news.clone(), false, now);
         }
-        let ask = catchup::state_ask(&here.state());
-        let reply = catchup::state_reply(&mut there.state(), &ask);
+        let request = catchup::state_request(&here.state());
+        let reply = catchup::state_reply(&mut there.state(), &request);
         let told: collections::BTreeSet<_> = reply.news.iter().map(|item| &item.id).collect();
         assert_eq!(told.len(), 3, "{told:?}");
         for item in &reply.news {
@@ -211,13 +208,13 @@
         }
         let hash = |plane: &world::TestPlane| plane.state().fleet.standing_hash();
         assert_eq!(hash(&here), hash(&there));
-        let ask = catchup::state_ask(&there.state());
+        let request = catchup::state_request(&there.state());
         assert!(
-            catchup::state_reply(&mut here.state(), &ask)
+            catchup::state_reply(&mut here.state(), &request)
                 .news
                 .is_empty()
         );
-        let nothing = message::StateAsk::default();
+        let nothing = message::StateRequest::default();
         let whole = catchup::state_reply(&mut here.state(), &nothing);
         assert_eq!(whole.news.len(), 3_000 + 4, "to a VM that knows nothing");
     });
@@ -263,11 +260,11 @@
             table.take(&told, now);
         }
         let others = || table.all().map(|(_, peer)| peer).collect::<Vec<_>>();
-        let asked = catchup::worth_asking(others(), "d-0");
+        let asked = catchup::preferred_sources(others(), "d-0");
         assert!(asked.iter().all(|peer| peer.standing_hash == 1_000));
-        let asked = catchup::worth_asking(others(), "d-3");
+        let asked = catchup::preferred_sources(others(), "d-3");
         assert!(asked.iter().all(|peer| peer.domain == "d-3"));
-        assert_eq!(catchup::worth_asking(Vec::new(), "d-3").len(), 0);
+        assert_eq!(catchup::preferred_sources(Vec::new(), "d-3").len(), 0);
     });
 }
 
@@ -298,7 +295,7 @@
     // Sequence: both datagrams with the notice are lost on their way to that VM.
     // Cause: what differs asked for each 3.3 s at 3,000 servers.
     for servers in [44, 600, 3_000, 4_100] {
-        let found = catchup::DIFFERS_FOR + catchup::pace(servers);
+        let found = catchup::DIFFERENCE_DELAY + catchup::request_interval(servers);
         assert!(
             found < time::Duration::from_millis(2_000),
             "{servers}: {found:?}"
--- a/crates/exchange/tests/delta.rs
+++ b/crates/exchange/tests/delta.rs
@@ -87,20 +87,20 @@
         let document = Bytes::from_static(b"2");
         there.state().take_catalog(world::catalog(2), document);
         plane.state().behind_since = Some(tokio::time::Instant::now());
-        let ask = catchup::state_ask(&plane.state());
-        assert!(ask.takes_delta);
-        let mut reply = catchup::state_reply(&mut there.state(), &ask);
+        let request = catchup::state_request(&plane.state());
+        assert!(request.takes_delta);
+        let mut reply = catchup::state_reply(&mut there.state(), &request);
         reply.delta.as_mut().expect("delta").hash ^= 1;
         let base = plane.state().document.clone();
         catchup::take_state(&plane, &base, reply, decode);
         assert_eq!(plane.state().version(), 1);
-        let ask = catchup::state_ask(&plane.state());
-        assert!(!ask.takes_delta);
-        let reply = catchup::state_reply(&mut there.state(), &ask);
+        let request = catchup::state_request(&plane.state());
+        assert!(!request.takes_delta);
+        let reply = catchup::state_reply(&mut there.state(), &request);
         assert_eq!(reply.catalog, b"2".as_slice());
         catchup::take_state(&plane, &base, reply, decode);
         assert_eq!(plane.state().version(), 2);
-        assert!(catchup::state_ask(&plane.state()).takes_delta);
+        assert!(catchup::state_request(&plane.state()).takes_delta);
     });
 }
 
@@ -111,18 +111,18 @@
         let there = world::plane();
         let document = Bytes::from(noise(1_000_000, 3));
         there.state().take_catalog(world::catalog(2), document);
-        let ask = message::StateAsk {
+        let request = message::StateRequest {
             catalog_version: 1,
             takes_delta: true,
-            ..message::StateAsk::default()
+            ..message::StateRequest::default()
         };
         let sent: Vec<_> = (0..10)
-            .filter_map(|_| catchup::answer(&there, &ask))
+            .filter_map(|_| catchup::answer(&there, &request))
             .collect();
         assert!((1..=3).contains(&sent.len()), "{}", sent.len());
         drop(sent);
         assert!(
-            catchup::answer(&there, &ask).is_some(),
+            catchup::answer(&there, &request).is_some(),
             "others get it later"
         );
     });
--- a/crates/exchange/tests/storm.rs
+++ b/crates/exchange/tests/storm.rs
@@ -79,7 +79,7 @@
             plane.state().settings.seeds = seeds;
             let began = Instant::now();
             let store = store::FakeStore::changing(CHANGE_GAP);
-            follow::meet(plane, store.clone()).await;
+            follow::discover_peers(plane, store.clone()).await;
             let after = store.registered_at.get().expect("registered") - began;
             let millis = after.as_millis();
             assert!((least..=most).contains(&millis), "{millis} ms");
--- a/crates/exchange/tests/systems.rs
+++ b/crates/exchange/tests/systems.rs
@@ -199,9 +199,9 @@
         let there = world::plane();
         there.state().system = system::SystemBelief::Known(world::system_id(OTHER));
         let decode = |_: &[u8]| Ok(world::catalog(9));
-        let ask = message::StateAsk::default();
+        let request = message::StateRequest::default();
         there.state().document = rc::Rc::new(bytes::Bytes::from_static(b"9").into());
-        let mut reply = catchup::state_reply(&mut there.state(), &ask);
+        let mut reply = catchup::state_reply(&mut there.state(), &request);
         let base = plane.state().document.clone();
         catchup::take_state(&plane, &base, reply.clone(), decode);
         assert_eq!(plane.state().version(), 1);
--- a/crates/exchange/tests/world/herd.rs
+++ b/crates/exchange/tests/world/herd.rs
@@ -147,12 +147,12 @@
         bytes: usize,
         first: time::Duration,
         meter: &transfer::TransferMeter,
-    ) -> Result<(), follow::StoreFault> {
+    ) -> Result<(), follow::StoreError> {
         let store = &self.store;
         store.calls.set(store.calls.get() + 1);
         clock::sleep(store.call_time).await;
         if Instant::now() < store.up_at {
-            return Err(follow::StoreFault::Away);
+            return Err(follow::StoreError::Unavailable);
         }
         let limit = transfer::TransferLimit {
             first,
@@ -161,10 +161,10 @@
         };
         let carried = carry(bytes, (&store.output, &self.link), meter);
         let carried = meter.limit(&limit, carried).await;
-        carried.map_err(|_| follow::StoreFault::Away)
+        carried.map_err(|_| follow::StoreError::Unavailable)
     }
 
-    async fn document(&self, share: f64) -> Result<follow::DocumentPage, follow::StoreFault> {
+    async fn document(&self, share: f64) -> Result<follow::DocumentPage, follow::StoreError> {
         let (version, document) = self.store.document.borrow().clone();
         let bytes = (document.len() as f64 * share) as usize;
         let sent = &self.store.document_bytes;
@@ -182,7 +182,7 @@
     async fn read_servers(
         &self,
         after: Option<&str>,
-    ) -> Result<follow::NewsPage, follow::StoreFault> {
+    ) -> Result<follow::UpdatePage, follow::StoreError> {
         let entries = &self.store.entries;
         let first = after.map_or(0, |after| {
             entries.partition_point(|news| news.id.as_str() <= after)
@@ -193,23 +193,23 @@
             .await?;
         clock::sleep(WORK_EACH * u32::try_from(page.len()).expect("small")).await;
         let more = first + page.len() < entries.len();
-        Ok(follow::NewsPage {
-            news: page.to_vec(),
+        Ok(follow::UpdatePage {
+            updates: page.to_vec(),
             end: 1_000_000,
             next: page.last().filter(|_| more).map(|news| news.id.clone()),
         })
     }
 
-    async fn read_news(&self, from: u64) -> Result<follow::NewsPage, follow::StoreFault> {
+    async fn read_updates(&self, from: u64) -> Result<follow::UpdatePage, follow::StoreError> {
         let meter = transfer::TransferMeter::default();
         self.call(16, CALL_WAIT, &meter).await?;
-        Ok(follow::NewsPage {
+        Ok(follow::UpdatePage {
             end: from,
-            ..follow::NewsPage::default()
+            ..follow::UpdatePage::default()
         })
     }
 
-    async fn read_document(&self) -> Result<follow::DocumentPage, follow::StoreFault> {
+    async fn read_document(&self) -> Result<follow::DocumentPage, follow::StoreError> {
         self.document(BASE64).await
     }
 
@@ -217,7 +217,7 @@
         &self,
         from: u64,
         wait: time::Duration,
-    ) -> Result<follow::DocumentPage, follow::StoreFault> {
+    ) -> Result<follow::DocumentPage, follow::StoreError> {
         self.call(16, CALL_WAIT, &self.meter).await?;
         let until = Instant::now() + wait;
         while self.store.version() <= from {
@@ -232,14 +232,14 @@
         self.document(1.0).await
     }
 
-    fn arriving(&self) -> transfer::TransferMeter {
+    fn document_meter(&self) -> transfer::TransferMeter {
         self.meter.clone()
     }
 
     async fn system(
         &self,
         _proposed: system::SystemId,
-    ) -> Result<system::SystemId, follow::StoreFault> {
+    ) -> Result<system::SystemId, follow::StoreError> {
         unreachable!("each VM knows it")
     }
 
@@ -247,11 +247,11 @@
         &self,
         _name: &str,
         _address: net::SocketAddr,
-    ) -> Result<(), follow::StoreFault> {
+    ) -> Result<(), follow::StoreError> {
         unreachable!("no VM looks for others in the store")
     }
 
-    async fn registered(&self) -> Result<Vec<net::SocketAddr>, follow::StoreFault> {
+    async fn registered(&self) -> Result<Vec<net::SocketAddr>, follow::StoreError> {
         unreachable!("no VM looks for others in the store")
     }
 }
@@ -296,10 +296,10 @@
 }
 
 impl catchup::PeerPort for HerdPeers {
-    async fn ask_state(
+    async fn request_state(
         &self,
         address: net::SocketAddr,
-        ask: &message::StateAsk,
+        request: &message::StateRequest,
         meter: &transfer::TransferMeter,
     ) -> io::Result<message::StateReply> {
         let asked = &self.herd[super::vm_number(address)];
@@ -307,7 +307,7 @@
         let answer = asked
             .started
             .get()
-            .then(|| catchup::answer(&asked.plane, ask));
+            .then(|| catchup::answer(&asked.plane, request));
         let Some((reply, _guard)) = answer.flatten() else {
             return Err(io::ErrorKind::ResourceBusy.into());
         };
--- a/crates/exchange/tests/world/lossy.rs
+++ b/crates/exchange/tests/world/lossy.rs
@@ -49,30 +49,30 @@
     async fn read_servers(
         &self,
         _after: Option<&str>,
-    ) -> Result<follow::NewsPage, follow::StoreFault> {
+    ) -> Result<follow::UpdatePage, follow::StoreError> {
         clock::sleep(STORE_TIME).await;
         let records = self.records.borrow();
         let newest: collections::BTreeMap<_, _> =
             records.iter().map(|news| (&news.id, news)).collect();
-        Ok(follow::NewsPage {
-            news: newest.into_values().cloned().collect(),
+        Ok(follow::UpdatePage {
+            updates: newest.into_values().cloned().collect(),
             end: records.len() as u64,
             next: None,
         })
     }
 
-    async fn read_news(&self, from: u64) -> Result<follow::NewsPage, follow::StoreFault> {
+    async fn read_updates(&self, from: u64) -> Result<follow::UpdatePage, follow::StoreError> {
         clock::sleep(STORE_TIME).await;
         let records = self.records.borrow();
         let first = usize::try_from(from).expect("small");
-        Ok(follow::NewsPage {
-            news: records.get(first..).unwrap_or_default().to_vec(),
+        Ok(follow::UpdatePage {
+            updates: records.get(first..).unwrap_or_default().to_vec(),
             end: records.len() as u64,
             next: None,
         })
     }
 
-    async fn read_document(&self) -> Result<follow::DocumentPage, follow::StoreFault> {
+    async fn read_document(&self) -> Result<follow::DocumentPage, follow::StoreError> {
         unreachable!("no VM follows documents")
     }
 
@@ -80,18 +80,18 @@
         &self,
         _from: u64,
         _wait: time::Duration,
-    ) -> Result<follow::DocumentPage, follow::StoreFault> {
+    ) -> Result<follow::DocumentPage, follow::StoreError> {
         unreachable!("no VM follows documents")
     }
 
-    fn arriving(&self) -> transfer::TransferMeter {
+    fn document_meter(&self) -> transfer::TransferMeter {
         transfer::TransferMeter::default()
     }
 
     async fn system(
         &self,
         _proposed: system::SystemId,
-    ) -> Result<system::SystemId, follow::StoreFault> {
+    ) -> Result<system::SystemId, follow::StoreError> {
         Ok(super::system_id(super::SYSTEM))
     }
 
@@ -99,11 +99,11 @@
         &self,
         _name: &str,
         _address: net::SocketAddr,
-    ) -> Result<(), follow::StoreFault> {
+    ) -> Result<(), follow::StoreError> {
         unreachable!("no VM looks for others in the store")
     }
 
-    async fn registered(&self) -> Result<Vec<net::SocketAddr>, follow::StoreFault> {
+    async fn registered(&self) -> Result<Vec<net::SocketAddr>, follow::StoreError> {
         unreachable!("no VM looks for others in the store")
     }
 }
@@ -225,10 +225,10 @@
 }
 
 impl catchup::PeerPort for LossyPeers {
-    async fn ask_state(
+    async fn request_state(
         &self,
         address: net::SocketAddr,
-        ask: &message::StateAsk,
+        request: &message::StateRequest,
         meter: &transfer::TransferMeter,
     ) -> io::Result<message::StateReply> {
         let asked = &self.vms.vms[super::vm_number(address)];
@@ -236,9 +236,9 @@
         if !answers(asked) || !answers(&self.vms.vms[self.own]) {
             std::future::pending::<()>().await;
         }
-        let sent = ask.encoded_len() as f64 / LINK_RATE;
+        let sent = request.encoded_len() as f64 / LINK_RATE;
         clock::sleep(3 * LINK_DELAY + time::Duration::from_secs_f64(sent)).await;
-        let answer = catchup::answer(&asked.plane, ask);
+        let answer = catchup::answer(&asked.plane, request);
         let (reply, _guard) = answer.ok_or(io::ErrorKind::ResourceBusy)?;
         let bytes = reply.encoded_len();
         meter.note(bytes);
--- a/crates/exchange/tests/world/store.rs
+++ b/crates/exchange/tests/world/store.rs
@@ -62,15 +62,15 @@
     async fn read_servers(
         &self,
         _after: Option<&str>,
-    ) -> Result<follow::NewsPage, follow::StoreFault> {
-        Ok(follow::NewsPage::default())
+    ) -> Result<follow::UpdatePage, follow::StoreError> {
+        Ok(follow::UpdatePage::default())
     }
 
-    async fn read_news(&self, _from: u64) -> Result<follow::NewsPage, follow::StoreFault> {
-        Ok(follow::NewsPage::default())
+    async fn read_updates(&self, _from: u64) -> Result<follow::UpdatePage, follow::StoreError> {
+        Ok(follow::UpdatePage::default())
     }
 
-    async fn read_document(&self) -> Result<follow::DocumentPage, follow::StoreFault> {
+    async fn read_document(&self) -> Result<follow::DocumentPage, follow::StoreError> {
         self.read.set(self.read.get() + 1);
         clock::sleep(READ_TIME).await;
         Ok(follow::DocumentPage {
@@ -84,21 +84,21 @@
         &self,
         _from: u64,
         _wait: time::Duration,
-    ) -> Result<follow::DocumentPage, follow::StoreFault> {
+    ) -> Result<follow::DocumentPage, follow::StoreError> {
         self.read_document().await
     }
 
-    fn arriving(&self) -> transfer::TransferMeter {
+    fn document_meter(&self) -> transfer::TransferMeter {
         transfer::TransferMeter::default()
     }
 
     async fn system(
         &self,
         _proposed: system::SystemId,
-    ) -> Result<system::SystemId, follow::StoreFault> {
+    ) -> Result<system::SystemId, follow::StoreError> {
         self.asked.set(self.asked.get() + 1);
         if Instant::now() < self.answers_at {
-            return Err(follow::StoreFault::Away);
+            return Err(follow::StoreError::Unavailable);
         }
         Ok(super::system_id(super::SYSTEM))
     }
@@ -107,12 +107,12 @@
         &self,
         _name: &str,
         _address: net::SocketAddr,
-    ) -> Result<(), follow::StoreFault> {
+    ) -> Result<(), follow::StoreError> {
         self.registered_at.set(Some(Instant::now()));
         Ok(())
     }
 
-    async fn registered(&self) -> Result<Vec<net::SocketAddr>, follow::StoreFault> {
+    async fn registered(&self) -> Result<Vec<net::SocketAddr>, follow::StoreError> {
         Ok(Vec::new())
     }
 }
