--- a/crates/exchange/src/speak.rs
+++ b/crates/exchange/src/announce.rs
@@ -7,7 +7,7 @@
 use prost::Message as _;
 use tokio::{net as sockets, time};
 
-use crate::{audience, link, message, notices, plane, state};
+use crate::{link, message, notices, plane, recipients, state};
 
 /// Changes of load within this are told together.
 const LOADS_GAP: time::Duration = time::Duration::from_millis(15);
@@ -117,7 +117,7 @@
 ) -> time::Instant {
     let told = match cause {
         SpeakCause::Regular | SpeakCause::All => true,
-        SpeakCause::Loads | SpeakCause::News => !audience::is_large(state.peers.len()),
+        SpeakCause::Loads | SpeakCause::News => !recipients::is_large(state.peers.len()),
     };
     if told {
         time::Instant::now() + state.peers.announce_interval()
@@ -134,7 +134,7 @@
 ) -> SpeakCause {
     let (large, tells_loads) = {
         let state = plane.state();
-        let large = audience::is_large(state.peers.len());
+        let large = recipients::is_large(state.peers.len());
         let tells_loads = !large || state.peers.near_count() < MOST_TOLD_LOADS;
         (large, tells_loads)
     };
@@ -169,16 +169,16 @@
     let own = state.settings.name.clone();
     let mut composed = Vec::new();
     let news = news_to_tell(state, pending);
-    let large = audience::is_large(state.peers.len());
+    let large = recipients::is_large(state.peers.len());
     let mut audience = match cause {
-        SpeakCause::Regular => audience::regular(&state.peers, turn, now),
-        SpeakCause::Loads if large => audience::near(&state.peers, now),
+        SpeakCause::Regular => recipients::regular(&state.peers, turn, now),
+        SpeakCause::Loads if large => recipients::near(&state.peers, now),
         SpeakCause::News if large => Vec::new(),
-        _ => audience::alive(&state.peers, now),
+        _ => recipients::alive(&state.peers, now),
     };
     // Tellers and parts are worked out from all VMs in order: only where there is news for them.
     let relays = (!news.is_empty())
-        .then(|| audience::relays(&state.peers, &own, turn + state.sequence, now))
+        .then(|| recipients::relays(&state.peers, &own, turn + state.sequence, now))
         .flatten();
     let mut datagram = datagram(state);
     datagram.refused = state.comebacks.take_untold(MOST_REFUSED);
@@ -193,7 +193,7 @@
     }
     let told_on = take_told_on(state);
     if !told_on.is_empty() {
-        let part = audience::relay_group(&state.peers, &own, now);
+        let part = recipients::relay_group(&state.peers, &own, now);
         for news in told_on.chunks(MOST_NEWS) {
             let bytes = with_news(state, &datagram, news, false);
             composed.push((part.clone(), bytes));
@@ -206,7 +206,7 @@
     datagram.sequence = state.next_sequence();
     if rare {
         state.peers.sweep(now);
-        audience.extend(audience::silent(&state.peers, now));
+        audience.extend(recipients::silent(&state.peers, now));
     }
     let greeted = state.peers.greetings(now);
     // Few datagrams say who sends them; the others need not be written twice.
@@ -365,7 +365,7 @@
 
 /// Addresses of some other VMs that are heard: other ones each time, so that a new VM learns of all.
 pub(crate) fn known(state: &mut state::PlaneState) -> Vec<String> {
-    let heard = audience::alive(&state.peers, time::Instant::now());
+    let heard = recipients::alive(&state.peers, time::Instant::now());
     let first = (state.draw() * heard.len() as f64) as usize;
     let some = heard.iter().cycle().skip(first).take(heard.len());
     some.take(MOST_KNOWN).map(ToString::to_string).collect()
--- a/crates/exchange/src/catchup.rs
+++ b/crates/exchange/src/catchup.rs
@@ -10,7 +10,7 @@
 use tokio::{net as sockets, time};
 use tokio_util::{codec, io as taps};
 
-use crate::{delta, follow, link, message, peers, plane, server, speak, state};
+use crate::{announce, delta, follow, link, message, peers, plane, server, state};
 
 /// How long most VMs must have a different view of the servers before this VM requests the
 /// difference from one of them.
@@ -436,7 +436,7 @@
         catalog,
         delta,
         news,
-        known: speak::known(state),
+        known: announce::known(state),
         system: state.system.number(),
         partial: !state.servers_whole,
     }
--- a/crates/exchange/src/fleet.rs
+++ b/crates/exchange/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use tokio::time;
 
-use crate::{evacuation, loads, news, runs, server};
+use crate::{evacuation, loads, runs, server, update};
 
 slotmap::new_key_type! {
     /// Key of one incarnation of a backend server.
@@ -65,7 +65,7 @@
     /// `spared` says that the store was away when its entry lapsed: see [`LAPSE_GRACE`].
     pub fn take_news(
         &mut self,
-        news: &news::ServerNews,
+        news: &update::ServerNews,
         spared: Option<time::Instant>,
         now: time::Instant,
     ) -> FleetChange {
@@ -104,7 +104,7 @@
         }
     }
 
-    fn first_news(&mut self, news: &news::ServerNews, now: time::Instant) -> FleetChange {
+    fn first_news(&mut self, news: &update::ServerNews, now: time::Instant) -> FleetChange {
         let Some(entry) = &news.entry else {
             return FleetChange::Nothing;
         };
@@ -119,8 +119,8 @@
     fn take_successor(
         &mut self,
         before: ServerKey,
-        news: &news::ServerNews,
-        entry: &news::ServerEntry,
+        news: &update::ServerNews,
+        entry: &update::ServerEntry,
         now: time::Instant,
     ) -> FleetChange {
         self.set_standing(before, server::ServerStanding::Gone, now);
@@ -139,7 +139,7 @@
     }
 
     /// The incarnation that is known is now known by its birth, too.
-    fn tell_born(&mut self, key: ServerKey, born: news::BirthTime) {
+    fn tell_born(&mut self, key: ServerKey, born: update::BirthTime) {
         let record = &mut self.servers[key];
         self.standing_hash ^= standing_part(record);
         record.born = born;
@@ -176,7 +176,7 @@
     /// A word of the store on a server whose incarnations are told apart, but which does not say which
     /// one it means, was written by somebody else: it names no server.
     #[must_use]
-    pub fn names_none(&self, news: &news::ServerNews) -> bool {
+    pub fn names_none(&self, news: &update::ServerNews) -> bool {
         let known = self.by_id.get(&news.id);
         let known = known.is_some_and(|&key| self.servers[key].born.is_told());
         let entry = news.entry.as_ref();
@@ -197,7 +197,7 @@
             .iter()
             .filter(|(_, record)| record.offset < end && !listed.contains(&record.id))
             .filter(|(_, record)| record.standing != server::ServerStanding::Gone)
-            .map(|(_, record)| news::ServerNews {
+            .map(|(_, record)| update::ServerNews {
                 id: record.id.clone(),
                 offset: record.offset + 1,
                 entry: None,
--- a/crates/exchange/src/follow.rs
+++ b/crates/exchange/src/follow.rs
@@ -8,7 +8,7 @@
 use snafu::Snafu;
 use tokio::time;
 
-use crate::{catalog, evacuation, news, plane, state, system};
+use crate::{catalog, evacuation, plane, state, system, update};
 
 /// How long one call waits for a configuration: short enough that a connection that went silent
 /// costs less than the users' bound of 3 s for a VM to be in touch again.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpdatePage {
     /// Records, oldest first.
-    pub updates: Vec<news::ServerNews>,
+    pub updates: Vec<update::ServerNews>,
     /// Position from which to continue reading.
     pub end: u64,
     /// Name after which the list continues; `None` on its last page.
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -5,8 +5,8 @@
 //! [`suspect`], [`relocate`], [`directory`]. [`plane`] performs them over the ports of [`port`];
 //! [`link`] carries what entry VMs tell each other.
 
+pub mod announce;
 pub mod ask;
-pub mod audience;
 pub mod budget;
 pub mod catalog;
 pub mod catchup;
@@ -23,7 +23,6 @@
 pub mod loads;
 pub mod message;
 mod moving;
-pub mod news;
 pub mod notices;
 mod pace;
 pub mod peers;
@@ -31,6 +30,7 @@
 mod placing;
 pub mod plane;
 pub mod port;
+pub mod recipients;
 pub mod relocate;
 pub mod reply;
 pub mod room;
@@ -38,9 +38,9 @@
 mod serve_call;
 mod serve_stream;
 pub mod server;
-pub mod speak;
 pub mod state;
 pub mod stopping;
 pub mod suspect;
 pub mod system;
+pub mod update;
 pub mod wait;
--- a/crates/exchange/src/link.rs
+++ b/crates/exchange/src/link.rs
@@ -9,7 +9,9 @@
 use prost::Message as _;
 use tokio::{net as sockets, time};
 
-use crate::{catchup, follow, listing, loads, message, news, peers, plane, speak, state, system};
+use crate::{
+    announce, catchup, follow, listing, loads, message, peers, plane, state, system, update,
+};
 
 /// Pause after the system gave no datagram or connection.
 pub(crate) const FAULT_PAUSE: time::Duration = time::Duration::from_millis(100);
@@ -38,7 +40,7 @@
     let (datagrams, listener) = sockets;
     let datagrams = rc::Rc::new(datagrams);
     tokio::join!(
-        speak::run(plane.clone(), datagrams.clone()),
+        announce::run(plane.clone(), datagrams.clone()),
         listen(plane.clone(), datagrams),
         catchup::serve_state_requests(plane.clone(), listener),
         catchup::catch_up(plane, catchup::TcpPeers, decode),
@@ -56,7 +58,7 @@
         match message::PeerDatagram::decode(&buffer[..length]) {
             Ok(datagram) => {
                 if let Some(address) = take_datagram(&plane, &datagram) {
-                    speak::answer(&plane, &*socket, address);
+                    announce::answer(&plane, &*socket, address);
                 }
             }
             Err(_) => {
@@ -124,7 +126,7 @@
     plane: &plane::ExchangePlane<P>,
     datagram: &message::PeerDatagram,
     now: time::Instant,
-) -> Vec<news::ServerNews> {
+) -> Vec<update::ServerNews> {
     let state = plane.state();
     let notices = datagram.notices.iter();
     let news = notices.filter_map(|notice| state.fleet.update_of(notice, now));
@@ -172,7 +174,7 @@
 /// Takes news of servers; says whether they changed anything.
 pub(crate) fn take_news<P>(
     plane: &plane::ExchangePlane<P>,
-    news: &[news::ServerNews],
+    news: &[update::ServerNews],
     now: time::Instant,
 ) -> bool {
     let changes = news.iter().map(|news| {
--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/listing.rs
@@ -14,7 +14,7 @@
 
 use tokio::time;
 
-use crate::{fleet, follow, news, plane};
+use crate::{fleet, follow, plane, update};
 
 /// Time between two polls of any VM: streams of a leaving engine need time to move before it is gone.
 const POLL_GAP: time::Duration = time::Duration::from_millis(130);
@@ -183,7 +183,7 @@
 /// Takes news of the store; says whether it changed anything.
 fn take_news<P>(
     plane: &plane::ExchangePlane<P>,
-    page: &[news::ServerNews],
+    page: &[update::ServerNews],
     told: bool,
     now: time::Instant,
 ) -> bool {
@@ -235,7 +235,7 @@
 /// changed.
 pub(crate) fn log_changes<P>(
     plane: &plane::ExchangePlane<P>,
-    changes: &[(news::ServerNews, fleet::FleetChange)],
+    changes: &[(update::ServerNews, fleet::FleetChange)],
     source: &str,
 ) -> bool {
     let changed = changes
@@ -252,7 +252,7 @@
 
 fn log_change<P>(
     plane: &plane::ExchangePlane<P>,
-    news: &news::ServerNews,
+    news: &update::ServerNews,
     change: fleet::FleetChange,
     source: &str,
 ) {
--- a/crates/exchange/src/message.rs
+++ b/crates/exchange/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use crate::{delta, evacuation, news, wait};
+use crate::{delta, evacuation, update, wait};
 
 /// Stage of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -277,8 +277,8 @@
     pub delta: Option<delta::DocumentDelta>,
 }
 
-impl From<&news::ServerNews> for NewsItem {
-    fn from(news: &news::ServerNews) -> Self {
+impl From<&update::ServerNews> for NewsItem {
+    fn from(news: &update::ServerNews) -> Self {
         Self {
             id: news.id.clone(),
             offset: news.offset,
@@ -298,11 +298,11 @@
 impl NewsItem {
     /// The news, unless its address is none.
     #[must_use]
-    pub fn decode_news(&self) -> Option<news::ServerNews> {
+    pub fn decode_news(&self) -> Option<update::ServerNews> {
         let entry = match &self.entry {
             None => None,
-            Some(entry) => Some(news::ServerEntry {
-                born: news::BirthTime::from_millis(entry.born_ms),
+            Some(entry) => Some(update::ServerEntry {
+                born: update::BirthTime::from_millis(entry.born_ms),
                 service: entry.service.clone(),
                 address: entry.address.parse().ok()?,
                 domain: entry.domain.clone(),
@@ -311,7 +311,7 @@
                 cold: time::Duration::from_millis(entry.cold_ms),
             }),
         };
-        Some(news::ServerNews {
+        Some(update::ServerNews {
             id: self.id.clone(),
             offset: self.offset,
             entry,
--- a/crates/exchange/src/notices.rs
+++ b/crates/exchange/src/notices.rs
@@ -15,7 +15,7 @@
 
 use tokio::time;
 
-use crate::{fleet, message, news};
+use crate::{fleet, message, update};
 
 /// Time for which a notice is repeated: two and a half polls of each VM that reads the store.
 const REPEAT_TIME: time::Duration = time::Duration::from_millis(1_500);
@@ -73,7 +73,7 @@
         &self,
         notice: &message::NoticeItem,
         now: time::Instant,
-    ) -> Option<news::ServerNews> {
+    ) -> Option<update::ServerNews> {
         let key = self.find_hash(notice.server as u32)?;
         let record = self.server(key)?;
         if record.incarnation_hash() != notice.server || !record.takes_work(now) {
--- a/crates/exchange/src/peers.rs
+++ b/crates/exchange/src/peers.rs
@@ -4,7 +4,7 @@
 
 use tokio::time;
 
-use crate::{audience, message, wait};
+use crate::{message, recipients, wait};
 
 /// Shortest time for which a VM counts as alive after its last datagram. A VM that does not count
 /// as alive is not offered to callers; the users' bound for a stopped or frozen VM is two seconds.
@@ -233,8 +233,8 @@
     /// a datagram.
     fn alive_time(&self) -> (time::Duration, time::Duration) {
         let near = self.announce_interval();
-        let far = if audience::is_large(self.len()) {
-            near * u32::try_from(audience::FAR_TURNS).unwrap_or(u32::MAX)
+        let far = if recipients::is_large(self.len()) {
+            near * u32::try_from(recipients::FAR_TURNS).unwrap_or(u32::MAX)
         } else {
             near
         };
@@ -274,8 +274,8 @@
     /// Interval between two datagrams of a VM that has nothing new to send.
     #[must_use]
     pub fn announce_interval(&self) -> time::Duration {
-        let recipient_count = if audience::is_large(self.len()) {
-            self.near + (self.len() - self.near) / audience::FAR_TURNS as usize
+        let recipient_count = if recipients::is_large(self.len()) {
+            self.near + (self.len() - self.near) / recipients::FAR_TURNS as usize
         } else {
             self.len()
         };
--- a/crates/exchange/src/server.rs
+++ b/crates/exchange/src/server.rs
@@ -4,7 +4,7 @@
 
 use tokio::time;
 
-use crate::news;
+use crate::update;
 
 /// Half-life of what failures say against a server: grey and dark servers are tried again after
 /// about three of these.
@@ -40,7 +40,7 @@
     /// Name of the server; a later incarnation may have the same.
     pub id: String,
     /// Which incarnation it is.
-    pub born: news::BirthTime,
+    pub born: update::BirthTime,
     /// Whether a later incarnation has its name: whatever was kept there is gone.
     pub superseded: bool,
     /// Service that it belongs to.
@@ -82,7 +82,7 @@
 impl ServerRecord {
     /// A server that was not known before.
     #[must_use]
-    pub fn new(id: &str, offset: u64, entry: &news::ServerEntry, now: time::Instant) -> Self {
+    pub fn new(id: &str, offset: u64, entry: &update::ServerEntry, now: time::Instant) -> Self {
         let standing = if entry.leaving {
             ServerStanding::Leaving
         } else {
@@ -116,7 +116,7 @@
     ///
     /// Which of two words is newer is the store's order. That an incarnation leaves is never unlearnt,
     /// however its words overtake each other: a heartbeat from before it may be written seconds late.
-    pub(crate) fn take_word(&mut self, news: &news::ServerNews) -> ServerStanding {
+    pub(crate) fn take_word(&mut self, news: &update::ServerNews) -> ServerStanding {
         let leaving = news.entry.as_ref().is_some_and(|entry| entry.leaving);
         self.told_leaving |= leaving && self.born.is_told();
         if news.entry.is_none() {
@@ -247,8 +247,8 @@
 
     /// The newest word on it, for other VMs.
     #[must_use]
-    pub fn news(&self) -> news::ServerNews {
-        let entry = news::ServerEntry {
+    pub fn news(&self) -> update::ServerNews {
+        let entry = update::ServerEntry {
             born: self.born,
             service: self.service.clone(),
             address: self.address,
@@ -258,7 +258,7 @@
             cold: time::Duration::ZERO,
         };
         let gone = self.standing == ServerStanding::Gone;
-        news::ServerNews {
+        update::ServerNews {
             id: self.id.clone(),
             offset: self.offset,
             entry: (!gone).then_some(entry),
@@ -274,7 +274,7 @@
 
 /// Hash of an incarnation of a server.
 #[must_use]
-pub fn incarnation_hash(id: &str, born: news::BirthTime) -> u64 {
+pub fn incarnation_hash(id: &str, born: update::BirthTime) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(id.as_bytes(), born.millis())
 }
 
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -8,8 +8,8 @@
 use tokio::time;
 
 use crate::{
-    ask, budget, catalog, comeback, delta, directory, evacuation, fleet, forecast, message, news,
-    notices, peers, place, relocate, room, runs, suspect, system, wait,
+    ask, budget, catalog, comeback, delta, directory, evacuation, fleet, forecast, message,
+    notices, peers, place, relocate, room, runs, suspect, system, update, wait,
 };
 
 /// What the plane is told at its start.
@@ -57,7 +57,7 @@
     /// Callers that are expected to come back.
     pub comebacks: comeback::ComebackTable,
     /// News that the other VMs have not been told yet.
-    pub untold: Vec<news::ServerNews>,
+    pub untold: Vec<update::ServerNews>,
     /// Servers that leave, to be repeated to the other VMs.
     pub notices: notices::LeavingNotices,
     /// News that this VM was asked to tell on.
@@ -176,7 +176,7 @@
     /// Takes news of a server from the store or from another VM.
     pub fn take_news(
         &mut self,
-        news: news::ServerNews,
+        news: update::ServerNews,
         from_store: bool,
         now: time::Instant,
     ) -> fleet::FleetChange {
--- a/crates/exchange/tests/audience.rs
+++ b/crates/exchange/tests/audience.rs
@@ -4,7 +4,7 @@
 
 use std::{collections, time};
 
-use exchange::{audience, catchup, link, message, peers, speak};
+use exchange::{announce, catchup, link, message, peers, recipients};
 use tokio::time::Instant;
 
 /// Failure domains of these VMs.
@@ -41,8 +41,8 @@
         let now = Instant::now();
         for vms in [2, 30, 100] {
             let table = table(0, vms, &[], now);
-            assert_eq!(audience::regular(&table, 3, now).len(), vms - 1);
-            assert_eq!(audience::relays(&table, &world::vm_name(0), 3, now), None);
+            assert_eq!(recipients::regular(&table, 3, now).len(), vms - 1);
+            assert_eq!(recipients::relays(&table, &world::vm_name(0), 3, now), None);
         }
     });
 }
@@ -55,8 +55,8 @@
         let now = Instant::now();
         let table = table(0, 410, &[], now);
         let mut told = collections::BTreeMap::<_, u64>::new();
-        for turn in 0..audience::FAR_TURNS {
-            let regular = audience::regular(&table, turn, now);
+        for turn in 0..recipients::FAR_TURNS {
+            let regular = recipients::regular(&table, turn, now);
             assert!(regular.len() < 150, "{} at once", regular.len());
             for address in regular {
                 *told.entry(address).or_default() += 1;
@@ -64,7 +64,7 @@
         }
         for number in 1..410 {
             let times = if number % DOMAINS == 0 {
-                audience::FAR_TURNS
+                recipients::FAR_TURNS
             } else {
                 1
             };
@@ -92,12 +92,12 @@
             for number in (1..vms).filter(|number| (number * 7 + turn) % 40 >= 20) {
                 table.take(&datagram(number, 2 + turn as u64), now);
             }
-            let told = audience::regular(&table, turn as u64, now);
+            let told = recipients::regular(&table, turn as u64, now);
             for (name, peer) in table.all() {
                 let missed = missed.entry(name.clone()).or_default();
                 let counts = peer.is_alive(now) && !told.contains(&peer.link_address);
                 *missed = if counts { *missed + 1 } else { 0 };
-                assert!(*missed < audience::FAR_TURNS, "{name}: {missed} turns");
+                assert!(*missed < recipients::FAR_TURNS, "{name}: {missed} turns");
             }
         }
     });
@@ -130,7 +130,7 @@
             for (reader, turn) in [(0, 0), (7, 5), (vms / 2, 91), (vms - 1, 12_345)] {
                 let own = table(reader, vms, &[], now);
                 let relays =
-                    audience::relays(&own, &world::vm_name(reader), turn, now).expect("large");
+                    recipients::relays(&own, &world::vm_name(reader), turn, now).expect("large");
                 assert!(relays.len() < 25, "{} relays", relays.len());
                 let mut told: collections::BTreeSet<_> = relays.iter().copied().collect();
                 for relay in 0..vms {
@@ -140,7 +140,7 @@
                     // One VM is not known here yet.
                     let unknown = [(relay + 3) % vms];
                     let table = table(relay, vms, &unknown, now);
-                    let part = audience::relay_group(&table, &world::vm_name(relay), now);
+                    let part = recipients::relay_group(&table, &world::vm_name(relay), now);
                     assert!(part.len() < 26, "{} told by one", part.len());
                     told.extend(part);
                 }
@@ -281,9 +281,9 @@
         let began = Instant::now();
         let (mut regular, mut due) = (0, began);
         while began.elapsed() < time::Duration::from_secs(12) {
-            let cause = speak::wait_to_speak(&plane, true, due).await;
-            due = speak::next_regular(&plane.state(), cause, due);
-            regular += usize::from(cause == speak::SpeakCause::Regular);
+            let cause = announce::wait_to_speak(&plane, true, due).await;
+            due = announce::next_regular(&plane.state(), cause, due);
+            regular += usize::from(cause == announce::SpeakCause::Regular);
         }
         assert!((20..=80).contains(&regular), "{regular} in 12 s");
     });
--- a/crates/exchange/tests/configurations.rs
+++ b/crates/exchange/tests/configurations.rs
@@ -12,7 +12,7 @@
     net as sockets,
     time::{self as clock, Instant},
 };
-use world::herd;
+use world::cluster;
 
 /// Link of a small VM, in bytes a second.
 const LINK_RATE: usize = 1_250_000;
@@ -163,7 +163,7 @@
 }
 
 async fn spread(load: ConfigurationLoad) -> ConfigurationSpread {
-    let store = rc::Rc::new(herd::HerdStore::new(
+    let store = rc::Rc::new(cluster::HerdStore::new(
         Vec::new(),
         routes(1, load.routes / 2),
         time::Duration::from_millis(4),
@@ -176,12 +176,12 @@
             LINK_RATE
         }
     };
-    let vms = (0..load.vms).map(|number| herd::HerdVm::new(number, rate(number) as f64));
-    let vms: herd::VmHerd = rc::Rc::new(vms.collect());
+    let vms = (0..load.vms).map(|number| cluster::HerdVm::new(number, rate(number) as f64));
+    let vms: cluster::VmHerd = rc::Rc::new(vms.collect());
     let tasks: Vec<_> = (0..load.vms)
         .map(|number| {
             vms[number].know_all(&store, world::catalog(1));
-            tokio::task::spawn_local(herd::run_vm(vms.clone(), store.clone(), number, decode))
+            tokio::task::spawn_local(cluster::run_vm(vms.clone(), store.clone(), number, decode))
         })
         .collect();
     clock::sleep(time::Duration::from_secs(3)).await;
--- a/crates/exchange/tests/incarnations.rs
+++ b/crates/exchange/tests/incarnations.rs
@@ -4,18 +4,18 @@
 
 use std::{collections, time};
 
-use exchange::{catalog, fleet, news, port, room, server};
+use exchange::{catalog, fleet, port, room, server, update};
 use tokio::time::Instant;
 use world::ServerScript;
 
 const HISTORIES: u64 = 2_000;
 const GAP: time::Duration = time::Duration::from_millis(40);
 
-fn born(millis: u64) -> news::BirthTime {
-    news::BirthTime::from_millis(millis)
+fn born(millis: u64) -> update::BirthTime {
+    update::BirthTime::from_millis(millis)
 }
 
-fn entry(number: u8, millis: u64, leaving: bool) -> news::ServerEntry {
+fn entry(number: u8, millis: u64, leaving: bool) -> update::ServerEntry {
     let mut entry = world::entry("llm", number, "a");
     entry.born = born(millis);
     entry.leaving = leaving;
@@ -25,7 +25,7 @@
 /// How the newest incarnation of one name stands, from all words that there are: the greatest birth
 /// counts; it is gone if the newest of its words and of the ends is an end; it leaves if any of its
 /// words said so.
-fn oracle(words: &[news::ServerNews]) -> Option<(news::BirthTime, server::ServerStanding)> {
+fn oracle(words: &[update::ServerNews]) -> Option<(update::BirthTime, server::ServerStanding)> {
     let entries = || {
         words
             .iter()
@@ -55,7 +55,7 @@
     world::run(async {
         world::histories(HISTORIES, |u| {
             let now = Instant::now();
-            let first = news::ServerNews {
+            let first = update::ServerNews {
                 id: String::from("e1"),
                 offset: 1,
                 entry: Some(entry(1, 1_000, false)),
--- a/crates/exchange/tests/notices.rs
+++ b/crates/exchange/tests/notices.rs
@@ -4,7 +4,7 @@
 
 use std::{collections, rc, time};
 
-use exchange::{evacuation, follow, news};
+use exchange::{evacuation, follow, update};
 use tokio::time::{self as clock, Instant};
 use world::lossy::{self, VmHealth};
 
@@ -45,15 +45,15 @@
     format!("i-{:08x}", number.wrapping_mul(0x9E37_79B9) & 0xFFFF_FFFF)
 }
 
-fn entry(number: usize, leaving: bool) -> news::ServerEntry {
+fn entry(number: usize, leaving: bool) -> update::ServerEntry {
     let service = if number.is_multiple_of(7) {
         "app"
     } else {
         "llm"
     };
     let domain = format!("d-{}", number % lossy::DOMAINS);
-    news::ServerEntry {
-        born: news::BirthTime::from_millis(1_000 + number as u64),
+    update::ServerEntry {
+        born: update::BirthTime::from_millis(1_000 + number as u64),
         leaving,
         ..world::entry(service, 9, &domain)
     }
--- a/crates/exchange/tests/recovery.rs
+++ b/crates/exchange/tests/recovery.rs
@@ -6,9 +6,9 @@
 use std::{rc, time};
 
 use bytes::Bytes;
-use exchange::{catalog, news, state};
+use exchange::{catalog, state, update};
 use tokio::time::{self as clock, Instant};
-use world::herd;
+use world::cluster;
 
 /// Servers for each VM.
 const SERVERS_EACH: usize = 10;
@@ -50,7 +50,7 @@
     calls_each: f64,
 }
 
-fn entries(servers: usize) -> Vec<news::ServerNews> {
+fn entries(servers: usize) -> Vec<update::ServerNews> {
     let entry = |number: usize| {
         let service = if number.is_multiple_of(7) {
             "app"
@@ -58,7 +58,7 @@
             "llm"
         };
         let name = format!("i-{:08x}", number.wrapping_mul(0x9E37_79B9) & 0xFFFF_FFFF);
-        let entry = world::entry(service, 9, &format!("d-{}", number % herd::DOMAINS));
+        let entry = world::entry(service, 9, &format!("d-{}", number % cluster::DOMAINS));
         world::news(&name, number as u64 + 1, Some(entry))
     };
     let mut entries: Vec<_> = (0..servers).map(entry).collect();
@@ -73,7 +73,12 @@
 }
 
 /// One VM: it starts anew, or has run on and knows all.
-async fn run_vm(vms: herd::VmHerd, store: rc::Rc<herd::HerdStore>, number: usize, loss: HerdLoss) {
+async fn run_vm(
+    vms: cluster::VmHerd,
+    store: rc::Rc<cluster::HerdStore>,
+    number: usize,
+    loss: HerdLoss,
+) {
     let vm = &vms[number];
     if number.is_multiple_of(loss.one_in) {
         let spread = vm.plane.state().draw();
@@ -81,16 +86,16 @@
     } else {
         vm.know_all(&store, world::catalog(1));
     }
-    herd::run_vm(vms, store, number, decode).await;
+    cluster::run_vm(vms, store, number, decode).await;
 }
 
 async fn recover(loss: HerdLoss) -> HerdRecovery {
     let began = Instant::now();
     let entries = entries(loss.vms * SERVERS_EACH);
     let servers = entries.len();
-    let vms = (0..loss.vms).map(|number| herd::HerdVm::new(number, LINK_RATE));
-    let vms: herd::VmHerd = rc::Rc::new(vms.collect());
-    let store = rc::Rc::new(herd::HerdStore::new(
+    let vms = (0..loss.vms).map(|number| cluster::HerdVm::new(number, LINK_RATE));
+    let vms: cluster::VmHerd = rc::Rc::new(vms.collect());
+    let store = rc::Rc::new(cluster::HerdStore::new(
         entries,
         Bytes::from(vec![b'x'; DOCUMENT_BYTES]),
         loss.store_time,
--- a/crates/exchange/tests/world/herd.rs
+++ b/crates/exchange/tests/world/cluster.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use carry::transfer;
 use exchange::{
-    audience, catalog, catchup, evacuation, follow, link, listing, message, news, plane, speak,
-    system,
+    announce, catalog, catchup, evacuation, follow, link, listing, message, plane, recipients,
+    system, update,
 };
 use prost::Message as _;
 use tokio::time::{self as clock, Instant};
@@ -85,7 +85,7 @@
 /// The store of all VMs.
 #[derive(Debug)]
 pub struct HerdStore {
-    pub entries: Vec<news::ServerNews>,
+    pub entries: Vec<update::ServerNews>,
     output: SharedLink,
     call_time: time::Duration,
     /// It answers from then on.
@@ -100,7 +100,7 @@
 impl HerdStore {
     /// One with a first document, which answers a short call after `call_time`, and none before `up_at`.
     pub fn new(
-        entries: Vec<news::ServerNews>,
+        entries: Vec<update::ServerNews>,
         document: Bytes,
         call_time: time::Duration,
         up_at: Instant,
@@ -344,10 +344,10 @@
                 Vec::new()
             } else {
                 turn += 1;
-                let regular = audience::regular(&state.peers, turn - 1, now);
+                let regular = recipients::regular(&state.peers, turn - 1, now);
                 regular.into_iter().map(super::vm_number).collect()
             };
-            let told = speak::introduction(&mut state);
+            let told = announce::introduction(&mut state);
             (told, audience, state.peers.announce_interval())
         };
         if !audience.is_empty() {
@@ -360,7 +360,7 @@
             }
             // Who hears it for the first time answers.
             if link::take_datagram(&there.plane, &told).is_some() {
-                let answer = speak::introduction(&mut there.plane.state());
+                let answer = announce::introduction(&mut there.plane.state());
                 link::take_datagram(&herd[own].plane, &answer);
             }
         }
--- a/crates/exchange/tests/world/lossy.rs
+++ b/crates/exchange/tests/world/lossy.rs
@@ -4,7 +4,7 @@
 use std::{cell, collections, io, net, rc, time};
 
 use carry::transfer;
-use exchange::{catalog, catchup, follow, link, listing, message, news, plane, speak, system};
+use exchange::{announce, catalog, catchup, follow, link, listing, message, plane, system, update};
 use prost::Message as _;
 use tokio::{
     sync::mpsc,
@@ -34,11 +34,11 @@
 /// The store of all VMs: records in order.
 #[derive(Debug, Default)]
 pub struct LogStore {
-    pub records: cell::RefCell<Vec<news::ServerNews>>,
+    pub records: cell::RefCell<Vec<update::ServerNews>>,
 }
 
 impl LogStore {
-    pub fn append(&self, id: &str, entry: Option<news::ServerEntry>) {
+    pub fn append(&self, id: &str, entry: Option<update::ServerEntry>) {
         let mut records = self.records.borrow_mut();
         let offset = records.len() as u64 + 1;
         records.push(super::news(id, offset, entry));
@@ -146,12 +146,12 @@
 
 impl LossyVms {
     /// VMs that know each other and `first`, all by news that every VM has.
-    pub fn new(count: usize, loss: f64, seed: u64, first: &[news::ServerNews]) -> rc::Rc<Self> {
+    pub fn new(count: usize, loss: f64, seed: u64, first: &[update::ServerNews]) -> rc::Rc<Self> {
         let now = Instant::now();
         let planes: Vec<_> = (0..count).map(|number| new_plane(number, first)).collect();
         let told: Vec<_> = planes
             .iter()
-            .map(|plane| speak::introduction(&mut plane.state()))
+            .map(|plane| announce::introduction(&mut plane.state()))
             .collect();
         for (own, plane) in planes.iter().enumerate() {
             for (other, datagram) in told.iter().enumerate() {
@@ -196,7 +196,7 @@
     }
 }
 
-fn new_plane(number: usize, first: &[news::ServerNews]) -> super::TestPlane {
+fn new_plane(number: usize, first: &[update::ServerNews]) -> super::TestPlane {
     let mut state = super::vm_state(number, DOMAINS);
     for news in first {
         state.take_news(news.clone(), false, Instant::now());
@@ -212,7 +212,7 @@
     own: usize,
 }
 
-impl speak::DatagramPort for LossyPort {
+impl announce::DatagramPort for LossyPort {
     fn send(&self, datagram: &[u8], address: net::SocketAddr) {
         self.vms.send(self.own, datagram, super::vm_number(address));
     }
@@ -259,7 +259,7 @@
         clock::sleep_until(there_at).await;
         let datagram = message::PeerDatagram::decode(&*bytes).expect("sound");
         if let Some(address) = link::take_datagram(plane, &datagram) {
-            speak::answer(plane, &port, address);
+            announce::answer(plane, &port, address);
         }
     }
 }
@@ -285,7 +285,7 @@
         .await
         .expect("its own system");
     tokio::join!(
-        speak::run(plane.clone(), port),
+        announce::run(plane.clone(), port),
         listen(vms.clone(), own, 0),
         listen(vms.clone(), own, 1),
         listen(vms.clone(), own, 2),
--- a/crates/exchange/tests/world/mod.rs
+++ b/crates/exchange/tests/world/mod.rs
@@ -2,15 +2,15 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
+pub mod cluster;
 pub mod engines;
-pub mod herd;
 pub mod lossy;
 pub mod store;
 
 use std::{cell, collections, net, rc, time};
 
 use bytes::Bytes;
-use exchange::{ask, budget, catalog, fleet, news, plane, port, reply, state, system};
+use exchange::{ask, budget, catalog, fleet, plane, port, reply, state, system, update};
 use tokio::sync::mpsc;
 
 /// How one server answers the next try that it gets.
@@ -327,9 +327,9 @@
     }
 }
 
-pub fn entry(service: &str, number: u8, domain: &str) -> news::ServerEntry {
-    news::ServerEntry {
-        born: news::BirthTime::UNTOLD,
+pub fn entry(service: &str, number: u8, domain: &str) -> update::ServerEntry {
+    update::ServerEntry {
+        born: update::BirthTime::UNTOLD,
         service: service.to_owned(),
         address: address(number),
         domain: domain.to_owned(),
@@ -339,8 +339,8 @@
     }
 }
 
-pub fn news(id: &str, offset: u64, entry: Option<news::ServerEntry>) -> news::ServerNews {
-    news::ServerNews {
+pub fn news(id: &str, offset: u64, entry: Option<update::ServerEntry>) -> update::ServerNews {
+    update::ServerNews {
         id: id.to_owned(),
         offset,
         entry,
