--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/listing.rs
@@ -201,7 +201,7 @@
         if plane.state().fleet.names_none(&update) {
             log::warn!(
                 server:% = update.id, offset = update.offset;
-                "entry does not say which incarnation it means"
+                "entry does not name its incarnation; treating it as removed"
             );
             update.entry = None;
         }
--- a/crates/exchange/tests/audience.rs
+++ b/crates/exchange/tests/audience.rs
@@ -1,4 +1,4 @@
-//! Who is told what as there are more VMs, and what comes of it.
+//! Tests of which VMs receive which datagrams as the number of VMs grows.
 
 mod world;
 
@@ -10,7 +10,7 @@
 /// Failure domains of these VMs.
 const DOMAINS: usize = 9;
 
-/// What a VM tells of itself.
+/// A datagram that VM `number` sends, with its name and addresses.
 fn datagram(number: usize, sequence: u64) -> message::PeerDatagram {
     message::PeerDatagram {
         sender: number as u64 + 1,
@@ -26,7 +26,7 @@
     }
 }
 
-/// What VM `own` knows of `vms` VMs, without `unknown`.
+/// The peer table of VM `own` among `vms` VMs, without those in `unknown`.
 fn table(own: usize, vms: usize, unknown: &[usize], now: Instant) -> peers::PeerTable {
     let mut table = peers::PeerTable::new(&format!("d-{}", own % DOMAINS));
     for number in (0..vms).filter(|number| *number != own && !unknown.contains(number)) {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn up_to_a_hundred_all_are_told_each_time() {
+fn up_to_a_hundred_vms_form_a_full_mesh() {
     world::run(async {
         let now = Instant::now();
         for vms in [2, 30, 100] {
@@ -48,18 +48,22 @@
 }
 
 #[test]
-fn beyond_it_the_near_are_told_each_time_and_the_far_by_turns() {
-    // Load: what all VMs hear grows with the square of their number; at 300 it took 1.4 MB a second
-    // and 42 % of a core on each.
+fn larger_clusters_send_to_other_domains_in_turns() {
+    // Guards against traffic that grows with the square of the number of VMs: with a full mesh of
+    // 300 VMs each received 1.4 MB a second and used 42 % of a core for it.
     world::run(async {
         let now = Instant::now();
         let table = table(0, 410, &[], now);
-        let mut told = collections::BTreeMap::<_, u64>::new();
+        let mut received = collections::BTreeMap::<_, u64>::new();
         for turn in 0..recipients::FAR_TURNS {
             let regular = recipients::regular(&table, turn, now);
-            assert!(regular.len() < 150, "{} at once", regular.len());
+            assert!(
+                regular.len() < 150,
+                "{} recipients in one turn",
+                regular.len()
+            );
             for address in regular {
-                *told.entry(address).or_default() += 1;
+                *received.entry(address).or_default() += 1;
             }
         }
         for number in 1..410 {
@@ -69,7 +73,7 @@
                 1
             };
             assert_eq!(
-                told.get(&world::vm_address(number)),
+                received.get(&world::vm_address(number)),
                 Some(&times),
                 "VM {number}"
             );
@@ -78,24 +82,24 @@
 }
 
 #[test]
-fn a_far_vm_is_told_in_each_round_whoever_else_falls_silent() {
-    // Guards against VMs that are taken to be silent because others come and go.
+fn vms_of_other_domains_get_a_datagram_each_round_despite_silent_vms() {
+    // Guards against VMs that count as silent because other VMs come and go.
     world::run(async {
         let vms = 300;
         let mut table = table(0, vms, &[], Instant::now());
-        // Turns in a row in which a VM was heard and not told.
+        // Consecutive turns in which a VM was alive and not among the recipients.
         let mut missed = collections::BTreeMap::<_, u64>::new();
         for turn in 0..40 {
             tokio::time::advance(time::Duration::from_millis(600)).await;
             let now = Instant::now();
-            // Each VM speaks for twenty turns and is silent for as many.
+            // Each VM sends for twenty turns and is silent for as many.
             for number in (1..vms).filter(|number| (number * 7 + turn) % 40 >= 20) {
                 table.take(&datagram(number, 2 + turn as u64), now);
             }
-            let told = recipients::regular(&table, turn as u64, now);
+            let regular = recipients::regular(&table, turn as u64, now);
             for (name, peer) in table.all() {
                 let missed = missed.entry(name.clone()).or_default();
-                let counts = peer.is_alive(now) && !told.contains(&peer.link_address);
+                let counts = peer.is_alive(now) && !regular.contains(&peer.link_address);
                 *missed = if counts { *missed + 1 } else { 0 };
                 assert!(*missed < recipients::FAR_TURNS, "{name}: {missed} turns");
             }
@@ -104,10 +108,10 @@
 }
 
 #[test]
-fn a_silent_vm_of_the_own_domain_is_not_named_after_two_seconds() {
-    // Symptom: callers are sent to a VM that is dead for five seconds.
-    // Sequence: there are many VMs, so each is heard seldom, and given three times as long.
-    // Cause: a pause between datagrams that grew with the number of VMs without a bound.
+fn a_silent_vm_of_the_own_domain_is_not_offered_after_two_seconds() {
+    // Guards against callers that are sent to a VM which has been dead for five seconds. With many
+    // VMs each sends seldom, and a VM counts as alive for three intervals; the interval had no
+    // upper bound as the number of VMs grew.
     world::run(async {
         let now = Instant::now();
         for vms in [7, 60, 100, 128, 129, 300, 410, 1_000] {
@@ -121,9 +125,9 @@
 }
 
 #[test]
-fn news_reach_all_through_those_who_tell_on() {
-    // Load: 3,000 servers, a hundred of which come, leave or go each second. Did those who read
-    // them tell all others, each would send 5 MB a second.
+fn updates_reach_all_vms_through_relays() {
+    // Load: 3,000 servers, a hundred of which join, leave or are removed each second. If the VMs
+    // that read them sent them to all others, each would send 5 MB a second.
     world::run(async {
         let now = Instant::now();
         for vms in [130, 200, 300, 410] {
@@ -132,22 +136,22 @@
                 let relays =
                     recipients::relays(&own, &world::vm_name(reader), turn, now).expect("large");
                 assert!(relays.len() < 25, "{} relays", relays.len());
-                let mut told: collections::BTreeSet<_> = relays.iter().copied().collect();
+                let mut reached: collections::BTreeSet<_> = relays.iter().copied().collect();
                 for relay in 0..vms {
                     if !relays.contains(&world::vm_address(relay)) {
                         continue;
                     }
-                    // One VM is not known here yet.
+                    // The relay does not know one of the VMs yet.
                     let unknown = [(relay + 3) % vms];
                     let table = table(relay, vms, &unknown, now);
-                    let part = recipients::relay_group(&table, &world::vm_name(relay), now);
-                    assert!(part.len() < 26, "{} told by one", part.len());
-                    told.extend(part);
+                    let group = recipients::relay_group(&table, &world::vm_name(relay), now);
+                    assert!(group.len() < 26, "{} recipients of one relay", group.len());
+                    reached.extend(group);
                 }
                 let missed = (0..vms).filter(|number| {
-                    *number != reader && !told.contains(&world::vm_address(*number))
+                    *number != reader && !reached.contains(&world::vm_address(*number))
                 });
-                // Each may miss the one that it does not know; the second telling finds it.
+                // Each relay may miss the VM that it does not know; the second sending reaches it.
                 assert!(missed.count() <= relays.len(), "{vms} VMs, reader {reader}");
             }
         }
@@ -155,30 +159,33 @@
 }
 
 #[test]
-fn a_vm_that_comes_is_answered_and_no_storm_follows() {
-    // Symptom: as 300 VMs start, each tells all others whenever it first hears one: 27 million
-    // datagrams.
-    // Cause: a change of one VM told to all, when only that VM has to learn something.
+fn a_new_vm_is_answered_without_a_storm_of_datagrams() {
+    // Guards against a storm of datagrams when 300 VMs start: each announced itself to all others
+    // whenever it first received a datagram from one, 27 million datagrams in all, although only
+    // that one VM had to learn something.
     world::run(async {
         let plane = world::plane();
         let first = link::take_datagram(&plane, &datagram(5, 1));
-        assert_eq!(first, Some(world::vm_address(5)), "it may not know this VM");
+        assert_eq!(first, Some(world::vm_address(5)), "a new VM gets an answer");
         let second = link::take_datagram(&plane, &datagram(5, 2));
         assert_eq!(second, None);
         let stale = link::take_datagram(&plane, &datagram(5, 2));
         assert_eq!(stale, None);
         tokio::time::advance(time::Duration::from_secs(9)).await;
         let back = link::take_datagram(&plane, &datagram(5, 3));
-        assert_eq!(back, Some(world::vm_address(5)), "it was silent");
+        assert_eq!(
+            back,
+            Some(world::vm_address(5)),
+            "a VM that was silent gets an answer"
+        );
     });
 }
 
 #[test]
-fn only_what_differs_is_told() {
-    // Symptom: 300 VMs before 3,000 servers tell each other all that they know, 300 KB each time:
-    // 0.65 of the day's worth went into bytes between failure domains.
-    // Sequence: hundreds of servers change each second; no two VMs know quite the same.
-    // Cause: any difference taken for a VM that knows nothing.
+fn a_state_reply_carries_only_differences() {
+    // Guards against VMs that send each other their complete state, 300 KB with 300 VMs and 3,000
+    // servers, whenever hundreds of servers change each second and no two VMs have the same view.
+    // The traffic between failure domains cost 0.65 of a day's worth.
     world::run(async {
         let now = Instant::now();
         let (here, there) = (world::plane(), world::plane());
@@ -200,10 +207,10 @@
         }
         let request = catchup::state_request(&here.state());
         let reply = catchup::state_reply(&mut there.state(), &request);
-        let told: collections::BTreeSet<_> = reply.updates.iter().map(|item| &item.id).collect();
-        assert_eq!(told.len(), 3, "{told:?}");
+        let sent: collections::BTreeSet<_> = reply.updates.iter().map(|item| &item.id).collect();
+        assert_eq!(sent.len(), 3, "{sent:?}");
         for item in &reply.updates {
-            let news = item.decode_update().expect("sound");
+            let news = item.decode_update().expect("valid update");
             here.state().take_news(news, false, now);
         }
         let hash = |plane: &world::TestPlane| plane.state().fleet.standing_hash();
@@ -215,16 +222,20 @@
                 .is_empty()
         );
         let nothing = message::StateRequest::default();
-        let whole = catchup::state_reply(&mut here.state(), &nothing);
-        assert_eq!(whole.updates.len(), 3_000 + 4, "to a VM that knows nothing");
+        let complete = catchup::state_reply(&mut here.state(), &nothing);
+        assert_eq!(
+            complete.updates.len(),
+            3_000 + 4,
+            "complete state for a VM that knows nothing"
+        );
     });
 }
 
 #[test]
-fn news_that_was_overtaken_counts() {
-    // Symptom: a server that leaves gets work for seconds on some VMs.
-    // Sequence: a VM sends several datagrams with news in one moment; two of them change places.
-    // Cause: a datagram older than the newest one of its sender thrown away whole.
+fn overtaken_updates_are_applied() {
+    // Guards against a server that leaves but gets work for seconds on some VMs. A VM sends several
+    // datagrams with updates at once, two of them arrive in reverse order, and the older one is
+    // dropped with its updates.
     world::run(async {
         let plane = world::plane();
         let item = |id, offset| {
@@ -243,36 +254,36 @@
 }
 
 #[test]
-fn who_knows_what_most_know_is_asked() {
-    // Symptom: a VM that missed news asks again and again, and learns nothing.
-    // Sequence: the VMs of its failure domain were cut off with it, and know otherwise than most.
-    // Cause: any VM that knows otherwise asked, the near ones first.
+fn state_is_requested_from_a_vm_with_the_most_common_view() {
+    // Guards against a VM that missed updates and sends requests again and again without learning
+    // them. The VMs of its failure domain were cut off with it, and it requested the difference
+    // from any VM with a different view, preferring these.
     world::run(async {
         let now = Instant::now();
         let mut table = peers::PeerTable::new("d-0");
         for number in 1..60 {
-            let mut told = datagram(number, 1);
-            told.standing_hash = match number % DOMAINS {
+            let mut datagram = datagram(number, 1);
+            datagram.standing_hash = match number % DOMAINS {
                 0 => number as u64,
                 8 if number > 40 => 7,
                 _ => 1_000,
             };
-            table.take(&told, now);
+            table.take(&datagram, now);
         }
         let others = || table.all().map(|(_, peer)| peer).collect::<Vec<_>>();
-        let asked = catchup::preferred_sources(others(), "d-0");
-        assert!(asked.iter().all(|peer| peer.standing_hash == 1_000));
-        let asked = catchup::preferred_sources(others(), "d-3");
-        assert!(asked.iter().all(|peer| peer.domain == "d-3"));
+        let sources = catchup::preferred_sources(others(), "d-0");
+        assert!(sources.iter().all(|peer| peer.standing_hash == 1_000));
+        let sources = catchup::preferred_sources(others(), "d-3");
+        assert!(sources.iter().all(|peer| peer.domain == "d-3"));
         assert_eq!(catchup::preferred_sources(Vec::new(), "d-3").len(), 0);
     });
 }
 
 #[test]
-fn news_does_not_silence_a_vm() {
-    // Symptom: of 300 VMs those that read the store, or tell news on, are missing in lookups.
-    // Sequence: 450 pieces of news a second; each makes the VM speak, to a few others only.
-    // Cause: the pause until the next regular datagram counted anew from each.
+fn updates_do_not_postpone_regular_datagrams() {
+    // Guards against VMs that are missing in lookups because updates postpone their regular
+    // datagrams. Of 300 VMs, those that read the store or relay updates send to a few others 450
+    // times a second, and each sending restarted the announce interval.
     world::run(async {
         let plane = world::plane();
         for number in 1..300 {
@@ -290,10 +301,10 @@
 }
 
 #[test]
-fn a_notice_that_was_lost_is_found_within_two_seconds() {
-    // Symptom: a server that leaves gets work for five seconds from one VM of 300.
-    // Sequence: both datagrams with the notice are lost on their way to that VM.
-    // Cause: what differs asked for each 3.3 s at 3,000 servers.
+fn a_lost_notice_is_recovered_within_two_seconds() {
+    // Guards against a server that leaves but gets work for five seconds from one VM of 300. Both
+    // datagrams with the notice are lost, and the VM requested differences only every 3.3 s at
+    // 3,000 servers.
     for servers in [44, 600, 3_000, 4_100] {
         let found = catchup::DIFFERENCE_DELAY + catchup::request_interval(servers);
         assert!(
@@ -304,8 +315,9 @@
 }
 
 #[test]
-fn a_late_datagram_of_a_process_before_is_not_of_the_one_that_runs() {
-    // Guards against a VM that is silent to others after its restart, since its numbers begin anew.
+fn a_late_datagram_of_an_earlier_process_is_stale() {
+    // Guards against a restarted VM that looks silent to others because its sequence numbers start
+    // again.
     let now = Instant::now();
     let mut table = peers::PeerTable::new("d-0");
     let before = datagram(5, 5_000);
--- a/crates/exchange/tests/configurations.rs
+++ b/crates/exchange/tests/configurations.rs
@@ -14,18 +14,18 @@
 };
 use world::cluster;
 
-/// Link of a small VM, in bytes a second.
+/// Rate of a small VM's link, in bytes per second.
 const LINK_RATE: usize = 1_250_000;
 /// Bytes of a configuration of some 8,000 routes.
 const DOCUMENT_BYTES: usize = 2_000_000;
-/// Time in which a configuration must be in force.
+/// Maximum time until a configuration is in force.
 const IN_FORCE_WITHIN: time::Duration = time::Duration::from_millis(3_000);
-/// Time between two datagrams of a VM.
-const SPEAK_GAP: time::Duration = time::Duration::from_millis(200);
-/// Parts in which bytes are sent each second.
-const PARTS_A_SECOND: usize = 50;
+/// Interval between two datagrams of a VM.
+const ANNOUNCE_INTERVAL: time::Duration = time::Duration::from_millis(200);
+/// Number of parts per second in which a slow link carries data.
+const PARTS_PER_SECOND: usize = 50;
 
-/// The version stands ahead of as many bytes as a large configuration has.
+/// A document that starts with its version and is as long as a large configuration.
 fn document(version: u64) -> Bytes {
     let mut document = version.to_string();
     document.push(' ');
@@ -41,14 +41,14 @@
         .ok_or_else(|| String::from("no number"))
 }
 
-/// A VM that answers whoever asks it with a configuration, at the pace of a slow link.
+/// A VM that replies to each state request with a configuration, at the rate of a slow link.
 async fn answer_slowly(listener: sockets::TcpListener, version: u64) {
     loop {
         let (mut stream, _) = listener.accept().await.expect("connection");
         tokio::task::spawn_local(async move {
-            let length = stream.read_u32().await.expect("length of the question");
-            let mut question = vec![0; length as usize];
-            stream.read_exact(&mut question).await.expect("question");
+            let length = stream.read_u32().await.expect("length of the request");
+            let mut request = vec![0; length as usize];
+            stream.read_exact(&mut request).await.expect("request");
             let reply = message::StateReply {
                 catalog: document(version),
                 system: world::SYSTEM,
@@ -58,7 +58,7 @@
             let mut frame = BytesMut::new();
             frame.put_u32(u32::try_from(reply.len()).expect("small"));
             frame.extend_from_slice(&reply);
-            for part in frame.chunks(LINK_RATE / PARTS_A_SECOND) {
+            for part in frame.chunks(LINK_RATE / PARTS_PER_SECOND) {
                 let pace = part.len() as f64 / LINK_RATE as f64;
                 clock::sleep(time::Duration::from_secs_f64(pace)).await;
                 if stream.write_all(part).await.is_err() {
@@ -95,25 +95,25 @@
 }
 
 #[test]
-fn a_large_configuration_is_taken_from_a_vm_over_a_slow_link() {
-    // Guards against a time limit on the whole of an answer, which a large one never keeps.
+fn a_large_configuration_is_fetched_from_a_vm_over_a_slow_link() {
+    // Guards against a time limit on the complete transfer, which a large reply always exceeds.
     run(async {
         let listener = sockets::TcpListener::bind("127.0.0.1:0").await;
         let listener = listener.expect("listener");
         let address = listener.local_addr().expect("address");
         tokio::task::spawn_local(answer_slowly(listener, 2));
         let plane = world::plane();
-        let asking = catchup::catch_up(plane.clone(), catchup::TcpPeers, decode);
-        tokio::task::spawn_local(asking);
+        let task = catchup::catch_up(plane.clone(), catchup::TcpPeers, decode);
+        tokio::task::spawn_local(task);
         let began = Instant::now();
         let mut sequence = 0;
         while plane.state().version() < 2 {
             assert!(began.elapsed() <= IN_FORCE_WITHIN, "not in force in time");
             sequence += 1;
             let now = Instant::now();
-            let told = datagram(address, sequence, 2);
-            plane.state().peers.take(&told, now);
-            clock::sleep(SPEAK_GAP).await;
+            let datagram = datagram(address, sequence, 2);
+            plane.state().peers.take(&datagram, now);
+            clock::sleep(ANNOUNCE_INTERVAL).await;
         }
     });
 }
@@ -121,7 +121,7 @@
 /// Bytes of a route in a document.
 const ROUTE_BYTES: usize = 250;
 
-/// A document of so many routes, no two alike, as operators name them.
+/// A document of `count` routes, no two alike, in the form in which operators name them.
 fn routes(version: u64, count: usize) -> Bytes {
     let mut document = format!("{version} ");
     for number in 0..count {
@@ -142,18 +142,19 @@
     Bytes::from(document)
 }
 
-/// Some VMs, few of which have fast links, and the configurations that they are told.
+/// VMs, few of which have fast links, and the configurations that are published.
 #[derive(Clone, Copy, Debug)]
 struct ConfigurationLoad {
     vms: usize,
     routes: usize,
-    /// Time between a configuration of so many routes and one that changes nothing else.
-    gap: time::Duration,
-    /// Time in which the users of a deployment of this size want each in force.
+    /// Time between the first configuration with that many routes and one that only changes the
+    /// version.
+    interval: time::Duration,
+    /// Time within which the users of a deployment of this size want each in force.
     within: time::Duration,
 }
 
-/// How long until each VM had the first of them or a later one, and the second.
+/// Time until each VM had the first configuration or a later one, and the second one.
 #[derive(Clone, Copy, Debug, Default)]
 struct ConfigurationSpread {
     first: time::Duration,
@@ -163,7 +164,7 @@
 }
 
 async fn spread(load: ConfigurationLoad) -> ConfigurationSpread {
-    let store = rc::Rc::new(cluster::HerdStore::new(
+    let store = rc::Rc::new(cluster::ClusterStore::new(
         Vec::new(),
         routes(1, load.routes / 2),
         time::Duration::from_millis(4),
@@ -176,8 +177,8 @@
             LINK_RATE
         }
     };
-    let vms = (0..load.vms).map(|number| cluster::HerdVm::new(number, rate(number) as f64));
-    let vms: cluster::VmHerd = rc::Rc::new(vms.collect());
+    let vms = (0..load.vms).map(|number| cluster::ClusterVm::new(number, rate(number) as f64));
+    let vms: cluster::VmCluster = rc::Rc::new(vms.collect());
     let tasks: Vec<_> = (0..load.vms)
         .map(|number| {
             vms[number].know_all(&store, world::catalog(1));
@@ -192,7 +193,7 @@
     let mut published = false;
     while spread.second.is_zero() && began.elapsed() < time::Duration::from_secs(30) {
         clock::sleep(time::Duration::from_millis(20)).await;
-        if !published && began.elapsed() >= load.gap {
+        if !published && began.elapsed() >= load.interval {
             store.publish(3, routes(3, load.routes));
             published = true;
         }
@@ -201,7 +202,7 @@
             spread.first = began.elapsed();
         }
         if all(3) {
-            spread.second = began.elapsed() - load.gap;
+            spread.second = began.elapsed() - load.interval;
         }
     }
     spread.store_mb = store.document_bytes.get() as f64 / 1e6;
@@ -219,12 +220,13 @@
 
 #[test]
 fn large_configurations_are_in_force_on_all_vms_in_time() {
-    // Guards against VMs that all fetch a large document over slow links at once, and never have it.
+    // Guards against VMs that all fetch a large document over slow links at once, so that none
+    // receives it completely.
     for (vms, within_ms) in [(9, 2_000), (74, 3_000), (195, 4_000), (410, 4_000)] {
         check(ConfigurationLoad {
             vms,
             routes: 4_200,
-            gap: time::Duration::from_millis(3_300),
+            interval: time::Duration::from_millis(3_300),
             within: time::Duration::from_millis(within_ms),
         });
     }
--- a/crates/exchange/tests/delta.rs
+++ b/crates/exchange/tests/delta.rs
@@ -1,4 +1,4 @@
-//! Deltas of documents against the plain documents.
+//! Tests of document deltas against the complete documents.
 
 mod world;
 
@@ -6,14 +6,14 @@
 use exchange::{catchup, delta, message};
 use prost::Message as _;
 
-/// Random histories.
+/// Number of random histories.
 const HISTORIES: u64 = 300;
 
-fn pieced(bytes: &[u8]) -> delta::ChunkedDocument {
+fn chunked(bytes: &[u8]) -> delta::ChunkedDocument {
     Bytes::copy_from_slice(bytes).into()
 }
 
-/// Bytes that do not repeat themselves.
+/// Pseudo-random bytes without repetitions.
 fn noise(length: usize, mut seed: u64) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(length);
     while bytes.len() < length {
@@ -25,33 +25,33 @@
 }
 
 #[test]
-fn a_delta_gives_the_document_that_it_was_made_of() {
+fn a_delta_reproduces_the_document() {
     // Guards against a configuration that no operator wrote.
     world::histories(HISTORIES, |u| {
         let mut document = noise(u.int_in_range(0..=200_000)?, u.arbitrary()?);
-        let base = pieced(&document);
+        let base = chunked(&document);
         for _ in 0..u.int_in_range(0..=4)? {
             let at = u.int_in_range(0..=document.len())?;
             let end = (at + u.int_in_range(0..=20_000)?).min(document.len());
             let inserted = noise(u.int_in_range(0..=20_000)?, u.arbitrary()?);
             document.splice(at..end, inserted);
         }
-        let delta = pieced(&document).delta(&base.hashes());
+        let delta = chunked(&document).delta(&base.hashes());
         assert_eq!(base.apply(&delta).expect("document"), document);
-        let whole = pieced(&document).delta(&[]);
-        assert_eq!(pieced(&[]).apply(&whole).expect("document"), document);
+        let complete = chunked(&document).delta(&[]);
+        assert_eq!(chunked(&[]).apply(&complete).expect("document"), document);
         Ok(())
     });
 }
 
 #[test]
-fn a_damaged_delta_gives_no_document() {
-    // Guards against a configuration put together of pieces that do not belong together.
+fn a_damaged_delta_is_rejected() {
+    // Guards against a configuration assembled from chunks that do not belong together.
     world::histories(HISTORIES, |u| {
         let mut document = noise(100_000, u.arbitrary()?);
-        let base = pieced(&document);
+        let base = chunked(&document);
         document.splice(40_000..40_010, noise(3_000, u.arbitrary()?));
-        let mut delta = pieced(&document).delta(&base.hashes());
+        let mut delta = chunked(&document).delta(&base.hashes());
         match u.int_in_range(0..=5)? {
             5 => delta.order = delta.order.repeat(4_000),
             0 => drop(delta.order.pop()),
@@ -67,17 +67,18 @@
 
 #[test]
 fn a_small_change_of_a_large_document_is_a_small_delta() {
-    // Load: one value of a megabyte changes; 68 VMs behind links of 10 Mbit/s have all the rest.
+    // Load: one value in a document of a megabyte changes; 68 VMs behind links of 10 Mbit/s have
+    // all the rest.
     let mut document = noise(1_000_000, 7);
-    let base = pieced(&document);
+    let base = chunked(&document);
     document.splice(500_000..500_004, *b"changed");
-    let delta = pieced(&document).delta(&base.hashes());
+    let delta = chunked(&document).delta(&base.hashes());
     assert!(delta.encoded_len() < 80_000, "{}", delta.encoded_len());
 }
 
 #[test]
-fn a_vm_that_took_no_delta_asks_for_the_whole() {
-    // Guards against a VM that asks for ever for a delta that it can't use.
+fn a_vm_requests_the_complete_document_after_a_bad_delta() {
+    // Guards against a VM that requests a delta forever although it can't apply it.
     world::run(async {
         let decode = |bytes: &[u8]| match bytes {
             b"2" => Ok(world::catalog(2)),
@@ -106,7 +107,7 @@
 
 #[test]
 fn a_vm_sends_few_long_documents_at_a_time() {
-    // Guards against a link that carries one document to all that ask, and none to the end.
+    // Guards against a link that is shared by so many documents that none arrives completely.
     world::run(async {
         let there = world::plane();
         let document = Bytes::from(noise(1_000_000, 3));
@@ -123,7 +124,7 @@
         drop(sent);
         assert!(
             catchup::answer(&there, &request).is_some(),
-            "others get it later"
+            "other requesters get it once the guards are dropped"
         );
     });
 }
--- a/crates/exchange/tests/evacuation.rs
+++ b/crates/exchange/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Failure domains that the operator evacuates.
+//! Tests of failure domains that the operator evacuates.
 
 mod world;
 
@@ -8,7 +8,7 @@
 use exchange::{catalog, evacuation, link, message, place};
 use tokio::time;
 
-/// Histories that are played.
+/// Number of random histories.
 const HISTORIES: u64 = 500;
 /// Failure domains of a history.
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
@@ -21,7 +21,7 @@
     }
 }
 
-/// Which domains are evacuated once the first `end` records of the log are taken into account.
+/// The domains that are evacuated after the first `end` records of the log.
 fn oracle(log: &[evacuation::EvacuationRecord], end: u64) -> collections::BTreeSet<String> {
     let mut domains = collections::BTreeSet::new();
     for record in log.iter().filter(|record| record.offset < end) {
@@ -34,7 +34,8 @@
     domains
 }
 
-/// The newest record of each domain, as the store keeps them: those taken back have none.
+/// The newest record of each evacuated domain, as the store keeps them; revoked evacuations have
+/// none.
 fn newest(log: &[evacuation::EvacuationRecord], end: u64) -> Vec<evacuation::EvacuationRecord> {
     let standing = oracle(log, end);
     let before = log.iter().filter(|record| record.offset < end).rev();
@@ -47,7 +48,8 @@
     records
 }
 
-/// VMs read the log whole or go on reading it, and tell each other, late and in any order.
+/// VMs read the complete log or continue reading it, and send each other their sets, delayed and in
+/// any order.
 fn history(u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
     let mut log = Vec::new();
     let mut vms = [(); 3].map(|()| evacuation::EvacuationSet::default());
@@ -62,7 +64,7 @@
                 vms[vm].take(evacuation::EvacuationSet::of_all(&newest(&log, end), end));
             }
             2 => {
-                // From where an earlier reading of this VM ended, up to what the store has by then.
+                // From the end of an earlier read of this VM, up to what the store has now.
                 let from = u.int_in_range(0..=vms[vm].position)?;
                 let follow = log
                     .iter()
@@ -91,8 +93,8 @@
 }
 
 #[test]
-fn what_is_evacuated_follows_from_the_position_alone() {
-    // Guards against an evacuation that returns with a late datagram after it was taken back.
+fn the_evacuated_domains_depend_on_the_position_only() {
+    // Guards against an evacuation that returns with a delayed datagram after it was revoked.
     world::histories(HISTORIES, history);
 }
 
@@ -106,7 +108,7 @@
         .take_evacuations(evacuations, time::Instant::now());
 }
 
-/// A plane whose servers `s2` and `e2` are in another failure domain than the others.
+/// A plane whose servers `s3` and `e3` are in another failure domain than the others.
 fn plane_of_two_domains() -> world::TestPlane {
     let plane = world::plane();
     let now = time::Instant::now();
@@ -121,7 +123,7 @@
 
 #[test]
 fn calls_and_generations_avoid_an_evacuated_domain() {
-    // Guards against new work for servers that are about to be taken away.
+    // Guards against new work for servers that are about to be removed.
     world::run(async {
         let plane = plane_of_two_domains();
         evacuate(&plane, 1, &["a"]);
@@ -148,8 +150,8 @@
 }
 
 #[test]
-fn what_runs_in_an_evacuated_domain_ends_there() {
-    // Guards against running generations that are moved off, or on, for an evacuation.
+fn runs_in_an_evacuated_domain_finish_there() {
+    // Guards against an evacuation that moves running generations.
     world::run(async {
         let plane = plane_of_two_domains();
         world::start(&plane);
@@ -165,7 +167,7 @@
 }
 
 #[test]
-fn no_copy_of_a_run_goes_to_an_evacuated_domain() {
+fn runs_are_not_copied_to_an_evacuated_domain() {
     // Guards against runs of a leaving engine that are moved to engines which are to be emptied.
     world::run(async {
         let plane = plane_of_two_domains();
@@ -191,8 +193,8 @@
 }
 
 #[test]
-fn a_run_does_not_go_on_at_a_copy_in_an_evacuated_domain() {
-    // Guards against requests for evacuated engines when the engine of a run breaks off.
+fn a_run_does_not_resume_in_an_evacuated_domain() {
+    // Guards against requests to evacuated engines when the engine of a run fails.
     world::run(async {
         let plane = plane_of_two_domains();
         world::start(&plane);
@@ -208,14 +210,14 @@
         assert!(backup.is_some(), "a copy is kept");
         evacuate(&plane, 1, &["a", "b"]);
         let read = world::read(world::parts(reply)).await;
-        assert!(!read.whole, "an honest end");
+        assert!(!read.whole, "the stream ends as incomplete");
         assert_eq!(plane.port().seen.borrow().len(), 1, "sent once");
     });
 }
 
 #[test]
-fn an_evacuation_is_told_to_other_vms() {
-    // Guards against VMs that do not read the store and never learn of an evacuation.
+fn evacuations_reach_other_vms_by_datagram() {
+    // Guards against VMs that do not read the store and never receive an evacuation.
     world::run(async {
         let plane = world::plane();
         let told = |sequence, position, domains: &[&str]| message::PeerDatagram {
--- a/crates/exchange/tests/incarnations.rs
+++ b/crates/exchange/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Servers that start again under the name that they had.
+//! Tests of servers that restart under the same name.
 
 mod world;
 
@@ -22,20 +22,20 @@
     entry
 }
 
-/// How the newest incarnation of one name stands, from all words that there are: the greatest birth
-/// counts; it is gone if the newest of its words and of the ends is an end; it leaves if any of its
-/// words said so.
-fn oracle(words: &[update::ServerUpdate]) -> Option<(update::StartTime, server::ServerStanding)> {
+/// Expected incarnation and standing of one name after all updates: the latest start time counts.
+/// The server is removed if its newest update comes before the newest removal, and leaving if any
+/// update of that incarnation said so.
+fn oracle(updates: &[update::ServerUpdate]) -> Option<(update::StartTime, server::ServerStanding)> {
     let entries = || {
-        words
+        updates
             .iter()
-            .filter_map(|word| Some((word.offset, word.entry.as_ref()?)))
+            .filter_map(|update| Some((update.offset, update.entry.as_ref()?)))
     };
     let newest = entries().map(|(_, entry)| entry.started_at).max()?;
     let own = || entries().filter(|(_, entry)| entry.started_at == newest);
     let written = own().map(|(offset, _)| offset).max()?;
-    let ends = words.iter().filter(|word| word.entry.is_none());
-    let ended = ends.map(|word| word.offset).max();
+    let ends = updates.iter().filter(|update| update.entry.is_none());
+    let ended = ends.map(|update| update.offset).max();
     let standing = if ended.is_some_and(|ended| ended > written) {
         server::ServerStanding::Gone
     } else if own().any(|(_, entry)| entry.leaving) {
@@ -47,11 +47,12 @@
 }
 
 #[test]
-fn vms_agree_on_the_newest_incarnation_whatever_overtakes_what() {
-    // Symptom: one VM sends work to an engine that left, or none to one that is back.
-    // Sequence: words on two or three incarnations of a name come late, twice and in any order, among
-    // them heartbeats of an earlier incarnation that were written after the later one's first.
-    // Cause: the store's order taken for the order of the incarnations, or one record for both.
+fn vms_agree_on_the_newest_incarnation_in_any_order_of_updates() {
+    // Guards against a VM that sends work to an engine that left, or none to one that is back.
+    // Updates of two or three incarnations of a name arrive late, twice and in any order, among
+    // them heartbeats of an earlier incarnation that were written after the later one's first. The
+    // order of the store must not be taken for the order of the incarnations, and each incarnation
+    // needs its own record.
     world::run(async {
         world::histories(HISTORIES, |u| {
             let now = Instant::now();
@@ -60,43 +61,47 @@
                 offset: 1,
                 entry: Some(entry(1, 1_000, false)),
             };
-            let mut words = vec![first.clone()];
+            let mut updates = vec![first.clone()];
             for offset in 2..u.int_in_range(3..=9)? {
                 let named = u.ratio(3, 4)?;
-                let birth = 1_000 * u.int_in_range(1..=3)?;
-                let entry = named.then_some(entry(1, birth, u.ratio(1, 4)?));
-                words.push(world::news("e1", offset, entry));
+                let started = 1_000 * u.int_in_range(1..=3)?;
+                let entry = named.then_some(entry(1, started, u.ratio(1, 4)?));
+                updates.push(world::news("e1", offset, entry));
             }
             let mut hashes = collections::BTreeSet::new();
             for _ in 0..2 {
-                let mut order: Vec<_> = words.iter().chain(&words).collect();
+                let mut order: Vec<_> = updates.iter().chain(&updates).collect();
                 for last in (1..order.len()).rev() {
                     let other = u.int_in_range(0..=last)?;
                     order.swap(last, other);
                 }
                 let mut fleet = fleet::ServerFleet::default();
                 fleet.take_news(&first, None, now);
-                for word in order {
-                    fleet.take_news(word, None, now);
+                for update in order {
+                    fleet.take_news(update, None, now);
                 }
                 let record = fleet.server(fleet.find("e1").expect("known"));
                 let record = record.expect("known");
-                assert_eq!(Some((record.born, record.standing)), oracle(&words));
+                assert_eq!(Some((record.born, record.standing)), oracle(&updates));
                 let taking = fleet.ready("llm", now).count();
                 assert!(taking <= 1, "one incarnation takes work");
                 hashes.insert(fleet.standing_hash());
             }
-            assert_eq!(hashes.len(), 1, "VMs that know the same say the same");
+            assert_eq!(
+                hashes.len(),
+                1,
+                "VMs with the same updates have the same hash"
+            );
             Ok(())
         });
     });
 }
 
 #[test]
-fn nothing_of_the_earlier_incarnation_is_believed_of_the_later() {
-    // Symptom: an engine that is back gets no work for as long as the system runs.
-    // Sequence: it leaves, fails and is full; it crashes, and starts again under its name.
-    // Cause: leaving is never unlearnt, and was kept by name.
+fn a_new_incarnation_inherits_nothing_from_the_earlier_one() {
+    // Guards against a restarted engine that gets no work for as long as the system runs. It
+    // leaves, fails and is full, crashes and restarts under its name; a leaving mark is never
+    // revoked, and was kept by name.
     world::run(async {
         let now = Instant::now();
         let mut fleet = fleet::ServerFleet::default();
@@ -126,8 +131,8 @@
         );
         let hash = fleet.server(before).expect("known").name_hash();
 
-        let back = world::news("e1", 3, Some(entry(1, 2_000, false)));
-        let change = fleet.take_news(&back, None, now);
+        let restarted = world::news("e1", 3, Some(entry(1, 2_000, false)));
+        let change = fleet.take_news(&restarted, None, now);
         let after = fleet.find("e1").expect("known");
         assert_eq!(change, fleet::FleetChange::Arrived(after));
         assert_ne!(before, after);
@@ -140,13 +145,13 @@
         let room = room::MemoryRoom::measure(&fleet, "llm", &engine, &loads, now);
         assert!(
             room.moving < 1.0,
-            "what ran there is over, and needs no room"
+            "runs of the earlier incarnation need no memory"
         );
-        // What a VM that has not heard of it still tells is of the earlier one.
+        // A VM that does not know the restart yet still reports loads of the earlier incarnation.
         assert_eq!(fleet.find_hash(hash), Some(before));
         let old = fleet.server(before).expect("kept");
         assert!(!old.takes_work(now) && old.superseded);
-        // Nor does a late word of the earlier one end or revive anything.
+        // A late update of the earlier incarnation neither removes nor revives anything.
         let late = world::news("e1", 9, Some(entry(1, 1_000, true)));
         assert_eq!(
             fleet.take_news(&late, None, now),
@@ -158,9 +163,9 @@
 
 #[test]
 fn a_late_heartbeat_does_not_bring_a_leaving_server_back() {
-    // Symptom: an engine that left gets new work, and is cut with it.
-    // Sequence: it says that it leaves, its entry is removed, then a heartbeat from before is written.
-    // Cause: leaving forgotten with the entry.
+    // Guards against an engine that left, gets new work and is stopped with it. It announces that
+    // it leaves, its entry is removed, and then a heartbeat from before is written; the leaving
+    // mark was dropped with the entry.
     world::run(async {
         let now = Instant::now();
         let mut fleet = fleet::ServerFleet::default();
@@ -175,23 +180,23 @@
 }
 
 #[test]
-fn a_word_that_does_not_say_which_incarnation_it_means_names_none() {
+fn an_update_without_a_start_time_names_no_incarnation() {
     world::run(async {
         let now = Instant::now();
         let mut fleet = fleet::ServerFleet::default();
-        let told = world::news("e1", 1, Some(entry(1, 1_000, false)));
-        assert!(!fleet.names_none(&told));
-        fleet.take_news(&told, None, now);
+        let update = world::news("e1", 1, Some(entry(1, 1_000, false)));
+        assert!(!fleet.names_none(&update));
+        fleet.take_news(&update, None, now);
         assert!(fleet.names_none(&world::news("e1", 2, Some(entry(1, 0, false)))));
         assert!(!fleet.names_none(&world::news("e2", 2, Some(entry(2, 0, false)))));
     });
 }
 
 #[test]
-fn a_run_is_not_sent_for_where_its_copy_was_lost() {
-    // Symptom: a caller gets the rest of another caller's answer.
-    // Sequence: a stream's backup crashes and starts again under its name; then its engine dies.
-    // Cause: the copy asked for by name and address, at an engine that never had it.
+fn a_run_is_not_resumed_at_a_backup_that_restarted() {
+    // Guards against a caller that gets the rest of another caller's answer. The backup of a stream
+    // crashes and restarts under its name, then the stream's engine crashes, and the copy is
+    // requested by name and address from an engine that never had it.
     world::run(async {
         let plane = world::plane();
         for server in ["e1", "e2"] {
@@ -199,8 +204,8 @@
         }
         let now = Instant::now();
         for (number, id) in [(11, "e1"), (12, "e2")] {
-            let told = world::news(id, 2, Some(entry(number, 1_000, false)));
-            plane.state().take_news(told, false, now);
+            let update = world::news(id, 2, Some(entry(number, 1_000, false)));
+            plane.state().take_news(update, false, now);
         }
         let ask = world::ask("a", catalog::ExchangeKind::Stream);
         let reply = plane.serve(ask).await.expect("served");
@@ -213,8 +218,8 @@
                 ("e1", 11)
             }
         };
-        let back = world::news(other, 3, Some(entry(number, 2_000, false)));
-        plane.state().take_news(back, false, Instant::now());
+        let restarted = world::news(other, 3, Some(entry(number, 2_000, false)));
+        plane.state().take_news(restarted, false, Instant::now());
         let read = world::read(world::parts(reply)).await;
         assert!(!read.whole);
         assert_eq!(read.text, world::events(9));
@@ -223,17 +228,17 @@
 }
 
 #[test]
-fn a_run_whose_engine_is_known_to_have_started_again_goes_on_at_its_backup() {
-    // Symptom: a stream stays silent until its caller leaves, though a copy of it is kept.
-    // Sequence: its engine crashes behind a cut, so that no connection breaks; it starts again.
-    // Cause: nothing tells the stream that its run is over.
+fn a_run_resumes_at_its_backup_once_its_engine_is_known_to_have_restarted() {
+    // Guards against a stream that stays silent until its caller leaves, although a copy of it is
+    // kept. Its engine crashes behind a network partition, so that no connection breaks, and
+    // restarts; the stream must learn from the update that its run has ended.
     world::run(async {
         let plane = world::plane();
         world::start(&plane);
         let now = Instant::now();
         for (number, id) in [(11, "e1"), (12, "e2")] {
-            let told = world::news(id, 2, Some(entry(number, 1_000, false)));
-            plane.state().take_news(told, false, now);
+            let update = world::news(id, 2, Some(entry(number, 1_000, false)));
+            plane.state().take_news(update, false, now);
             plane.port().tell(id, ServerScript::Events(100, GAP));
         }
         let ask = world::ask("a", catalog::ExchangeKind::Stream);
@@ -241,8 +246,8 @@
         let first = plane.port().seen.borrow()[0].server.clone();
         let number = if first == "e1" { 11 } else { 12 };
         tokio::time::sleep(GAP * 6).await;
-        let back = world::news(&first, 3, Some(entry(number, 2_000, false)));
-        plane.state().take_news(back, false, Instant::now());
+        let restarted = world::news(&first, 3, Some(entry(number, 2_000, false)));
+        plane.state().take_news(restarted, false, Instant::now());
         plane.stir();
         let read = world::read(world::parts(reply)).await;
         assert!(read.whole);
@@ -255,7 +260,7 @@
 }
 
 #[test]
-fn a_kept_connection_leads_to_the_incarnation_that_it_was_made_to() {
+fn connections_older_than_the_incarnation_are_not_reused() {
     let target = port::ServerTarget {
         id: String::from("e1"),
         address: world::address(1),
--- a/crates/exchange/tests/notices.rs
+++ b/crates/exchange/tests/notices.rs
@@ -1,4 +1,5 @@
-//! How long until the last of many VMs knows that a server leaves, or that a failure domain is evacuated.
+//! Measures the time until the last of many VMs knows that a server leaves, or that a failure
+//! domain is evacuated.
 
 mod world;
 
@@ -8,36 +9,36 @@
 use tokio::time::{self as clock, Instant};
 use world::lossy::{self, VmHealth};
 
-/// Half of what the users allow until a server that leaves gets no more work.
+/// Half of the time that the users allow until a server that leaves gets no more work.
 const KNOWN_WITHIN: time::Duration = time::Duration::from_millis(1_500);
-/// Servers, as many as of 300 VMs with ten each.
+/// Number of servers: those of 300 VMs with ten each.
 const SERVERS: usize = 3_000;
-/// VMs that read the store for all have found each other and read once by then.
+/// Time after which VMs that read the store for all have found each other and read once.
 const WARM_UP: time::Duration = time::Duration::from_millis(1_500);
-/// Time between two notices: a sixth of the servers is replaced each 5 s.
-const NOTICE_GAP: time::Duration = time::Duration::from_millis(10);
-/// One in this many VMs is slow or killed where some are.
-const HARMED_PART: usize = 20;
-/// Changes of the operator in one play.
+/// Mean interval between two notices: a sixth of the servers is replaced every 5 s.
+const NOTICE_INTERVAL: time::Duration = time::Duration::from_millis(10);
+/// One in this many VMs is slow or killed, in the runs where some are.
+const UNHEALTHY_ONE_IN: usize = 20;
+/// Number of changes of the operator in one run.
 const OPERATOR_CHANGES: u64 = 4;
-/// Time between two looks at what the VMs know.
-const LOOK_GAP: time::Duration = time::Duration::from_millis(10);
+/// Interval between two checks of what the VMs know.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
-struct NoticePlay {
+struct NoticeScenario {
     vms: usize,
     loss: f64,
-    /// What becomes of some VMs, those that tell news on among them, after half of the notices.
-    harm: VmHealth,
+    /// Health of some VMs, relays among them, after half of the notices.
+    health: VmHealth,
     notices: usize,
 }
 
-/// A notice that was given.
-struct GivenNotice {
+/// A notice that was written to the store.
+struct WrittenNotice {
     server: String,
     at: Instant,
-    /// VMs that are not known to have it.
+    /// VMs that do not have it yet.
     missing: Vec<usize>,
 }
 
@@ -59,7 +60,7 @@
     }
 }
 
-/// VMs that run, and their store.
+/// Running VMs and their store.
 struct RunningVms {
     vms: rc::Rc<lossy::LossyVms>,
     store: rc::Rc<lossy::LogStore>,
@@ -72,16 +73,16 @@
     }
 }
 
-/// Starts the VMs, which then read the store and tell each other what it holds.
-async fn start(play: &NoticePlay) -> RunningVms {
+/// Starts the VMs, which then read the store and send each other its contents.
+async fn start(scenario: &NoticeScenario) -> RunningVms {
     let store = rc::Rc::new(lossy::LogStore::default());
     for number in 0..SERVERS {
         store.append(&name(number), Some(entry(number, false)));
     }
     let first = store.records.borrow().clone();
-    let seed = (play.vms * 1_000) as u64 + (play.loss * 100.0) as u64;
-    let vms = lossy::LossyVms::new(play.vms, play.loss, seed, &first);
-    let runs = (0..play.vms).map(|own| {
+    let seed = (scenario.vms * 1_000) as u64 + (scenario.loss * 100.0) as u64;
+    let vms = lossy::LossyVms::new(scenario.vms, scenario.loss, seed, &first);
+    let runs = (0..scenario.vms).map(|own| {
         let run = lossy::run_vm(vms.clone(), store.clone(), own);
         tokio::task::spawn_local(run)
     });
@@ -95,37 +96,40 @@
     let state = vm.plane.state();
     let key = state.fleet.find(server).expect("known from the start");
     let record = state.fleet.server(key).expect("just found");
-    let harmed = matches!(vm.health.get(), VmHealth::Killed | VmHealth::Slow);
-    harmed || !record.takes_work(now)
+    let unhealthy = matches!(vm.health.get(), VmHealth::Killed | VmHealth::Slow);
+    unhealthy || !record.takes_work(now)
 }
 
-/// The time in which each notice was known to all VMs that are sound.
-async fn play(play: NoticePlay) -> Vec<time::Duration> {
-    let running = start(&play).await;
+/// Runs the notices and returns the time in which each was known to all healthy VMs.
+async fn run_notices(scenario: NoticeScenario) -> Vec<time::Duration> {
+    let running = start(&scenario).await;
     let (vms, store) = (&running.vms, &running.store);
-    let mut open = collections::VecDeque::<GivenNotice>::new();
+    let mut open = collections::VecDeque::<WrittenNotice>::new();
     let mut times = Vec::new();
-    let mut given = 0;
+    let mut written = 0;
     let mut next_at = Instant::now();
-    while given < play.notices || !open.is_empty() {
-        clock::sleep(LOOK_GAP).await;
+    while written < scenario.notices || !open.is_empty() {
+        clock::sleep(CHECK_INTERVAL).await;
         let now = Instant::now();
-        while given < play.notices && next_at <= now {
-            let server = name(given);
-            store.append(&server, Some(entry(given, true)));
-            store.append(&name(given + SERVERS), Some(entry(given + SERVERS, false)));
-            let missing = (0..play.vms).collect();
-            open.push_back(GivenNotice {
+        while written < scenario.notices && next_at <= now {
+            let server = name(written);
+            store.append(&server, Some(entry(written, true)));
+            store.append(
+                &name(written + SERVERS),
+                Some(entry(written + SERVERS, false)),
+            );
+            let missing = (0..scenario.vms).collect();
+            open.push_back(WrittenNotice {
                 server,
                 at: now,
                 missing,
             });
-            given += 1;
-            next_at += NOTICE_GAP.mul_f64(2.0 * vms.draw());
-            if given == play.notices / 2 {
+            written += 1;
+            next_at += NOTICE_INTERVAL.mul_f64(2.0 * vms.draw());
+            if written == scenario.notices / 2 {
                 for (number, vm) in vms.vms.iter().enumerate() {
-                    if number % HARMED_PART == HARMED_PART - 1 {
-                        vm.health.set(play.harm);
+                    if number % UNHEALTHY_ONE_IN == UNHEALTHY_ONE_IN - 1 {
+                        vm.health.set(scenario.health);
                     }
                 }
             }
@@ -144,107 +148,115 @@
             !known
         });
     }
-    let span = (WARM_UP + NOTICE_GAP * u32::try_from(play.notices).expect("few")).as_secs_f64();
-    let rate = vms.sent_bytes.get() as f64 / play.vms as f64 / span / 1_000.0;
+    let span =
+        (WARM_UP + NOTICE_INTERVAL * u32::try_from(scenario.notices).expect("few")).as_secs_f64();
+    let rate = vms.sent_bytes.get() as f64 / scenario.vms as f64 / span / 1_000.0;
     times.sort_unstable();
     println!(
-        "{play:?}: middle {:?}, longest {:?}, {rate:.1} KB a second sent by a VM",
+        "{scenario:?}: middle {:?}, longest {:?}, {rate:.1} KB a second sent by a VM",
         times[times.len() / 2],
         times[times.len() - 1]
     );
     times
 }
 
-/// Plays notices and checks that each was known in time.
-fn check(plays: impl IntoIterator<Item = NoticePlay>) {
+/// Runs each play and checks that each notice was known in time.
+fn check(scenarios: impl IntoIterator<Item = NoticeScenario>) {
     let mut late = Vec::new();
-    for what in plays {
+    for scenario in scenarios {
         let mut times = Vec::new();
-        world::run(async { times = play(what).await });
+        world::run(async { times = run_notices(scenario).await });
         let count = times.iter().filter(|took| **took > KNOWN_WITHIN).count();
         if count > 0 {
-            late.push((what, count));
+            late.push((scenario, count));
         }
     }
     assert!(late.is_empty(), "late notices: {late:#?}");
 }
 
-fn play_of(vms: usize) -> NoticePlay {
-    NoticePlay {
+fn scenario_of(vms: usize) -> NoticeScenario {
+    NoticeScenario {
         vms,
         loss: 0.01,
-        harm: VmHealth::Sound,
+        health: VmHealth::Healthy,
         notices: 150,
     }
 }
 
-fn with_losses(play: NoticePlay) -> impl Iterator<Item = NoticePlay> + Clone {
+fn with_losses(scenario: NoticeScenario) -> impl Iterator<Item = NoticeScenario> + Clone {
     let losses = [0.0, 0.01, 0.05, 0.2].into_iter();
-    losses.map(move |loss| NoticePlay { loss, ..play })
+    losses.map(move |loss| NoticeScenario { loss, ..scenario })
 }
 
-fn with_harms(play: NoticePlay) -> impl Iterator<Item = NoticePlay> {
-    let harms = [VmHealth::Killed, VmHealth::Slow].into_iter();
-    harms.map(move |harm| NoticePlay { harm, ..play })
+fn with_unhealthy_vms(scenario: NoticeScenario) -> impl Iterator<Item = NoticeScenario> {
+    let healths = [VmHealth::Killed, VmHealth::Slow].into_iter();
+    healths.map(move |health| NoticeScenario { health, ..scenario })
 }
 
 #[test]
 fn a_leaving_server_is_known_to_all_in_time_whatever_is_lost_30() {
     // Guards against one lost datagram that leaves a VM without a notice until it compares lists.
-    check(with_losses(play_of(30)));
+    check(with_losses(scenario_of(30)));
 }
 
 #[test]
 fn a_leaving_server_is_known_to_all_in_time_whatever_is_lost_129() {
-    // The same with the fewest VMs that do not all tell each other.
-    check(with_losses(play_of(129)));
+    // The same with the smallest number of VMs that do not form a full mesh.
+    check(with_losses(scenario_of(129)));
 }
 
 #[test]
 fn a_leaving_server_is_known_to_all_in_time_whatever_is_lost_300() {
-    // The same with as many VMs as the users play.
-    check(with_losses(play_of(300)));
+    // The same with the number of VMs in the users' trials.
+    check(with_losses(scenario_of(300)));
 }
 
 #[test]
 fn a_leaving_server_is_known_to_all_in_time_whatever_is_lost_414() {
-    // The same with as many VMs as the users name.
-    check(with_losses(play_of(414)));
+    // The same with the number of VMs that the users name.
+    check(with_losses(scenario_of(414)));
 }
 
 #[test]
 fn a_leaving_server_is_known_to_all_in_time_beside_vms_that_fail() {
-    // Guards against a part of the VMs that learns notices from one VM alone.
-    check([30, 129, 300].map(play_of).into_iter().flat_map(with_harms));
+    // Guards against a group of VMs that learns notices from one VM only.
+    check(
+        [30, 129, 300]
+            .map(scenario_of)
+            .into_iter()
+            .flat_map(with_unhealthy_vms),
+    );
 }
 
 #[test]
 fn a_leaving_server_is_known_to_all_in_time_beside_vms_that_fail_414() {
-    // The same with as many VMs as the users name.
-    check(with_harms(play_of(414)));
+    // The same with the number of VMs that the users name.
+    check(with_unhealthy_vms(scenario_of(414)));
 }
 
 #[test]
 fn a_vm_that_hears_no_reader_knows_in_time() {
-    // Guards against a VM that learns of the store through a few others only, none of which it hears.
-    let deaf = |vms| NoticePlay {
-        harm: VmHealth::Deaf,
+    // Guards against a VM that learns of the store only through a few others and receives no
+    // datagram of them.
+    let cut = |vms| NoticeScenario {
+        health: VmHealth::CutFromReaders,
         loss: 0.2,
-        ..play_of(vms)
+        ..scenario_of(vms)
     };
-    check([30, 129].map(deaf));
+    check([30, 129].map(cut));
 }
 
-/// What the operator changes at the store.
+/// Kind of change that the operator makes in the store.
 #[derive(Clone, Copy, Debug)]
 enum OperatorChange {
     Evacuation,
     Configuration,
 }
 
-/// The longest time in which changes of the operator, each found by one VM, were in force on all.
-async fn change(play: NoticePlay, change: OperatorChange) -> time::Duration {
-    let running = start(&play).await;
+/// Makes changes of the operator, each found by one VM, and returns the longest time until one was
+/// in force on all VMs.
+async fn change(scenario: NoticeScenario, change: OperatorChange) -> time::Duration {
+    let running = start(&scenario).await;
     let planes: Vec<_> = running.vms.vms.iter().map(|vm| vm.plane.clone()).collect();
     let is_reader = |plane: &&world::TestPlane| plane.state().reads_store(Instant::now());
     let mut longest = time::Duration::ZERO;
@@ -265,34 +277,34 @@
                 follow::take_document(reader, lossy::decode, document, "store");
             }
         }
-        let given_at = Instant::now();
+        let changed_at = Instant::now();
         let in_force = |plane: &world::TestPlane| match change {
             OperatorChange::Evacuation => plane.state().fleet.evacuations().position == number,
             OperatorChange::Configuration => plane.state().version() == number,
         };
-        while !planes.iter().all(in_force) && given_at.elapsed() < 4 * KNOWN_WITHIN {
-            clock::sleep(LOOK_GAP).await;
+        while !planes.iter().all(in_force) && changed_at.elapsed() < 4 * KNOWN_WITHIN {
+            clock::sleep(CHECK_INTERVAL).await;
         }
-        longest = longest.max(given_at.elapsed());
+        longest = longest.max(changed_at.elapsed());
     }
-    println!("{play:?}, {change:?}: longest {longest:?}");
+    println!("{scenario:?}, {change:?}: longest {longest:?}");
     longest
 }
 
 #[test]
 fn evacuations_and_configurations_are_in_force_on_all_in_time_whatever_is_lost() {
-    // Guards against a VM that is told once of what it must refuse from then on.
+    // Guards against VMs to which a change that they must enforce is sent only once.
     for vms in [30, 129, 414] {
-        let what = NoticePlay {
+        let scenario = NoticeScenario {
             loss: 0.2,
-            ..play_of(vms)
+            ..scenario_of(vms)
         };
         for changed in [OperatorChange::Evacuation, OperatorChange::Configuration] {
             let mut longest = time::Duration::ZERO;
-            world::run(async { longest = change(what, changed).await });
+            world::run(async { longest = change(scenario, changed).await });
             assert!(
                 longest <= KNOWN_WITHIN,
-                "{what:?}, {changed:?}: {longest:?}"
+                "{scenario:?}, {changed:?}: {longest:?}"
             );
         }
     }
@@ -301,11 +313,11 @@
 #[test]
 #[ignore = "10,000 notices, by hand"]
 fn ten_thousand_notices_are_known_to_all_in_time() {
-    let sizes = [30, 129, 300, 414].map(play_of);
-    let sound = sizes.into_iter().flat_map(with_losses);
-    let harmed = sound.clone().flat_map(with_harms);
-    check(sound.chain(harmed).map(|play| NoticePlay {
+    let sizes = [30, 129, 300, 414].map(scenario_of);
+    let healthy = sizes.into_iter().flat_map(with_losses);
+    let unhealthy = healthy.clone().flat_map(with_unhealthy_vms);
+    check(healthy.chain(unhealthy).map(|scenario| NoticeScenario {
         notices: 209,
-        ..play
+        ..scenario
     }));
 }
--- a/crates/exchange/tests/recovery.rs
+++ b/crates/exchange/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! Many VMs start in one second and know nothing: how long until each has what it needs, and what they
-//! ask of the store meanwhile.
+//! Tests of many VMs that start within one second and know nothing: the time until each has what it
+//! needs, and the calls to the store meanwhile.
 
 mod world;
 
@@ -10,18 +10,18 @@
 use tokio::time::{self as clock, Instant};
 use world::cluster;
 
-/// Servers for each VM.
+/// Number of servers for each VM.
 const SERVERS_EACH: usize = 10;
 /// Bytes of the operator's document.
 const DOCUMENT_BYTES: usize = 24_000;
-/// Link of a VM, in bytes a second.
+/// Rate of a VM's link, in bytes per second.
 const LINK_RATE: f64 = 2.5e6;
-/// Time of a short call at the store.
+/// Duration of a short call to the store.
 const STORE_TIME: time::Duration = time::Duration::from_millis(4);
-/// Span in which the VMs start.
-const START_SPAN: time::Duration = time::Duration::from_millis(1_000);
-/// Time in which each VM serves again after the loss of all, and in which it knows all servers, which is
-/// half of what the users allow.
+/// Time within which the VMs start.
+const START_TIME: time::Duration = time::Duration::from_millis(1_000);
+/// Maximum time until each VM serves again after the loss of all, and until it knows all servers,
+/// which is half of what the users allow.
 const SERVES_WITHIN: time::Duration = time::Duration::from_millis(3_000);
 const KNOWS_WITHIN: time::Duration = time::Duration::from_millis(7_500);
 
@@ -29,24 +29,24 @@
     Ok(world::catalog(1))
 }
 
-/// Which VMs are lost, and how the store fares.
+/// The lost VMs, and the state of the store.
 #[derive(Clone, Copy, Debug)]
-struct HerdLoss {
+struct ClusterLoss {
     vms: usize,
-    /// One in this many is lost.
+    /// One in this many VMs is lost.
     one_in: usize,
     store_time: time::Duration,
     store_down: time::Duration,
 }
 
-/// How long it took.
+/// Times and calls of a recovery.
 #[derive(Clone, Copy, Debug, Default)]
-struct HerdRecovery {
-    /// Until the last VM had a configuration and servers of each service.
+struct ClusterRecovery {
+    /// Time until the last VM had a configuration and servers of each service.
     serves: time::Duration,
-    /// Until the last one knew all servers.
+    /// Time until the last VM knew all servers.
     knows: time::Duration,
-    /// Calls to the store by then, for each VM that was lost.
+    /// Calls to the store by then, per lost VM.
     calls_each: f64,
 }
 
@@ -72,30 +72,30 @@
     state.version() > 0 && has("app") && has("llm")
 }
 
-/// One VM: it starts anew, or has run on and knows all.
+/// Runs one VM, which either starts anew or has been running and knows everything.
 async fn run_vm(
-    vms: cluster::VmHerd,
-    store: rc::Rc<cluster::HerdStore>,
+    vms: cluster::VmCluster,
+    store: rc::Rc<cluster::ClusterStore>,
     number: usize,
-    loss: HerdLoss,
+    loss: ClusterLoss,
 ) {
     let vm = &vms[number];
     if number.is_multiple_of(loss.one_in) {
         let spread = vm.plane.state().draw();
-        clock::sleep(START_SPAN.mul_f64(spread)).await;
+        clock::sleep(START_TIME.mul_f64(spread)).await;
     } else {
         vm.know_all(&store, world::catalog(1));
     }
     cluster::run_vm(vms, store, number, decode).await;
 }
 
-async fn recover(loss: HerdLoss) -> HerdRecovery {
+async fn recover(loss: ClusterLoss) -> ClusterRecovery {
     let began = Instant::now();
     let entries = entries(loss.vms * SERVERS_EACH);
     let servers = entries.len();
-    let vms = (0..loss.vms).map(|number| cluster::HerdVm::new(number, LINK_RATE));
-    let vms: cluster::VmHerd = rc::Rc::new(vms.collect());
-    let store = rc::Rc::new(cluster::HerdStore::new(
+    let vms = (0..loss.vms).map(|number| cluster::ClusterVm::new(number, LINK_RATE));
+    let vms: cluster::VmCluster = rc::Rc::new(vms.collect());
+    let store = rc::Rc::new(cluster::ClusterStore::new(
         entries,
         Bytes::from(vec![b'x'; DOCUMENT_BYTES]),
         loss.store_time,
@@ -104,7 +104,7 @@
     let tasks: Vec<_> = (0..loss.vms)
         .map(|number| tokio::task::spawn_local(run_vm(vms.clone(), store.clone(), number, loss)))
         .collect();
-    let mut recovery = HerdRecovery::default();
+    let mut recovery = ClusterRecovery::default();
     let lost = loss.vms.div_ceil(loss.one_in) as f64;
     while recovery.knows.is_zero() && began.elapsed() < time::Duration::from_secs(20) {
         clock::sleep(time::Duration::from_millis(20)).await;
@@ -123,9 +123,9 @@
     recovery
 }
 
-/// Plays a loss and checks how long it took.
-fn check(loss: HerdLoss) -> HerdRecovery {
-    let mut recovery = HerdRecovery::default();
+/// Runs a loss and checks the recovery times.
+fn check(loss: ClusterLoss) -> ClusterRecovery {
+    let mut recovery = ClusterRecovery::default();
     world::run(async { recovery = recover(loss).await });
     println!("{loss:?}: {recovery:?}");
     let from = loss.store_down;
@@ -134,7 +134,7 @@
     recovery
 }
 
-const ALL_LOST: HerdLoss = HerdLoss {
+const ALL_LOST: ClusterLoss = ClusterLoss {
     vms: 0,
     one_in: 1,
     store_time: STORE_TIME,
@@ -143,25 +143,25 @@
 
 #[test]
 fn all_vms_serve_again_soon_after_all_were_lost() {
-    // Guards against hundreds of VMs that each read the whole list of servers at once, time out and
-    // begin anew.
-    let small = check(HerdLoss {
+    // Guards against hundreds of VMs that each read the complete list of servers at once, time out
+    // and start over.
+    let small = check(ClusterLoss {
         vms: 30,
         ..ALL_LOST
     });
     for vms in [100, 300, 414] {
-        let recovery = check(HerdLoss { vms, ..ALL_LOST });
-        // Calls of all VMs grow no faster than their number, time no faster either.
+        let recovery = check(ClusterLoss { vms, ..ALL_LOST });
+        // The calls of all VMs grow no faster than their number, and neither does the time.
         assert!(recovery.calls_each <= small.calls_each * 1.1);
         assert!(recovery.serves <= small.serves * u32::try_from(vms / 30).expect("small"));
     }
 }
 
 #[test]
-fn all_vms_serve_again_soon_beside_a_slow_store() {
-    // Guards against a recovery that rests on many calls one after the other.
+fn all_vms_serve_again_soon_with_a_slow_store() {
+    // Guards against a recovery that depends on many consecutive calls.
     let store_time = time::Duration::from_millis(240);
-    check(HerdLoss {
+    check(ClusterLoss {
         vms: 300,
         store_time,
         ..ALL_LOST
@@ -170,9 +170,9 @@
 
 #[test]
 fn all_vms_serve_again_soon_after_the_store_is_back() {
-    // Guards against VMs that call a store which is down so often that its return is not noticed.
+    // Guards against VMs that call an unavailable store so often that they delay its return.
     let store_down = time::Duration::from_secs(5);
-    check(HerdLoss {
+    check(ClusterLoss {
         vms: 300,
         store_down,
         ..ALL_LOST
@@ -181,8 +181,8 @@
 
 #[test]
 fn half_of_the_vms_learn_from_the_others() {
-    // Guards against VMs that are asked for more long lists than their links carry.
-    check(HerdLoss {
+    // Guards against VMs that receive requests for more long lists than their links can carry.
+    check(ClusterLoss {
         vms: 300,
         one_in: 2,
         ..ALL_LOST
--- a/crates/exchange/tests/systems.rs
+++ b/crates/exchange/tests/systems.rs
@@ -1,5 +1,5 @@
-//! VMs of other systems: what they say changes nothing here, and how a VM learns which system is its
-//! own.
+//! Tests of VMs of other systems, whose messages must change nothing, and of how a VM finds out its
+//! own system.
 
 mod world;
 
@@ -10,14 +10,14 @@
 use tokio::time as clock;
 use world::store;
 
-/// Another system.
-const OTHER: u64 = 42;
-/// VMs that speak in a history.
-const SPEAKERS: u8 = 6;
-/// Histories that are played.
+/// Number of another system.
+const OTHER_SYSTEM: u64 = 42;
+/// Number of VMs that send datagrams in a history.
+const SENDERS: u8 = 6;
+/// Number of random histories.
 const HISTORIES: u64 = 400;
 
-/// What VM `number` says of itself; only such datagrams name their system.
+/// The introduction of VM `number`; only introductions name the system.
 fn introduction(number: u8, sequence: u64, system: u64) -> message::PeerDatagram {
     message::PeerDatagram {
         sender: u64::from(number),
@@ -37,37 +37,37 @@
     u: &mut Unstructured<'_>,
     sequence: u64,
 ) -> arbitrary::Result<(bool, message::PeerDatagram)> {
-    // The last two are of another system; one of them has the name of a VM of this one.
-    let number = u.int_in_range(1..=SPEAKERS)?;
-    let foreign = number > SPEAKERS - 2;
-    let system = if foreign { OTHER } else { world::SYSTEM };
-    let mut told = introduction(number, sequence, system);
-    if number == SPEAKERS {
-        told.name = String::from("vm-1");
+    // The last two VMs are of another system; one of them has the name of a VM of this system.
+    let number = u.int_in_range(1..=SENDERS)?;
+    let foreign = number > SENDERS - 2;
+    let system = if foreign { OTHER_SYSTEM } else { world::SYSTEM };
+    let mut datagram = introduction(number, sequence, system);
+    if number == SENDERS {
+        datagram.name = String::from("vm-1");
     }
     if u.ratio(2, 3)? {
-        told.name.clear();
-        told.system = 0;
+        datagram.name.clear();
+        datagram.system = 0;
     }
-    told.catalog_version = u.int_in_range(0..=9)?;
-    told.standing_hash = u.int_in_range(0..=3)?;
+    datagram.catalog_version = u.int_in_range(0..=9)?;
+    datagram.standing_hash = u.int_in_range(0..=3)?;
     let server = u.int_in_range(1..=9_u8)?;
     let leaves = u.arbitrary()?;
     let mut entry = world::entry("app", server, "a");
     entry.leaving = leaves;
     let news = world::news(&format!("i-{server}"), sequence, Some(entry));
-    told.updates = vec![message::UpdateItem::from(&news)];
-    told.known = vec![world::address(200 + number).to_string()];
-    told.accusations = vec![message::AccusationItem {
+    datagram.updates = vec![message::UpdateItem::from(&news)];
+    datagram.known = vec![world::address(200 + number).to_string()];
+    datagram.accusations = vec![message::AccusationItem {
         fingerprint: u.int_in_range(1..=3)?,
         server: u.int_in_range(1..=3)?,
     }];
-    told.refused = vec![u.arbitrary()?];
-    Ok((foreign, told))
+    datagram.refused = vec![u.arbitrary()?];
+    Ok((foreign, datagram))
 }
 
-/// All that a VM believes of others and of servers.
-fn beliefs(plane: &world::TestPlane) -> String {
+/// All that a VM knows of others and of servers, for comparison.
+fn known_state(plane: &world::TestPlane) -> String {
     let now = clock::Instant::now();
     let mut state = plane.state();
     let peers: Vec<_> = state.peers.all().map(|peer| format!("{peer:?}")).collect();
@@ -79,26 +79,26 @@
 }
 
 async fn history(u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
-    // The oracle is a VM that hears only its own system's.
+    // The oracle is a VM that receives datagrams of its own system only.
     let (plane, oracle) = (world::plane(), world::plane());
     for sequence in 1..u.int_in_range(2..=30)? {
-        let (foreign, told) = draw_datagram(u, sequence)?;
-        let answered = link::take_datagram(&plane, &told);
+        let (foreign, datagram) = draw_datagram(u, sequence)?;
+        let answered = link::take_datagram(&plane, &datagram);
         if foreign {
-            assert_eq!(answered, None, "a stranger gets no answer");
+            assert_eq!(answered, None, "a VM of another system gets no answer");
         } else {
-            assert_eq!(answered, link::take_datagram(&oracle, &told));
+            assert_eq!(answered, link::take_datagram(&oracle, &datagram));
         }
-        assert_eq!(beliefs(&plane), beliefs(&oracle));
+        assert_eq!(known_state(&plane), known_state(&oracle));
     }
     Ok(())
 }
 
 #[test]
-fn what_strangers_say_changes_nothing() {
-    // Symptom: calls run at servers of another system, and its VMs are named to callers.
-    // Sequence: VMs of another system speak to this one, some under a name that is known here.
-    // Cause: whoever spoke was taken for a peer.
+fn datagrams_of_other_systems_change_nothing() {
+    // Guards against calls that run at servers of another system, and against callers that are sent
+    // to its VMs. VMs of another system send datagrams to this one, some under a name that is known
+    // here, and any sender was taken for a peer.
     world::histories(HISTORIES, |u| {
         let mut end = Ok(());
         world::run(async { end = history(u).await });
@@ -106,14 +106,14 @@
     });
 }
 
-/// A VM that knows of no system yet.
+/// A VM that does not know its system yet.
 fn fresh_plane() -> world::TestPlane {
     let plane = world::plane();
     plane.state().system = system::SystemBelief::Unasked;
     plane
 }
 
-/// The plane identifies itself beside the test.
+/// Identifies the plane's system in a task.
 fn identify(
     plane: &world::TestPlane,
     store: rc::Rc<store::FakeStore>,
@@ -123,57 +123,56 @@
 }
 
 #[test]
-fn while_the_store_may_still_answer_no_vm_is_believed() {
-    // Symptom: a fresh VM takes over the configuration of another system.
-    // Sequence: it is heard by a VM of that system before its own store has answered.
-    // Cause: the first that spoke believed.
+fn no_vm_is_believed_before_the_store_had_time_to_answer() {
+    // Guards against a new VM that takes over the configuration of another system. It receives a
+    // datagram from a VM of that system before its own store has answered, and joined the system of
+    // the first sender.
     world::run(async {
         let plane = fresh_plane();
         let store = store::FakeStore::silent_for(time::Duration::from_millis(300));
         let identified = identify(&plane, store);
         clock::sleep(time::Duration::from_millis(100)).await;
-        let answered = link::take_datagram(&plane, &introduction(2, 1, OTHER));
+        let answered = link::take_datagram(&plane, &introduction(2, 1, OTHER_SYSTEM));
         assert_eq!((answered, plane.state().peers.len()), (None, 0));
         assert_eq!(identified.await.expect("ends"), Ok(()));
         let own = system::SystemBelief::Known(world::system_id(world::SYSTEM));
         assert_eq!(plane.state().system, own);
-        link::take_datagram(&plane, &introduction(2, 2, OTHER));
+        link::take_datagram(&plane, &introduction(2, 2, OTHER_SYSTEM));
         link::take_datagram(&plane, &introduction(3, 1, world::SYSTEM));
         assert_eq!(plane.state().peers.len(), 1);
     });
 }
 
 #[test]
-fn a_vm_whose_store_is_away_joins_the_first_it_hears_and_checks_it_later() {
-    // Symptom: VMs that are replaced while the store is away serve nobody; or one that joined another
-    // system goes on serving by its configuration.
-    // Sequence: the store does not answer for seconds; a VM speaks, of this system or of another one;
-    // the store is back.
-    // Cause: nobody believed, or the first one for good.
+fn a_vm_without_a_store_joins_the_first_sender_and_verifies_it_later() {
+    // Guards against VMs that are replaced while the store is unavailable and serve nobody, or that
+    // join another system and keep serving with its configuration. The store does not answer for
+    // seconds, a VM of this or of another system sends a datagram, then the store is back. Either
+    // no sender was believed, or the first one forever.
     world::run(async {
-        for (heard, other) in [(world::SYSTEM, OTHER), (OTHER, world::SYSTEM)] {
+        for (first, other) in [(world::SYSTEM, OTHER_SYSTEM), (OTHER_SYSTEM, world::SYSTEM)] {
             let plane = fresh_plane();
             let store = store::FakeStore::silent_for(time::Duration::from_secs(5));
             let identified = identify(&plane, store.clone());
             clock::sleep(time::Duration::from_secs(1)).await;
             assert_eq!(plane.state().system, system::SystemBelief::Unanswered);
-            link::take_datagram(&plane, &introduction(2, 1, heard));
+            link::take_datagram(&plane, &introduction(2, 1, first));
             link::take_datagram(&plane, &introduction(3, 1, other));
             assert_eq!(plane.state().peers.len(), 1, "one system at a time");
-            let told = system::SystemBelief::Told(world::system_id(heard));
-            assert_eq!(plane.state().system, told);
+            let joined = system::SystemBelief::Told(world::system_id(first));
+            assert_eq!(plane.state().system, joined);
             let end = identified.await.expect("ends");
-            assert_eq!(end.is_ok(), heard == world::SYSTEM);
+            assert_eq!(end.is_ok(), first == world::SYSTEM);
             assert!(store.asked.get() <= 15, "{} calls", store.asked.get());
         }
     });
 }
 
 #[test]
-fn a_vm_that_does_not_know_its_system_is_told_and_not_believed() {
-    // Symptom: a VM of another system is a peer for as long as its own store is silent.
-    // Sequence: it was given an address that this VM knows, and speaks before it knows its system.
-    // Cause: no system taken for the own one.
+fn a_vm_without_a_system_is_answered_and_not_believed() {
+    // Guards against a VM of another system that is a peer for as long as its own store is silent.
+    // It has an address that this VM knows and sends before it knows its system; no system was
+    // taken for the same one.
     world::run(async {
         let plane = world::plane();
         let answered = link::take_datagram(&plane, &introduction(2, 1, 0));
@@ -183,21 +182,20 @@
         let answered = link::take_datagram(&fresh, &introduction(2, 1, 0));
         assert_eq!(
             answered, None,
-            "two that know nothing don't answer each other for ever"
+            "two VMs without a system don't answer each other forever"
         );
     });
 }
 
 #[test]
-fn a_state_of_another_system_is_not_taken() {
-    // Symptom: a VM has another system's configuration in force.
-    // Sequence: a peer is asked for its newer configuration just after it went; its address is
-    // another system's by then.
-    // Cause: the answer believed for its address.
+fn state_of_another_system_is_rejected() {
+    // Guards against a VM that puts another system's configuration in force. It requests the newer
+    // configuration of a peer that has just stopped, and a VM of another system has its address by
+    // then.
     world::run(async {
         let plane = world::plane();
         let there = world::plane();
-        there.state().system = system::SystemBelief::Known(world::system_id(OTHER));
+        there.state().system = system::SystemBelief::Known(world::system_id(OTHER_SYSTEM));
         let decode = |_: &[u8]| Ok(world::catalog(9));
         let request = message::StateRequest::default();
         there.state().document = rc::Rc::new(bytes::Bytes::from_static(b"9").into());
--- a/crates/exchange/tests/world/cluster.rs
+++ b/crates/exchange/tests/world/cluster.rs
@@ -1,4 +1,4 @@
-//! Many VMs of the product on the paused clock, whose links and store carry so many bytes a second.
+//! A test cluster of entry VMs on the paused clock, with limited rates of links and store.
 
 use std::{cell, io, net, rc, time};
 
@@ -13,32 +13,32 @@
 
 /// Failure domains.
 pub const DOMAINS: usize = 5;
-/// Entries in one page of the store.
+/// Number of entries in one page of the store.
 const PAGE: usize = 500;
-/// Bytes of an entry in a page.
+/// Size of an entry in a page.
 const ENTRY_BYTES: usize = 450;
-/// Rate at which the store answers all together, in bytes a second.
+/// Rate of all answers of the store together, in bytes per second.
 const STORE_RATE: f64 = 80e6;
-/// Time until an answer of the store must begin: that of a short call, and of a page.
-const CALL_WAIT: time::Duration = time::Duration::from_millis(1_000);
-const PAGE_WAIT: time::Duration = time::Duration::from_millis(2_500);
-/// Time without a byte after which an answer that began is given up, and its longest time.
-const ANSWER_SILENCE: time::Duration = time::Duration::from_millis(1_000);
-const ANSWER_MOST: time::Duration = time::Duration::from_secs(20);
-/// Time that a VM with an eighth of a core works on one server of a list, to send it or to take it.
-const WORK_EACH: time::Duration = time::Duration::from_micros(10);
-/// From a VM's start until it speaks.
-const SILENT_SPAN: time::Duration = time::Duration::from_millis(100);
+/// Time until an answer of the store must begin: for a short call, and for a page.
+const CALL_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
+const PAGE_TIMEOUT: time::Duration = time::Duration::from_millis(2_500);
+/// Time without a byte after which an answer that began is aborted, and its maximum duration.
+const ANSWER_IDLE_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+/// Time that a VM with an eighth of a core takes to send or apply one server of a list.
+const WORK_PER_SERVER: time::Duration = time::Duration::from_micros(10);
+/// Time from a VM's start until it sends its first datagram.
+const START_DELAY: time::Duration = time::Duration::from_millis(100);
 /// Delay of a link.
 const LINK_DELAY: time::Duration = time::Duration::from_millis(2);
-/// Bytes that a link carries at a time, so that transfers share it.
+/// Number of bytes that a link carries at a time, so that transfers share it.
 const PART_BYTES: usize = 16_000;
-/// How far ahead of a slow link a fast one may send.
+/// How far a fast link may send ahead of a slow one.
 const WINDOW: time::Duration = time::Duration::from_millis(50);
-/// Newest records are read in base64.
+/// Size factor of the newest records, which are read in base64.
 const BASE64: f64 = 4.0 / 3.0;
 
-/// A link, or whatever carries one thing after the other.
+/// A link, or anything else that carries one transfer after the other.
 #[derive(Debug)]
 pub struct SharedLink {
     rate: f64,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// When `bytes` that are there at `from` have been carried.
+    /// The time at which `bytes` that are available from `from` on have been carried.
     fn carry(&self, bytes: usize, from: Instant) -> Instant {
         let begins = self.free_at.get().max(from);
         let ends = begins + time::Duration::from_secs_f64(bytes as f64 / self.rate);
@@ -62,7 +62,7 @@
     }
 }
 
-/// Carries `bytes` over both links, beside all else that they carry.
+/// Carries `bytes` over both links, together with all other transfers.
 async fn carry(
     bytes: usize,
     (near, far): (&SharedLink, &SharedLink),
@@ -82,23 +82,24 @@
     clock::sleep_until(here).await;
 }
 
-/// The store of all VMs.
+/// The store that all VMs share.
 #[derive(Debug)]
-pub struct HerdStore {
+pub struct ClusterStore {
     pub entries: Vec<update::ServerUpdate>,
     output: SharedLink,
     call_time: time::Duration,
-    /// It answers from then on.
+    /// Time from which the store answers.
     up_at: Instant,
     pub calls: cell::Cell<usize>,
-    /// Bytes of documents that it sent.
+    /// Bytes of documents that the store sent.
     pub document_bytes: cell::Cell<usize>,
-    /// The newest document; its position is its version.
+    /// Version and bytes of the newest document; the version is its position.
     document: cell::RefCell<(u64, Bytes)>,
 }
 
-impl HerdStore {
-    /// One with a first document, which answers a short call after `call_time`, and none before `up_at`.
+impl ClusterStore {
+    /// A store with a first document, which answers a short call after `call_time` and none before
+    /// `up_at`.
     pub fn new(
         entries: Vec<update::ServerUpdate>,
         document: Bytes,
@@ -125,16 +126,16 @@
     }
 }
 
-/// The store as one VM reaches it.
+/// One VM's client of the store.
 #[derive(Debug)]
 pub struct VmStore {
-    store: rc::Rc<HerdStore>,
+    store: rc::Rc<ClusterStore>,
     link: rc::Rc<SharedLink>,
     meter: transfer::TransferMeter,
 }
 
 impl VmStore {
-    pub fn new(store: rc::Rc<HerdStore>, link: rc::Rc<SharedLink>) -> Self {
+    pub fn new(store: rc::Rc<ClusterStore>, link: rc::Rc<SharedLink>) -> Self {
         Self {
             store,
             link,
@@ -156,8 +157,8 @@
         }
         let limit = transfer::TransferLimit {
             first,
-            silence: ANSWER_SILENCE,
-            whole: ANSWER_MOST,
+            silence: ANSWER_IDLE_TIMEOUT,
+            whole: ANSWER_TIMEOUT,
         };
         let carried = carry(bytes, (&store.output, &self.link), meter);
         let carried = meter.limit(&limit, carried).await;
@@ -169,7 +170,7 @@
         let bytes = (document.len() as f64 * share) as usize;
         let sent = &self.store.document_bytes;
         sent.set(sent.get() + bytes);
-        self.call(bytes, CALL_WAIT, &self.meter).await?;
+        self.call(bytes, CALL_TIMEOUT, &self.meter).await?;
         Ok(follow::DocumentPage {
             document: Some(document),
             evacuations: Vec::<evacuation::EvacuationRecord>::new(),
@@ -185,24 +186,24 @@
     ) -> Result<follow::UpdatePage, follow::StoreError> {
         let entries = &self.store.entries;
         let first = after.map_or(0, |after| {
-            entries.partition_point(|news| news.id.as_str() <= after)
+            entries.partition_point(|update| update.id.as_str() <= after)
         });
         let page = &entries[first..entries.len().min(first + PAGE)];
         let meter = transfer::TransferMeter::default();
-        self.call(page.len() * ENTRY_BYTES, PAGE_WAIT, &meter)
+        self.call(page.len() * ENTRY_BYTES, PAGE_TIMEOUT, &meter)
             .await?;
-        clock::sleep(WORK_EACH * u32::try_from(page.len()).expect("small")).await;
+        clock::sleep(WORK_PER_SERVER * u32::try_from(page.len()).expect("small")).await;
         let more = first + page.len() < entries.len();
         Ok(follow::UpdatePage {
             updates: page.to_vec(),
             end: 1_000_000,
-            next: page.last().filter(|_| more).map(|news| news.id.clone()),
+            next: page.last().filter(|_| more).map(|update| update.id.clone()),
         })
     }
 
     async fn read_updates(&self, from: u64) -> Result<follow::UpdatePage, follow::StoreError> {
         let meter = transfer::TransferMeter::default();
-        self.call(16, CALL_WAIT, &meter).await?;
+        self.call(16, CALL_TIMEOUT, &meter).await?;
         Ok(follow::UpdatePage {
             end: from,
             ..follow::UpdatePage::default()
@@ -218,7 +219,7 @@
         from: u64,
         wait: time::Duration,
     ) -> Result<follow::DocumentPage, follow::StoreError> {
-        self.call(16, CALL_WAIT, &self.meter).await?;
+        self.call(16, CALL_TIMEOUT, &self.meter).await?;
         let until = Instant::now() + wait;
         while self.store.version() <= from {
             if Instant::now() >= until {
@@ -256,18 +257,18 @@
     }
 }
 
-/// One VM.
+/// One VM of the cluster.
 #[derive(Debug)]
-pub struct HerdVm {
+pub struct ClusterVm {
     pub plane: super::TestPlane,
     pub link: rc::Rc<SharedLink>,
     started: cell::Cell<bool>,
 }
 
-/// All VMs.
-pub type VmHerd = rc::Rc<Vec<HerdVm>>;
+/// All VMs of the cluster.
+pub type VmCluster = rc::Rc<Vec<ClusterVm>>;
 
-impl HerdVm {
+impl ClusterVm {
     /// A VM that knows nothing yet, with a link of `rate` bytes a second.
     pub fn new(number: usize, rate: f64) -> Self {
         let state = super::vm_state(number, DOMAINS);
@@ -278,31 +279,31 @@
         }
     }
 
-    /// It has run for a while, and knows all that there is.
-    pub fn know_all(&self, store: &HerdStore, catalog: catalog::RouteCatalog) {
+    /// Brings the VM into the state after it has run for a while and knows everything.
+    pub fn know_all(&self, store: &ClusterStore, catalog: catalog::RouteCatalog) {
         let mut state = self.plane.state();
-        for news in &store.entries {
-            state.take_news(news.clone(), false, Instant::now());
+        for update in &store.entries {
+            state.take_news(update.clone(), false, Instant::now());
         }
         state.take_catalog(catalog, store.document.borrow().1.clone());
         state.servers_whole = true;
     }
 }
 
-/// Other VMs as one of them reaches them.
-struct HerdPeers {
-    herd: VmHerd,
+/// Client of one VM for state requests to other VMs.
+struct ClusterPeers {
+    vms: VmCluster,
     own: usize,
 }
 
-impl catchup::PeerPort for HerdPeers {
+impl catchup::PeerPort for ClusterPeers {
     async fn request_state(
         &self,
         address: net::SocketAddr,
         request: &message::StateRequest,
         meter: &transfer::TransferMeter,
     ) -> io::Result<message::StateReply> {
-        let asked = &self.herd[super::vm_number(address)];
+        let asked = &self.vms[super::vm_number(address)];
         clock::sleep(LINK_DELAY).await;
         let answer = asked
             .started
@@ -311,35 +312,35 @@
         let Some((reply, _guard)) = answer.flatten() else {
             return Err(io::ErrorKind::ResourceBusy.into());
         };
-        let work = WORK_EACH * u32::try_from(reply.updates.len()).expect("small");
+        let work = WORK_PER_SERVER * u32::try_from(reply.updates.len()).expect("small");
         clock::sleep(work).await;
-        let links = (&*asked.link, &*self.herd[self.own].link);
+        let links = (&*asked.link, &*self.vms[self.own].link);
         carry(reply.encoded_len(), links, meter).await;
         clock::sleep(work).await;
         Ok(reply)
     }
 }
 
-/// Time between two looks whether there is something that all should hear at once.
-const SPREAD_LOOK: time::Duration = time::Duration::from_millis(25);
+/// Interval between two checks whether there is something that all VMs must receive at once.
+const SPREAD_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(25);
 
-/// Tells others that this VM is there: all of them at first and of each configuration that it reads for
-/// all, else as many as the product tells.
-async fn introduce(herd: VmHerd, own: usize) {
-    clock::sleep(SILENT_SPAN).await;
-    herd[own].started.set(true);
+/// Announces the VM: to all others at first and for each configuration that it reads for all,
+/// otherwise to the same recipients as in production.
+async fn introduce(vms: VmCluster, own: usize) {
+    clock::sleep(START_DELAY).await;
+    vms[own].started.set(true);
     let mut turn = 0;
-    let mut told_version = None;
+    let mut announced_version = None;
     let mut due = Instant::now();
     loop {
-        let (told, audience, gap) = {
-            let mut state = herd[own].plane.state();
+        let (datagram, recipients, interval) = {
+            let mut state = vms[own].plane.state();
             let now = Instant::now();
             let version = state.version();
-            let spread = told_version.is_none() || state.reads_store(now);
-            let news = told_version.replace(version) != Some(version);
-            let audience = if spread && news {
-                (0..herd.len()).filter(|number| *number != own).collect()
+            let spread = announced_version.is_none() || state.reads_store(now);
+            let changed = announced_version.replace(version) != Some(version);
+            let recipients = if spread && changed {
+                (0..vms.len()).filter(|number| *number != own).collect()
             } else if now < due {
                 Vec::new()
             } else {
@@ -347,45 +348,45 @@
                 let regular = recipients::regular(&state.peers, turn - 1, now);
                 regular.into_iter().map(super::vm_number).collect()
             };
-            let told = announce::introduction(&mut state);
-            (told, audience, state.peers.announce_interval())
+            let datagram = announce::introduction(&mut state);
+            (datagram, recipients, state.peers.announce_interval())
         };
-        if !audience.is_empty() {
-            due = Instant::now() + gap;
+        if !recipients.is_empty() {
+            due = Instant::now() + interval;
         }
-        for number in audience {
-            let there = &herd[number];
+        for number in recipients {
+            let there = &vms[number];
             if !there.started.get() {
                 continue;
             }
-            // Who hears it for the first time answers.
-            if link::take_datagram(&there.plane, &told).is_some() {
+            // A VM that receives its first datagram from the sender answers.
+            if link::take_datagram(&there.plane, &datagram).is_some() {
                 let answer = announce::introduction(&mut there.plane.state());
-                link::take_datagram(&herd[own].plane, &answer);
+                link::take_datagram(&vms[own].plane, &answer);
             }
         }
-        let look = due.min(Instant::now() + SPREAD_LOOK);
-        clock::sleep_until(look.max(Instant::now() + time::Duration::from_millis(1))).await;
+        let check_at = due.min(Instant::now() + SPREAD_CHECK_INTERVAL);
+        clock::sleep_until(check_at.max(Instant::now() + time::Duration::from_millis(1))).await;
     }
 }
 
 /// Runs one VM; never ends.
 pub async fn run_vm(
-    herd: VmHerd,
-    store: rc::Rc<HerdStore>,
+    vms: VmCluster,
+    store: rc::Rc<ClusterStore>,
     number: usize,
     decode: follow::DocumentDecoder,
 ) {
-    let vm = &herd[number];
+    let vm = &vms[number];
     let store = rc::Rc::new(VmStore::new(store, vm.link.clone()));
-    let peers = HerdPeers {
-        herd: herd.clone(),
+    let peers = ClusterPeers {
+        vms: vms.clone(),
         own: number,
     };
     tokio::join!(
         follow::follow_catalog(vm.plane.clone(), store.clone(), decode),
         listing::follow_servers(vm.plane.clone(), store),
         catchup::catch_up(vm.plane.clone(), peers, decode),
-        introduce(herd.clone(), number),
+        introduce(vms.clone(), number),
     );
 }
--- a/crates/exchange/tests/world/lossy.rs
+++ b/crates/exchange/tests/world/lossy.rs
@@ -1,5 +1,5 @@
-//! Many VMs of the product on the paused clock, whose datagrams get lost, before a store that tells what
-//! came since.
+//! A test cluster of entry VMs on the paused clock whose datagrams may be lost, with a store that
+//! returns updates since a position.
 
 use std::{cell, collections, io, net, rc, time};
 
@@ -13,25 +13,25 @@
 
 /// Failure domains of VMs and servers.
 pub const DOMAINS: usize = 3;
-/// Delay of a link, and the time of a call to the store.
+/// Delay of a link, and duration of a call to the store.
 const LINK_DELAY: time::Duration = time::Duration::from_millis(2);
 const STORE_TIME: time::Duration = time::Duration::from_millis(4);
-/// What a VM that is slow takes longer for each datagram.
+/// Additional delay of each datagram of a slow VM.
 const SLOW_DELAY: time::Duration = time::Duration::from_secs(1);
-/// Rate of a VM's link, in bytes a second, for what VMs ask of each other.
+/// Rate of a VM's link, in bytes per second, for state requests.
 const LINK_RATE: f64 = 1.25e6;
 
-/// How a VM fares.
+/// Health of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VmHealth {
-    Sound,
+    Healthy,
     Slow,
     Killed,
-    /// It hears nothing of the VMs that read the store.
-    Deaf,
+    /// The VM receives nothing from VMs that read the store.
+    CutFromReaders,
 }
 
-/// The store of all VMs: records in order.
+/// The store that all VMs share: records in order.
 #[derive(Debug, Default)]
 pub struct LogStore {
     pub records: cell::RefCell<Vec<update::ServerUpdate>>,
@@ -53,7 +53,7 @@
         clock::sleep(STORE_TIME).await;
         let records = self.records.borrow();
         let newest: collections::BTreeMap<_, _> =
-            records.iter().map(|news| (&news.id, news)).collect();
+            records.iter().map(|update| (&update.id, update)).collect();
         Ok(follow::UpdatePage {
             updates: newest.into_values().cloned().collect(),
             end: records.len() as u64,
@@ -108,18 +108,19 @@
     }
 }
 
-/// A datagram on its way, and when it is there.
+/// A datagram in flight and its arrival time.
 type SentDatagram = (Instant, Vec<u8>);
 
-/// One VM.
+/// One VM of the cluster.
 pub struct LossyVm {
     pub plane: super::TestPlane,
     pub health: cell::Cell<VmHealth>,
-    /// Datagrams by how many of their two VMs are slow: those from slow VMs hold up no others.
+    /// Lanes by the number of slow VMs among sender and recipient, so that datagrams of slow VMs
+    /// delay no others.
     lanes: [DatagramLane; 3],
 }
 
-/// Datagrams that take equally long.
+/// Queue of datagrams with the same delay.
 struct DatagramLane {
     inbox: mpsc::UnboundedSender<SentDatagram>,
     outbox: cell::RefCell<Option<mpsc::UnboundedReceiver<SentDatagram>>>,
@@ -135,7 +136,7 @@
     }
 }
 
-/// All VMs, and the part of datagrams that is lost.
+/// All VMs, and the fraction of datagrams that is lost.
 pub struct LossyVms {
     pub vms: Vec<LossyVm>,
     loss: f64,
@@ -145,16 +146,16 @@
 }
 
 impl LossyVms {
-    /// VMs that know each other and `first`, all by news that every VM has.
+    /// Creates VMs that know each other, and the servers in `first` from updates that each VM has.
     pub fn new(count: usize, loss: f64, seed: u64, first: &[update::ServerUpdate]) -> rc::Rc<Self> {
         let now = Instant::now();
         let planes: Vec<_> = (0..count).map(|number| new_plane(number, first)).collect();
-        let told: Vec<_> = planes
+        let introductions: Vec<_> = planes
             .iter()
             .map(|plane| announce::introduction(&mut plane.state()))
             .collect();
         for (own, plane) in planes.iter().enumerate() {
-            for (other, datagram) in told.iter().enumerate() {
+            for (other, datagram) in introductions.iter().enumerate() {
                 if other != own {
                     plane.state().peers.take(datagram, now);
                 }
@@ -162,7 +163,7 @@
         }
         let vms = planes.into_iter().map(|plane| LossyVm {
             plane,
-            health: cell::Cell::new(VmHealth::Sound),
+            health: cell::Cell::new(VmHealth::Healthy),
             lanes: [(); 3].map(|()| DatagramLane::new()),
         });
         rc::Rc::new(Self {
@@ -185,7 +186,7 @@
             return;
         }
         let reads = || from.plane.state().reads_store(Instant::now());
-        if to.health.get() == VmHealth::Deaf && reads() {
+        if to.health.get() == VmHealth::CutFromReaders && reads() {
             return;
         }
         let is_slow = |vm: &LossyVm| vm.health.get() == VmHealth::Slow;
@@ -198,15 +199,15 @@
 
 fn new_plane(number: usize, first: &[update::ServerUpdate]) -> super::TestPlane {
     let mut state = super::vm_state(number, DOMAINS);
-    for news in first {
-        state.take_news(news.clone(), false, Instant::now());
+    for update in first {
+        state.take_news(update.clone(), false, Instant::now());
     }
     state.take_catalog(super::catalog(1), bytes::Bytes::from_static(b"1"));
     state.servers_whole = true;
     rc::Rc::new(plane::ExchangePlane::new(super::FakePort::default(), state))
 }
 
-/// Datagrams as one VM sends them.
+/// Datagram port of one VM.
 struct LossyPort {
     vms: rc::Rc<LossyVms>,
     own: usize,
@@ -218,7 +219,7 @@
     }
 }
 
-/// Other VMs as one of them asks them.
+/// Client of one VM for state requests to other VMs.
 struct LossyPeers {
     vms: rc::Rc<LossyVms>,
     own: usize,
@@ -232,12 +233,17 @@
         meter: &transfer::TransferMeter,
     ) -> io::Result<message::StateReply> {
         let asked = &self.vms.vms[super::vm_number(address)];
-        let answers = |vm: &LossyVm| matches!(vm.health.get(), VmHealth::Sound | VmHealth::Deaf);
+        let answers = |vm: &LossyVm| {
+            matches!(
+                vm.health.get(),
+                VmHealth::Healthy | VmHealth::CutFromReaders
+            )
+        };
         if !answers(asked) || !answers(&self.vms.vms[self.own]) {
             std::future::pending::<()>().await;
         }
-        let sent = request.encoded_len() as f64 / LINK_RATE;
-        clock::sleep(3 * LINK_DELAY + time::Duration::from_secs_f64(sent)).await;
+        let send_time = request.encoded_len() as f64 / LINK_RATE;
+        clock::sleep(3 * LINK_DELAY + time::Duration::from_secs_f64(send_time)).await;
         let answer = catchup::answer(&asked.plane, request);
         let (reply, _guard) = answer.ok_or(io::ErrorKind::ResourceBusy)?;
         let bytes = reply.encoded_len();
@@ -255,8 +261,8 @@
         own,
     };
     let plane = &vms.vms[own].plane;
-    while let Some((there_at, bytes)) = outbox.recv().await {
-        clock::sleep_until(there_at).await;
+    while let Some((arrives_at, bytes)) = outbox.recv().await {
+        clock::sleep_until(arrives_at).await;
         let datagram = message::PeerDatagram::decode(&*bytes).expect("sound");
         if let Some(address) = link::take_datagram(plane, &datagram) {
             announce::answer(plane, &port, address);
@@ -264,7 +270,7 @@
     }
 }
 
-/// A configuration of the version that the document names.
+/// Decodes a configuration whose version is the content of the document.
 pub fn decode(document: &[u8]) -> Result<catalog::RouteCatalog, String> {
     let version = std::str::from_utf8(document).expect("text").parse();
     Ok(super::catalog(version.expect("a number")))
