--- a/crates/exchange/src/announce.rs
+++ b/crates/exchange/src/announce.rs
@@ -35,8 +35,8 @@
 /// This VM introduces itself in one of this many rounds, also to silent VMs, and in each of the
 /// first rounds.
 const INTRODUCTION_ROUNDS: u64 = 16;
-/// How long each datagram carries evacuations that changed: as long as a VM may be silent and still
-/// count as alive.
+/// Time for which each datagram carries evacuations that changed: as long as a VM may be silent and
+/// still count as alive.
 const EVACUATIONS_ANNOUNCE_TIME: time::Duration = time::Duration::from_secs(5);
 
 /// Reason for which datagrams are sent.
@@ -386,10 +386,11 @@
 /// Addresses of some other VMs that are alive: a random selection each time, so that a new VM
 /// learns of all.
 pub(crate) fn known(state: &mut state::PlaneState) -> Vec<String> {
-    let heard = recipients::alive(&state.peers, time::Instant::now());
-    let first = (state.draw() * heard.len() as f64) as usize;
-    let some = heard.iter().cycle().skip(first).take(heard.len());
-    some.take(MAX_KNOWN_ADDRESSES)
+    let alive = recipients::alive(&state.peers, time::Instant::now());
+    let first = (state.draw() * alive.len() as f64) as usize;
+    let selection = alive.iter().cycle().skip(first).take(alive.len());
+    selection
+        .take(MAX_KNOWN_ADDRESSES)
         .map(ToString::to_string)
         .collect()
 }
--- a/crates/exchange/src/catchup.rs
+++ b/crates/exchange/src/catchup.rs
@@ -12,7 +12,7 @@
 
 use crate::{announce, delta, follow, link, message, peers, plane, server, state};
 
-/// How long most VMs must have a different view of the servers before this VM requests the
+/// Time for which most VMs must have a different view of the servers before this VM requests the
 /// difference from one of them.
 pub const DIFFERENCE_DELAY: time::Duration = time::Duration::from_millis(400);
 /// Maximum size of a state reply: a configuration of 38,000 organisations takes about 8 MB.
@@ -214,19 +214,19 @@
             .map(|(_, peer)| peer)
             .filter(|peer| peer.is_alive(now))
     };
-    let late = !state.from_store.is_moving()
+    let overdue = !state.from_store.is_moving()
         && state.behind_since.is_some_and(|since| {
-            let first = if state.reads_store(now) && !state.store_away {
+            let grace = if state.reads_store(now) && !state.store_away {
                 STORE_GRACE
             } else {
                 time::Duration::ZERO
             };
-            now.saturating_duration_since(since) >= first
+            now.saturating_duration_since(since) >= grace
         });
-    let newer = alive().filter(|peer| late && peer.catalog_version > version);
+    let newer = alive().filter(|peer| overdue && peer.catalog_version > version);
     let newer = prefer_near(newer.collect());
-    let newer = newer.get(draw % newer.len().max(1)).copied();
-    let newer = newer.or_else(|| {
+    let source = newer.get(draw % newer.len().max(1)).copied();
+    let source = source.or_else(|| {
         let complete = alive().filter(|peer| !state.servers_whole && !peer.partial);
         let candidates = prefer_near(complete.collect());
         candidates.get(draw % candidates.len().max(1)).copied()
@@ -235,12 +235,12 @@
         .differs_since
         .is_some_and(|since| now.saturating_duration_since(since) >= DIFFERENCE_DELAY);
     let own = state.fleet.standing_hash();
-    let newer = newer.or_else(|| {
+    let source = source.or_else(|| {
         let other = alive().filter(|peer| differs && peer.standing_hash != own);
         let candidates = preferred_sources(other.collect(), &state.settings.domain);
         candidates.get(draw % candidates.len().max(1)).copied()
     });
-    newer.map(|peer| peer.link_address)
+    source.map(|peer| peer.link_address)
 }
 
 /// The candidates in this VM's failure domain if there are at least two, because traffic between
--- a/crates/exchange/src/follow.rs
+++ b/crates/exchange/src/follow.rs
@@ -10,8 +10,8 @@
 
 use crate::{catalog, evacuation, plane, state, system, update};
 
-/// How long one call waits for a configuration: short enough that a connection that went silent
-/// costs less than the users' bound of 3 s for a VM to be in touch again.
+/// Timeout of one call that waits for a configuration: short enough that a connection that went
+/// silent costs less than the users' bound of 3 s for a VM to be in touch again.
 const CATALOG_LONG_POLL: time::Duration = time::Duration::from_millis(2_500);
 /// Interval between two checks whether other VMs have a newer configuration.
 const BEHIND_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(60);
@@ -19,7 +19,7 @@
 /// reads it there, and the random time added so that not all VMs do so at once.
 const PEERS_GRACE: time::Duration = time::Duration::from_millis(1_200);
 const PEERS_GRACE_JITTER: time::Duration = time::Duration::from_millis(600);
-/// The same where this VM has not requested the configuration from another VM.
+/// The same time where this VM has not requested the configuration from another VM.
 const PEERS_GRACE_UNREQUESTED: time::Duration = time::Duration::from_millis(150);
 /// Minimum interval between two reads of the configuration by a VM that does not read for all.
 /// Without it, in a burst of changes, one every 165 ms, 68 such VMs read each version: 3,629 calls
@@ -260,11 +260,11 @@
     }
 }
 
-/// How long to wait for other VMs to deliver a configuration.
+/// Wait for other VMs to deliver a configuration.
 #[derive(Debug)]
 struct PeerGrace {
     duration: time::Duration,
-    /// Since when another VM has a newer configuration.
+    /// Time since which another VM has a newer configuration.
     behind_since: Option<time::Instant>,
 }
 
--- a/crates/exchange/src/link.rs
+++ b/crates/exchange/src/link.rs
@@ -81,7 +81,7 @@
     }
     match system::classify_sender(&mut state, datagram) {
         system::SenderStanding::Peer => {}
-        // The answer tells it the system, in case its store does not.
+        // The answer carries this system's number, in case the sender's store does not return it.
         system::SenderStanding::Undecided => return datagram.link_address.parse().ok(),
         system::SenderStanding::Foreign => {
             metrics::counter!("pollenchute_exchange_datagrams_foreign_total").increment(1);
@@ -103,8 +103,8 @@
     if let Some(item) = &datagram.evacuations {
         follow::take_evacuations(plane, item.clone().into(), "peer");
     }
-    // Each update has its own position in the order of the store, so one that was overtaken on its
-    // way is as good as any other.
+    // Each update has its own position in the order of the store, so the updates of an overtaken
+    // datagram are still valid.
     let updates = datagram
         .updates
         .iter()
--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/listing.rs
@@ -27,20 +27,20 @@
 const MAX_POLLERS: u32 = 6;
 /// Interval between two checks whether this VM is to read the store for all.
 const ROLE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(250);
-/// The same while only a part of the list has been read.
+/// Interval between these checks while only a part of the list has been read.
 const PARTIAL_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(60);
 /// Time for VMs to find each other before any of them reads beyond the first page: a VM that
 /// receives nothing from others assumes that it is one of those that read for all.
 const DISCOVERY_TIME: time::Duration = time::Duration::from_millis(300);
-/// How long a VM that does not read for all waits for the rest of the list from other VMs before it
-/// reads the rest itself.
+/// Time for which a VM that does not read for all waits for the rest of the list from other VMs
+/// before it reads the rest itself.
 const PEERS_TIMEOUT: time::Duration = time::Duration::from_secs(4);
 /// Number of updates in one read up to which each is announced to the others. A larger number comes
 /// from a first read, and the others know these updates already; otherwise they find the difference
 /// by the hash of the standing of all servers.
 pub(crate) const MAX_ANNOUNCED_UPDATES: usize = 64;
 
-/// How much of the list of servers was read.
+/// Progress of reading the list of servers.
 #[derive(Debug, Default)]
 enum ListCursor {
     /// Nothing.
@@ -105,7 +105,7 @@
         }
         let page = match &cursor {
             ListCursor::Start => store.read_servers(None).await,
-            ListCursor::Partial(part) => store.read_servers(Some(&part.after)).await,
+            ListCursor::Partial(list) => store.read_servers(Some(&list.after)).await,
             ListCursor::Complete(from) => store.read_updates(*from).await,
         };
         let now = time::Instant::now();
@@ -147,8 +147,8 @@
     let reader = state.reads_store(now);
     match cursor {
         ListCursor::Start => reader || state.version() == 0,
-        ListCursor::Partial(part) => {
-            let waited = now.saturating_duration_since(part.started_at);
+        ListCursor::Partial(list) => {
+            let waited = now.saturating_duration_since(list.started_at);
             let peers_known = state.servers_whole || waited >= DISCOVERY_TIME;
             peers_known && reader || waited >= PEERS_TIMEOUT && !state.servers_whole
         }
@@ -163,21 +163,21 @@
     page: follow::UpdatePage,
     now: time::Instant,
 ) -> ListCursor {
-    let part = match cursor {
+    let list = match cursor {
         ListCursor::Start => Some(PartialList::begin(page.end, now)),
-        ListCursor::Partial(part) => Some(part),
+        ListCursor::Partial(list) => Some(list),
         ListCursor::Complete(_) => None,
     };
-    let announce = part.is_none() || page.updates.len() <= MAX_ANNOUNCED_UPDATES;
+    let announce = list.is_none() || page.updates.len() <= MAX_ANNOUNCED_UPDATES;
     let mut changed = take_updates(plane, &page.updates, announce, now);
-    let cursor = match part {
+    let cursor = match list {
         None => ListCursor::Complete(page.end),
-        Some(mut part) => {
-            if part.add(page) {
-                changed |= take_complete_list(plane, &part, now);
-                ListCursor::Complete(part.end)
+        Some(mut list) => {
+            if list.add(page) {
+                changed |= take_complete_list(plane, &list, now);
+                ListCursor::Complete(list.end)
             } else {
-                ListCursor::Partial(part)
+                ListCursor::Partial(list)
             }
         }
     };
@@ -215,14 +215,14 @@
 /// anything.
 fn take_complete_list<P>(
     plane: &plane::ExchangePlane<P>,
-    part: &PartialList,
+    list: &PartialList,
     now: time::Instant,
 ) -> bool {
     let mut state = plane.state();
     let spared = state.spared();
     let absent = state
         .fleet
-        .take_absence(&part.listed, part.end, spared, now);
+        .take_absence(&list.listed, list.end, spared, now);
     for key in &absent {
         log::info!(server:? = state.fleet.server(*key).map(|server| &server.id); "server is gone from the list");
     }
--- a/crates/exchange/src/peers.rs
+++ b/crates/exchange/src/peers.rs
@@ -31,7 +31,7 @@
 pub struct PeerRecord {
     /// Failure domain.
     pub domain: String,
-    /// Whether that is also this VM's failure domain.
+    /// Whether the VM is in this VM's failure domain.
     pub near: bool,
     /// Incarnation of the VM's process; later processes have greater ones.
     pub incarnation: u64,
@@ -55,7 +55,7 @@
     pub waiting: Vec<message::WaitingItem>,
     /// When the last datagram was received.
     pub received_at: time::Instant,
-    /// Until when the VM counts as alive.
+    /// Time until which the VM counts as alive.
     alive_until: time::Instant,
     /// Sender hash of that process, as its datagrams carry it.
     sender: u64,
@@ -126,7 +126,7 @@
     }
 }
 
-/// What a datagram changed in the table.
+/// Result of a datagram for the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerChange {
     /// Nothing: the datagram is older than what is known.
--- a/crates/exchange/src/system.rs
+++ b/crates/exchange/src/system.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// What a VM knows of its own system.
+/// State of a VM's knowledge of its own system.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SystemBelief {
     /// Nothing yet; the store may still answer.
@@ -78,7 +78,7 @@
 
     /// Classifies a sender by the system number in its datagram. Joins that system if the store
     /// does not answer and this VM has none yet.
-    pub fn classify_sender(&mut self, number: u64) -> SenderStanding {
+    pub fn classify(&mut self, number: u64) -> SenderStanding {
         let theirs = SystemId::from_number(number);
         if let (Self::Unanswered, Some(id)) = (*self, theirs) {
             *self = Self::Told(id);
@@ -165,7 +165,7 @@
     datagram: &message::PeerDatagram,
 ) -> SenderStanding {
     if !datagram.name.is_empty() {
-        return state.system.classify_sender(datagram.system);
+        return state.system.classify(datagram.system);
     }
     match state.peers.address_of(datagram.sender) {
         Some(_) => SenderStanding::Peer,
--- a/crates/exchange/tests/world/cluster.rs
+++ b/crates/exchange/tests/world/cluster.rs
@@ -33,7 +33,7 @@
 const LINK_DELAY: time::Duration = time::Duration::from_millis(2);
 /// Number of bytes that a link carries at a time, so that transfers share it.
 const PART_BYTES: usize = 16_000;
-/// How far a fast link may send ahead of a slow one.
+/// Lead that a fast link may have over a slow one.
 const WINDOW: time::Duration = time::Duration::from_millis(50);
 /// Size factor of the newest records, which are read in base64.
 const BASE64: f64 = 4.0 / 3.0;
