--- a/crates/exchange/src/follow.rs
+++ b/crates/exchange/src/follow.rs
@@ -260,7 +260,7 @@
     }
 }
 
-/// Wait for other VMs to deliver a configuration.
+/// Time to wait for other VMs to deliver a configuration.
 #[derive(Debug)]
 struct PeerGrace {
     duration: time::Duration,
--- a/crates/exchange/src/peers.rs
+++ b/crates/exchange/src/peers.rs
@@ -315,7 +315,7 @@
         &self.own_domain
     }
 
-    /// Removes VMs that have been silent for longer than [`PEER_RETENTION`].
+    /// Removes VMs that have been silent for longer than `PEER_RETENTION`.
     pub fn sweep(&mut self, now: time::Instant) {
         self.peers
             .retain(|_, peer| now.saturating_duration_since(peer.received_at) < PEER_RETENTION);
