--- a/crates/exchange/src/message.rs
+++ b/crates/exchange/src/message.rs
@@ -128,7 +128,7 @@
     }
 }
 
-/// Datagram between entry VMs. Most carry only the sender's hash and the fields that change all the
+/// Datagram between entry VMs. Most datagrams carry only the sender's hash and the fields that change all the
 /// time. Name and addresses are sent now and then, and to VMs that have not answered yet, because
 /// at 78 VMs datagrams are most of the traffic between failure domains.
 #[derive(Clone, PartialEq)]
@@ -257,8 +257,8 @@
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct StateReply {
-    /// The operator's document as read from the store; empty unless newer than the requester's, and
-    /// where `delta` is set instead.
+    /// The operator's document as read from the store; empty if it is not newer than the
+    /// requester's, or if `delta` is set instead.
     #[prost(bytes = "bytes", tag = "1")]
     pub catalog: bytes::Bytes,
     /// Servers whose standing differs from the requester's view.
