--- a/crates/exchange/src/catalog.rs
+++ b/crates/exchange/src/catalog.rs
@@ -48,7 +48,7 @@
     /// Maximum time that a caller waits for an answer.
     pub timeout: time::Duration,
     /// Latency up to which an answer is on time.
-    pub aim: time::Duration,
+    pub target_latency: time::Duration,
     /// Rank; 0 goes first.
     pub priority: u8,
     /// Services of the route; never empty, and the sum of the weights is above 0.
@@ -103,7 +103,7 @@
     /// Maximum size of a request's body.
     pub body_bytes: usize,
     /// Time that a connection may stay idle.
-    pub idle: time::Duration,
+    pub idle_timeout: time::Duration,
 }
 
 /// One accepted configuration.
--- a/crates/exchange/tests/world/mod.rs
+++ b/crates/exchange/tests/world/mod.rs
@@ -281,7 +281,7 @@
         prefix: prefix.to_owned(),
         kind,
         timeout: time::Duration::from_secs(10),
-        aim: time::Duration::from_millis(100),
+        target_latency: time::Duration::from_millis(100),
         priority: 0,
         splits: vec![catalog::ServiceSplit {
             service: service.to_owned(),
@@ -322,7 +322,7 @@
         limits: catalog::CallerLimits {
             header_bytes: 16_384,
             body_bytes: 1_000_000,
-            idle: time::Duration::from_secs(15),
+            idle_timeout: time::Duration::from_secs(15),
         },
     }
 }
