--- a/crates/exchange/src/catchup.rs
+++ b/crates/exchange/src/catchup.rs
@@ -1,4 +1,5 @@
-//! One TCP exchange for what another VM knows otherwise, and neither the store nor datagrams bring.
+//! Fetches state from another VM over TCP: differences that neither the store nor datagrams have
+//! delivered.
 
 use std::{collections, io, net, rc};
 
@@ -9,126 +10,130 @@
 use tokio::{net as sockets, time};
 use tokio_util::{codec, io as taps};
 
-use crate::{delta, follow, link, message, peers, plane, server, speak, state};
+use crate::{announce, delta, follow, link, message, peers, plane, server, state};
 
-/// How long most VMs must know other news of servers before one is asked for what differs.
-pub const DIFFERS_FOR: time::Duration = time::Duration::from_millis(400);
-/// Largest state that is taken: a configuration of 38,000 organisations takes about 8 MB.
-const MOST_STATE: usize = 32 * 1_024 * 1_024;
-/// Time without a byte after which an exchange of state is given up.
-const STATE_SILENCE: time::Duration = time::Duration::from_millis(700);
-/// Longest time of an exchange.
-const STATE_MOST: time::Duration = time::Duration::from_secs(20);
-/// Limit of one exchange of state.
+/// Time for which most VMs must have a different view of the servers before this VM requests the
+/// difference from one of them.
+pub const DIFFERENCE_DELAY: time::Duration = time::Duration::from_millis(400);
+/// Maximum size of a state reply: a configuration of 38,000 organisations takes about 8 MB.
+const MAX_STATE_BYTES: usize = 32 * 1_024 * 1_024;
+/// Time without a byte after which a state exchange is aborted.
+const STATE_IDLE_TIMEOUT: time::Duration = time::Duration::from_millis(700);
+/// Maximum duration of a state exchange.
+const STATE_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+/// Limits of a state exchange.
 const STATE_LIMIT: transfer::TransferLimit = transfer::TransferLimit {
-    first: STATE_SILENCE,
-    silence: STATE_SILENCE,
-    whole: STATE_MOST,
+    first: STATE_IDLE_TIMEOUT,
+    silence: STATE_IDLE_TIMEOUT,
+    whole: STATE_TIMEOUT,
 };
-/// The same while the asker has only a part of the list of servers, and for the VM that answers:
-/// others ask too.
+/// Limits while the requester has only a part of the list of servers, and for the VM that replies.
+/// The first byte may take longer, because other VMs send requests at the same time.
 const LIST_LIMIT: transfer::TransferLimit = transfer::TransferLimit {
     first: time::Duration::from_millis(1_500),
     ..STATE_LIMIT
 };
-/// Mean pause after a VM that was busy, of an asker that lacks a configuration or a part of the list.
-const RETRY_GAP: time::Duration = time::Duration::from_millis(100);
-/// A list is long from this many servers on that the asker does not know.
-const LONG_LIST: usize = 200;
-/// A document is long from this many bytes on that the asker does not have.
-const LONG_DOCUMENT: usize = 32 * 1_024;
-/// Long answers that one VM sends at a time.
-const MOST_LONG: usize = 2;
-/// Time between two looks whether another VM knows more.
-const LOOK_GAP: time::Duration = time::Duration::from_millis(60);
-/// Time that the store has to bring a configuration to a VM that reads it for all, before it is asked of
-/// a VM that has it.
-const STORE_FIRST: time::Duration = time::Duration::from_millis(500);
-/// Time between two askings of state.
-const STATE_GAP: time::Duration = time::Duration::from_millis(300);
-/// Added to it for each server. Where thousands come and go, no two VMs know quite the same at any
-/// moment, and each asks all the time. An asking carries 5 bytes a server: at 3,000 servers 12 KB a
-/// second. What was lost twice on its way is found within this and [`DIFFERS_FOR`]: a notice of
-/// leaving must be known everywhere within two seconds or so.
-const STATE_GAP_EACH: time::Duration = time::Duration::from_micros(300);
+/// Mean pause of a VM that lacks a configuration or a part of the list, after the VM that it asked
+/// was busy.
+const RETRY_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// A list reply is long from this many servers on that the requester does not know.
+const LONG_LIST_SERVERS: usize = 200;
+/// A document reply is long from this many bytes on that the requester does not have.
+const LONG_DOCUMENT_BYTES: usize = 32 * 1_024;
+/// Maximum number of long replies that one VM sends at the same time.
+const MAX_LONG_REPLIES: usize = 2;
+/// Interval between two checks whether another VM has newer state.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(60);
+/// Time for the store to deliver a configuration to a VM that reads the store for all, before it is
+/// requested from a VM that has it.
+const STORE_GRACE: time::Duration = time::Duration::from_millis(500);
+/// Base interval between two state requests.
+const REQUEST_INTERVAL: time::Duration = time::Duration::from_millis(300);
+/// Added to the interval for each server. Where thousands of servers come and go, no two VMs ever
+/// have exactly the same view, and each sends requests all the time. A request carries 5 bytes per
+/// server: at 3,000 servers that makes 12 KB a second. A notice that was lost twice is recovered
+/// within this and [`DIFFERENCE_DELAY`]: a notice of leaving must be known everywhere within about
+/// two seconds.
+const REQUEST_INTERVAL_PER_SERVER: time::Duration = time::Duration::from_micros(300);
 
-/// Other VMs, as far as they are asked for state.
+/// State requests to other VMs.
 pub trait PeerPort {
-    /// Asks the VM at an address; `meter` notes what comes. An error is a VM that is gone or busy.
-    fn ask_state(
+    /// Requests state from the VM at an address; `meter` counts the bytes received. An error means
+    /// that the VM is unreachable or busy.
+    fn request_state(
         &self,
         address: net::SocketAddr,
-        ask: &message::StateAsk,
+        request: &message::StateRequest,
         meter: &transfer::TransferMeter,
     ) -> impl Future<Output = io::Result<message::StateReply>>;
 }
 
-/// Other VMs over TCP.
+/// State requests over TCP.
 #[derive(Clone, Copy, Debug)]
 pub struct TcpPeers;
 
 impl PeerPort for TcpPeers {
-    async fn ask_state(
+    async fn request_state(
         &self,
         address: net::SocketAddr,
-        ask: &message::StateAsk,
+        request: &message::StateRequest,
         meter: &transfer::TransferMeter,
     ) -> io::Result<message::StateReply> {
         let stream = sockets::TcpStream::connect(address).await?;
         let stream = taps::InspectReader::new(stream, |bytes: &[u8]| meter.note(bytes.len()));
         let mut framed = codec::Framed::new(stream, state_codec());
-        framed.send(Bytes::from(ask.encode_to_vec())).await?;
+        framed.send(Bytes::from(request.encode_to_vec())).await?;
         let frame = framed.next().await.ok_or(io::ErrorKind::UnexpectedEof)??;
         message::StateReply::decode(frame).map_err(io::Error::other)
     }
 }
 
-/// Asks other VMs for what the store does not bring; never ends.
+/// Requests from other VMs what the store does not deliver; never ends.
 pub async fn catch_up<P, Q: PeerPort>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
     port: Q,
     decode: follow::DocumentDecoder,
 ) {
     loop {
-        time::sleep(LOOK_GAP).await;
+        time::sleep(CHECK_INTERVAL).await;
         note_difference(&mut plane.state());
-        let Some(address) = who_knows_more(&plane) else {
+        let Some(address) = choose_source(&plane) else {
             continue;
         };
-        let whole = plane.state().servers_complete;
-        let ask = state_ask(&plane.state());
+        let complete = plane.state().servers_complete;
+        let request = state_request(&plane.state());
         let base = plane.state().document.clone();
         let behind = plane.state().behind_since.is_some();
         if behind {
             plane.state().peers_asked_at = Some(time::Instant::now());
         }
-        let limit = if whole { STATE_LIMIT } else { LIST_LIMIT };
+        let limit = if complete { STATE_LIMIT } else { LIST_LIMIT };
         let meter = plane.state().from_peers.clone();
-        let asking = port.ask_state(address, &ask, &meter);
-        let reply = meter.limit(&limit, asking).await;
+        let exchange = port.request_state(address, &request, &meter);
+        let reply = meter.limit(&limit, exchange).await;
         let taken = match reply {
             Ok(Ok(reply)) => {
                 take_state(&plane, &base, reply, decode);
                 true
             }
-            Ok(Err(fault)) => {
+            Ok(Err(error)) => {
                 count_failed("refused");
-                log::debug!(vm:% = address, fault:% = fault; "VM gave no state");
+                log::debug!(vm:% = address, fault:% = error; "VM did not send its state");
                 false
             }
             Err(stalled) => {
                 count_failed("late");
-                log::warn!(vm:% = address, fault:% = stalled; "state of another VM not whole");
+                log::warn!(vm:% = address, fault:% = stalled; "state reply of another VM is incomplete");
                 false
             }
         };
-        let still_behind = behind && plane.state().version() == ask.catalog_version;
-        let gap = if still_behind || !whole && !taken {
-            RETRY_GAP.mul_f64(0.5 + plane.state().draw())
+        let still_behind = behind && plane.state().version() == request.catalog_version;
+        let interval = if still_behind || !complete && !taken {
+            RETRY_INTERVAL.mul_f64(0.5 + plane.state().draw())
         } else {
-            pace(ask.ready.len() + ask.leaving.len())
+            request_interval(request.ready.len() + request.leaving.len())
         };
-        time::sleep(gap).await;
+        time::sleep(interval).await;
     }
 }
 
@@ -136,15 +141,15 @@
     metrics::counter!("pollenchute_exchange_states_failed_total", "cause" => cause).increment(1);
 }
 
-/// Time until the next asking.
+/// Interval until the next state request.
 #[must_use]
-pub fn pace(servers: usize) -> time::Duration {
-    STATE_GAP + STATE_GAP_EACH * u32::try_from(servers).unwrap_or(u32::MAX)
+pub fn request_interval(servers: usize) -> time::Duration {
+    REQUEST_INTERVAL + REQUEST_INTERVAL_PER_SERVER * u32::try_from(servers).unwrap_or(u32::MAX)
 }
 
-/// Asks for what a VM knows otherwise than this one.
+/// Creates a request for the differences between another VM's state and this one's.
 #[must_use]
-pub fn state_ask(state: &state::PlaneState) -> message::StateAsk {
+pub fn state_request(state: &state::PlaneState) -> message::StateRequest {
     let hashes = |standing| {
         let servers = state.fleet.servers();
         let servers = servers.filter(move |(_, server)| server.standing == standing);
@@ -152,28 +157,28 @@
     };
     let takes_delta = !state.delta_failed;
     let behind = state.behind_since.is_some();
-    let pieces = if takes_delta && behind {
+    let chunks = if takes_delta && behind {
         state.document.hashes()
     } else {
         Vec::new()
     };
-    message::StateAsk {
+    message::StateRequest {
         catalog_version: state.version(),
         ready: hashes(server::ServerStanding::Ready).collect(),
         leaving: hashes(server::ServerStanding::Leaving).collect(),
-        pieces,
+        chunks,
         takes_delta,
     }
 }
 
-/// Notes whether most VMs know other news of servers than this one, for instance since a datagram
-/// with news was lost on its way here.
+/// Notes whether most VMs have a different view of the servers than this one, for instance because
+/// a datagram with updates was lost on its way here.
 fn note_difference(state: &mut state::PlaneState) {
     let now = time::Instant::now();
     let own = state.fleet.standing_hash();
     let version = state.version();
     let (mut behind, mut same, mut other) = (false, 0, 0);
-    for (_, peer) in state.peers.all().filter(|(_, peer)| peer.is_heard(now)) {
+    for (_, peer) in state.peers.all().filter(|(_, peer)| peer.is_alive(now)) {
         behind |= peer.catalog_version > version;
         if peer.standing_hash == own {
             same += 1;
@@ -185,7 +190,7 @@
     note_since(&mut state.differs_since, other > same, now);
 }
 
-/// Keeps since when something holds.
+/// Sets the time since which a condition holds, or clears it.
 fn note_since(since: &mut Option<time::Instant>, holds: bool, now: time::Instant) {
     if holds {
         since.get_or_insert(now);
@@ -194,62 +199,63 @@
     }
 }
 
-/// A VM that has a newer configuration, or newer news while the store is away.
-fn who_knows_more<P>(plane: &plane::ExchangePlane<P>) -> Option<net::SocketAddr> {
+/// Selects a VM that has a newer configuration, a complete list of servers that this VM lacks, or a
+/// different view of the servers.
+fn choose_source<P>(plane: &plane::ExchangePlane<P>) -> Option<net::SocketAddr> {
     let mut state = plane.state();
     let now = time::Instant::now();
     let version = state.version();
-    // Any one of those that know more, so that no single VM sends it to all others.
+    // Choose at random among the candidates, so that no single VM has to serve all others.
     let draw = (state.draw() * 1e6) as usize;
-    let heard = || {
+    let alive = || {
         state
             .peers
             .all()
             .map(|(_, peer)| peer)
-            .filter(|peer| peer.is_heard(now))
+            .filter(|peer| peer.is_alive(now))
     };
-    let late = !state.from_store.is_moving()
+    let overdue = !state.from_store.is_moving()
         && state.behind_since.is_some_and(|since| {
-            let first = if state.reads_store(now) && !state.store_away {
-                STORE_FIRST
+            let grace = if state.reads_store(now) && !state.store_away {
+                STORE_GRACE
             } else {
                 time::Duration::ZERO
             };
-            now.saturating_duration_since(since) >= first
+            now.saturating_duration_since(since) >= grace
         });
-    let newer = heard().filter(|peer| late && peer.catalog_version > version);
-    let newer = near_first(newer.collect());
-    let newer = newer.get(draw % newer.len().max(1)).copied();
-    let newer = newer.or_else(|| {
-        let whole = heard().filter(|peer| !state.servers_complete && !peer.partial);
-        let asked = near_first(whole.collect());
-        asked.get(draw % asked.len().max(1)).copied()
+    let newer = alive().filter(|peer| overdue && peer.catalog_version > version);
+    let newer = prefer_near(newer.collect());
+    let source = newer.get(draw % newer.len().max(1)).copied();
+    let source = source.or_else(|| {
+        let complete = alive().filter(|peer| !state.servers_complete && !peer.partial);
+        let candidates = prefer_near(complete.collect());
+        candidates.get(draw % candidates.len().max(1)).copied()
     });
     let differs = state
         .differs_since
-        .is_some_and(|since| now.saturating_duration_since(since) >= DIFFERS_FOR);
+        .is_some_and(|since| now.saturating_duration_since(since) >= DIFFERENCE_DELAY);
     let own = state.fleet.standing_hash();
-    let newer = newer.or_else(|| {
-        let other = heard().filter(|peer| differs && peer.standing_hash != own);
-        let asked = worth_asking(other.collect(), &state.settings.domain);
-        asked.get(draw % asked.len().max(1)).copied()
+    let source = source.or_else(|| {
+        let other = alive().filter(|peer| differs && peer.standing_hash != own);
+        let candidates = preferred_sources(other.collect(), &state.settings.domain);
+        candidates.get(draw % candidates.len().max(1)).copied()
     });
-    newer.map(|peer| peer.link_address)
+    source.map(|peer| peer.link_address)
 }
 
-/// VMs of this VM's failure domain if there are some, as bytes between domains are dear; else all. One
-/// alone would be asked by its whole domain.
-fn near_first(peers: Vec<&peers::PeerRecord>) -> Vec<&peers::PeerRecord> {
+/// The candidates in this VM's failure domain if there are at least two, because traffic between
+/// domains is expensive; otherwise all. A single one would have to serve its whole domain.
+fn prefer_near(peers: Vec<&peers::PeerRecord>) -> Vec<&peers::PeerRecord> {
     let near = peers.iter().filter(|peer| peer.near);
     let near: Vec<_> = near.copied().collect();
     if near.len() > 1 { near } else { peers }
 }
 
-/// Of VMs that know other news than this one, those that know what most of them know: one that was
-/// cut off knows otherwise too. Of these, those of this VM's failure domain if there are any: bytes
-/// between domains are dear.
+/// Of the VMs whose view of the servers differs from this VM's, returns those that share the most
+/// common view, because a VM that was cut off has a different view too. Of these, prefers VMs of
+/// this failure domain, because traffic between domains is expensive.
 #[must_use]
-pub fn worth_asking<'a>(
+pub fn preferred_sources<'a>(
     others: Vec<&'a peers::PeerRecord>,
     domain: &str,
 ) -> Vec<&'a peers::PeerRecord> {
@@ -257,40 +263,40 @@
     for peer in &others {
         *counts.entry(peer.standing_hash).or_default() += 1;
     }
-    let most = counts.values().copied().max().unwrap_or_default();
+    let max = counts.values().copied().max().unwrap_or_default();
     let agreed = others
         .into_iter()
-        .filter(|peer| counts.get(&peer.standing_hash) == Some(&most));
+        .filter(|peer| counts.get(&peer.standing_hash) == Some(&max));
     let (near, far): (Vec<_>, Vec<_>) = agreed.partition(|peer| peer.domain == domain);
     if near.is_empty() { far } else { near }
 }
 
-/// Takes what a VM answered that was asked when `base` was the document in force.
+/// Applies a state reply to a request that was sent when `base` was the document in force.
 pub fn take_state<P>(
     plane: &plane::ExchangePlane<P>,
-    base: &delta::PiecedDocument,
+    base: &delta::ChunkedDocument,
     reply: message::StateReply,
     decode: follow::DocumentDecoder,
 ) {
     let now = time::Instant::now();
-    // A VM that was heard a moment ago may be gone, and another system's have its address.
+    // The VM may have stopped a moment ago, and a VM of another system may have its address now.
     if !plane.state().system.is_own(reply.system) {
         return;
     }
     if let Some(document) = document_of(plane, base, &reply) {
         follow::take_document(plane, decode, document, "peer");
     }
-    let news: Vec<_> = reply
-        .news
+    let updates: Vec<_> = reply
+        .updates
         .iter()
-        .filter_map(message::NewsItem::decode_news)
+        .filter_map(message::UpdateItem::decode_update)
         .collect();
-    let changed = link::take_news(plane, &news, now);
+    let changed = link::take_updates(plane, &updates, now);
     let mut state = plane.state();
     state.servers_complete |= !reply.partial;
     for known in reply.known.iter().filter_map(|known| known.parse().ok()) {
         if known != state.settings.link_address {
-            state.peers.tell(known);
+            state.peers.add_address(known);
         }
     }
     drop(state);
@@ -299,45 +305,45 @@
     }
 }
 
-/// The document in an answer, if there is one.
+/// The document in a reply, if there is one.
 fn document_of<P>(
     plane: &plane::ExchangePlane<P>,
-    base: &delta::PiecedDocument,
+    base: &delta::ChunkedDocument,
     reply: &message::StateReply,
 ) -> Option<Bytes> {
     let Some(delta) = &reply.delta else {
         return (!reply.catalog.is_empty()).then(|| reply.catalog.clone());
     };
-    let applied = base.apply(delta).map_err(|fault| {
+    let applied = base.apply(delta).map_err(|error| {
         count_failed("delta");
-        log::warn!(fault:% = fault; "document not taken, the next one is asked for whole");
+        log::warn!(fault:% = error; "document delta can't be applied; requesting the complete document next");
         plane.state().delta_failed = true;
     });
     applied.ok()
 }
 
-/// Answers VMs that ask for all that this one knows.
-pub(crate) async fn answer_states<P: 'static>(
+/// Serves state requests of other VMs.
+pub(crate) async fn serve_state_requests<P: 'static>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
     listener: sockets::TcpListener,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            time::sleep(link::FAULT_PAUSE).await;
+            time::sleep(link::ERROR_PAUSE).await;
             continue;
         };
         let plane = plane.clone();
         tokio::task::spawn_local(async move {
             let meter = transfer::TransferMeter::default();
-            let answering = answer_state(plane, stream, &meter);
-            if let Err(stalled) = meter.limit(&LIST_LIMIT, answering).await {
-                log::debug!(fault:% = stalled; "a VM does not take the state that it asked for");
+            let serving = serve_state_request(plane, stream, &meter);
+            if let Err(stalled) = meter.limit(&LIST_LIMIT, serving).await {
+                log::debug!(fault:% = stalled; "VM does not read the state that it requested");
             }
         });
     }
 }
 
-async fn answer_state<P>(
+async fn serve_state_request<P>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
     stream: sockets::TcpStream,
     meter: &transfer::TransferMeter,
@@ -345,63 +351,67 @@
     let stream = taps::InspectWriter::new(stream, |bytes: &[u8]| meter.note(bytes.len()));
     let mut framed = codec::Framed::new(stream, state_codec());
     let frame = framed.next().await.ok_or(io::ErrorKind::UnexpectedEof)??;
-    let ask = message::StateAsk::decode(frame).map_err(io::Error::other)?;
-    let (reply, _guard) = answer(&plane, &ask).ok_or(io::ErrorKind::ResourceBusy)?;
+    let request = message::StateRequest::decode(frame).map_err(io::Error::other)?;
+    let (reply, _guard) = answer(&plane, &request).ok_or(io::ErrorKind::ResourceBusy)?;
     framed.send(Bytes::from(reply.encode_to_vec())).await?;
-    // What is still in the socket's buffer counts as being sent until the asker closes.
+    // Data in the socket's buffer counts as being sent until the requester closes the connection.
     framed.next().await.transpose().map(drop)
 }
 
-/// Counts a long answer as being sent until dropped.
+/// Counts a long reply as being sent until dropped.
 #[derive(Debug)]
-pub struct LongGuard<P>(rc::Rc<plane::ExchangePlane<P>>);
+pub struct LongReplyGuard<P>(rc::Rc<plane::ExchangePlane<P>>);
 
-impl<P> Drop for LongGuard<P> {
+impl<P> Drop for LongReplyGuard<P> {
     fn drop(&mut self) {
         self.0.long_sent.set(self.0.long_sent.get() - 1);
     }
 }
 
-/// The answer to a VM that asks, with a guard to be kept until it is sent; absent while this VM sends
-/// as many long answers as it may. If all that ask at a mass restart were answered, each would arrive
-/// late, and none could be passed on meanwhile.
+/// The reply to a state request, with a guard that is kept until the reply is sent; `None` while
+/// this VM already sends the maximum number of long replies. If all requests were served at a mass
+/// restart, each reply would arrive late, and none could be passed on meanwhile.
 pub fn answer<P>(
     plane: &rc::Rc<plane::ExchangePlane<P>>,
-    ask: &message::StateAsk,
-) -> Option<(message::StateReply, Option<LongGuard<P>>)> {
+    request: &message::StateRequest,
+) -> Option<(message::StateReply, Option<LongReplyGuard<P>>)> {
     let mut state = plane.state();
     let known = state
         .fleet
         .servers()
         .filter(|(_, server)| server.is_listed());
-    let long_list = known.count() > ask.ready.len() + ask.leaving.len() + LONG_LIST;
-    let newer = state.version() > ask.catalog_version;
+    let long_list = known.count() > request.ready.len() + request.leaving.len() + LONG_LIST_SERVERS;
+    let newer = state.version() > request.catalog_version;
     let sent = plane.long_sent.get();
-    if (long_list || newer) && sent >= MOST_LONG {
+    if (long_list || newer) && sent >= MAX_LONG_REPLIES {
         return None;
     }
-    let reply = state_reply(&mut state, ask);
-    let long = long_list || document_bytes(&reply) > LONG_DOCUMENT;
+    let reply = state_reply(&mut state, request);
+    let long = long_list || document_bytes(&reply) > LONG_DOCUMENT_BYTES;
     let guard = long.then(|| {
         plane.long_sent.set(sent + 1);
-        LongGuard(plane.clone())
+        LongReplyGuard(plane.clone())
     });
     Some((reply, guard))
 }
 
-/// Bytes of a document in an answer.
+/// Bytes of the document in a reply.
 fn document_bytes(reply: &message::StateReply) -> usize {
     let delta = reply.delta.as_ref();
     reply.catalog.len() + delta.map_or(0, prost::Message::encoded_len)
 }
 
-/// What this VM knows otherwise than the asker. Where thousands of servers come and go, all that it
-/// knows is 300 KB, and all but a few hundred bytes of it are known to the asker.
+/// The differences between this VM's state and the requester's. Where thousands of servers come and
+/// go, the complete state is 300 KB, of which the requester already knows all but a few hundred
+/// bytes.
 #[must_use]
-pub fn state_reply(state: &mut state::PlaneState, ask: &message::StateAsk) -> message::StateReply {
-    let newer = state.version() > ask.catalog_version;
-    let ready: collections::HashSet<_> = ask.ready.iter().copied().collect();
-    let leaving: collections::HashSet<_> = ask.leaving.iter().copied().collect();
+pub fn state_reply(
+    state: &mut state::PlaneState,
+    request: &message::StateRequest,
+) -> message::StateReply {
+    let newer = state.version() > request.catalog_version;
+    let ready: collections::HashSet<_> = request.ready.iter().copied().collect();
+    let leaving: collections::HashSet<_> = request.leaving.iter().copied().collect();
     let differs = |server: &server::ServerRecord| {
         let hash = server.name_hash();
         let known = match server.standing {
@@ -412,11 +422,11 @@
         !known
     };
     let servers = state.fleet.servers().map(|(_, server)| server);
-    let news = servers
+    let updates = servers
         .filter(|server| !server.superseded && differs(server))
-        .map(|server| message::NewsItem::from(&server.update()));
-    let news = news.collect();
-    let delta = (newer && ask.takes_delta).then(|| state.document.delta(&ask.pieces));
+        .map(|server| message::UpdateItem::from(&server.update()));
+    let updates = updates.collect();
+    let delta = (newer && request.takes_delta).then(|| state.document.delta(&request.chunks));
     let catalog = if newer && delta.is_none() {
         state.document.bytes().clone()
     } else {
@@ -425,8 +435,8 @@
     message::StateReply {
         catalog,
         delta,
-        news,
-        known: speak::known(state),
+        updates,
+        known: announce::known(state),
         system: state.system.number(),
         partial: !state.servers_complete,
     }
@@ -434,6 +444,6 @@
 
 fn state_codec() -> codec::LengthDelimitedCodec {
     codec::LengthDelimitedCodec::builder()
-        .max_frame_length(MOST_STATE)
+        .max_frame_length(MAX_STATE_BYTES)
         .new_codec()
 }
--- a/crates/exchange/src/directory.rs
+++ b/crates/exchange/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which entry VMs a caller is told to use.
+//! Selects the entry VMs that a caller is told to use.
 
 use std::net;
 
@@ -6,24 +6,25 @@
 
 use crate::{message, peers};
 
-/// Most addresses in one answer.
-const MOST_ADDRESSES: usize = 64;
-/// VMs of the caller's own failure domain that suffice: with fewer, the loss of one would leave the
-/// caller with none until it asks again.
-const ENOUGH_NEAR: usize = 2;
+/// Maximum number of addresses in one answer.
+const MAX_ADDRESSES: usize = 64;
+/// Minimum number of VMs of the caller's own failure domain: with fewer, the loss of one would
+/// leave the caller with none until it asks again.
+const MIN_NEAR_ADDRESSES: usize = 2;
 
-/// This VM, as callers are told of it.
+/// This VM as it is listed for callers.
 #[derive(Clone, Debug)]
 pub struct OwnEntry {
     /// Failure domain.
     pub domain: String,
-    /// What it does.
+    /// Stage of this VM.
     pub stage: message::VmStage,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: net::SocketAddr,
 }
 
-/// Addresses for a caller in `domain`: VMs of its own failure domain if there are enough, else all.
+/// Addresses for a caller in `domain`: VMs of its own failure domain if there are enough, otherwise
+/// all.
 #[must_use]
 pub fn addresses(
     own: &OwnEntry,
@@ -39,16 +40,16 @@
         .map(|(_, peer)| (peer.domain.as_str(), peer.entry_address));
     let own =
         (own.stage == message::VmStage::Serving).then_some((own.domain.as_str(), own.address));
-    for (place, address) in own.into_iter().chain(others) {
-        if place == domain {
+    for (other, address) in own.into_iter().chain(others) {
+        if other == domain {
             near.push(address)
         } else {
             far.push(address)
         }
     }
-    if near.len() < ENOUGH_NEAR {
+    if near.len() < MIN_NEAR_ADDRESSES {
         near.append(&mut far);
     }
-    near.truncate(MOST_ADDRESSES);
+    near.truncate(MAX_ADDRESSES);
     near
 }
--- a/crates/exchange/src/fleet.rs
+++ b/crates/exchange/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use tokio::time;
 
-use crate::{evacuation, loads, news, runs, server};
+use crate::{evacuation, loads, runs, server, update};
 
 slotmap::new_key_type! {
     /// Key of one incarnation of a backend server.
@@ -66,7 +66,7 @@
     /// [`LAPSE_GRACE`].
     pub fn apply_update(
         &mut self,
-        update: &news::ServerNews,
+        update: &update::ServerUpdate,
         grace_until: Option<time::Instant>,
         now: time::Instant,
     ) -> FleetChange {
@@ -77,11 +77,11 @@
         match &update.entry {
             // A late update of a previous incarnation, or of a writer that does not know
             // incarnations.
-            Some(entry) if entry.born < known => return FleetChange::Nothing,
-            Some(entry) if entry.born > known && known.is_told() => {
+            Some(entry) if entry.started_at < known => return FleetChange::Nothing,
+            Some(entry) if entry.started_at > known && known.is_known() => {
                 return self.replace_incarnation(key, update, entry, now);
             }
-            Some(entry) if entry.born > known => self.set_start(key, entry.born),
+            Some(entry) if entry.started_at > known => self.set_start(key, entry.started_at),
             _ => {}
         }
         let record = &mut self.servers[key];
@@ -108,7 +108,7 @@
         }
     }
 
-    fn insert_new(&mut self, update: &news::ServerNews, now: time::Instant) -> FleetChange {
+    fn insert_new(&mut self, update: &update::ServerUpdate, now: time::Instant) -> FleetChange {
         let Some(entry) = &update.entry else {
             return FleetChange::Nothing;
         };
@@ -123,8 +123,8 @@
     fn replace_incarnation(
         &mut self,
         before: ServerKey,
-        update: &news::ServerNews,
-        entry: &news::ServerEntry,
+        update: &update::ServerUpdate,
+        entry: &update::ServerEntry,
         now: time::Instant,
     ) -> FleetChange {
         self.set_standing(before, server::ServerStanding::Gone, now);
@@ -143,7 +143,7 @@
     }
 
     /// Sets the start time of an incarnation that was known without one.
-    fn set_start(&mut self, key: ServerKey, born: news::BirthTime) {
+    fn set_start(&mut self, key: ServerKey, born: update::StartTime) {
         let record = &mut self.servers[key];
         self.standing_hash ^= standing_hash_of(record);
         record.born = born;
@@ -180,11 +180,11 @@
     /// Returns whether a store update lacks the incarnation although the server is known with one.
     /// Such an update was written by a foreign process and applies to no server.
     #[must_use]
-    pub fn lacks_incarnation(&self, update: &news::ServerNews) -> bool {
+    pub fn lacks_incarnation(&self, update: &update::ServerUpdate) -> bool {
         let known = self.by_id.get(&update.id);
-        let known = known.is_some_and(|&key| self.servers[key].born.is_told());
+        let known = known.is_some_and(|&key| self.servers[key].born.is_known());
         let entry = update.entry.as_ref();
-        known && entry.is_some_and(|entry| !entry.born.is_told())
+        known && entry.is_some_and(|entry| !entry.started_at.is_known())
     }
 
     /// Removes the servers that a complete read of the store did not list. `end` is the log
@@ -201,7 +201,7 @@
             .iter()
             .filter(|(_, record)| record.offset < end && !listed.contains(&record.id))
             .filter(|(_, record)| record.standing != server::ServerStanding::Gone)
-            .map(|(_, record)| news::ServerNews {
+            .map(|(_, record)| update::ServerUpdate {
                 id: record.id.clone(),
                 offset: record.offset + 1,
                 entry: None,
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`suspect`], [`relocate`], [`directory`]. [`plane`] executes them over the interface in
 //! [`port`]; [`link`] carries the messages between entry VMs.
 
-pub mod audience;
+pub mod announce;
 pub mod budget;
 pub mod capacity;
 pub mod catalog;
@@ -22,7 +22,6 @@
 pub mod loads;
 pub mod message;
 mod moving;
-pub mod news;
 pub mod notices;
 mod pace;
 pub mod peers;
@@ -30,6 +29,7 @@
 mod placing;
 pub mod plane;
 pub mod port;
+pub mod recipients;
 pub mod relocate;
 pub mod reply;
 pub mod request;
@@ -38,9 +38,9 @@
 mod serve_call;
 mod serve_stream;
 pub mod server;
-pub mod speak;
 pub mod state;
 pub mod stopping;
 pub mod suspect;
 pub mod system;
+pub mod update;
 pub mod wait;
--- a/crates/exchange/src/link.rs
+++ b/crates/exchange/src/link.rs
@@ -1,7 +1,7 @@
-//! Carries what entry VMs tell each other: datagrams for what changes all the time. What they don't
-//! bring is asked for, in `catchup`.
+//! Communication between entry VMs: datagrams for what changes all the time. State that they don't
+//! deliver is requested in `catchup`.
 //!
-//! Nothing here is needed for a promise: a lost datagram costs a worse choice of server, or the
+//! No guarantee to callers depends on it: a lost datagram costs a worse choice of server, or the
 //! time until this VM reads the store itself.
 
 use std::{io, net, rc};
@@ -9,18 +9,20 @@
 use prost::Message as _;
 use tokio::{net as sockets, time};
 
-use crate::{catchup, follow, listing, loads, message, news, peers, plane, speak, state, system};
+use crate::{
+    announce, catchup, follow, listing, loads, message, peers, plane, state, system, update,
+};
 
-/// Pause after the system gave no datagram or connection.
-pub(crate) const FAULT_PAUSE: time::Duration = time::Duration::from_millis(100);
-/// Largest datagram that passes everywhere unsplit.
-pub(crate) const MOST_DATAGRAM: usize = 1_300;
+/// Pause after the operating system failed to return a datagram or connection.
+pub(crate) const ERROR_PAUSE: time::Duration = time::Duration::from_millis(100);
+/// Maximum size of a datagram that is not fragmented on any path.
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 1_300;
 
-/// Binds both sockets of the link.
+/// Binds the UDP and the TCP socket of the link.
 ///
 /// # Errors
 ///
-/// When the address is taken or not this VM's.
+/// When the address is in use or does not belong to this VM.
 pub async fn bind(
     address: net::SocketAddr,
 ) -> io::Result<(sockets::UdpSocket, sockets::TcpListener)> {
@@ -29,7 +31,7 @@
     Ok((datagrams, listener))
 }
 
-/// Speaks and listens; never ends.
+/// Sends and receives; never ends.
 pub async fn run<P: 'static>(
     plane: rc::Rc<plane::ExchangePlane<P>>,
     sockets: (sockets::UdpSocket, sockets::TcpListener),
@@ -38,25 +40,25 @@
     let (datagrams, listener) = sockets;
     let datagrams = rc::Rc::new(datagrams);
     tokio::join!(
-        speak::run(plane.clone(), datagrams.clone()),
+        announce::run(plane.clone(), datagrams.clone()),
         listen(plane.clone(), datagrams),
-        catchup::answer_states(plane.clone(), listener),
+        catchup::serve_state_requests(plane.clone(), listener),
         catchup::catch_up(plane, catchup::TcpPeers, decode),
     );
 }
 
-/// Takes datagrams.
+/// Receives datagrams.
 async fn listen<P>(plane: rc::Rc<plane::ExchangePlane<P>>, socket: rc::Rc<sockets::UdpSocket>) {
-    let mut buffer = vec![0; 2 * MOST_DATAGRAM];
+    let mut buffer = vec![0; 2 * MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-            time::sleep(FAULT_PAUSE).await;
+            time::sleep(ERROR_PAUSE).await;
             continue;
         };
         match message::PeerDatagram::decode(&buffer[..length]) {
             Ok(datagram) => {
                 if let Some(address) = take_datagram(&plane, &datagram) {
-                    speak::answer(&plane, &*socket, address);
+                    announce::answer(&plane, &*socket, address);
                 }
             }
             Err(_) => {
@@ -66,8 +68,8 @@
     }
 }
 
-/// Takes what another VM told. Gives the sender's address if it came or changed, and should learn at
-/// once that this VM is there.
+/// Processes a datagram of another VM. Returns the sender's address if the VM is new or changed, so
+/// that it learns at once that this VM exists.
 pub fn take_datagram<P>(
     plane: &plane::ExchangePlane<P>,
     datagram: &message::PeerDatagram,
@@ -77,11 +79,11 @@
     if datagram.sender == state.sender() {
         return None;
     }
-    match system::sender_standing(&mut state, datagram) {
+    match system::classify_sender(&mut state, datagram) {
         system::SenderStanding::Peer => {}
-        // It learns from the answer which system there is, for when its store does not tell it.
+        // The answer carries this system's number, in case the sender's store does not return it.
         system::SenderStanding::Undecided => return datagram.link_address.parse().ok(),
-        system::SenderStanding::Stranger => {
+        system::SenderStanding::Foreign => {
             metrics::counter!("pollenchute_exchange_datagrams_foreign_total").increment(1);
             return None;
         }
@@ -101,19 +103,21 @@
     if let Some(item) = &datagram.evacuations {
         follow::take_evacuations(plane, item.clone().into(), "peer");
     }
-    // Each piece of news has its own place in the order of the store: one that was overtaken on its
-    // way is as good as any other.
-    let news = datagram
-        .news
+    // Each update has its own position in the order of the store, so the updates of an overtaken
+    // datagram are still valid.
+    let updates = datagram
+        .updates
         .iter()
-        .filter_map(message::NewsItem::decode_news);
-    let news: Vec<_> = news.chain(noticed(plane, datagram, now)).collect();
-    let changed = take_news(plane, &news, now);
-    if changed && datagram.tell_on {
+        .filter_map(message::UpdateItem::decode_update);
+    let updates: Vec<_> = updates
+        .chain(notice_updates(plane, datagram, now))
+        .collect();
+    let changed = take_updates(plane, &updates, now);
+    if changed && datagram.forward {
         plane
             .state()
             .updates_to_relay
-            .extend(datagram.news.iter().cloned());
+            .extend(datagram.updates.iter().cloned());
         plane.updates.notify_one();
     }
     if changed || !plane.state().waiting_services().is_empty() {
@@ -122,19 +126,19 @@
     answered
 }
 
-/// News that a VM tells in short.
-fn noticed<P>(
+/// Server updates that the notices of a datagram stand for.
+fn notice_updates<P>(
     plane: &plane::ExchangePlane<P>,
     datagram: &message::PeerDatagram,
     now: time::Instant,
-) -> Vec<news::ServerNews> {
+) -> Vec<update::ServerUpdate> {
     let state = plane.state();
     let notices = datagram.notices.iter();
-    let news = notices.filter_map(|notice| state.fleet.news_of(notice, now));
-    news.collect()
+    let updates = notices.filter_map(|notice| state.fleet.update_of(notice, now));
+    updates.collect()
 }
 
-/// Takes what a VM says of itself, and of requests that it met.
+/// Applies the sender's loads and known addresses, and its reports of refused and suspect requests.
 fn take_state_of_sender(
     state: &mut state::PlaneState,
     datagram: &message::PeerDatagram,
@@ -142,7 +146,7 @@
 ) {
     for known in datagram.known.iter().filter_map(|known| known.parse().ok()) {
         if known != state.settings.link_address {
-            state.peers.tell(known);
+            state.peers.add_address(known);
         }
     }
     take_loads(state, datagram, now);
@@ -157,7 +161,7 @@
 }
 
 fn take_loads(state: &mut state::PlaneState, datagram: &message::PeerDatagram, now: time::Instant) {
-    let told = datagram.loads.iter().filter_map(|item| {
+    let loads = datagram.loads.iter().filter_map(|item| {
         let load = loads::PeerLoad {
             runs: item.runs,
             tokens: item.tokens,
@@ -166,21 +170,21 @@
         };
         Some((state.fleet.find_by_hash(item.server)?, load))
     });
-    let told: Vec<_> = told.collect();
+    let loads: Vec<_> = loads.collect();
     state
         .fleet
-        .replace_peer_loads(datagram.sender, told.into_iter(), now);
+        .replace_peer_loads(datagram.sender, loads.into_iter(), now);
 }
 
-/// Takes news of servers; says whether they changed anything.
-pub(crate) fn take_news<P>(
+/// Applies server updates; returns whether they changed anything.
+pub(crate) fn take_updates<P>(
     plane: &plane::ExchangePlane<P>,
-    news: &[news::ServerNews],
+    updates: &[update::ServerUpdate],
     now: time::Instant,
 ) -> bool {
-    let changes = news.iter().map(|news| {
-        let change = plane.state().apply_update(news.clone(), false, now);
-        (news.clone(), change)
+    let changes = updates.iter().map(|update| {
+        let change = plane.state().apply_update(update.clone(), false, now);
+        (update.clone(), change)
     });
     let changes: Vec<_> = changes.collect();
     listing::log_changes(plane, &changes, "peer")
--- a/crates/exchange/src/server.rs
+++ b/crates/exchange/src/server.rs
@@ -4,7 +4,7 @@
 
 use tokio::time;
 
-use crate::news;
+use crate::update;
 
 /// Half-life of a server's failure rate: a server that failed or stopped responding gets attempts
 /// again after about three half-lives.
@@ -41,7 +41,7 @@
     /// Name of the server; incarnations of a server share it.
     pub id: String,
     /// Start time, which identifies the incarnation.
-    pub born: news::BirthTime,
+    pub born: update::StartTime,
     /// Whether a later incarnation uses the name; copies kept by this one are lost.
     pub superseded: bool,
     /// Service that the server belongs to.
@@ -83,7 +83,7 @@
 impl ServerRecord {
     /// Creates the record of a newly discovered server.
     #[must_use]
-    pub fn new(id: &str, offset: u64, entry: &news::ServerEntry, now: time::Instant) -> Self {
+    pub fn new(id: &str, offset: u64, entry: &update::ServerEntry, now: time::Instant) -> Self {
         let standing = if entry.leaving {
             ServerStanding::Leaving
         } else {
@@ -91,7 +91,7 @@
         };
         Self {
             id: id.to_owned(),
-            born: entry.born,
+            born: entry.started_at,
             superseded: false,
             service: entry.service.clone(),
             address: entry.address,
@@ -119,9 +119,9 @@
     /// The store's order decides which of two updates is newer. The announcement that an
     /// incarnation leaves is never undone, in whatever order updates arrive: a heartbeat sent
     /// before it may be written seconds later.
-    pub(crate) fn apply_update(&mut self, update: &news::ServerNews) -> ServerStanding {
+    pub(crate) fn apply_update(&mut self, update: &update::ServerUpdate) -> ServerStanding {
         let leaving = update.entry.as_ref().is_some_and(|entry| entry.leaving);
-        self.announced_leaving |= leaving && self.born.is_told();
+        self.announced_leaving |= leaving && self.born.is_known();
         if update.entry.is_none() {
             self.removed_offset = self.removed_offset.max(update.offset);
         }
@@ -138,7 +138,7 @@
         self.slots = entry.slots;
         self.address = entry.address;
         // A name without incarnations may be used again after its entry was removed.
-        let left = if self.born.is_told() {
+        let left = if self.born.is_known() {
             self.announced_leaving
         } else {
             leaving || self.standing == ServerStanding::Leaving
@@ -252,9 +252,9 @@
 
     /// The newest update on the server, for other VMs.
     #[must_use]
-    pub fn update(&self) -> news::ServerNews {
-        let entry = news::ServerEntry {
-            born: self.born,
+    pub fn update(&self) -> update::ServerUpdate {
+        let entry = update::ServerEntry {
+            started_at: self.born,
             service: self.service.clone(),
             address: self.address,
             domain: self.domain.clone(),
@@ -263,7 +263,7 @@
             cold: time::Duration::ZERO,
         };
         let gone = self.standing == ServerStanding::Gone;
-        news::ServerNews {
+        update::ServerUpdate {
             id: self.id.clone(),
             offset: self.offset,
             entry: (!gone).then_some(entry),
@@ -279,7 +279,7 @@
 
 /// Hash of the name and the start time of an incarnation.
 #[must_use]
-pub fn incarnation_hash(id: &str, born: news::BirthTime) -> u64 {
+pub fn incarnation_hash(id: &str, born: update::StartTime) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(id.as_bytes(), born.millis())
 }
 
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -8,8 +8,8 @@
 use tokio::time;
 
 use crate::{
-    budget, capacity, catalog, delta, directory, evacuation, fleet, forecast, message, news,
-    notices, peers, place, relocate, request, returning, runs, suspect, system, wait,
+    budget, capacity, catalog, delta, directory, evacuation, fleet, forecast, message, notices,
+    peers, place, relocate, request, returning, runs, suspect, system, update, wait,
 };
 
 /// Settings of the plane, fixed at its start.
@@ -43,7 +43,7 @@
     /// Configuration in force; its version never decreases.
     pub catalog: Option<rc::Rc<catalog::RouteCatalog>>,
     /// Document that `catalog` was parsed from, for other VMs.
-    pub document: rc::Rc<delta::PiecedDocument>,
+    pub document: rc::Rc<delta::ChunkedDocument>,
     /// Whether the last delta could not be applied; the next document is then fetched completely.
     pub delta_failed: bool,
     /// Servers and running attempts.
@@ -57,11 +57,11 @@
     /// Refused requests whose retry is expected.
     pub returning: returning::ReturningRequests,
     /// Server updates that have not been announced to the other VMs yet.
-    pub unannounced: Vec<news::ServerNews>,
+    pub unannounced: Vec<update::ServerUpdate>,
     /// Notices of leaving servers, sent repeatedly to the other VMs.
     pub notices: notices::LeavingNotices,
     /// Server updates that another VM asked this one to relay.
-    pub updates_to_relay: Vec<message::NewsItem>,
+    pub updates_to_relay: Vec<message::UpdateItem>,
     /// Sequence number of the last datagram.
     pub sequence: u64,
     /// Stage of this VM.
@@ -102,7 +102,7 @@
         let mut peers = peers::PeerTable::new(&settings.domain);
         for &seed in &settings.seeds {
             if seed != settings.link_address {
-                peers.tell(seed);
+                peers.add_address(seed);
             }
         }
         Self {
@@ -178,7 +178,7 @@
     /// Applies an update of a server from the store or from another VM.
     pub fn apply_update(
         &mut self,
-        update: news::ServerNews,
+        update: update::ServerUpdate,
         from_store: bool,
         now: time::Instant,
     ) -> fleet::FleetChange {
@@ -190,9 +190,9 @@
             let notice = message::NoticeItem {
                 server: record.incarnation_hash(),
                 offset: update.offset,
-                gone: update.entry.is_none(),
+                removed: update.entry.is_none(),
             };
-            self.notices.note(notice, now);
+            self.notices.add(notice, now);
         }
         if from_store && change != fleet::FleetChange::Nothing {
             self.unannounced.push(update);
@@ -230,7 +230,7 @@
         let ahead = self
             .peers
             .all()
-            .filter(|(_, peer)| peer.is_heard(now) && peer.store_away == self.store_away)
+            .filter(|(_, peer)| peer.is_alive(now) && peer.store_away == self.store_away)
             .filter(|(name, _)| rank(name) < own)
             .count();
         ahead
@@ -363,7 +363,7 @@
         rank: wait::WaitRank,
         now: time::Instant,
     ) -> Result<(fleet::RunKey, fleet::ServerKey), place::PlacementOutcome> {
-        let entries = self.peers.heard(now);
+        let entries = self.peers.alive_count(now);
         let ahead_tokens = self
             .peers
             .waiting_before(service_hash(&request.service), rank, now);
@@ -456,7 +456,7 @@
     /// Takes one retry of a service; returns false if this VM has none left.
     pub fn take_retry(&mut self, service: &str, now: time::Instant) -> bool {
         let rule = self.settings.retries;
-        let entries = self.peers.counted(now);
+        let entries = self.peers.limit_share_count(now);
         self.budget(service).take(&rule, entries, now)
     }
 
@@ -469,7 +469,7 @@
     /// Number of retries of a service that this VM has left.
     pub fn retries_left(&mut self, service: &str, now: time::Instant) -> f64 {
         let rule = self.settings.retries;
-        let entries = self.peers.counted(now);
+        let entries = self.peers.limit_share_count(now);
         self.budget(service).left(&rule, entries, now)
     }
 
--- a/crates/exchange/tests/storm.rs
+++ b/crates/exchange/tests/storm.rs
@@ -81,7 +81,7 @@
             plane.state().settings.seeds = seeds;
             let started = Instant::now();
             let store = store::FakeStore::changing(CHANGE_INTERVAL);
-            follow::meet(plane, store.clone()).await;
+            follow::discover_peers(plane, store.clone()).await;
             let after = store.registered_at.get().expect("registered") - started;
             let millis = after.as_millis();
             assert!((min..=max).contains(&millis), "{millis} ms");
--- a/crates/exchange/tests/world/mod.rs
+++ b/crates/exchange/tests/world/mod.rs
@@ -2,15 +2,15 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
+pub mod cluster;
 pub mod engines;
-pub mod herd;
 pub mod lossy;
 pub mod store;
 
 use std::{cell, collections, net, rc, time};
 
 use bytes::Bytes;
-use exchange::{budget, catalog, fleet, news, plane, port, reply, request, state, system};
+use exchange::{budget, catalog, fleet, plane, port, reply, request, state, system, update};
 use tokio::sync::mpsc;
 
 /// Behaviour of a server for its next attempt.
@@ -285,7 +285,7 @@
         prefix: prefix.to_owned(),
         kind,
         timeout: time::Duration::from_secs(10),
-        aim: time::Duration::from_millis(100),
+        target_latency: time::Duration::from_millis(100),
         priority: 0,
         splits: vec![catalog::ServiceSplit {
             service: service.to_owned(),
@@ -326,14 +326,14 @@
         limits: catalog::CallerLimits {
             header_bytes: 16_384,
             body_bytes: 1_000_000,
-            idle: time::Duration::from_secs(15),
+            idle_timeout: time::Duration::from_secs(15),
         },
     }
 }
 
-pub fn entry(service: &str, number: u8, domain: &str) -> news::ServerEntry {
-    news::ServerEntry {
-        born: news::BirthTime::UNTOLD,
+pub fn entry(service: &str, number: u8, domain: &str) -> update::ServerEntry {
+    update::ServerEntry {
+        started_at: update::StartTime::UNKNOWN,
         service: service.to_owned(),
         address: address(number),
         domain: domain.to_owned(),
@@ -343,8 +343,8 @@
     }
 }
 
-pub fn news(id: &str, offset: u64, entry: Option<news::ServerEntry>) -> news::ServerNews {
-    news::ServerNews {
+pub fn news(id: &str, offset: u64, entry: Option<update::ServerEntry>) -> update::ServerUpdate {
+    update::ServerUpdate {
         id: id.to_owned(),
         offset,
         entry,
