--- a/crates/gossip/src/claim.rs
+++ b/crates/gossip/src/claim.rs
@@ -1,91 +1,91 @@
-//! What may be said of a member, and which word beats which.
+//! Claims about a member's state, and their order of precedence.
 
 use std::net;
 
 use base::id;
 use wire::{identity, proto::gossip as proto};
 
-/// Longest name of a region or a failure domain.
+/// Maximum length of the name of a region or a failure domain.
 const MAX_PLACE_BYTES: usize = 64;
 
-/// One life of a member; a later life is greater.
+/// Identifies one incarnation of a member; a later incarnation compares greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LifeStamp {
-    /// When it began by the member's own clock, in milliseconds of the Unix epoch, or one more
-    /// than what an older life of the same name claimed.
+    /// Start time by the member's own clock, in milliseconds since the Unix epoch, or one more
+    /// than the start time claimed by an older incarnation of the same name.
     pub birth_ms: u64,
-    /// The life itself; decides between equal births.
+    /// The incarnation itself; breaks ties between equal start times.
     pub incarnation: id::Incarnation,
 }
 
-/// What is said of a member, in order of precedence at equal refutation.
+/// Claimed state of a member, in order of precedence at equal refutation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer; it may refute that.
+    /// The member did not answer a probe; it may still refute the suspicion.
     Suspect,
-    /// It neither answered nor refuted the suspicion in time. Still only a hint.
+    /// The member neither answered nor refuted the suspicion in time. Still only a hint.
     Dead,
-    /// It said goodbye.
+    /// The member announced its departure.
     Left,
 }
 
 impl MemberState {
-    /// Whether the member counts as there.
+    /// Whether the member counts as present.
     #[must_use]
     pub const fn is_present(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// Of two claims about one member the one with the greater version holds, in whatever order they
-/// arrive: a later life beats an earlier one, then a higher refutation, then the graver state.
+/// Version of a claim: of two claims about one member the greater version wins, whatever the order
+/// of arrival. A later incarnation precedes, then a higher refutation, then the graver state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimVersion {
-    /// The life that is spoken of.
+    /// The incarnation that the claim is about.
     pub life: LifeStamp,
-    /// Raised by nobody but the member itself.
+    /// Incremented only by the member itself.
     pub refutation: u32,
-    /// What is said.
+    /// The claimed state.
     pub state: MemberState,
 }
 
-/// Where a member is.
+/// Location of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberPlace {
-    /// Where it takes datagrams and frames.
+    /// Address at which the member receives datagrams and frames.
     pub address: net::SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the member.
     pub failure_domain: String,
-    /// Its region.
+    /// Region of the member.
     pub region: String,
 }
 
-/// Word about one member.
+/// Claim about one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberClaim {
     /// Name of the VM.
     pub name: String,
-    /// What is said, and of which life.
+    /// The claimed state, and the incarnation it applies to.
     pub version: ClaimVersion,
-    /// Where it is.
+    /// Location of the member.
     pub place: MemberPlace,
 }
 
-/// A claim as it arrived.
+/// A claim as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeardClaim {
     /// Name of the VM.
     pub name: String,
-    /// What is said, and of which life.
+    /// The claimed state, and the incarnation it applies to.
     pub version: ClaimVersion,
-    /// Where it is; left out when those who know the member know that, too.
+    /// Location of the member; omitted when every VM that knows the member knows it already.
     pub place: Option<MemberPlace>,
 }
 
 impl HeardClaim {
-    /// Reads a claim; `None` when any part of it makes no sense.
+    /// Decodes a claim; `None` when any part of it is invalid.
     #[must_use]
     pub fn from_wire(claim: proto::MemberClaim) -> Option<Self> {
         let state = state_from_wire(proto::MemberState::try_from(claim.state).ok()?);
@@ -128,7 +128,7 @@
 }
 
 impl MemberClaim {
-    /// The whole claim as it travels.
+    /// The complete claim in its wire form.
     #[must_use]
     pub fn to_wire(&self) -> proto::MemberClaim {
         proto::MemberClaim {
@@ -139,8 +139,8 @@
         }
     }
 
-    /// The claim as it is passed on as news: a member is introduced with its place, and all
-    /// further word of that life does without, which halves it.
+    /// The claim as it is disseminated: the first claim about an incarnation carries the location,
+    /// later ones omit it, which halves their size.
     #[must_use]
     pub fn to_news(&self) -> proto::MemberClaim {
         if self.version.state == MemberState::Alive {
--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -1,4 +1,4 @@
-//! The decisions of membership, without I/O, clock or random source of their own.
+//! The membership state machine, without I/O, clock or random source of its own.
 
 use std::{collections, net, time};
 
@@ -12,21 +12,21 @@
 use event::CoreAction;
 use proto::message::Kind;
 
-/// Greetings in answer to strangers in one tick at the most.
+/// Maximum number of `Hello` messages sent to unknown senders in one tick.
 const MAX_GREETINGS: u32 = 8;
 
-/// A tick that comes this many ticks late means that this process was paused.
+/// A tick delayed by this many tick intervals means that this process was paused.
 const PAUSE_TICKS: u32 = 10;
 
-/// What one VM knows of all others, and what it does next.
+/// One VM's view of all members, and the actions it takes next.
 ///
-/// `now` is the time since any fixed moment on this VM's monotonic clock; it never goes back.
+/// `now` is the time since a fixed moment on this VM's monotonic clock; it never decreases.
 #[derive(Debug)]
 pub struct MemberCore<R> {
     pub(crate) timing: settings::TimingSettings,
-    /// The own identity; constant.
+    /// Identity of this process; constant.
     pub(crate) identity: identity::ProcessIdentity,
-    /// The own claim; also in `table`, always equal there.
+    /// Claim about this VM; `table` always holds an equal copy.
     pub(crate) own: claim::MemberClaim,
     pub(crate) rng: R,
     pub(crate) table: member::MemberTable,
@@ -38,27 +38,27 @@
     pub(crate) list: list::VmListReport,
     pub(crate) links: linking::LinkState,
     pub(crate) digests: loads::DigestState,
-    /// What is to be done; handed out at the end of each call.
+    /// Actions to be performed; returned at the end of each call.
     pub(crate) actions: Vec<CoreAction>,
     pub(crate) dues: DueTimes,
-    /// Whether this life takes no new work; never unset.
+    /// Whether this incarnation accepts no new work; never unset.
     pub(crate) leaving: bool,
-    /// Configuration in force here, as last published.
+    /// Configuration in force on this VM, as last published.
     pub(crate) configuration: Option<news::ConfigurationNews>,
-    /// The other life that claimed the own name last; told once.
+    /// The other incarnation that last claimed this VM's name; reported once.
     pub(crate) conflict: Option<id::Incarnation>,
-    /// Greetings that strangers may still cause before the next tick.
+    /// `Hello` messages that may still be sent to unknown senders before the next tick.
     pub(crate) greetings_left: u32,
-    /// Rounds of greetings since somebody of the region was known.
+    /// Rounds of `Hello` messages sent since a member of the region was last known.
     pub(crate) lonely_rounds: u32,
     last_tick: time::Duration,
-    /// Whether what is learnt now is old news that need not be passed on.
+    /// Whether updates received now are already known elsewhere and are not forwarded.
     pub(crate) muted: bool,
-    /// When this core began.
+    /// When this core was created.
     pub(crate) began_at: time::Duration,
 }
 
-/// When each recurring duty is due next.
+/// When each periodic task is due next.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DueTimes {
     pub probe: time::Duration,
@@ -70,7 +70,7 @@
 }
 
 impl<R: rand::Rng> MemberCore<R> {
-    /// A core that knows itself and the seeds.
+    /// Creates a core that knows only this VM and the seeds.
     pub fn new(
         own: settings::OwnSettings,
         timing: settings::TimingSettings,
@@ -136,19 +136,19 @@
         self.roster.stale = true;
     }
 
-    /// All members that are known, the own VM among them.
+    /// All known members, including this VM.
     #[must_use]
     pub const fn members(&self) -> &member::MemberTable {
         &self.table
     }
 
-    /// All items that are known.
+    /// All known items.
     #[must_use]
     pub const fn items(&self) -> &item::ItemStore {
         &self.items
     }
 
-    /// Takes a datagram that passed every check of crate `wire`.
+    /// Handles a datagram that passed every check of crate `wire`.
     pub fn on_datagram(
         &mut self,
         now: time::Duration,
@@ -160,8 +160,8 @@
         let message = proto::Message::decode(payload).unwrap_or_default();
         match message.kind {
             None => metrics::counter!("pollenchute_gossip_malformed_total").increment(1),
-            // Whoever has recorded a greeting may send it again to anybody, at any time. So nothing
-            // in it is believed; it only causes one answer, which only the asking life can open.
+            // A recorded `Hello` can be replayed to any VM at any time. So its content is ignored;
+            // it causes only one answer, which only the requesting incarnation can open.
             Some(Kind::Hello(_)) if !bound => self.answer_greeting(from, sender),
             Some(_) if !bound => {
                 metrics::counter!("pollenchute_gossip_unbound_total").increment(1);
@@ -180,7 +180,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Does what is due; call it every [`settings::TimingSettings::tick`].
+    /// Runs the tasks that are due; call it every [`settings::TimingSettings::tick`].
     pub fn on_tick(&mut self, now: time::Duration) -> Vec<CoreAction> {
         let gap = now.saturating_sub(self.last_tick);
         self.last_tick = now;
@@ -202,7 +202,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Publishes an item; one that says the same and still lasts is left alone.
+    /// Publishes an item; does nothing when an equal one is known that does not expire soon.
     pub fn publish(&mut self, now: time::Duration, news: &news::NewsItem) -> Vec<CoreAction> {
         match news {
             news::NewsItem::Configuration(news) if news.vm != self.identity.name => {}
@@ -215,14 +215,14 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Marks this life of this VM as leaving: it takes no new work, but stays a member.
+    /// Marks this incarnation of the VM as leaving: it accepts no new work, but stays a member.
     pub fn leave(&mut self, now: time::Duration) -> Vec<CoreAction> {
         self.leaving = true;
         let subject = news::LeavingSubject::of_vm(&self.own);
         self.publish(now, &news::NewsItem::Leaving(subject))
     }
 
-    /// Says goodbye; the ticks that follow spread it and do nothing else.
+    /// Announces the departure of this VM; the ticks that follow only disseminate it.
     pub fn depart(&mut self, now: time::Duration) -> Vec<CoreAction> {
         self.own.version.refutation += 1;
         self.own.version.state = claim::MemberState::Left;
@@ -230,21 +230,21 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether the sender is the life that holds its name here.
+    /// Whether the sender is the incarnation known here under its name.
     pub(crate) fn is_newest_life(&self, sender: &identity::ProcessIdentity) -> bool {
         self.table
             .named(&sender.name)
             .is_some_and(|record| record.claim.version.life.incarnation == sender.incarnation)
     }
 
-    /// Whether somebody of that name is there.
+    /// Whether a member of that name is present.
     pub(crate) fn is_present(&self, name: &str) -> bool {
         self.table
             .named(name)
             .is_some_and(|record| record.state().is_present())
     }
 
-    /// Whether the life that the claim speaks of is marked as leaving.
+    /// Whether the incarnation that the claim is about is marked as leaving.
     pub(crate) fn is_leaving(&self, claim: &claim::MemberClaim) -> bool {
         let subject = news::LeavingSubject::of_vm(claim);
         self.items
@@ -270,7 +270,8 @@
             Kind::PingRequest(request) => self.relay_probe(now, from, sender, &request),
             Kind::Hello(_) => self.answer_greeting(from, sender),
             Kind::HelloAnswer(_) => {
-                // An earlier life, or another process of that name, would be met for ever.
+                // An earlier incarnation or another process of that name would be contacted
+                // forever.
                 if self.is_newest_life(sender) {
                     self.introduce(now, from, sender);
                 }
--- a/crates/gossip/src/digest.rs
+++ b/crates/gossip/src/digest.rs
@@ -1,4 +1,4 @@
-//! Short-lived digests: sent straight to the few that use them, never passed on, aged.
+//! Short-lived digests: sent directly to their few users, never forwarded, and discarded with age.
 
 use std::{collections, time};
 
@@ -6,34 +6,34 @@
 use prost::Message as _;
 use wire::proto::gossip as proto;
 
-/// Digests older than this are neither sent nor taken.
+/// Digests older than this are neither sent nor accepted.
 pub const MAX_AGE: time::Duration = time::Duration::from_secs(10);
 
-/// Digests that are remembered at the most.
+/// Maximum number of digests that are remembered.
 const MAX_DIGESTS: usize = 16 * 1024;
 
-/// A digest that did not change is left out this many times before it is sent all the same.
+/// An unchanged digest is skipped this many times before it is sent again.
 const MAX_SKIPS: u32 = 2;
 
-/// The hash under which the name of a subject travels; equal in every process.
+/// Hash that stands for a subject's name on the wire; equal in every process.
 #[must_use]
 pub fn subject_hash(name: &str) -> u64 {
     rendezvous::score("digest", name)
 }
 
-/// What a digest is about.
+/// Kind of a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DigestKind {
     /// Load of a model engine.
     EngineLoad,
     /// Recent demand of an organisation on one VM.
     OrganisationDemand,
-    /// Work of one VM, which others share the engines with.
+    /// Work of one VM, for the VMs that share the engines with it.
     EntryWork,
 }
 
 impl DigestKind {
-    /// Its number on the wire.
+    /// Number of the kind on the wire.
     #[must_use]
     pub const fn number(self) -> u32 {
         match self {
@@ -55,18 +55,18 @@
     }
 }
 
-/// Load of a model engine, as its watcher read it.
+/// Load of a model engine, as read by its watcher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineLoad {
     /// First 32 bits of the hash of the engine's incarnation, from [`incarnation_hash`].
     pub incarnation_hash: u32,
-    /// KV blocks free.
+    /// Free KV blocks.
     pub free_blocks: u32,
-    /// Generations running.
+    /// Running generations.
     pub running: u32,
     /// Generations waiting in the engine.
     pub waiting: u32,
-    /// Preemptions since the digest before.
+    /// Preemptions since the previous digest.
     pub preemptions: u32,
 }
 
@@ -77,11 +77,11 @@
     pub requests: u32,
     /// Generated tokens in the last ten seconds.
     pub tokens: u32,
-    /// Generations running.
+    /// Running generations.
     pub running: u32,
 }
 
-/// Work of one VM, which others share the engines with.
+/// Work of one VM, for the VMs that share the engines with it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EntryWork {
     /// Sum of the weights of organisations with work there.
@@ -93,19 +93,19 @@
 /// Work of one VM for one model.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ModelWork {
-    /// Which model, by [`subject_hash`] of its name.
+    /// The model, by [`subject_hash`] of its name.
     pub model_hash: u64,
-    /// Engine memory that urgent and normal work asks for, in tokens.
+    /// Engine memory requested by urgent and normal work, in tokens.
     pub firm: f32,
     /// The same for deferrable work.
     pub deferrable: f32,
-    /// The part of both that waits.
+    /// The waiting part of both, in tokens.
     pub waiting: f32,
-    /// Urgent generations at once.
+    /// Concurrent urgent generations.
     pub urgent: f32,
 }
 
-/// Models in one digest of work; the body must fit a datagram.
+/// Maximum number of models in one work digest; the body must fit a datagram.
 pub const MOST_MODELS: usize = 16;
 
 impl EntryWork {
@@ -126,7 +126,8 @@
         .encode_to_vec()
     }
 
-    /// Nothing for numbers that would make every sum of shares meaningless.
+    /// Decodes a body; `None` if a number is negative or not finite, since it would corrupt every
+    /// sum of shares.
     pub(crate) fn from_body(body: &[u8]) -> Option<Self> {
         let body = proto::EntryWorkBody::decode(body).ok()?;
         let is_usable = |value: f32| value.is_finite() && value >= 0.0;
@@ -153,7 +154,7 @@
     }
 }
 
-/// The 32 bits by which a digest names an engine's life.
+/// The 32 bits that identify an engine's incarnation in a digest.
 #[must_use]
 pub fn incarnation_hash(incarnation: &str) -> u32 {
     (rendezvous::score("incarnation", incarnation) >> 32) as u32
@@ -203,7 +204,7 @@
     }
 }
 
-/// What an outgoing digest is about.
+/// Kind and subject of a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DigestKey {
     /// The kind.
@@ -216,28 +217,28 @@
 struct OutgoingDigest {
     body: Vec<u8>,
     taken_at: time::Duration,
-    /// How often it was left out since it was last sent, because it had not changed.
+    /// How often the digest was skipped since it was last sent, because it had not changed.
     skips: u32,
 }
 
-/// Digests on their way out, under a bound on bytes a second.
+/// Outgoing digests, under a limit on bytes per second.
 ///
-/// Receivers take turns. When there is more to send than the bound allows, each still gets its
-/// turn, later, and then gets the newest: the digests grow older, the cost does not grow.
+/// Receivers are served round robin. When there is more to send than the limit allows, each is
+/// served later and then gets the newest digests: their age grows, the bandwidth does not.
 #[derive(Clone, Debug)]
 pub struct DigestOutbox {
     latest: collections::BTreeMap<DigestKey, OutgoingDigest>,
-    /// Receivers in order of their turns; exactly the keys of `pending`.
+    /// Receivers in round-robin order; exactly the keys of `pending`.
     turns: collections::VecDeque<id::VmKey>,
     pending: collections::BTreeMap<id::VmKey, collections::BTreeSet<DigestKey>>,
     bytes_per_second: f64,
-    /// Bytes that may be sent now; at most one second's worth; negative after a long datagram.
+    /// Bytes that may be sent now: at most one second's worth, negative after a long datagram.
     credit: f64,
     credited_at: time::Duration,
 }
 
 impl DigestOutbox {
-    /// An empty outbox with that bound.
+    /// Creates an empty outbox with that limit.
     #[must_use]
     pub fn new(bytes_per_second: u32, now: time::Duration) -> Self {
         let bytes_per_second = f64::from(bytes_per_second);
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Has `receivers` get this digest, unless it says what the last one said.
+    /// Queues the digest for `receivers`, unless it equals the previous one and may be skipped.
     pub fn add(
         &mut self,
         key: DigestKey,
@@ -284,7 +285,7 @@
         }
     }
 
-    /// The next receiver and its digests, if the bound allows one more datagram.
+    /// The next receiver and its digests, if the limit allows one more datagram.
     pub fn next(&mut self, now: time::Duration) -> Option<(id::VmKey, Vec<proto::Digest>)> {
         let passed = now.saturating_sub(self.credited_at).as_secs_f64();
         self.credited_at = now;
@@ -303,7 +304,7 @@
         Some((receiver, digests))
     }
 
-    /// Takes the cost of a datagram out of the bound.
+    /// Charges the size of a datagram against the limit.
     pub fn charge(&mut self, bytes: usize) {
         self.credit -= bytes as f64;
     }
@@ -319,22 +320,24 @@
         })
     }
 
-    /// Forgets digests that are too old to be sent.
+    /// Removes digests that are too old to be sent.
     pub fn forget_old(&mut self, now: time::Duration) {
         self.latest
             .retain(|_, digest| now.saturating_sub(digest.taken_at) <= MAX_AGE);
     }
 }
 
-/// When the newest digest of each subject was taken.
+/// Time of measurement of the newest digest of each subject.
 #[derive(Clone, Debug, Default)]
 pub struct DigestTable {
-    /// By subject and, where each VM has its own, by the sender's life; else by life 0.
+    /// By subject and, where each VM has its own digest, by the sender's incarnation; otherwise by
+    /// incarnation 0.
     taken: collections::BTreeMap<(DigestKey, id::Incarnation), time::Duration>,
 }
 
 impl DigestTable {
-    /// Takes a digest that says how things were at `taken_at`; `false` when a newer one is known.
+    /// Records a digest measured at `taken_at`; `false` when an equally new or newer one is known,
+    /// or the table is full.
     pub fn take(
         &mut self,
         key: DigestKey,
@@ -362,7 +365,7 @@
         }
     }
 
-    /// When the newest load of that engine was taken.
+    /// When the newest known load of that engine was measured.
     #[must_use]
     pub fn load_taken_at(&self, subject: u64) -> Option<time::Duration> {
         let kind = DigestKind::EngineLoad;
@@ -371,7 +374,7 @@
             .copied()
     }
 
-    /// Forgets digests that were taken too long ago to matter.
+    /// Removes digests that are too old to matter.
     pub fn forget_old(&mut self, now: time::Duration) {
         self.taken
             .retain(|_, taken_at| now.saturating_sub(*taken_at) <= MAX_AGE * 2);
--- a/crates/gossip/src/driver.rs
+++ b/crates/gossip/src/driver.rs
@@ -1,4 +1,4 @@
-//! Runs the core over a UDP socket.
+//! Drives the membership core over a UDP socket.
 
 use std::sync;
 
@@ -10,19 +10,19 @@
 
 use crate::{core, event, handle, settings, view};
 
-/// Events that a slow listener may lag behind before it loses some and is told so.
+/// Events that a slow subscriber may lag behind before it loses some; it is notified of the loss.
 const EVENT_BACKLOG: usize = 1024;
 
-/// Commands that wait for the driver at the most.
+/// Maximum number of commands queued for the driver.
 const COMMAND_BACKLOG: usize = 256;
 
-/// Pause after the socket failed.
+/// Pause after a socket error.
 const ERROR_PAUSE: std::time::Duration = std::time::Duration::from_millis(10);
 
-/// Ticks during which a goodbye spreads.
+/// Ticks during which the departure of this VM is disseminated.
 const GOODBYE_TICKS: u32 = 5;
 
-/// Why gossip did not start.
+/// Error that prevents gossip from starting.
 #[derive(Debug, snafu::Snafu)]
 pub enum StartError {
     /// The socket could not be bound.
@@ -31,9 +31,9 @@
          free the port or change the VM's address for peers"
     ))]
     Bind {
-        /// Where it should listen.
+        /// Address to listen at.
         address: std::net::SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
@@ -50,7 +50,8 @@
     start_stamped(settings, keys, rng_seed, stamper::MessageStamper::default()).await
 }
 
-/// Starts gossip with stamps on its datagrams, so that the time line knows what they caused.
+/// Starts gossip with stamps on its datagrams, so that the timeline orders events across VMs
+/// causally.
 ///
 /// # Errors
 /// When the socket cannot be bound.
@@ -98,7 +99,7 @@
     started_at: time::Instant,
     snapshots: channels::watch::Sender<sync::Arc<view::MemberSnapshot>>,
     events: channels::broadcast::Sender<event::GossipEvent>,
-    /// Whether anything happened that the last snapshot does not show.
+    /// Whether anything changed since the last snapshot.
     changed: bool,
 }
 
@@ -110,7 +111,7 @@
     ) {
         let mut ticker = time::interval(tick);
         ticker.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-        // One byte more than allowed, so that a longer datagram is seen to be longer.
+        // One byte more than allowed, so that an oversized datagram is recognised.
         let mut buffer = [0; datagram::MAX_DATAGRAM_BYTES + 1];
         loop {
             tokio::select! {
@@ -121,10 +122,11 @@
                 }
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((bytes, from)) => self.receive(from, &buffer[..bytes]).await,
-                    // The system reports here that an earlier datagram met a closed port.
+                    // The operating system also reports here that an earlier datagram reached a
+                    // closed port.
                     Err(_) => {
                         metrics::counter!("pollenchute_gossip_socket_errors_total").increment(1);
-                        // An error that stays would otherwise take a whole processor.
+                        // A persistent error would otherwise keep a processor core busy.
                         time::sleep(ERROR_PAUSE).await;
                     }
                 },
@@ -240,12 +242,12 @@
                 | event::GossipEvent::Work(_)
         );
         log_change(&event);
-        // Nobody listening is no fault.
+        // Having no subscriber is not an error.
         let _ = self.events.send(event);
     }
 
-    /// Shows what changed: after what this process itself did, and once a tick. More often would
-    /// cost more than all else when a change of configuration makes its way through 410 VMs.
+    /// Publishes a snapshot if anything changed: after each command and once per tick. More often
+    /// would cost more than everything else while a configuration change spreads through 410 VMs.
     fn show(&mut self) {
         if std::mem::take(&mut self.changed) {
             self.snapshots
@@ -254,7 +256,7 @@
     }
 }
 
-/// Logs what an operator looks for; all else is counted.
+/// Logs the changes that operators look for; all others are only counted.
 fn log_change(event: &event::GossipEvent) {
     match event {
         event::GossipEvent::Member(claim) => log::info!(
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -1,4 +1,4 @@
-//! What the core asks for and tells.
+//! Actions and events that the core emits.
 
 use std::{net, time};
 
@@ -6,87 +6,87 @@
 
 use crate::{claim, digest, news};
 
-/// What the core wants done.
+/// An action requested by the core.
 #[derive(Clone, Debug)]
 pub enum CoreAction {
     /// Send a datagram.
     Send(OutgoingDatagram),
-    /// Tell those who listen.
+    /// Notify the subscribers.
     Notify(GossipEvent),
 }
 
 /// A datagram to be sealed and sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// Where to.
+    /// Destination address.
     pub address: net::SocketAddr,
-    /// The life that it is bound to; `None` for a greeting.
+    /// The incarnation that the datagram is bound to; `None` for a `Hello`.
     pub receiver: Option<identity::ProcessIdentity>,
     /// The message, at most [`wire::datagram::MAX_PAYLOAD_BYTES`].
     pub payload: Vec<u8>,
 }
 
-/// What changed, for those who listen.
+/// A change, for subscribers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GossipEvent {
-    /// The word that holds about a member changed.
+    /// The claim in force about a member changed.
     Member(claim::MemberClaim),
-    /// An item was taken.
+    /// An item was accepted.
     News(news::NewsItem),
-    /// A watcher's word about a model engine of the own region.
+    /// Load of a model engine of this region, sent by its watcher.
     Load(LoadNews),
-    /// Another VM's word about an organisation's demand there.
+    /// Demand of an organisation on another VM, sent by that VM.
     Demand(DemandNews),
-    /// Another VM's word about its work.
+    /// Work of another VM, sent by that VM.
     Work(WorkNews),
-    /// A region was lost or found again.
+    /// A region became unreachable or reachable again.
     Region(RegionNews),
-    /// Watching is divided anew; see [`crate::view::MemberSnapshot::plan`].
+    /// The watch plan changed; see [`crate::view::MemberSnapshot::plan`].
     Plan,
-    /// Another process claims this VM's name and is still heard of.
+    /// Another process claims this VM's name and is still present.
     NameConflict(claim::HeardClaim),
 }
 
-/// A watcher's word about a model engine.
+/// Load of a model engine, sent by its watcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadNews {
     /// The engine.
     pub server: String,
-    /// Its load.
+    /// Load of the engine.
     pub load: digest::EngineLoad,
-    /// How old that was on arrival, the way here not counted.
+    /// Age of the digest when it was sent; the network delay is not included.
     pub age: time::Duration,
 }
 
-/// Another VM's word about an organisation's demand there.
+/// Demand of an organisation on another VM, sent by that VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DemandNews {
-    /// The VM that was asked.
+    /// The VM that measured the demand.
     pub vm: String,
     /// [`digest::subject_hash`] of the organisation's name.
     pub organisation_hash: u64,
-    /// What was asked of it.
+    /// Recent demand on that VM.
     pub demand: digest::OrganisationDemand,
-    /// How old that was on arrival, the way here not counted.
+    /// Age of the digest when it was sent; the network delay is not included.
     pub age: time::Duration,
 }
 
-/// Another VM's word about its work.
+/// Work of another VM, sent by that VM.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkNews {
-    /// That VM.
+    /// The VM that sent the digest.
     pub vm: String,
-    /// Its work.
+    /// Work of the VM.
     pub work: digest::EntryWork,
-    /// How old that was on arrival, the way here not counted.
+    /// Age of the digest when it was sent; the network delay is not included.
     pub age: time::Duration,
 }
 
-/// A region was lost or found again.
+/// A region became unreachable or reachable again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionNews {
     /// The region.
     pub region: String,
-    /// Whether anybody of the own region hears from it.
+    /// Whether any member of this VM's region receives datagrams from it.
     pub reachable: bool,
 }
--- a/crates/gossip/src/greeting.rs
+++ b/crates/gossip/src/greeting.rs
@@ -1,4 +1,4 @@
-//! How VMs find each other: at the start, after a restart, and after a partition.
+//! Discovery of members: at startup, after a restart, and after a partition.
 
 use std::{collections, net, time};
 
@@ -8,14 +8,14 @@
 use crate::{claim, core, packet};
 use proto::message::Kind;
 
-/// Greetings in one round while nobody of the region is known.
+/// `Hello` messages in one round while no other member of the region is known.
 const JOIN_GREETINGS: usize = 5;
 
-/// While nobody answers, rounds become rarer up to this many join intervals.
+/// While no VM answers, the interval between rounds grows to at most this many join intervals.
 const MAX_BACKOFF: u32 = 8;
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Greets a sender of whose life nothing is known.
+    /// Sends a `Hello` to a sender whose incarnation is not the one known here.
     pub(crate) fn meet(&mut self, from: net::SocketAddr, sender: &identity::ProcessIdentity) {
         if !self.is_newest_life(sender) && self.greetings_left > 0 {
             self.greetings_left -= 1;
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Answers a greeting with the own claim, and with what is held against the greeter.
+    /// Answers a `Hello` with the claim about this VM, and with any claim that the sender may have
+    /// to refute.
     pub(crate) fn answer_greeting(
         &mut self,
         from: net::SocketAddr,
@@ -36,8 +37,9 @@
         self.send_packet(from, sender.clone(), packet);
     }
 
-    /// Greets seeds: many while alone, else now and then somebody absent. Without this two halves
-    /// that took each other for dead would never speak again.
+    /// Sends `Hello` messages to absent members and seeds: several per round while no member of the
+    /// region is known, otherwise one now and then. Without this, two sides of a partition that
+    /// declared each other dead would never reconnect.
     pub(crate) fn greet_round(&mut self, now: time::Duration) {
         if now < self.dues.greeting {
             return;
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Where somebody of the region might be of whom nothing is heard; only those that the
-    /// platform's list calls live, if there are any.
+    /// Addresses of seeds and dead members of the region that are not present; only those that the
+    /// platform's list reports as live, if there are any.
     fn absent_addresses(&self) -> Vec<net::SocketAddr> {
         let seeds = self
             .seeds
--- a/crates/gossip/src/handle.rs
+++ b/crates/gossip/src/handle.rs
@@ -1,4 +1,4 @@
-//! The face of gossip towards the rest of the process.
+//! Interface of gossip to the rest of the process.
 
 use std::sync;
 
@@ -7,7 +7,7 @@
 
 use crate::{digest, event, list, news, settings, view, watching};
 
-/// What the driver is asked to do.
+/// A command to the driver.
 #[derive(Debug)]
 pub(crate) enum GossipCommand {
     Publish(news::NewsItem),
@@ -21,7 +21,7 @@
     Depart(channels::oneshot::Sender<()>),
 }
 
-/// Gossip as the rest of the process sees it; cheap to clone.
+/// Handle to a running gossip driver; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct GossipHandle {
     identity: identity::ProcessIdentity,
@@ -45,37 +45,37 @@
         }
     }
 
-    /// The own VM and this life of it.
+    /// Name of this VM and its current incarnation.
     #[must_use]
     pub const fn identity(&self) -> &identity::ProcessIdentity {
         &self.identity
     }
 
-    /// All members as seen now.
+    /// The latest snapshot of all members.
     #[must_use]
     pub fn snapshot(&self) -> sync::Arc<view::MemberSnapshot> {
         sync::Arc::clone(&self.members.borrow())
     }
 
-    /// All members, with notice of each change.
+    /// A receiver of member snapshots that is notified of each change.
     #[must_use]
     pub fn members(&self) -> channels::watch::Receiver<sync::Arc<view::MemberSnapshot>> {
         self.members.clone()
     }
 
-    /// Everything that changes from now on; a listener that lags far behind is told how much it
-    /// lost and takes [`Self::snapshot`].
+    /// Subscribes to all changes from now on; a subscriber that lags far behind is notified how
+    /// many events it lost and reads [`Self::snapshot`] instead.
     #[must_use]
     pub fn subscribe(&self) -> channels::broadcast::Receiver<event::GossipEvent> {
         self.events.subscribe()
     }
 
-    /// Passes an item on to every VM.
+    /// Disseminates an item to every VM.
     pub async fn publish(&self, news: news::NewsItem) {
         self.command(GossipCommand::Publish(news)).await;
     }
 
-    /// Marks this life of this VM as leaving: it takes no new work, but stays a member.
+    /// Marks this incarnation of the VM as leaving: it accepts no new work, but stays a member.
     pub async fn leave(&self) {
         self.command(GossipCommand::Leave).await;
     }
@@ -85,22 +85,24 @@
         self.command(GossipCommand::Seeds(seeds)).await;
     }
 
-    /// Replaces the backend servers of the own region, whose watching is to be divided.
+    /// Replaces the backend servers of this region, whose watchers the plan assigns.
     pub async fn set_servers(&self, servers: Vec<String>) {
         self.command(GossipCommand::Servers(servers)).await;
     }
 
-    /// Takes the platform's list of VMs: whom it calls leaving leaves; all else is a hint.
+    /// Applies the platform's list of VMs: those it reports as leaving are marked as leaving; the
+    /// rest of it is a hint.
     pub async fn set_vm_list(&self, list: list::VmListReport) {
         self.command(GossipCommand::VmList(list)).await;
     }
 
-    /// Passes on a load that this VM has read; a standby's word is sent only when it is needed.
+    /// Sends a load that this VM has read to the users of the server; a standby watcher sends only
+    /// while the first watcher is silent.
     pub async fn publish_load(&self, server: String, load: digest::EngineLoad) {
         self.command(GossipCommand::Load(server, load)).await;
     }
 
-    /// Tells `receivers` how much an organisation asked of this VM.
+    /// Sends the recent demand of an organisation on this VM to `receivers`.
     pub async fn publish_demand(
         &self,
         organisation: String,
@@ -111,7 +113,7 @@
             .await;
     }
 
-    /// Tells `receivers` of this VM's work.
+    /// Sends this VM's work to `receivers`.
     pub async fn publish_work(&self, work: digest::EntryWork, receivers: Vec<String>) {
         self.command(GossipCommand::Work(work, receivers)).await;
     }
@@ -122,22 +124,22 @@
         self.snapshot().plan.watchers(server).to_vec()
     }
 
-    /// What this VM has to do about the server.
+    /// Duty of this VM in watching the server.
     #[must_use]
     pub fn watch_duty(&self, server: &str) -> watching::WatchDuty {
         self.snapshot().plan.duty(&self.identity.name, server)
     }
 
-    /// Says goodbye and stops; returns when that was sent.
+    /// Announces the departure of this VM and stops; returns when the announcement was sent.
     pub async fn depart(&self) {
         let (done, wait) = channels::oneshot::channel();
         self.command(GossipCommand::Depart(done)).await;
-        // An error means that it had stopped before.
+        // An error means that the driver had stopped before.
         let _ = wait.await;
     }
 
     async fn command(&self, command: GossipCommand) {
-        // An error means that it departed: nothing is left to be told.
+        // An error means that the driver has stopped: the command has no effect any more.
         let _ = self.commands.send(command).await;
     }
 }
--- a/crates/gossip/src/in_force.rs
+++ b/crates/gossip/src/in_force.rs
@@ -1,7 +1,7 @@
-//! Which configuration is in force on which VM.
+//! Dissemination of the configuration in force on each VM.
 //!
-//! Nearly always it is the same on all of them. So the state itself spreads once, as an item, and
-//! what spreads for each VM is no more than the eight bytes that name its life.
+//! It is nearly always the same on all VMs. So the state itself is disseminated once, as an item,
+//! and each VM adds only the eight bytes that identify its incarnation.
 
 use std::{fmt, time};
 
@@ -11,11 +11,11 @@
 
 use crate::{core, event, item, member, news, packet, spread};
 
-/// Datagrams that carry word of one VM's state, from each member that learns it.
+/// Number of datagrams in which each member that learns a VM's state forwards it.
 const COPIES: u32 = 12;
 
-/// Names one state of the configuration. Within one life of a VM only greater ones follow, since
-/// what is accepted never reverts.
+/// Identifies one state of the configuration. Within one incarnation of a VM it only increases,
+/// since accepted configuration never reverts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StateKey {
     /// Offset after the last record applied.
@@ -25,7 +25,7 @@
 }
 
 impl StateKey {
-    /// The key of what is in force on a VM.
+    /// The key of the configuration in force on a VM.
     #[must_use]
     pub fn of(news: &news::ConfigurationNews) -> Self {
         let hash = xxh3::xxh3_64_with_seed(&news.chain_hash.0, news.revision);
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The key of the item that tells the state.
+    /// The key of the item that holds the state.
     #[must_use]
     pub fn item_key(self) -> item::ItemKey {
         item::ItemKey {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The hash by which word of a VM's state names its life.
+/// Hash that identifies a VM's incarnation in reports of the configuration in force.
 #[must_use]
 pub fn holder_hash(member: &identity::ProcessIdentity) -> u64 {
     let mut hasher = xxh3::Xxh3::new();
@@ -61,7 +61,7 @@
 }
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Tells what is in force on this VM.
+    /// Announces the configuration in force on this VM.
     pub(crate) fn publish_state(&mut self, now: time::Duration, news: &news::ConfigurationNews) {
         self.add_news(now, &news::NewsItem::Configuration(news.clone()));
         if let Some(key) = self.table.key(&self.identity.name) {
@@ -76,7 +76,8 @@
                 digest: word.digest,
             };
             for holder in &word.holders {
-                // Word of a life that is not known yet comes again when notes are compared.
+                // A report on an incarnation that is not known yet is received again by
+                // anti-entropy.
                 if let Some(key) = self.table.holder(*holder) {
                     self.set_in_force(key, state);
                 }
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Tells of the VMs that were waiting for a state to be known.
+    /// Notifies of the configuration of each VM whose state was reported before its item arrived.
     pub(crate) fn take_state(&mut self, state: &item::ItemKey) {
         let records = self.table.iter().map(|(_, record)| record);
         let waiting = records.filter(|record| {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// What is in force on a member, as last heard.
+    /// Configuration in force on a member, as last received.
     pub(crate) fn configuration_of(
         &self,
         record: &member::MemberRecord,
@@ -129,7 +130,7 @@
 }
 
 impl member::MemberRecord {
-    /// Attaches word of what is in force on the member, if that is known and fits.
+    /// Attaches the state in force on the member, if it is known and fits.
     pub(crate) fn add_in_force(&self, packet: &mut packet::PacketBuilder) -> bool {
         let holder = holder_hash(&self.identity());
         self.in_force
@@ -138,7 +139,7 @@
 }
 
 impl news::ConfigurationNews {
-    /// What the body of an item says to be in force on `vm`.
+    /// Decodes the body of a configuration item that is in force on `vm`.
     #[must_use]
     pub fn from_body(vm: String, body: &[u8]) -> Option<Self> {
         let body = proto::ConfigurationBody::decode(body).ok()?;
--- a/crates/gossip/src/item.rs
+++ b/crates/gossip/src/item.rs
@@ -1,20 +1,20 @@
-//! Versioned items that spread with membership; of one kind and subject the highest version wins.
+//! Versioned items disseminated with membership; for one kind and subject the highest version wins.
 
 use std::{collections, time};
 
 use wire::proto::gossip as proto;
 
-/// Longest subject of an item.
+/// Maximum length of an item's subject.
 pub const MAX_SUBJECT_BYTES: usize = 160;
 
-/// Longest body of an item.
+/// Maximum length of an item's body.
 pub const MAX_BODY_BYTES: usize = 256;
 
-/// Items that are about to expire do not travel: with delays in between, two VMs could otherwise
-/// keep one alive for ever by handing it to and fro.
+/// Items with less remaining lifetime than this are not sent: because of network delays, two VMs
+/// could otherwise keep an item alive forever by sending it back and forth.
 const LAST_TRAVEL: time::Duration = time::Duration::from_secs(5);
 
-/// What an item is about.
+/// Kind of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ItemKind {
     /// The configuration in force on one VM.
@@ -23,12 +23,13 @@
     Leaving,
     /// Content that crashes backend servers.
     Quarantine,
-    /// Another region was heard from; spreads within the region only, and is not compared.
+    /// Another region was received from; spreads within the region only and is excluded from
+    /// anti-entropy.
     Link,
 }
 
 impl ItemKind {
-    /// Its number on the wire.
+    /// Number of the kind on the wire.
     #[must_use]
     pub const fn number(self) -> u32 {
         match self {
@@ -51,7 +52,7 @@
         })
     }
 
-    /// Items of this kind that are kept at the most.
+    /// Maximum number of items of this kind that are kept.
     const fn capacity(self) -> usize {
         match self {
             Self::Configuration | Self::Quarantine => 4096,
@@ -60,14 +61,14 @@
         }
     }
 
-    /// Whether it must be everywhere within a second.
+    /// Whether items of this kind must reach every VM within a second.
     #[must_use]
     pub const fn is_urgent(self) -> bool {
         matches!(self, Self::Leaving | Self::Quarantine)
     }
 }
 
-/// What an item is about: its kind and its subject.
+/// Key of an item: its kind and its subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ItemKey {
     /// The kind.
@@ -79,20 +80,20 @@
 /// One item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// What it is about.
+    /// Kind and subject of the item.
     pub key: ItemKey,
-    /// Raised by whoever changes it.
+    /// Incremented by the VM that changes the item.
     pub version: u64,
-    /// Its body, at most [`MAX_BODY_BYTES`]; between equal versions the greater body wins.
+    /// Body of at most [`MAX_BODY_BYTES`]; between equal versions the greater body wins.
     pub body: Vec<u8>,
-    /// When it is forgotten, by this VM's clock.
+    /// When the item expires, by this VM's clock.
     pub expires_at: Option<time::Duration>,
-    /// When this VM learnt it.
+    /// When this VM received or created the item.
     pub taken_at: time::Duration,
 }
 
 impl Item {
-    /// Reads an item that arrived at `now`; `None` when any part of it makes no sense.
+    /// Decodes an item received at `now`; `None` when any part of it is invalid.
     #[must_use]
     pub fn from_wire(item: proto::Item, now: time::Duration) -> Option<Self> {
         let kind = ItemKind::from_number(item.kind)?;
@@ -111,7 +112,7 @@
         })
     }
 
-    /// The item as it travels at `now`; `None` when it is about to expire.
+    /// The wire form of the item at `now`; `None` when it is about to expire.
     #[must_use]
     pub fn to_wire(&self, now: time::Duration) -> Option<proto::Item> {
         if !self.travels(now) {
@@ -129,35 +130,36 @@
         })
     }
 
-    /// Whether it still travels.
+    /// Whether enough lifetime remains for the item to be sent.
     #[must_use]
     pub fn travels(&self, now: time::Duration) -> bool {
         self.expires_at
             .is_none_or(|expires_at| expires_at > now + LAST_TRAVEL)
     }
 
-    /// Whether its time is over.
+    /// Whether the item has expired.
     #[must_use]
     pub fn is_expired(&self, now: time::Duration) -> bool {
         self.expires_at.is_some_and(|expires_at| expires_at <= now)
     }
 
-    /// Whether it beats `other`, which is about the same.
+    /// Whether this item takes precedence over `other`, which has the same key.
     fn beats(&self, other: &Self) -> bool {
         (self.version, &self.body) > (other.version, &other.body)
     }
 }
 
-/// All items that are known.
+/// All known items.
 #[derive(Clone, Debug, Default)]
 pub struct ItemStore {
     items: collections::BTreeMap<ItemKey, Item>,
-    /// Exactly how many of each kind there are in `items`.
+    /// Number of items of each kind in `items`.
     counts: collections::BTreeMap<ItemKind, usize>,
 }
 
 impl ItemStore {
-    /// Takes `item` when it beats what is known and there is room; tells whether it was taken.
+    /// Stores `item` if it supersedes the known one and its kind has capacity left; returns whether
+    /// it was stored.
     pub fn merge(&mut self, item: Item) -> bool {
         if let Some(known) = self.items.get_mut(&item.key) {
             let newer = item.beats(known);
@@ -182,12 +184,12 @@
         self.items.get(key)
     }
 
-    /// All items in the order of their keys.
+    /// All items in key order.
     pub fn iter(&self) -> impl Iterator<Item = &Item> {
         self.items.values()
     }
 
-    /// Keeps only what `is_kept` says of.
+    /// Keeps only the items for which `is_kept` returns true.
     pub fn retain(&mut self, mut is_kept: impl FnMut(&Item) -> bool) {
         let counts = &mut self.counts;
         self.items.retain(|key, item| {
--- a/crates/gossip/src/keeping.rs
+++ b/crates/gossip/src/keeping.rs
@@ -1,16 +1,16 @@
-//! What the core forgets, renews and finds over with time.
+//! Periodic maintenance of the core: expiry of suspicions, members and items, and renewals.
 
 use std::time;
 
 use crate::{claim, core, item, member, news};
 
-/// How often it is looked for what is over.
+/// Interval between two maintenance rounds.
 const KEEPING_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Finds members of the own region dead that did not refute a suspicion in time. Those of
-    /// other regions are found dead by their own: a link that fails just after a suspicion has
-    /// crossed it must not kill them here.
+    /// Declares members of this region dead that did not refute a suspicion in time. Members of
+    /// other regions are declared dead by their own region: a link that fails just after a
+    /// suspicion has crossed it must not make them dead here.
     pub(crate) fn expire_suspicions(&mut self, now: time::Duration) {
         let is_over = |record: &member::MemberRecord| {
             record.dead_at.is_some_and(|at| at <= now)
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Makes nothing of the silence while this process itself was paused.
+    /// Discards the probe under way and extends suspicions after this process was paused, since the
+    /// silence of others was then its own.
     pub(crate) fn resume(&mut self, now: time::Duration, gap: time::Duration) {
         metrics::counter!("pollenchute_gossip_pauses_total").increment(1);
         self.schedule.current = None;
@@ -33,7 +34,7 @@
         self.dues.probe = now + self.timing.probe_interval;
     }
 
-    /// Forgets what is over, and renews the own mark of leaving.
+    /// Removes expired members, digests and items, and renews the items that this VM publishes.
     pub(crate) fn keeping_round(&mut self, now: time::Duration) {
         if now < self.dues.keeping {
             return;
@@ -58,7 +59,7 @@
     fn forget_items(&mut self, now: time::Duration) {
         let table = &self.table;
         self.items.retain(|item| {
-            // A mark of leaving outlasts its time as long as that very life is there.
+            // A leaving mark is kept past its expiry while that incarnation is present.
             !item.is_expired(now) || speaks_of_present(table, item, now)
         });
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,6 +1,7 @@
-//! Membership by gossip with suspicion, and the state that spreads with it.
+//! Gossip membership with suspicion (SWIM), and the state disseminated with it.
 //!
-//! All of it is a hint. Nothing that must hold may rest on who is called alive or dead here.
+//! All of this is best-effort information. No guarantee may depend on whether a member is reported
+//! alive or dead here.
 
 pub mod claim;
 pub mod core;
--- a/crates/gossip/src/linking.rs
+++ b/crates/gossip/src/linking.rs
@@ -1,7 +1,8 @@
-//! Few links between regions: one VM of each failure domain speaks for its region.
+//! Links between regions: one VM of each failure domain represents its region.
 //!
-//! Only these cross the links, so a VM's cost does not grow with the number of regions' members.
-//! What crosses then spreads within the region as everything else does.
+//! Only representatives send across regions, so a VM's cost does not grow with the number of
+//! members in other regions. Updates that cross a link then spread within the region like all
+//! others.
 
 use std::{collections, net, time};
 
@@ -13,32 +14,32 @@
 use event::CoreAction;
 use proto::message::Kind;
 
-/// Each representative writes to another region this often.
+/// Interval at which each representative sends to another region.
 const LINK_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Each representative compares notes with another region at every so-manieth turn.
+/// Each representative sends a state summary instead of a ping at every n-th turn.
 const SYNC_TURNS: u32 = 5;
 
-/// Another region from which nothing came for this long is sought at other addresses.
+/// After this long without a datagram from another region, other addresses there are tried.
 const SEEK_AFTER: time::Duration = time::Duration::from_secs(3);
 
-/// Greetings in one round of seeking.
+/// `Hello` messages in one round of trying other addresses.
 const SEEK_GREETINGS: usize = 2;
 
-/// Word that another region was heard spreads this often.
+/// Interval at which a VM announces to its region that it received from another region.
 const BEACON_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
-/// A region of which nobody here heard for this long counts as lost.
+/// A region from which no member of this region received for this long counts as lost.
 const LOST_AFTER: time::Duration = time::Duration::from_secs(10);
 
-/// What is known of another region.
+/// State of the link to another region.
 #[derive(Clone, Copy, Debug)]
 struct LinkRecord {
-    /// When this very VM last heard from it.
+    /// When this VM last received from the region.
     heard_at: time::Duration,
-    /// When anybody of the own region did, as far as is known here.
+    /// When any member of this VM's region last received from it, as far as is known here.
     beacon_at: time::Duration,
-    /// Whether it counts as lost.
+    /// Whether the region counts as lost.
     lost: bool,
 }
 
@@ -67,7 +68,7 @@
 }
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Members of other regions to which a round of spreading sends, too.
+    /// Members of other regions that a dissemination round also sends to.
     pub(crate) fn link_targets(&mut self) -> Vec<id::VmKey> {
         let regions = self.linked_regions();
         regions
@@ -76,7 +77,7 @@
             .collect()
     }
 
-    /// Keeps the links to other regions up, and notices when one is lost.
+    /// Maintains the links to other regions, and detects lost ones.
     pub(crate) fn link_round(&mut self, now: time::Duration) {
         if now < self.links.due {
             return;
@@ -100,7 +101,7 @@
             };
             self.send_to(now, target, kind);
         }
-        // Its representatives may all be gone without a word having reached this region.
+        // All its representatives may have been replaced without this region having learnt of it.
         if keys.is_empty() || now.saturating_sub(heard_at) >= SEEK_AFTER {
             let addresses = self.addresses_in(region);
             let picked: Vec<net::SocketAddr> = addresses
@@ -123,7 +124,7 @@
         addresses.into_iter().collect()
     }
 
-    /// Notes that a member of another region was heard, and has its own region know.
+    /// Records that a datagram arrived from another region, and announces it within this region.
     pub(crate) fn note_heard(&mut self, now: time::Duration, sender: &str) {
         let Some(record) = self.table.named(sender) else {
             return;
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Notes that somebody of the own region heard another region.
+    /// Records that a member of this region received from another region.
     pub(crate) fn take_beacon(&mut self, now: time::Duration, region: &str) {
         let link = self.links.record(region, now);
         link.beacon_at = now;
--- a/crates/gossip/src/list.rs
+++ b/crates/gossip/src/list.rs
@@ -1,35 +1,37 @@
-//! The platform's lagging list of VMs: whom it calls leaving, and whom it misses.
+//! The platform's list of VMs, which lags: VMs reported as leaving, and differences from gossip.
 
 use std::{collections, time};
 
 use crate::{claim, core, event, news};
 
-/// Clocks of VMs and of the platform differ by less than this; a life that began this shortly
-/// before the list's date may be a successor of the one that the list speaks of.
+/// Assumed bound on the clock difference between VMs and the platform. An incarnation that started
+/// within this margin before the list's timestamp may be a successor of the one in the list.
 const CLOCK_MARGIN_MS: u64 = 10_000;
 
 /// The platform's list of VMs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VmListReport {
-    /// As of when, in milliseconds of the Unix epoch by the platform's clock.
+    /// Timestamp of the list by the platform's clock, in milliseconds since the Unix epoch.
     pub as_of_ms: u64,
-    /// VMs called live.
+    /// VMs reported as live.
     pub live: collections::BTreeSet<String>,
-    /// VMs called leaving.
+    /// VMs reported as leaving.
     pub leaving: collections::BTreeSet<String>,
 }
 
-/// Where list and gossip disagree. A hint for operators; nothing follows from it but greetings.
+/// Differences between the list and gossip. A hint for operators; its only effect is which VMs are
+/// sent a `Hello`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListDisagreement {
-    /// Called live by the list, not heard of here.
+    /// VMs that are live in the list but not present in gossip.
     pub listed_but_absent: Vec<String>,
-    /// Heard of here, in neither part of the list.
+    /// VMs that are present in gossip but in neither part of the list.
     pub present_but_unlisted: Vec<String>,
 }
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Takes the platform's list: whom it calls leaving leaves, whom it calls live is greeted first.
+    /// Applies the platform's list: VMs reported as leaving are marked as leaving, and VMs reported
+    /// as live are sent a `Hello` first.
     pub fn set_vm_list(
         &mut self,
         now: time::Duration,
@@ -38,7 +40,7 @@
         let is_leaving = |claim: &claim::MemberClaim| {
             let began_before =
                 claim.version.life.birth_ms.saturating_add(CLOCK_MARGIN_MS) <= list.as_of_ms;
-            // The list lags: what it says may be meant for an earlier life of the same name.
+            // The list lags: an entry may refer to an earlier incarnation of the same name.
             list.leaving.contains(&claim.name) && began_before
         };
         let claims = self.table.iter().map(|(_, record)| &record.claim);
@@ -57,7 +59,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Where the platform's list and gossip disagree.
+    /// Differences between the platform's list and gossip.
     #[must_use]
     pub fn list_disagreement(&self) -> ListDisagreement {
         let is_present = |name: &str| {
--- a/crates/gossip/src/loads.rs
+++ b/crates/gossip/src/loads.rs
@@ -1,4 +1,4 @@
-//! How the core sends and takes digests.
+//! Sending and receiving of digests by the core.
 
 use std::{collections, time};
 
@@ -9,27 +9,27 @@
 use event::CoreAction;
 use proto::message::Kind;
 
-/// Bytes of a datagram around its payload: IP and UDP, header, and an envelope of usual size.
+/// Bytes of a datagram around its payload: IP and UDP headers, own header, and a typical envelope.
 pub const DATAGRAM_OVERHEAD: usize = 85;
 
-/// A standby watcher passes a load on when the newest that it heard is this old.
+/// A standby watcher sends a load when the newest one it received is at least this old.
 const STANDBY_AFTER: time::Duration = time::Duration::from_millis(3500);
 
-/// The plan is made anew this often at the most: when a failure domain goes, many members change
-/// within seconds.
+/// Minimum interval between two computations of the watch plan: when a failure domain fails, many
+/// members change within seconds.
 const PLAN_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// Everything about digests that the core keeps.
+/// Digest state of the core.
 #[derive(Debug)]
 pub(crate) struct DigestState {
     pub outbox: digest::DigestOutbox,
     pub table: digest::DigestTable,
-    /// Who watches which server of the own region, as of the last change of members.
+    /// Watchers and users of each server of this region, as of the last computation.
     pub plan: std::sync::Arc<watching::WatchPlan>,
-    /// Servers of the own region by the hash of their names.
+    /// Servers of this region by the hash of their names.
     servers: collections::BTreeMap<u64, String>,
     rules: watching::WatchRules,
-    /// Whether members or servers changed since the plan was made.
+    /// Whether members or servers changed since the plan was computed.
     pub stale: bool,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Replaces the backend servers of the own region.
+    /// Replaces the backend servers of this region.
     pub fn set_servers(&mut self, servers: impl IntoIterator<Item = String>) {
         self.digests.servers = servers
             .into_iter()
@@ -56,13 +56,13 @@
         self.digests.stale = true;
     }
 
-    /// Who watches which server of the own region.
+    /// Watchers and users of each server of this region.
     #[must_use]
     pub fn watch_plan(&self) -> std::sync::Arc<watching::WatchPlan> {
         std::sync::Arc::clone(&self.digests.plan)
     }
 
-    /// Makes the plan anew after members or servers changed.
+    /// Recomputes the watch plan after members or servers changed.
     pub(crate) fn plan_round(&mut self, now: time::Duration) {
         if !self.digests.stale || now < self.dues.plan {
             return;
@@ -90,10 +90,10 @@
         }
     }
 
-    /// Passes a load that this VM has read on to the users of the engine.
+    /// Sends a load that this VM has read to the users of the engine.
     ///
-    /// Every watcher calls it with all that it reads; a standby's word is sent only while the
-    /// first watcher is not heard of.
+    /// Every watcher calls this with each load that it reads; a standby sends only while no recent
+    /// load arrives from the first watcher.
     pub fn publish_load(&mut self, now: time::Duration, server: &str, load: digest::EngineLoad) {
         let subject = digest::subject_hash(server);
         let kind = digest::DigestKind::EngineLoad;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Tells other VMs how much an organisation asked of this one.
+    /// Sends the recent demand of an organisation on this VM to other VMs.
     pub fn publish_demand(
         &mut self,
         now: time::Duration,
@@ -126,7 +126,7 @@
         self.add_digest(now, key, demand.to_body(), receivers);
     }
 
-    /// Tells other VMs of this one's work.
+    /// Sends this VM's work to other VMs.
     pub fn publish_work(
         &mut self,
         now: time::Duration,
@@ -152,7 +152,7 @@
         self.digests.outbox.add(key, body, now, &keys);
     }
 
-    /// Sends the digests that the bound allows.
+    /// Sends the digests that the bandwidth limit allows.
     pub(crate) fn digest_round(&mut self, now: time::Duration) {
         while let Some((receiver, digests)) = self.digests.outbox.next(now) {
             let Some(record) = self.table.get(receiver) else {
@@ -203,7 +203,7 @@
         let Some(event) = self.read_digest(sender, digest, kind, age) else {
             return;
         };
-        // A digest from before this process began counts as taken at the beginning.
+        // A digest from before this core was created counts as measured at its creation.
         let taken_at = now.saturating_sub(age);
         if age <= digest::MAX_AGE && self.digests.table.take(key, sender.incarnation, taken_at) {
             self.actions.push(CoreAction::Notify(event));
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -1,4 +1,4 @@
-//! All members that are known, and the word that holds about each.
+//! Table of known members, with the claim in force about each.
 
 use std::{collections, time};
 
@@ -7,24 +7,26 @@
 
 use crate::{claim, in_force};
 
-/// Members kept at the most. Only holders of a key can add one; the largest site has 410.
+/// Maximum number of members. Only holders of a key can add one; the largest site has 410.
 const MAX_MEMBERS: usize = 4096;
 
 /// One member.
 #[derive(Clone, Debug)]
 pub struct MemberRecord {
-    /// The claim that holds; its version never falls.
+    /// The claim in force; its version never decreases.
     pub claim: claim::MemberClaim,
-    /// When the state changed last, by this VM's clock.
+    /// When the claim last changed, by this VM's clock.
     pub changed_at: time::Duration,
-    /// When a suspicion turns into death here; set exactly while the state is suspect.
+    /// When a suspicion expires and the member is declared dead; set exactly while the state is
+    /// suspect.
     pub dead_at: Option<time::Duration>,
-    /// State of the configuration in force there, as last heard; never falls within one life.
+    /// State of the configuration in force there, as last received; never decreases within one
+    /// incarnation.
     pub in_force: Option<in_force::StateKey>,
 }
 
 impl MemberRecord {
-    /// The receiver to which datagrams for this member are bound.
+    /// The identity to which datagrams for this member are bound.
     #[must_use]
     pub fn identity(&self) -> identity::ProcessIdentity {
         identity::ProcessIdentity {
@@ -33,36 +35,36 @@
         }
     }
 
-    /// The state that holds.
+    /// The state in force.
     #[must_use]
     pub const fn state(&self) -> claim::MemberState {
         self.claim.version.state
     }
 }
 
-/// What a claim changed.
+/// Result of merging a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Nothing: the same or better was known.
+    /// The claim was discarded: an equal or newer one is known, or it may not add a member.
     Old,
-    /// The claim holds now.
+    /// The claim is in force now.
     Taken(id::VmKey),
 }
 
-/// All members that are known, the own VM among them.
+/// All known members, including this VM.
 #[derive(Clone, Debug, Default)]
 pub struct MemberTable {
     records: slotmap::SlotMap<id::VmKey, MemberRecord>,
     /// Exactly the names in `records`.
     names: collections::BTreeMap<String, id::VmKey>,
-    /// Exactly the holder hashes of the lives in `records`.
+    /// Exactly the holder hashes of the incarnations in `records`.
     holders: collections::BTreeMap<u64, id::VmKey>,
 }
 
 impl MemberTable {
-    /// Takes `claim` when it is newer than what holds.
+    /// Applies `claim` if it is newer than the one in force.
     ///
-    /// `dead_at` is when the member is dead here if the claim is a suspicion.
+    /// `dead_at` is when the member is declared dead here if the claim is a suspicion.
     pub fn merge(
         &mut self,
         claim: &claim::MemberClaim,
@@ -94,7 +96,7 @@
         MergeOutcome::Taken(key)
     }
 
-    /// Adds a member that was not known, unless there is nothing to be gained from it.
+    /// Adds an unknown member, unless it is not present or the table is full.
     fn add(&mut self, record: MemberRecord) -> MergeOutcome {
         if !record.state().is_present() || self.records.len() >= MAX_MEMBERS {
             return MergeOutcome::Old;
@@ -113,13 +115,13 @@
         self.names.get(name).copied()
     }
 
-    /// The member whose life has that hash.
+    /// The member whose incarnation has that hash.
     #[must_use]
     pub fn holder(&self, hash: u64) -> Option<id::VmKey> {
         self.holders.get(&hash).copied()
     }
 
-    /// Notes what is in force on a member; tells whether that is news.
+    /// Records the state in force on a member; returns whether it is newer than the known one.
     pub fn set_in_force(&mut self, key: id::VmKey, state: in_force::StateKey) -> bool {
         let Some(record) = self.records.get_mut(key) else {
             return false;
@@ -143,19 +145,20 @@
         self.records.get(key)
     }
 
-    /// All members in the order of their names, so that every run sees them alike.
+    /// All members in name order, so that iteration is deterministic.
     pub fn iter(&self) -> impl Iterator<Item = (id::VmKey, &MemberRecord)> {
         self.names.values().map(|key| (*key, &self.records[*key]))
     }
 
-    /// Puts every death that is due off by `gap`, during which this process heard nothing.
+    /// Postpones the expiry of every suspicion by `gap`, during which this process received
+    /// nothing.
     pub fn postpone_deaths(&mut self, gap: time::Duration) {
         for record in self.records.values_mut() {
             record.dead_at = record.dead_at.map(|dead_at| dead_at + gap);
         }
     }
 
-    /// Forgets members that have been gone since before `cutoff`.
+    /// Removes members that have not been present since before `cutoff`.
     pub fn forget_gone(&mut self, cutoff: time::Duration) {
         let (records, holders) = (&mut self.records, &mut self.holders);
         self.names.retain(|_, key| {
--- a/crates/gossip/src/news.rs
+++ b/crates/gossip/src/news.rs
@@ -1,4 +1,4 @@
-//! The items that spread, typed.
+//! Typed contents of disseminated items.
 
 use std::time;
 
@@ -8,45 +8,45 @@
 
 use crate::{claim, in_force, item};
 
-/// Between the parts of a subject; neither names nor incarnations contain it.
+/// Separates the parts of a subject; neither names nor incarnations contain it.
 const SEPARATOR: char = '\n';
 
-/// A mark of leaving spreads for this long after it was made or renewed.
+/// A leaving mark is disseminated for this long after it was created or renewed.
 pub const LEAVING_LASTS: time::Duration = time::Duration::from_secs(24 * 3600);
 
-/// A state of the configuration spreads for this long after a VM last renewed it.
+/// A configuration state is disseminated for this long after a VM last renewed it.
 const STATE_LASTS: time::Duration = time::Duration::from_secs(3600);
 
-/// Longest reason of a quarantine.
+/// Maximum length of the reason of a quarantine.
 const MAX_REASON_BYTES: usize = 200;
 
-/// One life of a VM or a backend server.
+/// An incarnation of a VM or a backend server that is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeavingSubject {
     /// An entry VM.
     Vm {
-        /// Its name.
+        /// Name of the VM or server.
         name: String,
-        /// The life that leaves.
+        /// The incarnation that is leaving.
         incarnation: id::Incarnation,
     },
     /// A backend server.
     Server {
-        /// Its name.
+        /// Name of the VM or server.
         name: String,
-        /// The life that leaves, as the server itself gives it.
+        /// The incarnation that is leaving, as reported by the server.
         incarnation: String,
     },
 }
 
-/// What spreads to every VM.
+/// Content of an item that is disseminated to every VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NewsItem {
     /// Configuration in force on a VM.
     Configuration(ConfigurationNews),
-    /// This life takes no new work; never unlearnt.
+    /// An incarnation accepts no new work; never revoked.
     Leaving(LeavingSubject),
-    /// Content was put into quarantine, or let out of it.
+    /// Content was quarantined, or its quarantine was lifted.
     Quarantine(QuarantineNews),
 }
 
@@ -63,21 +63,21 @@
     pub chain_hash: fingerprint::ContentHash,
 }
 
-/// Content that crashes backend servers.
+/// Quarantine of content that crashes backend servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantineNews {
     /// Hash of the content.
     pub fingerprint: fingerprint::ContentHash,
-    /// Whether it is let out.
+    /// Whether the quarantine is lifted.
     pub lifted: bool,
-    /// How much longer this holds, at the most.
+    /// Maximum remaining time for which this applies.
     pub lasts: time::Duration,
-    /// Why, for operators; cut to 200 bytes.
+    /// Reason for operators; truncated to 200 bytes.
     pub reason: String,
 }
 
 impl LeavingSubject {
-    /// The life that a claim speaks of.
+    /// The incarnation that a claim is about.
     #[must_use]
     pub fn of_vm(claim: &claim::MemberClaim) -> Self {
         Self::Vm {
@@ -113,7 +113,8 @@
 }
 
 impl NewsItem {
-    /// What an item says; `None` when its subject or its body makes no sense, or it is for the core.
+    /// Decodes an item; `None` when its subject or body is invalid, or its kind is internal to the
+    /// core.
     #[must_use]
     pub fn from_item(item: &item::Item, now: time::Duration) -> Option<Self> {
         let subject = item.key.subject.as_str();
@@ -137,7 +138,7 @@
         })
     }
 
-    /// The key under which it spreads.
+    /// Key of the item that carries this content.
     #[must_use]
     pub fn key(&self) -> item::ItemKey {
         let (kind, subject) = match self {
@@ -148,7 +149,7 @@
         item::ItemKey { kind, subject }
     }
 
-    /// The body with which it spreads.
+    /// Body of the item that carries this content.
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
         match self {
@@ -167,7 +168,7 @@
         }
     }
 
-    /// How long it spreads unless it is renewed.
+    /// How long the item is disseminated unless it is renewed.
     #[must_use]
     pub const fn lasts(&self) -> time::Duration {
         match self {
@@ -178,7 +179,7 @@
     }
 }
 
-/// The longest beginning of `text` that has at most `bytes` bytes.
+/// The longest prefix of `text` that has at most `bytes` bytes.
 fn cut(text: &str, bytes: usize) -> String {
     let end = (0..=bytes.min(text.len()))
         .rev()
--- a/crates/gossip/src/packet.rs
+++ b/crates/gossip/src/packet.rs
@@ -1,14 +1,14 @@
-//! Messages that fill a datagram and never exceed it.
+//! Builds messages that never exceed a datagram.
 
 use prost::Message as _;
 use wire::{datagram, proto::gossip as proto};
 
 use crate::in_force;
 
-/// Word of what is in force, without its holders, at its longest.
+/// Maximum encoded size of an `InForce` report without its holders.
 const WORD_BYTES: usize = (1 + 3) + (1 + 10) + (1 + 4) + (1 + 3);
 
-/// One holder.
+/// Encoded size of one holder.
 const HOLDER_BYTES: usize = 8;
 
 /// A message under construction.
@@ -20,7 +20,7 @@
 }
 
 impl PacketBuilder {
-    /// A message of that kind with nothing attached.
+    /// Creates a message of that kind with nothing attached.
     #[must_use]
     pub fn new(kind: proto::message::Kind) -> Self {
         let message = proto::Message {
@@ -58,7 +58,7 @@
         fits
     }
 
-    /// Attaches word of what is in force on one life, if it fits.
+    /// Attaches the state in force on one incarnation, if it fits.
     pub fn add_in_force(&mut self, holder: u64, state: in_force::StateKey) -> bool {
         let words = &mut self.message.in_force;
         let word = words
@@ -82,14 +82,14 @@
         true
     }
 
-    /// Says of an answer to a comparison that nothing was left out.
+    /// Marks an answer to a state summary as complete: nothing was left out.
     pub fn mark_complete(&mut self) {
         if let Some(proto::message::Kind::Push(push)) = &mut self.message.kind {
             push.more = false;
         }
     }
 
-    /// Bytes of the payload.
+    /// Size of the payload in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.message.encoded_len()
--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probing: whom to ask next, and who did not answer.
+//! Probe schedule: the next target, the probe under way, and probes relayed for other members.
 
 use std::{collections, time};
 
@@ -6,58 +6,58 @@
 use rand::seq::SliceRandom as _;
 use wire::identity;
 
-/// Probes for others that are under way at the most.
+/// Maximum number of relayed probes under way.
 const MAX_RELAYS: usize = 256;
 
 /// A probe under way.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeRound {
-    /// Who is asked.
+    /// The member being probed.
     pub target: id::VmKey,
-    /// The life that is asked.
+    /// The incarnation being probed.
     pub incarnation: id::Incarnation,
-    /// The number that an answer carries.
+    /// The number that an acknowledgement carries.
     pub number: u32,
-    /// When it began.
+    /// When the probe was sent.
     pub started_at: time::Duration,
-    /// Whether others were asked to probe, too.
+    /// Whether indirect probes were requested.
     pub indirect: bool,
 }
 
-/// A probe made for another member.
+/// A probe relayed for another member.
 #[derive(Clone, Debug)]
 pub struct RelayedProbe {
-    /// Who wants to know.
+    /// The member that requested the probe.
     pub requester: identity::ProcessIdentity,
-    /// Where it is.
+    /// Address of the requester.
     pub address: std::net::SocketAddr,
-    /// The number that it gave.
+    /// The requester's number of the probe.
     pub number: u32,
-    /// When it no longer waits.
+    /// When the requester stops waiting.
     pub over_at: time::Duration,
 }
 
-/// Whom to ask next, and who has been asked.
+/// Order in which members are probed, and the probes under way.
 #[derive(Clone, Debug, Default)]
 pub struct ProbeSchedule {
-    /// Members not yet asked in this turn; each is asked once before any is asked twice, so that
-    /// no death stays unnoticed for longer than one turn.
+    /// Members not yet probed in this cycle; each is probed once before any is probed twice, so
+    /// that a failure is detected within one cycle.
     turn: Vec<id::VmKey>,
     /// The probe under way.
     pub current: Option<ProbeRound>,
-    /// Probes made for others, by their number here.
+    /// Relayed probes, by their number on this VM.
     relays: collections::BTreeMap<u32, RelayedProbe>,
     last_number: u32,
 }
 
 impl ProbeSchedule {
-    /// A number that no probe under way has.
+    /// A number not used by any probe under way.
     pub const fn next_number(&mut self) -> u32 {
         self.last_number = self.last_number.wrapping_add(1);
         self.last_number
     }
 
-    /// The member to ask next among `present`, in an order drawn anew for each turn.
+    /// The member of `present` to probe next, in an order shuffled for each cycle.
     pub fn next_target<R: rand::Rng>(
         &mut self,
         present: &[id::VmKey],
@@ -75,7 +75,7 @@
         None
     }
 
-    /// Remembers a probe for another member under a number of its own, if there is room.
+    /// Records a relayed probe under a new number, unless too many are under way.
     pub fn relay(&mut self, probe: RelayedProbe) -> Option<u32> {
         if self.relays.len() >= MAX_RELAYS {
             return None;
@@ -85,7 +85,7 @@
         Some(number)
     }
 
-    /// Takes an answer: the relayed probe that it belongs to, if any.
+    /// Handles an acknowledgement and returns the relayed probe that it belongs to, if any.
     pub fn answered(&mut self, number: u32) -> Option<RelayedProbe> {
         if self.current.is_some_and(|round| round.number == number) {
             self.current = None;
@@ -93,7 +93,7 @@
         self.relays.remove(&number)
     }
 
-    /// Forgets probes for others that no longer wait.
+    /// Removes relayed probes whose requesters no longer wait.
     pub fn forget_over(&mut self, now: time::Duration) {
         self.relays.retain(|_, probe| probe.over_at > now);
     }
--- a/crates/gossip/src/probing.rs
+++ b/crates/gossip/src/probing.rs
@@ -1,4 +1,4 @@
-//! How the core probes its neighbours.
+//! Failure detection by probing the neighbours.
 
 use std::{net, time};
 
@@ -10,7 +10,7 @@
 use proto::message::Kind;
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Goes on with the probe under way, or begins the next.
+    /// Continues the probe under way, or starts the next one.
     pub(crate) fn probe_round(&mut self, now: time::Duration) {
         self.schedule.forget_over(now);
         if let Some(round) = self.schedule.current
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Holds against a member that it did not answer, unless it has begun another life since.
+    /// Suspects a member that did not answer, unless it has restarted since.
     fn suspect(&mut self, now: time::Duration, round: probe::ProbeRound) {
         let Some(record) = self.table.get(round.target) else {
             return;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Probes a member for another one.
+    /// Probes a member on behalf of another one.
     pub(crate) fn relay_probe(
         &mut self,
         now: time::Duration,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Takes an answer, and passes it on when the question was another member's.
+    /// Handles an acknowledgement, and forwards it if the probe was relayed for another member.
     pub(crate) fn take_ack(&mut self, now: time::Duration, number: u32) {
         if let Some(relayed) = self.schedule.answered(number) {
             let ack = Kind::Ack(proto::Ack {
--- a/crates/gossip/src/roster.rs
+++ b/crates/gossip/src/roster.rs
@@ -1,4 +1,4 @@
-//! Whom this VM speaks to: its neighbours, and across the links between regions.
+//! Communication peers of this VM: its neighbours, and representatives of other regions.
 
 use std::{collections, sync};
 
@@ -6,12 +6,12 @@
 
 use crate::core;
 
-/// Lists made from the member table, kept until it changes.
+/// Lists derived from the member table, cached until it changes.
 #[derive(Clone, Debug)]
 pub(crate) struct RosterCache {
     neighbours: sync::Arc<[id::VmKey]>,
     links: sync::Arc<collections::BTreeMap<String, Vec<id::VmKey>>>,
-    /// Whether members or seeds changed since the lists were made.
+    /// Whether members or seeds changed since the lists were computed.
     pub stale: bool,
 }
 
@@ -26,13 +26,13 @@
 }
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// The present members of the own region, without this VM.
+    /// The present members of this region, without this VM.
     pub(crate) fn neighbours(&mut self) -> sync::Arc<[id::VmKey]> {
         self.renew_roster();
         sync::Arc::clone(&self.roster.neighbours)
     }
 
-    /// The other regions to which this VM speaks for its own, and whom it speaks to there.
+    /// The other regions towards which this VM represents its own, with their representatives.
     pub(crate) fn linked_regions(
         &mut self,
     ) -> sync::Arc<collections::BTreeMap<String, Vec<id::VmKey>>> {
@@ -62,8 +62,8 @@
         self.roster.links = sync::Arc::new(links.collect());
     }
 
-    /// The VMs that speak for `region` towards `other`: the best of each failure domain, so that
-    /// the loss of one domain leaves a link.
+    /// The representatives of `region` towards `other`: the highest-ranked VM of each failure
+    /// domain, so that a link remains when one domain fails.
     fn representatives(&self, region: &str, other: &str) -> Vec<id::VmKey> {
         let subject = format!("link {region} {other}");
         let mut best: collections::BTreeMap<&str, (u64, id::VmKey)> = collections::BTreeMap::new();
--- a/crates/gossip/src/sending.rs
+++ b/crates/gossip/src/sending.rs
@@ -1,4 +1,4 @@
-//! How the core builds datagrams and fills them with what has to be passed on.
+//! Building of datagrams, filled up with queued updates.
 
 use std::{net, time};
 
@@ -10,7 +10,7 @@
 use proto::message::Kind;
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Sends to members picked at random what still has to be passed on.
+    /// Sends the queued updates to randomly chosen members.
     pub(crate) fn spread_round(&mut self, now: time::Duration) {
         let slow = now >= self.dues.slow_round;
         if slow {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Sends to a member that is known, filled up with what has to be passed on.
+    /// Sends a message to a known member, filled up with queued updates.
     pub(crate) fn send_to(&mut self, now: time::Duration, target: id::VmKey, kind: Kind) {
         if let Some(record) = self.table.get(target) {
             let (address, receiver) = (record.claim.place.address, record.identity());
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Sends to one life, filled up with what has to be passed on.
+    /// Sends a message to one incarnation, filled up with queued updates.
     pub(crate) fn send(
         &mut self,
         now: time::Duration,
@@ -71,7 +71,8 @@
         self.send_packet(address, receiver.clone(), packet);
     }
 
-    /// Attaches what is held against the receiver, so that it can refute it.
+    /// Attaches the claim about the receiver if it is suspect, dead or of another incarnation, so
+    /// that the receiver can refute it.
     pub(crate) fn add_word_about(
         &self,
         receiver: &identity::ProcessIdentity,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Sends a message to one life.
+    /// Sends a message to one incarnation.
     pub(crate) fn send_packet(
         &mut self,
         address: net::SocketAddr,
@@ -101,7 +102,7 @@
             }));
     }
 
-    /// Greets somebody of whose life nothing is known.
+    /// Sends a `Hello` to an address whose incarnation is unknown.
     pub(crate) fn greet(&mut self, address: net::SocketAddr) {
         let packet = packet::PacketBuilder::new(Kind::Hello(proto::Hello {}));
         self.actions
--- a/crates/gossip/src/settings.rs
+++ b/crates/gossip/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of membership and what spreads with it.
+//! Settings of membership and dissemination.
 
 use std::{net, time};
 
@@ -6,61 +6,61 @@
 
 use crate::{claim, watching};
 
-/// Who this VM is.
+/// Identity and location of this VM.
 #[derive(Clone, Debug)]
 pub struct OwnSettings {
-    /// Name of the VM and this life of its process.
+    /// Name of the VM and incarnation of its process.
     pub identity: identity::ProcessIdentity,
-    /// Start of this life in milliseconds of the Unix epoch. A clock that was set back costs a
-    /// delay, until the older life is taken for dead; nothing else.
+    /// Start time of this incarnation in milliseconds since the Unix epoch. A clock that was set
+    /// back only delays the join until the older incarnation is declared dead.
     pub birth_ms: u64,
-    /// Where the VM is; other VMs send to this address.
+    /// Location of the VM; other VMs send to this address.
     pub place: claim::MemberPlace,
 }
 
 /// One entry VM of the inventory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeedEntry {
-    /// Its name.
+    /// Name of the VM.
     pub name: String,
-    /// Where it is.
+    /// Location of the VM.
     pub place: claim::MemberPlace,
 }
 
-/// Intervals and bounds. The defaults are those that the design notes work out and measure.
+/// Intervals and limits.
 #[derive(Clone, Debug)]
 pub struct TimingSettings {
     /// Time between two ticks of the core.
     pub tick: time::Duration,
-    /// Each member probes one other member of its region this often.
+    /// Interval at which each member probes one other member of its region.
     pub probe_interval: time::Duration,
-    /// After this long without an answer other members are asked to probe, too.
+    /// Time without an acknowledgement after which indirect probes are requested.
     pub ack_timeout: time::Duration,
-    /// Members asked to probe.
+    /// Number of members that are requested to probe indirectly.
     pub indirect_probes: usize,
-    /// A suspicion that is not refuted turns into death after this.
+    /// Time after which a member whose suspicion is not refuted is declared dead.
     pub suspicion: time::Duration,
-    /// Members that a round of spreading sends to.
+    /// Number of members that a dissemination round sends to.
     pub fanout: usize,
-    /// Datagrams that carry an urgent piece of news, from each member that learns it.
+    /// Number of datagrams in which each member that learns an urgent update forwards it.
     pub urgent_copies: u32,
-    /// The same for news that may take a few seconds.
+    /// The same for updates that may take a few seconds.
     pub slow_copies: u32,
-    /// Time between two rounds for news that is not urgent.
+    /// Time between two rounds for updates that are not urgent.
     pub slow_interval: time::Duration,
-    /// Each member compares notes with one other this often.
+    /// Interval at which each member runs anti-entropy with one other member.
     pub sync_interval: time::Duration,
-    /// Datagrams that answer one comparison at the most.
+    /// Maximum number of datagrams that answer one state summary.
     pub sync_datagrams: usize,
-    /// Greetings this often while nobody of the region is known.
+    /// Interval between rounds of `Hello` messages while no member of the region is known.
     pub join_interval: time::Duration,
-    /// Greetings to somebody absent this often, so that partitions heal.
+    /// Interval between `Hello` messages to absent members, so that partitions heal.
     pub reach_interval: time::Duration,
-    /// Gone members are remembered for this long.
+    /// How long members that are dead or have left are remembered.
     pub gone_memory: time::Duration,
-    /// Bytes a second for load and demand digests, headers counted.
+    /// Bandwidth of digests in bytes per second, including headers.
     pub digest_bytes_per_second: u32,
-    /// How watching is divided.
+    /// Rules by which watchers are assigned.
     pub watching: watching::WatchRules,
 }
 
@@ -87,14 +87,14 @@
     }
 }
 
-/// Everything that `start` needs.
+/// Settings of [`crate::start`].
 #[derive(Clone, Debug)]
 pub struct GossipSettings {
-    /// Who this VM is.
+    /// Identity and location of this VM.
     pub own: OwnSettings,
-    /// Where its datagrams arrive; usually the address in `own`, or the same port on any address.
+    /// Address to bind; usually the address in `own`, or the same port on any address.
     pub bind: net::SocketAddr,
-    /// The entry VMs of the inventory as far as known at the start.
+    /// The entry VMs of the inventory as known at startup.
     pub seeds: Vec<SeedEntry>,
     /// Intervals and bounds.
     pub timing: TimingSettings,
--- a/crates/gossip/src/spread.rs
+++ b/crates/gossip/src/spread.rs
@@ -1,16 +1,16 @@
-//! What still has to be passed on, and how often.
+//! Queue of updates to be forwarded, with the number of copies left.
 
 use base::id;
 
 use crate::item;
 
-/// What an entry of the queue speaks of; the word itself is looked up when it leaves, so that
-/// only the newest travels.
+/// Subject of a queue entry; the content is looked up when it is sent, so that only the newest
+/// version is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpreadKey {
     /// The claim about a member.
     Member(id::VmKey),
-    /// What is in force on a member.
+    /// The configuration in force on a member.
     InForce(id::VmKey),
     /// An item.
     Item(item::ItemKey),
@@ -19,22 +19,22 @@
 /// One entry of the queue.
 #[derive(Clone, Debug)]
 pub struct SpreadEntry {
-    /// What it speaks of.
+    /// Subject of the entry.
     pub key: SpreadKey,
-    /// Whether it may not wait for the next slow round.
+    /// Whether the entry must not wait for the next slow round.
     pub urgent: bool,
-    /// Datagrams that shall still carry it; never 0 in the queue.
+    /// Number of datagrams that are still to carry the entry; never 0 in the queue.
     left: u32,
 }
 
-/// What still has to be passed on, freshest first.
+/// Updates to be forwarded, those sent least often first.
 #[derive(Clone, Debug, Default)]
 pub struct SpreadQueue {
     entries: Vec<SpreadEntry>,
 }
 
 impl SpreadQueue {
-    /// Has `key` carried by `copies` datagrams from now on, whatever was left of it before.
+    /// Queues `key` for `copies` datagrams, replacing any copies left from before.
     pub fn add(&mut self, key: SpreadKey, urgent: bool, copies: u32) {
         self.entries.retain(|entry| entry.key != key);
         if copies > 0 {
@@ -46,20 +46,20 @@
         }
     }
 
-    /// Whether anything waits.
+    /// Whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether anything urgent waits.
+    /// Whether the queue holds an urgent entry.
     #[must_use]
     pub fn has_urgent(&self) -> bool {
         self.entries.iter().any(|entry| entry.urgent)
     }
 
-    /// Offers the entries one by one, urgent ones first, then those carried least often; an entry
-    /// that `take` accepts counts as carried once.
+    /// Offers the entries one by one, urgent ones first, then those with the most copies left; an
+    /// entry that `take` accepts counts as sent once.
     pub fn offer(&mut self, mut take: impl FnMut(&SpreadKey) -> bool) {
         self.entries
             .sort_by_key(|entry| (!entry.urgent, std::cmp::Reverse(entry.left)));
--- a/crates/gossip/src/sync.rs
+++ b/crates/gossip/src/sync.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: two members compare notes, so that nothing stays missing that spreading missed.
+//! Anti-entropy: two members compare summaries of their state, which repairs missed dissemination.
 
 use std::{collections, net, time};
 
@@ -9,17 +9,17 @@
 use crate::{core, in_force, item, member, packet};
 use proto::message::Kind;
 
-/// Buckets of a summary: few enough for one datagram, enough that one difference among the
-/// entries of 410 VMs makes few others travel.
+/// Buckets of a summary: few enough for one datagram, and enough that one difference among the
+/// entries of 410 VMs causes few other entries to be sent.
 const BUCKETS: usize = 64;
 
-/// The next comparison comes this soon when the answer to the last did not fit.
+/// Interval to the next summary when the answer to the last one did not fit.
 const MORE_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// For this long after its start a VM compares again as soon as anything differed.
+/// For this long after its start a VM sends the next summary as soon as it received an answer.
 pub(crate) const CATCHING_UP: time::Duration = time::Duration::from_secs(15);
 
-/// One thing that may travel.
+/// An entry that anti-entropy compares and sends.
 #[derive(Clone, Copy, Debug)]
 enum SyncEntry<'a> {
     Member(&'a member::MemberRecord),
@@ -40,7 +40,7 @@
         usize::try_from(hash % BUCKETS as u64).unwrap_or(0)
     }
 
-    /// Hash of what it is about and its version.
+    /// Hash of the entry's key and version.
     fn hash(self) -> u32 {
         let mut hasher = xxh3::Xxh3::new();
         match self {
@@ -74,14 +74,14 @@
             }
             Self::Member(record) => packet.add_claim(record.claim.to_news()),
             Self::InForce(record, _) => record.add_in_force(packet),
-            // What is about to expire need not travel any more.
+            // An item that is about to expire need not be sent.
             Self::Item(item) => item.to_wire(now).is_none_or(|item| packet.add_item(item)),
         }
     }
 }
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Compares notes with one neighbour.
+    /// Sends a state summary to one neighbour.
     pub(crate) fn sync_round(&mut self, now: time::Duration) {
         if now < self.dues.sync {
             return;
@@ -102,7 +102,8 @@
         let mut buckets = vec![0; BUCKETS];
         for entry in self.sync_entries() {
             let counts = match entry {
-                // Members that are gone are forgotten at different times on different VMs.
+                // Members that are no longer present are removed at different times on different
+                // VMs.
                 SyncEntry::Member(record) | SyncEntry::InForce(record, _) => {
                     record.state().is_present()
                 }
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Whether an item counts in a summary: not when VMs forget it at different times.
+    /// Whether an item counts in a summary: not when VMs remove it at different times.
     fn is_compared(&self, now: time::Duration, item: &item::Item) -> bool {
         match item.key.kind {
             item::ItemKind::Link => false,
@@ -158,7 +159,7 @@
         now: time::Duration,
         differing: &collections::BTreeSet<usize>,
     ) -> Vec<packet::PacketBuilder> {
-        // In random order, so that what did not fit this time comes another time.
+        // In random order, so that entries that do not fit this time are sent another time.
         let mut order: Vec<usize> = differing.iter().copied().collect();
         order.shuffle(&mut self.rng);
         let mut by_bucket: collections::BTreeMap<usize, Vec<SyncEntry<'_>>> =
@@ -190,8 +191,8 @@
         packets
     }
 
-    /// Asks soon again when the answer to a comparison did not fit, or this VM is new: it has much
-    /// to learn, and some of that makes sense only after the rest.
+    /// Schedules the next summary soon when the answer did not fit, or this VM has just started: it
+    /// lacks much state, and some of it can be applied only after the rest.
     pub(crate) fn take_push(&mut self, now: time::Duration, push: proto::Push) {
         let catching_up = now.saturating_sub(self.began_at) < CATCHING_UP;
         if push.sync && (push.more || catching_up) {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Begins to compare notes with a member that has just answered a greeting.
+    /// Starts anti-entropy with a member that has just answered a `Hello`.
     pub(crate) fn introduce(
         &mut self,
         now: time::Duration,
--- a/crates/gossip/src/taking.rs
+++ b/crates/gossip/src/taking.rs
@@ -1,4 +1,4 @@
-//! How the core takes what it hears and what it makes itself, and passes on what is news.
+//! Applies received and local updates, and forwards those that are new.
 
 use std::time;
 
@@ -9,21 +9,22 @@
 use proto::message::Kind;
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Has nothing passed on that a fresh VM learns from an answer to its comparisons: those who
-    /// answered knew it. Passing on word of 410 members would take it half a minute.
+    /// Suppresses forwarding of updates that a newly started VM learns from answers to its
+    /// summaries: the answering VMs know them. Forwarding claims about 410 members would take half
+    /// a minute.
     pub(crate) fn mute(&mut self, now: time::Duration, kind: &Kind) {
         let answer = matches!(kind, Kind::Push(push) if push.sync);
         self.muted = answer && now.saturating_sub(self.began_at) < sync::CATCHING_UP;
     }
 
-    /// Has `copies` datagrams carry what is news.
+    /// Queues an update for `copies` datagrams, unless forwarding is suppressed.
     pub(crate) fn pass_on(&mut self, key: spread::SpreadKey, urgent: bool, copies: u32) {
         if !self.muted {
             self.queue.add(key, urgent, copies);
         }
     }
 
-    /// Takes an item that this VM makes itself, with a version above all that is known.
+    /// Applies an item that this VM creates, with a version above the known one.
     pub(crate) fn add_news(&mut self, now: time::Duration, news: &news::NewsItem) {
         let (key, body, lasts) = (news.key(), news.body(), news.lasts());
         let known = self.items.get(&key);
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Adds the place that was left out; `None` when that life is not known here.
+    /// Adds the omitted location; `None` when that incarnation is not known here.
     fn complete(&self, heard: claim::HeardClaim) -> Option<claim::MemberClaim> {
         let claim::HeardClaim {
             name,
@@ -75,7 +76,7 @@
         })
     }
 
-    /// Takes a claim about another member, passes it on and tells it when it is news.
+    /// Applies a claim about a member; if it is new, forwards it and notifies the subscribers.
     pub(crate) fn take_claim(&mut self, now: time::Duration, claim: &claim::MemberClaim) {
         let dead_at = now + self.timing.suspicion;
         if let member::MergeOutcome::Taken(key) = self.table.merge(claim, now, dead_at) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Answers what others say of this VM.
+    /// Refutes a claim of others about this VM, or reports a name conflict.
     fn take_own_claim(&mut self, now: time::Duration, claim: &claim::HeardClaim) {
         let own = self.own.version;
         if claim.version <= own || own.state == claim::MemberState::Left {
@@ -102,8 +103,9 @@
             self.own.version.life = own.life.max(claim.version.life);
             self.own.version.refutation = claim.version.refutation.saturating_add(1);
         } else if claim.version.state.is_present() && !here {
-            // Two processes with one name, or an earlier life elsewhere whose clock was ahead. The
-            // earlier life does not answer and will be found dead; then this one goes beyond it.
+            // Two processes with one name, or an earlier incarnation at another address whose clock
+            // was ahead. The latter does not answer and will be declared dead; then this one
+            // supersedes it.
             metrics::counter!("pollenchute_gossip_name_conflicts_total").increment(1);
             let other = Some(claim.version.life.incarnation);
             if std::mem::replace(&mut self.conflict, other) != other {
@@ -112,14 +114,15 @@
             }
             return;
         } else {
-            // An earlier life whose clock was ahead: it is gone, or it listened at this address,
-            // where this life does now. In a region of one VM nobody else would ever find out.
+            // An earlier incarnation whose clock was ahead: it is not present, or it listened at
+            // this address, as this one does now. In a region of one VM no other would detect its
+            // end.
             self.own.version.life.birth_ms = claim.version.life.birth_ms.saturating_add(1);
         }
         self.tell_own(now);
     }
 
-    /// Passes the own claim on after it changed.
+    /// Announces the claim about this VM after it changed.
     pub(crate) fn tell_own(&mut self, now: time::Duration) {
         let own = self.own.clone();
         self.muted = false;
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -1,4 +1,4 @@
-//! What other parts of the process see of the members.
+//! Snapshots of the members for other parts of the process.
 
 use std::{collections, net, sync};
 
@@ -6,52 +6,52 @@
 
 use crate::{claim, core, list, member, news, watching};
 
-/// One member as this VM sees it now. A hint.
+/// One member in this VM's current view. A hint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
     /// Name of the VM.
     pub name: String,
-    /// The life that is spoken of.
+    /// Current incarnation of the VM.
     pub incarnation: id::Incarnation,
-    /// What is said of it.
+    /// State of the member.
     pub state: claim::MemberState,
-    /// Whether this life takes no new work; never taken back.
+    /// Whether this incarnation accepts no new work; never revoked.
     pub leaving: bool,
-    /// Where it takes datagrams and frames.
+    /// Address at which the member receives datagrams and frames.
     pub address: net::SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the member.
     pub failure_domain: String,
-    /// Its region.
+    /// Region of the member.
     pub region: String,
-    /// Configuration in force there, as last heard.
+    /// Configuration in force on the member, as last received.
     pub configuration: Option<news::ConfigurationNews>,
 }
 
-/// All members as this VM sees them now, the own VM among them.
+/// All members in this VM's current view, including itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberSnapshot {
-    /// By name.
+    /// Members by name.
     pub members: collections::BTreeMap<String, MemberView>,
-    /// Lives of VMs and backend servers that take no new work.
+    /// Incarnations of VMs and backend servers that accept no new work.
     pub leaving: collections::BTreeSet<news::LeavingSubject>,
-    /// Regions that nobody of the own region has heard from lately; what is said of their members
-    /// is old.
+    /// Regions from which no member of this region received lately; the state of their members is
+    /// outdated.
     pub lost_regions: collections::BTreeSet<String>,
-    /// Who watches and who uses which backend server of the own region.
+    /// Watchers and users of each backend server of this region.
     pub plan: sync::Arc<watching::WatchPlan>,
-    /// Where the platform's list of VMs and gossip disagree.
+    /// Differences between the platform's list of VMs and gossip.
     pub disagreement: list::ListDisagreement,
 }
 
 impl MemberSnapshot {
-    /// Members of that region that answer and take new work, by name.
+    /// Present members of that region that accept new work, in name order.
     pub fn serving<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a MemberView> {
         self.members.values().filter(move |member| {
             member.region == region && member.state.is_present() && !member.leaving
         })
     }
 
-    /// Whether that life of that backend server is known to be leaving.
+    /// Whether that incarnation of that backend server is known to be leaving.
     #[must_use]
     pub fn is_server_leaving(&self, name: &str, incarnation: &str) -> bool {
         self.leaving.contains(&news::LeavingSubject::Server {
@@ -62,7 +62,7 @@
 }
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// All members as seen now.
+    /// A snapshot of all members at `now`.
     #[must_use]
     pub fn snapshot(&self, now: std::time::Duration) -> MemberSnapshot {
         let mut snapshot = MemberSnapshot {
--- a/crates/gossip/src/watching.rs
+++ b/crates/gossip/src/watching.rs
@@ -1,27 +1,27 @@
-//! Who watches which backend server, and who uses it: equal on all VMs that see the same members,
-//! without a word between them.
+//! Assignment of watchers and users to backend servers: equal on all VMs that see the same members,
+//! without any communication.
 
 use std::collections;
 
 use base::rendezvous;
 
-/// Whether this VM reads a server's load and passes it on.
+/// Duty of a VM to read a server's load and send it to the server's users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchDuty {
-    /// It does not.
+    /// The VM does not watch the server.
     None,
-    /// It reads now and then, and passes it on when the first watcher is not heard of.
+    /// The VM reads the load at a lower rate, and sends it when the first watcher is silent.
     Standby,
-    /// It reads often and passes it on.
+    /// The VM reads the load often and sends it.
     First,
 }
 
-/// How watching is divided.
+/// Rules by which watchers and users are assigned.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchRules {
-    /// VMs that read the load of one server.
+    /// Number of VMs that read the load of one server.
     pub watchers: usize,
-    /// Servers that one VM uses, on average; a smaller region has each VM use all.
+    /// Average number of servers that one VM uses; in a smaller region each VM uses all.
     pub candidates: usize,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Who watches and who uses which server of one region.
+/// Watchers and users of each server of one region.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchPlan {
     /// VMs that use a server, best first; the first of them watch it.
@@ -45,10 +45,10 @@
 }
 
 impl WatchPlan {
-    /// The plan for a region with these VMs and servers.
+    /// Computes the plan for a region with these VMs and servers.
     ///
-    /// Each server has equally many users, so that none is left out and none is flooded; a VM
-    /// that comes or goes changes only the lists in which it ranks.
+    /// Each server has the same number of users, so that none is unused or overloaded; a VM that
+    /// joins or leaves changes only the lists in which it ranks.
     #[must_use]
     pub fn new(vms: &[&str], servers: &[&str], rules: WatchRules) -> Self {
         let mut plan = Self {
@@ -82,13 +82,13 @@
         &users[..users.len().min(self.watchers)]
     }
 
-    /// Servers that the VM uses, in the order of their names.
+    /// Servers that the VM uses, in name order.
     #[must_use]
     pub fn candidates(&self, vm: &str) -> &[String] {
         self.candidates.get(vm).map_or(&[], Vec::as_slice)
     }
 
-    /// What the VM has to do about the server.
+    /// Duty of the VM in watching the server.
     #[must_use]
     pub fn duty(&self, vm: &str, server: &str) -> WatchDuty {
         match self
@@ -102,7 +102,7 @@
         }
     }
 
-    /// All servers of the plan, in the order of their names.
+    /// All servers of the plan, in name order.
     pub fn servers(&self) -> impl Iterator<Item = &str> {
         self.users.keys().map(String::as_str)
     }
