--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -6,7 +6,7 @@
 use base::{fingerprint, id, ops};
 use conf::snapshot;
 use futures_util::future;
-use gossip::{claim, handle, news, settings as gossip_settings, view};
+use gossip::{claim, handle, settings as gossip_settings, update, view};
 use tokio::time;
 use trace::kind;
 use wire::identity;
@@ -119,14 +119,14 @@
         let Some(offer) = self.book.offer() else {
             return;
         };
-        let news = news::ConfigurationNews {
+        let news = update::ConfigurationNews {
             vm: self.gossip.identity().name.clone(),
             revision: offer.revision,
             offset: offer.offset,
             chain_hash: offer.hash.0,
         };
         self.gossip
-            .publish(news::NewsItem::Configuration(news))
+            .publish(update::NewsItem::Configuration(news))
             .await;
     }
 
@@ -142,17 +142,19 @@
             if known.is_server_leaving(&server.name, &incarnation) {
                 continue;
             }
-            let subject = news::LeavingSubject::Server {
+            let subject = update::LeavingSubject::Server {
                 name: server.name.clone(),
                 incarnation,
             };
-            self.gossip.publish(news::NewsItem::Leaving(subject)).await;
+            self.gossip
+                .publish(update::NewsItem::Leaving(subject))
+                .await;
         }
     }
 
     fn reconcile(&self, config: &snapshot::ConfigSnapshot, seen: &view::MemberSnapshot) {
         for subject in &seen.leaving {
-            let news::LeavingSubject::Server { name, incarnation } = subject else {
+            let update::LeavingSubject::Server { name, incarnation } = subject else {
                 continue;
             };
             let Some(key) = config.server_key(name) else {
--- a/crates/entry/src/vm_list.rs
+++ b/crates/entry/src/vm_list.rs
@@ -3,7 +3,7 @@
 use std::{sync, time::Duration};
 
 use base::id;
-use gossip::{handle, news};
+use gossip::{handle, update};
 use tokio::time;
 use trace::kind;
 
@@ -126,7 +126,9 @@
             source,
         });
         let incarnation = self.incarnation;
-        let subject = news::LeavingSubject::Vm { name, incarnation };
-        self.gossip.publish(news::NewsItem::Leaving(subject)).await;
+        let subject = update::LeavingSubject::Vm { name, incarnation };
+        self.gossip
+            .publish(update::NewsItem::Leaving(subject))
+            .await;
     }
 }
--- a/crates/gossip/benches/membership.rs
+++ b/crates/gossip/benches/membership.rs
@@ -5,7 +5,7 @@
 
 use base::{fingerprint, id};
 use fabric::{Fabric, NetworkFaults, TestCore};
-use gossip::{claim, digest, event, news, settings, watching};
+use gossip::{claim, digest, event, settings, update, watching};
 use rand_chacha::rand_core::Rng as _;
 use wire::{datagram, identity, key};
 
@@ -186,14 +186,14 @@
         for index in self.fabric.running() {
             let vm = self.fabric.vms[index].name.clone();
             let revision: u64 = self.round.into();
-            let news = news::ConfigurationNews {
+            let news = update::ConfigurationNews {
                 vm,
                 revision,
                 offset: revision,
                 chain_hash: fingerprint::ContentHash::of(&revision.to_le_bytes()),
             };
             self.fabric.act(index, |core, now| {
-                core.publish(now, &news::NewsItem::Configuration(news))
+                core.publish(now, &update::NewsItem::Configuration(news))
             });
         }
     }
@@ -264,11 +264,11 @@
         for number in 0..TRIALS {
             let running = self.fabric.running();
             let index = running[self.fabric.rng.next_u32() as usize % running.len()];
-            let subject = news::LeavingSubject::Server {
+            let subject = update::LeavingSubject::Server {
                 name: format!("engine-{number}"),
                 incarnation: format!("{loss}"),
             };
-            let item = news::NewsItem::Leaving(subject);
+            let item = update::NewsItem::Leaving(subject);
             let started_at = self.fabric.now;
             self.fabric.act(index, |core, now| core.publish(now, &item));
             self.fabric.advance(seconds(8));
--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -7,7 +7,8 @@
 use wire::{identity, proto::gossip as proto};
 
 use crate::{
-    claim, event, item, linking, list, loads, member, news, probe, roster, settings, spread,
+    claim, digest_state, event, item, linking, list, member, probe, roster, settings, spread,
+    update,
 };
 use event::CoreAction;
 use proto::message::Kind;
@@ -37,14 +38,14 @@
     pub(crate) roster: roster::RosterCache,
     pub(crate) list: list::VmListReport,
     pub(crate) links: linking::LinkState,
-    pub(crate) digests: loads::DigestState,
+    pub(crate) digests: digest_state::DigestState,
     /// Actions to be performed; returned at the end of each call.
     pub(crate) actions: Vec<CoreAction>,
     pub(crate) dues: DueTimes,
     /// Whether this incarnation accepts no new work; never unset.
     pub(crate) leaving: bool,
     /// Configuration in force on this VM, as last published.
-    pub(crate) configuration: Option<news::ConfigurationNews>,
+    pub(crate) configuration: Option<update::ConfigurationNews>,
     /// The other incarnation that last claimed this VM's name; reported once.
     pub(crate) conflict: Option<id::Incarnation>,
     /// `Hello` messages that may still be sent to unknown senders before the next tick.
@@ -101,7 +102,11 @@
                 keeping: now,
                 plan: now,
             },
-            digests: loads::DigestState::new(timing.digest_bytes_per_second, timing.watching, now),
+            digests: digest_state::DigestState::new(
+                timing.digest_bytes_per_second,
+                timing.watching,
+                now,
+            ),
             timing,
             identity: own.identity,
             own: claim,
@@ -203,10 +208,10 @@
     }
 
     /// Publishes an item; does nothing when an equal one is known that does not expire soon.
-    pub fn publish(&mut self, now: time::Duration, news: &news::NewsItem) -> Vec<CoreAction> {
+    pub fn publish(&mut self, now: time::Duration, news: &update::NewsItem) -> Vec<CoreAction> {
         match news {
-            news::NewsItem::Configuration(news) if news.vm != self.identity.name => {}
-            news::NewsItem::Configuration(news) => {
+            update::NewsItem::Configuration(news) if news.vm != self.identity.name => {}
+            update::NewsItem::Configuration(news) => {
                 self.configuration = Some(news.clone());
                 self.publish_state(now, news);
             }
@@ -218,8 +223,8 @@
     /// Marks this incarnation of the VM as leaving: it accepts no new work, but stays a member.
     pub fn leave(&mut self, now: time::Duration) -> Vec<CoreAction> {
         self.leaving = true;
-        let subject = news::LeavingSubject::of_vm(&self.own);
-        self.publish(now, &news::NewsItem::Leaving(subject))
+        let subject = update::LeavingSubject::of_vm(&self.own);
+        self.publish(now, &update::NewsItem::Leaving(subject))
     }
 
     /// Announces the departure of this VM; the ticks that follow only disseminate it.
@@ -246,9 +251,9 @@
 
     /// Whether the incarnation that the claim is about is marked as leaving.
     pub(crate) fn is_leaving(&self, claim: &claim::MemberClaim) -> bool {
-        let subject = news::LeavingSubject::of_vm(claim);
+        let subject = update::LeavingSubject::of_vm(claim);
         self.items
-            .get(&news::NewsItem::Leaving(subject).key())
+            .get(&update::NewsItem::Leaving(subject).key())
             .is_some()
     }
 
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -4,7 +4,7 @@
 
 use wire::identity;
 
-use crate::{claim, digest, news};
+use crate::{claim, digest, update};
 
 /// An action requested by the core.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
     /// The claim in force about a member changed.
     Member(claim::MemberClaim),
     /// An item was accepted.
-    News(news::NewsItem),
+    News(update::NewsItem),
     /// Load of a model engine of this region, sent by its watcher.
     Load(LoadNews),
     /// Demand of an organisation on another VM, sent by that VM.
--- a/crates/gossip/src/handle.rs
+++ b/crates/gossip/src/handle.rs
@@ -5,12 +5,12 @@
 use tokio::sync as channels;
 use wire::identity;
 
-use crate::{digest, event, list, news, settings, view, watching};
+use crate::{digest, event, list, settings, update, view, watching};
 
 /// A command to the driver.
 #[derive(Debug)]
 pub(crate) enum GossipCommand {
-    Publish(news::NewsItem),
+    Publish(update::NewsItem),
     Leave,
     Seeds(Vec<settings::SeedEntry>),
     Servers(Vec<String>),
@@ -71,7 +71,7 @@
     }
 
     /// Disseminates an item to every VM.
-    pub async fn publish(&self, news: news::NewsItem) {
+    pub async fn publish(&self, news: update::NewsItem) {
         self.command(GossipCommand::Publish(news)).await;
     }
 
--- a/crates/gossip/src/in_force.rs
+++ b/crates/gossip/src/in_force.rs
@@ -9,7 +9,7 @@
 use wire::{identity, proto::gossip as proto};
 use xxhash_rust::xxh3;
 
-use crate::{core, event, item, member, news, packet, spread};
+use crate::{core, event, item, member, packet, spread, update};
 
 /// Number of datagrams in which each member that learns a VM's state forwards it.
 const COPIES: u32 = 12;
@@ -27,7 +27,7 @@
 impl StateKey {
     /// The key of the configuration in force on a VM.
     #[must_use]
-    pub fn of(news: &news::ConfigurationNews) -> Self {
+    pub fn of(news: &update::ConfigurationNews) -> Self {
         let hash = xxh3::xxh3_64_with_seed(&news.chain_hash.0, news.revision);
         Self {
             offset: news.offset,
@@ -62,8 +62,8 @@
 
 impl<R: rand::Rng> core::MemberCore<R> {
     /// Announces the configuration in force on this VM.
-    pub(crate) fn publish_state(&mut self, now: time::Duration, news: &news::ConfigurationNews) {
-        self.add_news(now, &news::NewsItem::Configuration(news.clone()));
+    pub(crate) fn publish_state(&mut self, now: time::Duration, news: &update::ConfigurationNews) {
+        self.add_news(now, &update::NewsItem::Configuration(news.clone()));
         if let Some(key) = self.table.key(&self.identity.name) {
             self.set_in_force(key, StateKey::of(news));
         }
@@ -104,7 +104,7 @@
                 .in_force
                 .is_some_and(|in_force| in_force.item_key() == *state)
         });
-        let news: Vec<Option<news::ConfigurationNews>> = waiting
+        let news: Vec<Option<update::ConfigurationNews>> = waiting
             .map(|record| self.configuration_of(record))
             .collect();
         for news in news {
@@ -116,14 +116,14 @@
     pub(crate) fn configuration_of(
         &self,
         record: &member::MemberRecord,
-    ) -> Option<news::ConfigurationNews> {
+    ) -> Option<update::ConfigurationNews> {
         let item = self.items.get(&record.in_force?.item_key())?;
-        news::ConfigurationNews::from_body(record.claim.name.clone(), &item.body)
+        update::ConfigurationNews::from_body(record.claim.name.clone(), &item.body)
     }
 
-    fn tell_configuration(&mut self, news: Option<news::ConfigurationNews>) {
+    fn tell_configuration(&mut self, news: Option<update::ConfigurationNews>) {
         if let Some(news) = news {
-            let news = event::GossipEvent::News(news::NewsItem::Configuration(news));
+            let news = event::GossipEvent::News(update::NewsItem::Configuration(news));
             self.actions.push(event::CoreAction::Notify(news));
         }
     }
@@ -138,7 +138,7 @@
     }
 }
 
-impl news::ConfigurationNews {
+impl update::ConfigurationNews {
     /// Decodes the body of a configuration item that is in force on `vm`.
     #[must_use]
     pub fn from_body(vm: String, body: &[u8]) -> Option<Self> {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,4 +1,4 @@
-//! Gossip membership with suspicion (SWIM), and the state disseminated with it.
+//! SWIM-style gossip membership with suspicion, and the state disseminated with it.
 //!
 //! All of this is best-effort information. No guarantee may depend on whether a member is reported
 //! alive or dead here.
@@ -6,27 +6,27 @@
 pub mod claim;
 pub mod core;
 pub mod digest;
+pub mod digest_state;
+mod discovery;
 pub mod driver;
 pub mod event;
-mod greeting;
 pub mod handle;
 pub mod in_force;
 pub mod item;
-mod keeping;
 mod linking;
 pub mod list;
-pub mod loads;
+mod maintenance;
 pub mod member;
-pub mod news;
 pub mod packet;
 pub mod probe;
 mod probing;
+mod receiving;
 mod roster;
 mod sending;
 pub mod settings;
 pub mod spread;
 mod sync;
-mod taking;
+pub mod update;
 pub mod view;
 pub mod watching;
 
--- a/crates/gossip/src/list.rs
+++ b/crates/gossip/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::{collections, time};
 
-use crate::{claim, core, event, news};
+use crate::{claim, core, event, update};
 
 /// Assumed bound on the clock difference between VMs and the platform. An incarnation that started
 /// within this margin before the list's timestamp may be a successor of the one in the list.
@@ -44,12 +44,12 @@
             list.leaving.contains(&claim.name) && began_before
         };
         let claims = self.table.iter().map(|(_, record)| &record.claim);
-        let subjects: Vec<news::LeavingSubject> = claims
+        let subjects: Vec<update::LeavingSubject> = claims
             .filter(|claim| is_leaving(claim))
-            .map(news::LeavingSubject::of_vm)
+            .map(update::LeavingSubject::of_vm)
             .collect();
         for subject in subjects {
-            self.add_news(now, &news::NewsItem::Leaving(subject));
+            self.add_news(now, &update::NewsItem::Leaving(subject));
         }
         self.list = list;
         let disagreement = self.list_disagreement();
--- a/crates/gossip/src/keeping.rs
+++ b/crates/gossip/src/maintenance.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use crate::{claim, core, item, member, news};
+use crate::{claim, core, item, member, update};
 
 /// Interval between two maintenance rounds.
 const KEEPING_INTERVAL: time::Duration = time::Duration::from_secs(1);
@@ -46,12 +46,12 @@
         self.digests.table.forget_old(now);
         self.forget_items(now);
         if let Some(news) = self.configuration.clone() {
-            self.add_news(now, &news::NewsItem::Configuration(news));
+            self.add_news(now, &update::NewsItem::Configuration(news));
         }
         if self.leaving {
             self.add_news(
                 now,
-                &news::NewsItem::Leaving(news::LeavingSubject::of_vm(&self.own)),
+                &update::NewsItem::Leaving(update::LeavingSubject::of_vm(&self.own)),
             );
         }
     }
@@ -66,8 +66,9 @@
 }
 
 fn speaks_of_present(table: &member::MemberTable, item: &item::Item, now: time::Duration) -> bool {
-    let news = news::NewsItem::from_item(item, now);
-    let Some(news::NewsItem::Leaving(news::LeavingSubject::Vm { name, incarnation })) = news else {
+    let news = update::NewsItem::from_item(item, now);
+    let Some(update::NewsItem::Leaving(update::LeavingSubject::Vm { name, incarnation })) = news
+    else {
         return false;
     };
     table.named(&name).is_some_and(|record| {
--- a/crates/gossip/src/taking.rs
+++ b/crates/gossip/src/receiving.rs
@@ -4,7 +4,7 @@
 
 use wire::proto::gossip as proto;
 
-use crate::{claim, core, event, item, member, news, spread, sync};
+use crate::{claim, core, event, item, member, spread, sync, update};
 use event::CoreAction;
 use proto::message::Kind;
 
@@ -25,7 +25,7 @@
     }
 
     /// Applies an item that this VM creates, with a version above the known one.
-    pub(crate) fn add_news(&mut self, now: time::Duration, news: &news::NewsItem) {
+    pub(crate) fn add_news(&mut self, now: time::Duration, news: &update::NewsItem) {
         let (key, body, lasts) = (news.key(), news.body(), news.lasts());
         let known = self.items.get(&key);
         let same = known.is_some_and(|item| {
@@ -139,7 +139,7 @@
     }
 
     pub(crate) fn take_item(&mut self, now: time::Duration, item: item::Item) {
-        let (key, news) = (item.key.clone(), news::NewsItem::from_item(&item, now));
+        let (key, news) = (item.key.clone(), update::NewsItem::from_item(&item, now));
         let for_core = matches!(
             key.kind,
             item::ItemKind::Link | item::ItemKind::Configuration
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -4,7 +4,7 @@
 
 use base::id;
 
-use crate::{claim, core, list, member, news, watching};
+use crate::{claim, core, list, member, update, watching};
 
 /// One member in this VM's current view. A hint.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// Region of the member.
     pub region: String,
     /// Configuration in force on the member, as last received.
-    pub configuration: Option<news::ConfigurationNews>,
+    pub configuration: Option<update::ConfigurationNews>,
 }
 
 /// All members in this VM's current view, including itself.
@@ -33,7 +33,7 @@
     /// Members by name.
     pub members: collections::BTreeMap<String, MemberView>,
     /// Incarnations of VMs and backend servers that accept no new work.
-    pub leaving: collections::BTreeSet<news::LeavingSubject>,
+    pub leaving: collections::BTreeSet<update::LeavingSubject>,
     /// Regions from which no member of this region received lately; the state of their members is
     /// outdated.
     pub lost_regions: collections::BTreeSet<String>,
@@ -54,7 +54,7 @@
     /// Whether that incarnation of that backend server is known to be leaving.
     #[must_use]
     pub fn is_server_leaving(&self, name: &str, incarnation: &str) -> bool {
-        self.leaving.contains(&news::LeavingSubject::Server {
+        self.leaving.contains(&update::LeavingSubject::Server {
             name: name.to_owned(),
             incarnation: incarnation.to_owned(),
         })
@@ -72,7 +72,8 @@
             ..MemberSnapshot::default()
         };
         for item in self.items().iter() {
-            if let Some(news::NewsItem::Leaving(subject)) = news::NewsItem::from_item(item, now) {
+            if let Some(update::NewsItem::Leaving(subject)) = update::NewsItem::from_item(item, now)
+            {
                 snapshot.leaving.insert(subject);
             }
         }
@@ -88,12 +89,12 @@
 
 fn member_view(
     record: &member::MemberRecord,
-    leaving: &collections::BTreeSet<news::LeavingSubject>,
-    configuration: Option<news::ConfigurationNews>,
+    leaving: &collections::BTreeSet<update::LeavingSubject>,
+    configuration: Option<update::ConfigurationNews>,
 ) -> MemberView {
     let claim = &record.claim;
     let life = claim.version.life;
-    let subject = news::LeavingSubject::Vm {
+    let subject = update::LeavingSubject::Vm {
         name: claim.name.clone(),
         incarnation: life.incarnation,
     };
--- a/crates/gossip/tests/udp.rs
+++ b/crates/gossip/tests/udp.rs
@@ -3,7 +3,7 @@
 use std::{net, time};
 
 use base::id;
-use gossip::{claim, handle, news, settings};
+use gossip::{claim, handle, settings, update};
 use rand::SeedableRng as _;
 use wire::{identity, key};
 
@@ -93,7 +93,7 @@
         wait_until(handle, |snapshot| snapshot.members["vm-1"].leaving).await;
     }
     handles[0]
-        .publish(news::NewsItem::Configuration(news::ConfigurationNews {
+        .publish(update::NewsItem::Configuration(update::ConfigurationNews {
             vm: "vm-0".to_owned(),
             revision: 3,
             offset: 9,
--- a/crates/gossip/tests/virtual_time/directed.rs
+++ b/crates/gossip/tests/virtual_time/directed.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use base::{fingerprint, id};
-use gossip::{claim, digest, event, list, news, settings, watching};
+use gossip::{claim, digest, event, list, settings, update, watching};
 use prost::Message as _;
 use rand_chacha::rand_core::{Rng as _, SeedableRng as _};
 use wire::{identity, proto::gossip as proto};
@@ -57,8 +57,8 @@
         .collect()
 }
 
-fn quarantine(lasts: time::Duration) -> news::NewsItem {
-    news::NewsItem::Quarantine(news::QuarantineNews {
+fn quarantine(lasts: time::Duration) -> update::NewsItem {
+    update::NewsItem::Quarantine(update::QuarantineNews {
         fingerprint: fingerprint::ContentHash::of(b"crashes engines"),
         lifted: false,
         lasts,
@@ -74,12 +74,12 @@
     let mut fabric = joined(1, 5, 1);
     fabric.act(0, |core, now| core.publish(now, &quarantine(seconds(3600))));
     fabric.act(1, TestCore::leave);
-    let leaving = news::LeavingSubject::Server {
+    let leaving = update::LeavingSubject::Server {
         name: "engine-1".to_owned(),
         incarnation: "a".to_owned(),
     };
     fabric.act(1, |core, now| {
-        core.publish(now, &news::NewsItem::Leaving(leaving.clone()))
+        core.publish(now, &update::NewsItem::Leaving(leaving.clone()))
     });
     fabric.advance(seconds(1));
     for index in 0..5 {
@@ -105,14 +105,14 @@
     // Cause: the words differ only in their versions.
     let mut fabric = joined(13, 5, 1);
     for round in 0..4 {
-        let news::NewsItem::Quarantine(mut news) = quarantine(seconds(3600)) else {
+        let update::NewsItem::Quarantine(mut news) = quarantine(seconds(3600)) else {
             unreachable!()
         };
         news.lifted = round % 2 == 1;
         news.reason = format!("round {}", 9 - round);
         let index = round % 5;
         fabric.act(index, |core, now| {
-            core.publish(now, &news::NewsItem::Quarantine(news.clone()))
+            core.publish(now, &update::NewsItem::Quarantine(news.clone()))
         });
         fabric.advance(seconds(2));
         for index in 0..5 {
@@ -121,9 +121,9 @@
                 .iter()
                 .next()
                 .expect("published");
-            let held = news::NewsItem::from_item(item, fabric.now);
+            let held = update::NewsItem::from_item(item, fabric.now);
             assert!(
-                matches!(held, Some(news::NewsItem::Quarantine(held)) if held.reason == news.reason)
+                matches!(held, Some(update::NewsItem::Quarantine(held)) if held.reason == news.reason)
             );
         }
     }
--- a/crates/gossip/tests/virtual_time/histories.rs
+++ b/crates/gossip/tests/virtual_time/histories.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbitrary;
 use base::fingerprint;
-use gossip::{claim, item, list, news, settings, view};
+use gossip::{claim, item, list, settings, update, view};
 
 use crate::fabric::{EPOCH_MS, Fabric, NetworkFaults, TestCore};
 
@@ -125,17 +125,17 @@
         self.published += 1;
         let name = format!("engine-{}", u.int_in_range(0..=2)?);
         let news = match u.int_in_range(0..=2)? {
-            0 => news::NewsItem::Leaving(news::LeavingSubject::Server {
+            0 => update::NewsItem::Leaving(update::LeavingSubject::Server {
                 name,
                 incarnation: u.int_in_range(0..=3)?.to_string(),
             }),
-            1 => news::NewsItem::Quarantine(news::QuarantineNews {
+            1 => update::NewsItem::Quarantine(update::QuarantineNews {
                 fingerprint: fingerprint::ContentHash::of(name.as_bytes()),
                 lifted: u.arbitrary()?,
                 lasts: seconds(3600),
                 reason: format!("death {}", self.published),
             }),
-            _ => news::NewsItem::Configuration(news::ConfigurationNews {
+            _ => update::NewsItem::Configuration(update::ConfigurationNews {
                 vm: self.fabric.vms[index].name.clone(),
                 revision: self.published,
                 offset: self.published,
@@ -147,7 +147,7 @@
     }
 
     fn quarantine(&mut self, index: usize, reason: &str) {
-        let news = news::NewsItem::Quarantine(news::QuarantineNews {
+        let news = update::NewsItem::Quarantine(update::QuarantineNews {
             fingerprint: fingerprint::ContentHash::of(b"raced"),
             lifted: false,
             lasts: seconds(3600),
