--- a/crates/entry/src/digests.rs
+++ b/crates/entry/src/digests.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    fn take_work(&self, vm: id::VmKey, news: &event::WorkNews, taken_at: time::Instant) {
+    fn take_work(&self, vm: id::VmKey, news: &event::WorkUpdate, taken_at: time::Instant) {
         let models = self.roster.models();
         let identity = roster::vm_identity(&news.vm);
         self.driver.change(|core, _| {
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -31,7 +31,7 @@
     gossip_settings::GossipSettings {
         own: gossip_settings::OwnSettings {
             identity,
-            birth_ms: wall::unix_ms(),
+            started_at_ms: wall::unix_ms(),
             place,
         },
         bind: address,
@@ -119,14 +119,14 @@
         let Some(offer) = self.book.offer() else {
             return;
         };
-        let news = update::ConfigurationNews {
+        let news = update::ConfigurationUpdate {
             vm: self.gossip.identity().name.clone(),
             revision: offer.revision,
             offset: offer.offset,
             chain_hash: offer.hash.0,
         };
         self.gossip
-            .publish(update::NewsItem::Configuration(news))
+            .publish(update::ItemUpdate::Configuration(news))
             .await;
     }
 
@@ -147,7 +147,7 @@
                 incarnation,
             };
             self.gossip
-                .publish(update::NewsItem::Leaving(subject))
+                .publish(update::ItemUpdate::Leaving(subject))
                 .await;
         }
     }
--- a/crates/entry/src/vm_list.rs
+++ b/crates/entry/src/vm_list.rs
@@ -128,7 +128,7 @@
         let incarnation = self.incarnation;
         let subject = update::LeavingSubject::Vm { name, incarnation };
         self.gossip
-            .publish(update::NewsItem::Leaving(subject))
+            .publish(update::ItemUpdate::Leaving(subject))
             .await;
     }
 }
--- a/crates/gossip/benches/membership.rs
+++ b/crates/gossip/benches/membership.rs
@@ -174,8 +174,8 @@
         }
         fabric.advance(seconds(1));
         for (at, index, event) in fabric.told.drain(..) {
-            if let event::GossipEvent::Load(news) = event {
-                let before = self.heard.insert((index, news.server), (at, news.age));
+            if let event::GossipEvent::Load(update) = event {
+                let before = self.heard.insert((index, update.server), (at, update.age));
                 self.ages
                     .extend(before.map(|(heard_at, age)| at - heard_at + age));
             }
@@ -186,14 +186,14 @@
         for index in self.fabric.running() {
             let vm = self.fabric.vms[index].name.clone();
             let revision: u64 = self.round.into();
-            let news = update::ConfigurationNews {
+            let update = update::ConfigurationUpdate {
                 vm,
                 revision,
                 offset: revision,
                 chain_hash: fingerprint::ContentHash::of(&revision.to_le_bytes()),
             };
             self.fabric.act(index, |core, now| {
-                core.publish(now, &update::NewsItem::Configuration(news))
+                core.publish(now, &update::ItemUpdate::Configuration(update))
             });
         }
     }
@@ -268,7 +268,7 @@
                 name: format!("engine-{number}"),
                 incarnation: format!("{loss}"),
             };
-            let item = update::NewsItem::Leaving(subject);
+            let item = update::ItemUpdate::Leaving(subject);
             let started_at = self.fabric.now;
             self.fabric.act(index, |core, now| core.publish(now, &item));
             self.fabric.advance(seconds(8));
@@ -277,7 +277,7 @@
                 .fabric
                 .told
                 .iter()
-                .filter(|(_, _, event)| *event == event::GossipEvent::News(item.clone()));
+                .filter(|(_, _, event)| *event == event::GossipEvent::Item(item.clone()));
             let learnt: collections::BTreeMap<usize, time::Duration> =
                 told.map(|(at, vm, _)| (*vm, *at - started_at)).collect();
             assert_eq!(learnt.len(), running.len(), "everybody learns it");
@@ -447,7 +447,7 @@
                     let members = core.members();
                     fabric.vms.iter().all(|vm| {
                         members.named(&vm.name).is_some_and(|record| {
-                            record.claim.version.life.incarnation == vm.identity.incarnation
+                            record.claim.version.incarnation.id == vm.identity.incarnation
                                 && record.state() == claim::MemberState::Alive
                         })
                     })
--- a/crates/gossip/src/claim.rs
+++ b/crates/gossip/src/claim.rs
@@ -10,12 +10,12 @@
 
 /// Identifies one incarnation of a member; a later incarnation compares greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LifeStamp {
+pub struct MemberIncarnation {
     /// Start time by the member's own clock, in milliseconds since the Unix epoch, or one more
     /// than the start time claimed by an older incarnation of the same name.
-    pub birth_ms: u64,
+    pub started_at_ms: u64,
     /// The incarnation itself; breaks ties between equal start times.
-    pub incarnation: id::Incarnation,
+    pub id: id::Incarnation,
 }
 
 /// Claimed state of a member, in order of precedence at equal refutation.
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimVersion {
     /// The incarnation that the claim is about.
-    pub life: LifeStamp,
+    pub incarnation: MemberIncarnation,
     /// Incremented only by the member itself.
     pub refutation: u32,
     /// The claimed state.
@@ -75,7 +75,7 @@
 
 /// A claim as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeardClaim {
+pub struct ReceivedClaim {
     /// Name of the VM.
     pub name: String,
     /// The claimed state, and the incarnation it applies to.
@@ -84,7 +84,7 @@
     pub place: Option<MemberPlace>,
 }
 
-impl HeardClaim {
+impl ReceivedClaim {
     /// Decodes a claim; `None` when any part of it is invalid.
     #[must_use]
     pub fn from_wire(claim: proto::MemberClaim) -> Option<Self> {
@@ -102,9 +102,9 @@
         Some(Self {
             name: member.name,
             version: ClaimVersion {
-                life: LifeStamp {
-                    birth_ms: claim.birth_ms,
-                    incarnation: member.incarnation,
+                incarnation: MemberIncarnation {
+                    started_at_ms: claim.birth_ms,
+                    id: member.incarnation,
                 },
                 refutation: claim.refutation,
                 state,
@@ -142,7 +142,7 @@
     /// The claim as it is disseminated: the first claim about an incarnation carries the location,
     /// later ones omit it, which halves their size.
     #[must_use]
-    pub fn to_news(&self) -> proto::MemberClaim {
+    pub fn to_update(&self) -> proto::MemberClaim {
         if self.version.state == MemberState::Alive {
             self.to_wire()
         } else {
@@ -151,11 +151,11 @@
     }
 
     fn without_place(&self) -> proto::MemberClaim {
-        let life = self.version.life;
+        let incarnation = self.version.incarnation;
         proto::MemberClaim {
             name: self.name.clone(),
-            birth_ms: life.birth_ms,
-            incarnation: identity::incarnation_to_wire(life.incarnation).to_vec(),
+            birth_ms: incarnation.started_at_ms,
+            incarnation: identity::incarnation_to_wire(incarnation.id).to_vec(),
             refutation: self.version.refutation,
             state: state_to_wire(self.version.state).into(),
             ..proto::MemberClaim::default()
--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -45,7 +45,7 @@
     /// Whether this incarnation accepts no new work; never unset.
     pub(crate) leaving: bool,
     /// Configuration in force on this VM, as last published.
-    pub(crate) configuration: Option<update::ConfigurationNews>,
+    pub(crate) configuration: Option<update::ConfigurationUpdate>,
     /// The other incarnation that last claimed this VM's name; reported once.
     pub(crate) conflict: Option<id::Incarnation>,
     /// `Hello` messages that may still be sent to unknown senders before the next tick.
@@ -82,9 +82,9 @@
         let claim = claim::MemberClaim {
             name: own.identity.name.clone(),
             version: claim::ClaimVersion {
-                life: claim::LifeStamp {
-                    birth_ms: own.birth_ms,
-                    incarnation: own.identity.incarnation,
+                incarnation: claim::MemberIncarnation {
+                    started_at_ms: own.started_at_ms,
+                    id: own.identity.incarnation,
                 },
                 refutation: 0,
                 state: claim::MemberState::Alive,
@@ -208,14 +208,14 @@
     }
 
     /// Publishes an item; does nothing when an equal one is known that does not expire soon.
-    pub fn publish(&mut self, now: time::Duration, news: &update::NewsItem) -> Vec<CoreAction> {
-        match news {
-            update::NewsItem::Configuration(news) if news.vm != self.identity.name => {}
-            update::NewsItem::Configuration(news) => {
-                self.configuration = Some(news.clone());
-                self.publish_state(now, news);
+    pub fn publish(&mut self, now: time::Duration, update: &update::ItemUpdate) -> Vec<CoreAction> {
+        match update {
+            update::ItemUpdate::Configuration(update) if update.vm != self.identity.name => {}
+            update::ItemUpdate::Configuration(update) => {
+                self.configuration = Some(update.clone());
+                self.publish_state(now, update);
             }
-            news => self.add_news(now, news),
+            update => self.add_update(now, update),
         }
         std::mem::take(&mut self.actions)
     }
@@ -224,7 +224,7 @@
     pub fn leave(&mut self, now: time::Duration) -> Vec<CoreAction> {
         self.leaving = true;
         let subject = update::LeavingSubject::of_vm(&self.own);
-        self.publish(now, &update::NewsItem::Leaving(subject))
+        self.publish(now, &update::ItemUpdate::Leaving(subject))
     }
 
     /// Announces the departure of this VM; the ticks that follow only disseminate it.
@@ -236,10 +236,10 @@
     }
 
     /// Whether the sender is the incarnation known here under its name.
-    pub(crate) fn is_newest_life(&self, sender: &identity::ProcessIdentity) -> bool {
+    pub(crate) fn is_known_incarnation(&self, sender: &identity::ProcessIdentity) -> bool {
         self.table
             .named(&sender.name)
-            .is_some_and(|record| record.claim.version.life.incarnation == sender.incarnation)
+            .is_some_and(|record| record.claim.version.incarnation.id == sender.incarnation)
     }
 
     /// Whether a member of that name is present.
@@ -253,7 +253,7 @@
     pub(crate) fn is_leaving(&self, claim: &claim::MemberClaim) -> bool {
         let subject = update::LeavingSubject::of_vm(claim);
         self.items
-            .get(&update::NewsItem::Leaving(subject).key())
+            .get(&update::ItemUpdate::Leaving(subject).key())
             .is_some()
     }
 
@@ -277,7 +277,7 @@
             Kind::HelloAnswer(_) => {
                 // An earlier incarnation or another process of that name would be contacted
                 // forever.
-                if self.is_newest_life(sender) {
+                if self.is_known_incarnation(sender) {
                     self.introduce(now, from, sender);
                 }
                 return;
--- a/crates/gossip/src/digest.rs
+++ b/crates/gossip/src/digest.rs
@@ -86,7 +86,7 @@
 pub struct EntryWork {
     /// Sum of the weights of organisations with work there.
     pub weight: f32,
-    /// By model, at most [`MOST_MODELS`].
+    /// By model, at most [`MAX_MODELS`].
     pub models: Vec<ModelWork>,
 }
 
@@ -106,11 +106,11 @@
 }
 
 /// Maximum number of models in one work digest; the body must fit a datagram.
-pub const MOST_MODELS: usize = 16;
+pub const MAX_MODELS: usize = 16;
 
 impl EntryWork {
     pub(crate) fn to_body(&self) -> Vec<u8> {
-        let models = self.models.iter().take(MOST_MODELS);
+        let models = self.models.iter().take(MAX_MODELS);
         proto::EntryWorkBody {
             weight: self.weight,
             models: models
@@ -134,7 +134,7 @@
         let models: Vec<ModelWork> = body
             .models
             .iter()
-            .take(MOST_MODELS)
+            .take(MAX_MODELS)
             .map(|work| ModelWork {
                 model_hash: work.model_hash,
                 firm: work.firm,
@@ -367,7 +367,7 @@
 
     /// When the newest known load of that engine was measured.
     #[must_use]
-    pub fn load_taken_at(&self, subject: u64) -> Option<time::Duration> {
+    pub fn load_measured_at(&self, subject: u64) -> Option<time::Duration> {
         let kind = DigestKind::EngineLoad;
         self.taken
             .get(&(DigestKey { kind, subject }, id::Incarnation(0)))
--- a/crates/gossip/src/digest_state.rs
+++ b/crates/gossip/src/digest_state.rs
@@ -98,7 +98,7 @@
         let subject = digest::subject_hash(server);
         let kind = digest::DigestKind::EngineLoad;
         let plan = self.watch_plan();
-        let heard = self.digests.table.load_taken_at(subject);
+        let heard = self.digests.table.load_measured_at(subject);
         let silent = heard.is_none_or(|taken_at| now.saturating_sub(taken_at) >= STANDBY_AFTER);
         let sends = match plan.duty(&self.identity.name, server) {
             watching::WatchDuty::First => true,
@@ -218,18 +218,18 @@
         age: time::Duration,
     ) -> Option<event::GossipEvent> {
         Some(match kind {
-            digest::DigestKind::EngineLoad => event::GossipEvent::Load(event::LoadNews {
+            digest::DigestKind::EngineLoad => event::GossipEvent::Load(event::LoadUpdate {
                 server: self.digests.servers.get(&digest.subject)?.clone(),
                 load: digest::EngineLoad::from_body(&digest.body)?,
                 age,
             }),
-            digest::DigestKind::EntryWork => event::GossipEvent::Work(event::WorkNews {
+            digest::DigestKind::EntryWork => event::GossipEvent::Work(event::WorkUpdate {
                 vm: sender.name.clone(),
                 work: digest::EntryWork::from_body(&digest.body)?,
                 age,
             }),
             digest::DigestKind::OrganisationDemand => {
-                event::GossipEvent::Demand(event::DemandNews {
+                event::GossipEvent::Demand(event::DemandUpdate {
                     vm: sender.name.clone(),
                     organisation_hash: digest.subject,
                     demand: digest::OrganisationDemand::from_body(&digest.body)?,
--- a/crates/gossip/src/discovery.rs
+++ b/crates/gossip/src/discovery.rs
@@ -17,7 +17,7 @@
 impl<R: rand::Rng> core::MemberCore<R> {
     /// Sends a `Hello` to a sender whose incarnation is not the one known here.
     pub(crate) fn meet(&mut self, from: net::SocketAddr, sender: &identity::ProcessIdentity) {
-        if !self.is_newest_life(sender) && self.greetings_left > 0 {
+        if !self.is_known_incarnation(sender) && self.greetings_left > 0 {
             self.greetings_left -= 1;
             let packet = packet::PacketBuilder::new(Kind::Hello(proto::Hello {}));
             self.send_packet(from, sender.clone(), packet);
@@ -51,7 +51,7 @@
             (self.timing.join_interval * backoff, JOIN_GREETINGS)
         } else {
             self.lonely_rounds = 0;
-            (self.timing.reach_interval, 1)
+            (self.timing.reconnect_interval, 1)
         };
         self.dues.greeting = now + interval;
         let absent = self.absent_addresses();
--- a/crates/gossip/src/driver.rs
+++ b/crates/gossip/src/driver.rs
@@ -166,7 +166,7 @@
     async fn obey(&mut self, command: handle::GossipCommand) {
         let now = self.now();
         let actions = match command {
-            handle::GossipCommand::Publish(news) => self.core.publish(now, &news),
+            handle::GossipCommand::Publish(update) => self.core.publish(now, &update),
             handle::GossipCommand::Leave => self.core.leave(now),
             handle::GossipCommand::Seeds(seeds) => {
                 self.core.set_seeds(seeds);
@@ -261,16 +261,16 @@
     match event {
         event::GossipEvent::Member(claim) => log::info!(
             vm = claim.name.as_str(),
-            incarnation:% = claim.version.life.incarnation,
+            incarnation:% = claim.version.incarnation.id,
             state:? = claim.version.state;
             "member changed"
         ),
-        event::GossipEvent::Region(news) => log::warn!(
-            region = news.region.as_str(), reachable = news.reachable; "link to region changed"
+        event::GossipEvent::Region(update) => log::warn!(
+            region = update.region.as_str(), reachable = update.reachable; "link to region changed"
         ),
         event::GossipEvent::NameConflict(claim) => log::error!(
             vm = claim.name.as_str(),
-            incarnation:% = claim.version.life.incarnation;
+            incarnation:% = claim.version.incarnation.id;
             "another process has this VM's name; stop it or give it another name"
         ),
         _ => {}
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -32,24 +32,24 @@
     /// The claim in force about a member changed.
     Member(claim::MemberClaim),
     /// An item was accepted.
-    News(update::NewsItem),
+    Item(update::ItemUpdate),
     /// Load of a model engine of this region, sent by its watcher.
-    Load(LoadNews),
+    Load(LoadUpdate),
     /// Demand of an organisation on another VM, sent by that VM.
-    Demand(DemandNews),
+    Demand(DemandUpdate),
     /// Work of another VM, sent by that VM.
-    Work(WorkNews),
+    Work(WorkUpdate),
     /// A region became unreachable or reachable again.
-    Region(RegionNews),
+    Region(RegionUpdate),
     /// The watch plan changed; see [`crate::view::MemberSnapshot::plan`].
     Plan,
     /// Another process claims this VM's name and is still present.
-    NameConflict(claim::HeardClaim),
+    NameConflict(claim::ReceivedClaim),
 }
 
 /// Load of a model engine, sent by its watcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LoadNews {
+pub struct LoadUpdate {
     /// The engine.
     pub server: String,
     /// Load of the engine.
@@ -60,7 +60,7 @@
 
 /// Demand of an organisation on another VM, sent by that VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DemandNews {
+pub struct DemandUpdate {
     /// The VM that measured the demand.
     pub vm: String,
     /// [`digest::subject_hash`] of the organisation's name.
@@ -73,7 +73,7 @@
 
 /// Work of another VM, sent by that VM.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkNews {
+pub struct WorkUpdate {
     /// The VM that sent the digest.
     pub vm: String,
     /// Work of the VM.
@@ -84,7 +84,7 @@
 
 /// A region became unreachable or reachable again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RegionNews {
+pub struct RegionUpdate {
     /// The region.
     pub region: String,
     /// Whether any member of this VM's region receives datagrams from it.
--- a/crates/gossip/src/handle.rs
+++ b/crates/gossip/src/handle.rs
@@ -10,7 +10,7 @@
 /// A command to the driver.
 #[derive(Debug)]
 pub(crate) enum GossipCommand {
-    Publish(update::NewsItem),
+    Publish(update::ItemUpdate),
     Leave,
     Seeds(Vec<settings::SeedEntry>),
     Servers(Vec<String>),
@@ -71,8 +71,8 @@
     }
 
     /// Disseminates an item to every VM.
-    pub async fn publish(&self, news: update::NewsItem) {
-        self.command(GossipCommand::Publish(news)).await;
+    pub async fn publish(&self, update: update::ItemUpdate) {
+        self.command(GossipCommand::Publish(update)).await;
     }
 
     /// Marks this incarnation of the VM as leaving: it accepts no new work, but stays a member.
--- a/crates/gossip/src/in_force.rs
+++ b/crates/gossip/src/in_force.rs
@@ -27,10 +27,10 @@
 impl StateKey {
     /// The key of the configuration in force on a VM.
     #[must_use]
-    pub fn of(news: &update::ConfigurationNews) -> Self {
-        let hash = xxh3::xxh3_64_with_seed(&news.chain_hash.0, news.revision);
+    pub fn of(update: &update::ConfigurationUpdate) -> Self {
+        let hash = xxh3::xxh3_64_with_seed(&update.chain_hash.0, update.revision);
         Self {
-            offset: news.offset,
+            offset: update.offset,
             digest: (hash >> 32) as u32,
         }
     }
@@ -62,10 +62,14 @@
 
 impl<R: rand::Rng> core::MemberCore<R> {
     /// Announces the configuration in force on this VM.
-    pub(crate) fn publish_state(&mut self, now: time::Duration, news: &update::ConfigurationNews) {
-        self.add_news(now, &update::NewsItem::Configuration(news.clone()));
+    pub(crate) fn publish_state(
+        &mut self,
+        now: time::Duration,
+        update: &update::ConfigurationUpdate,
+    ) {
+        self.add_update(now, &update::ItemUpdate::Configuration(update.clone()));
         if let Some(key) = self.table.key(&self.identity.name) {
-            self.set_in_force(key, StateKey::of(news));
+            self.set_in_force(key, StateKey::of(update));
         }
     }
 
@@ -88,11 +92,11 @@
     fn set_in_force(&mut self, key: base::id::VmKey, state: StateKey) {
         if self.table.set_in_force(key, state) {
             self.pass_on(spread::SpreadKey::InForce(key), false, COPIES);
-            let news = self
+            let update = self
                 .table
                 .get(key)
                 .and_then(|record| self.configuration_of(record));
-            self.tell_configuration(news);
+            self.tell_configuration(update);
         }
     }
 
@@ -104,11 +108,11 @@
                 .in_force
                 .is_some_and(|in_force| in_force.item_key() == *state)
         });
-        let news: Vec<Option<update::ConfigurationNews>> = waiting
+        let update: Vec<Option<update::ConfigurationUpdate>> = waiting
             .map(|record| self.configuration_of(record))
             .collect();
-        for news in news {
-            self.tell_configuration(news);
+        for update in update {
+            self.tell_configuration(update);
         }
     }
 
@@ -116,15 +120,15 @@
     pub(crate) fn configuration_of(
         &self,
         record: &member::MemberRecord,
-    ) -> Option<update::ConfigurationNews> {
+    ) -> Option<update::ConfigurationUpdate> {
         let item = self.items.get(&record.in_force?.item_key())?;
-        update::ConfigurationNews::from_body(record.claim.name.clone(), &item.body)
+        update::ConfigurationUpdate::from_body(record.claim.name.clone(), &item.body)
     }
 
-    fn tell_configuration(&mut self, news: Option<update::ConfigurationNews>) {
-        if let Some(news) = news {
-            let news = event::GossipEvent::News(update::NewsItem::Configuration(news));
-            self.actions.push(event::CoreAction::Notify(news));
+    fn tell_configuration(&mut self, update: Option<update::ConfigurationUpdate>) {
+        if let Some(update) = update {
+            let update = event::GossipEvent::Item(update::ItemUpdate::Configuration(update));
+            self.actions.push(event::CoreAction::Notify(update));
         }
     }
 }
@@ -138,7 +142,7 @@
     }
 }
 
-impl update::ConfigurationNews {
+impl update::ConfigurationUpdate {
     /// Decodes the body of a configuration item that is in force on `vm`.
     #[must_use]
     pub fn from_body(vm: String, body: &[u8]) -> Option<Self> {
--- a/crates/gossip/src/item.rs
+++ b/crates/gossip/src/item.rs
@@ -99,7 +99,7 @@
         let kind = ItemKind::from_number(item.kind)?;
         let fits = (1..=MAX_SUBJECT_BYTES).contains(&item.subject.len())
             && item.body.len() <= MAX_BODY_BYTES;
-        let lasts = time::Duration::from_millis(item.expires_in_ms.into());
+        let ttl = time::Duration::from_millis(item.expires_in_ms.into());
         fits.then_some(Self {
             key: ItemKey {
                 kind,
@@ -107,7 +107,7 @@
             },
             version: item.version,
             body: item.body,
-            expires_at: (!lasts.is_zero()).then_some(now + lasts),
+            expires_at: (!ttl.is_zero()).then_some(now + ttl),
             taken_at: now,
         })
     }
--- a/crates/gossip/src/linking.rs
+++ b/crates/gossip/src/linking.rs
@@ -184,7 +184,7 @@
     fn tell_link(&mut self, region: &str, reachable: bool) {
         self.actions
             .push(CoreAction::Notify(event::GossipEvent::Region(
-                event::RegionNews {
+                event::RegionUpdate {
                     region: region.to_owned(),
                     reachable,
                 },
--- a/crates/gossip/src/list.rs
+++ b/crates/gossip/src/list.rs
@@ -38,8 +38,12 @@
         list: VmListReport,
     ) -> Vec<event::CoreAction> {
         let is_leaving = |claim: &claim::MemberClaim| {
-            let began_before =
-                claim.version.life.birth_ms.saturating_add(CLOCK_MARGIN_MS) <= list.as_of_ms;
+            let began_before = claim
+                .version
+                .incarnation
+                .started_at_ms
+                .saturating_add(CLOCK_MARGIN_MS)
+                <= list.as_of_ms;
             // The list lags: an entry may refer to an earlier incarnation of the same name.
             list.leaving.contains(&claim.name) && began_before
         };
@@ -49,7 +53,7 @@
             .map(update::LeavingSubject::of_vm)
             .collect();
         for subject in subjects {
-            self.add_news(now, &update::NewsItem::Leaving(subject));
+            self.add_update(now, &update::ItemUpdate::Leaving(subject));
         }
         self.list = list;
         let disagreement = self.list_disagreement();
--- a/crates/gossip/src/maintenance.rs
+++ b/crates/gossip/src/maintenance.rs
@@ -41,17 +41,17 @@
         }
         self.dues.keeping = now + KEEPING_INTERVAL;
         self.table
-            .forget_gone(now.saturating_sub(self.timing.gone_memory));
+            .forget_gone(now.saturating_sub(self.timing.departed_retention));
         self.digests.outbox.forget_old(now);
         self.digests.table.forget_old(now);
         self.forget_items(now);
-        if let Some(news) = self.configuration.clone() {
-            self.add_news(now, &update::NewsItem::Configuration(news));
+        if let Some(update) = self.configuration.clone() {
+            self.add_update(now, &update::ItemUpdate::Configuration(update));
         }
         if self.leaving {
-            self.add_news(
+            self.add_update(
                 now,
-                &update::NewsItem::Leaving(update::LeavingSubject::of_vm(&self.own)),
+                &update::ItemUpdate::Leaving(update::LeavingSubject::of_vm(&self.own)),
             );
         }
     }
@@ -66,12 +66,13 @@
 }
 
 fn speaks_of_present(table: &member::MemberTable, item: &item::Item, now: time::Duration) -> bool {
-    let news = update::NewsItem::from_item(item, now);
-    let Some(update::NewsItem::Leaving(update::LeavingSubject::Vm { name, incarnation })) = news
+    let update = update::ItemUpdate::from_item(item, now);
+    let Some(update::ItemUpdate::Leaving(update::LeavingSubject::Vm { name, incarnation })) =
+        update
     else {
         return false;
     };
     table.named(&name).is_some_and(|record| {
-        record.state().is_present() && record.claim.version.life.incarnation == incarnation
+        record.state().is_present() && record.claim.version.incarnation.id == incarnation
     })
 }
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -31,7 +31,7 @@
     pub fn identity(&self) -> identity::ProcessIdentity {
         identity::ProcessIdentity {
             name: self.claim.name.clone(),
-            incarnation: self.claim.version.life.incarnation,
+            incarnation: self.claim.version.incarnation.id,
         }
     }
 
@@ -85,7 +85,7 @@
             return MergeOutcome::Old;
         }
         let before = self.records[key].identity();
-        if before.incarnation == claim.version.life.incarnation {
+        if before.incarnation == claim.version.incarnation.id {
             record.in_force = self.records[key].in_force;
         } else {
             self.holders.remove(&in_force::holder_hash(&before));
--- a/crates/gossip/src/probing.rs
+++ b/crates/gossip/src/probing.rs
@@ -37,7 +37,7 @@
         let Some(record) = self.table.get(target) else {
             return;
         };
-        let incarnation = record.claim.version.life.incarnation;
+        let incarnation = record.claim.version.incarnation.id;
         let number = self.schedule.next_number();
         self.schedule.current = Some(probe::ProbeRound {
             target,
@@ -77,8 +77,8 @@
             return;
         };
         let mut claim = record.claim.clone();
-        let same_life = claim.version.life.incarnation == round.incarnation;
-        if same_life && claim.version.state == claim::MemberState::Alive {
+        let same_incarnation = claim.version.incarnation.id == round.incarnation;
+        if same_incarnation && claim.version.state == claim::MemberState::Alive {
             claim.version.state = claim::MemberState::Suspect;
             self.take_claim(now, &claim);
         }
--- a/crates/gossip/src/receiving.rs
+++ b/crates/gossip/src/receiving.rs
@@ -25,11 +25,11 @@
     }
 
     /// Applies an item that this VM creates, with a version above the known one.
-    pub(crate) fn add_news(&mut self, now: time::Duration, news: &update::NewsItem) {
-        let (key, body, lasts) = (news.key(), news.body(), news.lasts());
+    pub(crate) fn add_update(&mut self, now: time::Duration, update: &update::ItemUpdate) {
+        let (key, body, ttl) = (update.key(), update.body(), update.ttl());
         let known = self.items.get(&key);
         let same = known.is_some_and(|item| {
-            let half = now.saturating_add(lasts / 2);
+            let half = now.saturating_add(ttl / 2);
             item.body == body && item.expires_at.is_none_or(|expires_at| expires_at >= half)
         });
         if same {
@@ -40,14 +40,17 @@
             key,
             version: above.saturating_add(1),
             body,
-            expires_at: Some(now.saturating_add(lasts)),
+            expires_at: Some(now.saturating_add(ttl)),
             taken_at: now,
         };
         self.take_item(now, item);
     }
 
     pub(crate) fn take_claims(&mut self, now: time::Duration, claims: Vec<proto::MemberClaim>) {
-        for heard in claims.into_iter().filter_map(claim::HeardClaim::from_wire) {
+        for heard in claims
+            .into_iter()
+            .filter_map(claim::ReceivedClaim::from_wire)
+        {
             if heard.name == self.identity.name {
                 self.take_own_claim(now, &heard);
             } else if let Some(claim) = self.complete(heard) {
@@ -57,16 +60,16 @@
     }
 
     /// Adds the omitted location; `None` when that incarnation is not known here.
-    fn complete(&self, heard: claim::HeardClaim) -> Option<claim::MemberClaim> {
-        let claim::HeardClaim {
+    fn complete(&self, heard: claim::ReceivedClaim) -> Option<claim::MemberClaim> {
+        let claim::ReceivedClaim {
             name,
             version,
             place,
         } = heard;
         let known = || {
             let record = self.table.named(&name)?;
-            let same_life = record.claim.version.life.incarnation == version.life.incarnation;
-            same_life.then(|| record.claim.place.clone())
+            let same_incarnation = record.claim.version.incarnation.id == version.incarnation.id;
+            same_incarnation.then(|| record.claim.place.clone())
         };
         let place = place.or_else(known)?;
         Some(claim::MemberClaim {
@@ -78,7 +81,7 @@
 
     /// Applies a claim about a member; if it is new, forwards it and notifies the subscribers.
     pub(crate) fn take_claim(&mut self, now: time::Duration, claim: &claim::MemberClaim) {
-        let dead_at = now + self.timing.suspicion;
+        let dead_at = now + self.timing.suspicion_timeout;
         if let member::MergeOutcome::Taken(key) = self.table.merge(claim, now, dead_at) {
             let copies = self.timing.urgent_copies;
             self.pass_on(spread::SpreadKey::Member(key), true, copies);
@@ -92,22 +95,22 @@
     }
 
     /// Refutes a claim of others about this VM, or reports a name conflict.
-    fn take_own_claim(&mut self, now: time::Duration, claim: &claim::HeardClaim) {
+    fn take_own_claim(&mut self, now: time::Duration, claim: &claim::ReceivedClaim) {
         let own = self.own.version;
         if claim.version <= own || own.state == claim::MemberState::Left {
             return;
         }
         let address = claim.place.as_ref().map(|place| place.address);
         let here = address == Some(self.own.place.address);
-        if claim.version.life.incarnation == self.identity.incarnation {
-            self.own.version.life = own.life.max(claim.version.life);
+        if claim.version.incarnation.id == self.identity.incarnation {
+            self.own.version.incarnation = own.incarnation.max(claim.version.incarnation);
             self.own.version.refutation = claim.version.refutation.saturating_add(1);
         } else if claim.version.state.is_present() && !here {
             // Two processes with one name, or an earlier incarnation at another address whose clock
             // was ahead. The latter does not answer and will be declared dead; then this one
             // supersedes it.
             metrics::counter!("pollenchute_gossip_name_conflicts_total").increment(1);
-            let other = Some(claim.version.life.incarnation);
+            let other = Some(claim.version.incarnation.id);
             if std::mem::replace(&mut self.conflict, other) != other {
                 let conflict = event::GossipEvent::NameConflict(claim.clone());
                 self.actions.push(CoreAction::Notify(conflict));
@@ -117,7 +120,8 @@
             // An earlier incarnation whose clock was ahead: it is not present, or it listened at
             // this address, as this one does now. In a region of one VM no other would detect its
             // end.
-            self.own.version.life.birth_ms = claim.version.life.birth_ms.saturating_add(1);
+            self.own.version.incarnation.started_at_ms =
+                claim.version.incarnation.started_at_ms.saturating_add(1);
         }
         self.tell_own(now);
     }
@@ -139,12 +143,12 @@
     }
 
     pub(crate) fn take_item(&mut self, now: time::Duration, item: item::Item) {
-        let (key, news) = (item.key.clone(), update::NewsItem::from_item(&item, now));
+        let (key, update) = (item.key.clone(), update::ItemUpdate::from_item(&item, now));
         let for_core = matches!(
             key.kind,
             item::ItemKind::Link | item::ItemKind::Configuration
         );
-        if news.is_none() && !for_core {
+        if update.is_none() && !for_core {
             metrics::counter!("pollenchute_gossip_malformed_total").increment(1);
             return;
         }
@@ -158,13 +162,13 @@
             timing.slow_copies
         };
         self.pass_on(spread::SpreadKey::Item(key.clone()), urgent, copies);
-        match news {
+        match update {
             None if key.kind == item::ItemKind::Link => self.take_beacon(now, &key.subject),
             None => self.take_state(&key),
-            Some(news) => {
+            Some(update) => {
                 self.digests.stale |= key.kind == item::ItemKind::Leaving;
                 self.actions
-                    .push(CoreAction::Notify(event::GossipEvent::News(news)));
+                    .push(CoreAction::Notify(event::GossipEvent::Item(update)));
             }
         }
     }
--- a/crates/gossip/src/sending.rs
+++ b/crates/gossip/src/sending.rs
@@ -58,7 +58,7 @@
         self.queue.offer(|key| match key {
             spread::SpreadKey::Member(key) => table
                 .get(*key)
-                .is_some_and(|record| packet.add_claim(record.claim.to_news())),
+                .is_some_and(|record| packet.add_claim(record.claim.to_update())),
             spread::SpreadKey::InForce(key) => table
                 .get(*key)
                 .is_some_and(|record| record.add_in_force(&mut packet)),
@@ -81,9 +81,9 @@
         let Some(record) = self.table.named(&receiver.name) else {
             return;
         };
-        let same_life = record.claim.version.life.incarnation == receiver.incarnation;
-        if !same_life || record.state() != claim::MemberState::Alive {
-            packet.add_claim(record.claim.to_news());
+        let same_incarnation = record.claim.version.incarnation.id == receiver.incarnation;
+        if !same_incarnation || record.state() != claim::MemberState::Alive {
+            packet.add_claim(record.claim.to_update());
         }
     }
 
--- a/crates/gossip/src/settings.rs
+++ b/crates/gossip/src/settings.rs
@@ -13,7 +13,7 @@
     pub identity: identity::ProcessIdentity,
     /// Start time of this incarnation in milliseconds since the Unix epoch. A clock that was set
     /// back only delays the join until the older incarnation is declared dead.
-    pub birth_ms: u64,
+    pub started_at_ms: u64,
     /// Location of the VM; other VMs send to this address.
     pub place: claim::MemberPlace,
 }
@@ -39,7 +39,7 @@
     /// Number of members that are requested to probe indirectly.
     pub indirect_probes: usize,
     /// Time after which a member whose suspicion is not refuted is declared dead.
-    pub suspicion: time::Duration,
+    pub suspicion_timeout: time::Duration,
     /// Number of members that a dissemination round sends to.
     pub fanout: usize,
     /// Number of datagrams in which each member that learns an urgent update forwards it.
@@ -55,9 +55,9 @@
     /// Interval between rounds of `Hello` messages while no member of the region is known.
     pub join_interval: time::Duration,
     /// Interval between `Hello` messages to absent members, so that partitions heal.
-    pub reach_interval: time::Duration,
+    pub reconnect_interval: time::Duration,
     /// How long members that are dead or have left are remembered.
-    pub gone_memory: time::Duration,
+    pub departed_retention: time::Duration,
     /// Bandwidth of digests in bytes per second, including headers.
     pub digest_bytes_per_second: u32,
     /// Rules by which watchers are assigned.
@@ -71,7 +71,7 @@
             probe_interval: time::Duration::from_secs(1),
             ack_timeout: time::Duration::from_millis(400),
             indirect_probes: 3,
-            suspicion: time::Duration::from_secs(3),
+            suspicion_timeout: time::Duration::from_secs(3),
             fanout: 3,
             urgent_copies: 12,
             slow_copies: 4,
@@ -79,8 +79,8 @@
             sync_interval: time::Duration::from_secs(5),
             sync_datagrams: 4,
             join_interval: time::Duration::from_millis(500),
-            reach_interval: time::Duration::from_secs(5),
-            gone_memory: time::Duration::from_secs(3600),
+            reconnect_interval: time::Duration::from_secs(5),
+            departed_retention: time::Duration::from_secs(3600),
             digest_bytes_per_second: 3000,
             watching: watching::WatchRules::default(),
         }
--- a/crates/gossip/src/sync.rs
+++ b/crates/gossip/src/sync.rs
@@ -47,8 +47,8 @@
             Self::Member(record) => {
                 let version = record.claim.version;
                 hasher.update(record.claim.name.as_bytes());
-                hasher.update(&version.life.birth_ms.to_le_bytes());
-                hasher.update(&version.life.incarnation.0.to_le_bytes());
+                hasher.update(&version.incarnation.started_at_ms.to_le_bytes());
+                hasher.update(&version.incarnation.id.0.to_le_bytes());
                 hasher.update(&version.refutation.to_le_bytes());
                 hasher.update(&[version.state as u8]);
             }
@@ -72,7 +72,7 @@
             Self::Member(record) if record.state().is_present() => {
                 packet.add_claim(record.claim.to_wire())
             }
-            Self::Member(record) => packet.add_claim(record.claim.to_news()),
+            Self::Member(record) => packet.add_claim(record.claim.to_update()),
             Self::InForce(record, _) => record.add_in_force(packet),
             // An item that is about to expire need not be sent.
             Self::Item(item) => item.to_wire(now).is_none_or(|item| packet.add_item(item)),
--- a/crates/gossip/src/update.rs
+++ b/crates/gossip/src/update.rs
@@ -12,10 +12,10 @@
 const SEPARATOR: char = '\n';
 
 /// A leaving mark is disseminated for this long after it was created or renewed.
-pub const LEAVING_LASTS: time::Duration = time::Duration::from_secs(24 * 3600);
+pub const LEAVING_TTL: time::Duration = time::Duration::from_secs(24 * 3600);
 
 /// A configuration state is disseminated for this long after a VM last renewed it.
-const STATE_LASTS: time::Duration = time::Duration::from_secs(3600);
+const STATE_TTL: time::Duration = time::Duration::from_secs(3600);
 
 /// Maximum length of the reason of a quarantine.
 const MAX_REASON_BYTES: usize = 200;
@@ -41,18 +41,18 @@
 
 /// Content of an item that is disseminated to every VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NewsItem {
+pub enum ItemUpdate {
     /// Configuration in force on a VM.
-    Configuration(ConfigurationNews),
+    Configuration(ConfigurationUpdate),
     /// An incarnation accepts no new work; never revoked.
     Leaving(LeavingSubject),
     /// Content was quarantined, or its quarantine was lifted.
-    Quarantine(QuarantineNews),
+    Quarantine(QuarantineUpdate),
 }
 
 /// Configuration in force on a VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigurationNews {
+pub struct ConfigurationUpdate {
     /// The VM.
     pub vm: String,
     /// Revision in force.
@@ -65,13 +65,13 @@
 
 /// Quarantine of content that crashes backend servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct QuarantineNews {
+pub struct QuarantineUpdate {
     /// Hash of the content.
     pub fingerprint: fingerprint::ContentHash,
     /// Whether the quarantine is lifted.
     pub lifted: bool,
     /// Maximum remaining time for which this applies.
-    pub lasts: time::Duration,
+    pub ttl: time::Duration,
     /// Reason for operators; truncated to 200 bytes.
     pub reason: String,
 }
@@ -82,7 +82,7 @@
     pub fn of_vm(claim: &claim::MemberClaim) -> Self {
         Self::Vm {
             name: claim.name.clone(),
-            incarnation: claim.version.life.incarnation,
+            incarnation: claim.version.incarnation.id,
         }
     }
 
@@ -112,7 +112,7 @@
     }
 }
 
-impl NewsItem {
+impl ItemUpdate {
     /// Decodes an item; `None` when its subject or body is invalid, or its kind is internal to the
     /// core.
     #[must_use]
@@ -125,13 +125,13 @@
                 let body = proto::QuarantineBody::decode(item.body.as_slice()).ok()?;
                 let mut hash = [0; 32];
                 hex::decode_to_slice(subject, &mut hash).ok()?;
-                let lasts = item
+                let ttl = item
                     .expires_at
                     .map(|expires_at| expires_at.saturating_sub(now));
-                Self::Quarantine(QuarantineNews {
+                Self::Quarantine(QuarantineUpdate {
                     fingerprint: fingerprint::ContentHash(hash),
                     lifted: body.lifted,
-                    lasts: lasts.unwrap_or(time::Duration::MAX),
+                    ttl: ttl.unwrap_or(time::Duration::MAX),
                     reason: body.reason,
                 })
             }
@@ -142,9 +142,11 @@
     #[must_use]
     pub fn key(&self) -> item::ItemKey {
         let (kind, subject) = match self {
-            Self::Configuration(news) => return in_force::StateKey::of(news).item_key(),
+            Self::Configuration(update) => return in_force::StateKey::of(update).item_key(),
             Self::Leaving(subject) => (item::ItemKind::Leaving, subject.to_subject()),
-            Self::Quarantine(news) => (item::ItemKind::Quarantine, news.fingerprint.to_string()),
+            Self::Quarantine(update) => {
+                (item::ItemKind::Quarantine, update.fingerprint.to_string())
+            }
         };
         item::ItemKey { kind, subject }
     }
@@ -153,16 +155,16 @@
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
         match self {
-            Self::Configuration(news) => proto::ConfigurationBody {
-                revision: news.revision,
-                offset: news.offset,
-                chain_hash: news.chain_hash.0.to_vec(),
+            Self::Configuration(update) => proto::ConfigurationBody {
+                revision: update.revision,
+                offset: update.offset,
+                chain_hash: update.chain_hash.0.to_vec(),
             }
             .encode_to_vec(),
             Self::Leaving(_) => Vec::new(),
-            Self::Quarantine(news) => proto::QuarantineBody {
-                lifted: news.lifted,
-                reason: cut(&news.reason, MAX_REASON_BYTES),
+            Self::Quarantine(update) => proto::QuarantineBody {
+                lifted: update.lifted,
+                reason: cut(&update.reason, MAX_REASON_BYTES),
             }
             .encode_to_vec(),
         }
@@ -170,11 +172,11 @@
 
     /// How long the item is disseminated unless it is renewed.
     #[must_use]
-    pub const fn lasts(&self) -> time::Duration {
+    pub const fn ttl(&self) -> time::Duration {
         match self {
-            Self::Configuration(_) => STATE_LASTS,
-            Self::Leaving(_) => LEAVING_LASTS,
-            Self::Quarantine(news) => news.lasts,
+            Self::Configuration(_) => STATE_TTL,
+            Self::Leaving(_) => LEAVING_TTL,
+            Self::Quarantine(update) => update.ttl,
         }
     }
 }
--- a/crates/gossip/src/view.rs
+++ b/crates/gossip/src/view.rs
@@ -24,7 +24,7 @@
     /// Region of the member.
     pub region: String,
     /// Configuration in force on the member, as last received.
-    pub configuration: Option<update::ConfigurationNews>,
+    pub configuration: Option<update::ConfigurationUpdate>,
 }
 
 /// All members in this VM's current view, including itself.
@@ -72,7 +72,8 @@
             ..MemberSnapshot::default()
         };
         for item in self.items().iter() {
-            if let Some(update::NewsItem::Leaving(subject)) = update::NewsItem::from_item(item, now)
+            if let Some(update::ItemUpdate::Leaving(subject)) =
+                update::ItemUpdate::from_item(item, now)
             {
                 snapshot.leaving.insert(subject);
             }
@@ -90,17 +91,17 @@
 fn member_view(
     record: &member::MemberRecord,
     leaving: &collections::BTreeSet<update::LeavingSubject>,
-    configuration: Option<update::ConfigurationNews>,
+    configuration: Option<update::ConfigurationUpdate>,
 ) -> MemberView {
     let claim = &record.claim;
-    let life = claim.version.life;
+    let incarnation = claim.version.incarnation;
     let subject = update::LeavingSubject::Vm {
         name: claim.name.clone(),
-        incarnation: life.incarnation,
+        incarnation: incarnation.id,
     };
     MemberView {
         name: claim.name.clone(),
-        incarnation: life.incarnation,
+        incarnation: incarnation.id,
         state: claim.version.state,
         leaving: leaving.contains(&subject),
         address: claim.place.address,
--- a/crates/gossip/tests/udp.rs
+++ b/crates/gossip/tests/udp.rs
@@ -48,7 +48,7 @@
                 name: format!("vm-{index}"),
                 incarnation: id::Incarnation::draw(&mut rng),
             },
-            birth_ms: 1,
+            started_at_ms: 1,
             place: place(*address),
         };
         let settings = settings::GossipSettings {
@@ -93,18 +93,20 @@
         wait_until(handle, |snapshot| snapshot.members["vm-1"].leaving).await;
     }
     handles[0]
-        .publish(update::NewsItem::Configuration(update::ConfigurationNews {
-            vm: "vm-0".to_owned(),
-            revision: 3,
-            offset: 9,
-            chain_hash: base::fingerprint::ContentHash([7; 32]),
-        }))
+        .publish(update::ItemUpdate::Configuration(
+            update::ConfigurationUpdate {
+                vm: "vm-0".to_owned(),
+                revision: 3,
+                offset: 9,
+                chain_hash: base::fingerprint::ContentHash([7; 32]),
+            },
+        ))
         .await;
     wait_until(&handles[1], |snapshot| {
         snapshot.members["vm-0"]
             .configuration
             .as_ref()
-            .is_some_and(|news| news.revision == 3)
+            .is_some_and(|update| update.revision == 3)
     })
     .await;
     drop(handles.pop());
--- a/crates/gossip/tests/virtual_time/directed.rs
+++ b/crates/gossip/tests/virtual_time/directed.rs
@@ -57,11 +57,11 @@
         .collect()
 }
 
-fn quarantine(lasts: time::Duration) -> update::NewsItem {
-    update::NewsItem::Quarantine(update::QuarantineNews {
+fn quarantine(ttl: time::Duration) -> update::ItemUpdate {
+    update::ItemUpdate::Quarantine(update::QuarantineUpdate {
         fingerprint: fingerprint::ContentHash::of(b"crashes engines"),
         lifted: false,
-        lasts,
+        ttl,
         reason: "two deaths".to_owned(),
     })
 }
@@ -79,7 +79,7 @@
         incarnation: "a".to_owned(),
     };
     fabric.act(1, |core, now| {
-        core.publish(now, &update::NewsItem::Leaving(leaving.clone()))
+        core.publish(now, &update::ItemUpdate::Leaving(leaving.clone()))
     });
     fabric.advance(seconds(1));
     for index in 0..5 {
@@ -105,14 +105,14 @@
     // Cause: the words differ only in their versions.
     let mut fabric = joined(13, 5, 1);
     for round in 0..4 {
-        let update::NewsItem::Quarantine(mut news) = quarantine(seconds(3600)) else {
+        let update::ItemUpdate::Quarantine(mut update) = quarantine(seconds(3600)) else {
             unreachable!()
         };
-        news.lifted = round % 2 == 1;
-        news.reason = format!("round {}", 9 - round);
+        update.lifted = round % 2 == 1;
+        update.reason = format!("round {}", 9 - round);
         let index = round % 5;
         fabric.act(index, |core, now| {
-            core.publish(now, &update::NewsItem::Quarantine(news.clone()))
+            core.publish(now, &update::ItemUpdate::Quarantine(update.clone()))
         });
         fabric.advance(seconds(2));
         for index in 0..5 {
@@ -121,9 +121,9 @@
                 .iter()
                 .next()
                 .expect("published");
-            let held = update::NewsItem::from_item(item, fabric.now);
+            let held = update::ItemUpdate::from_item(item, fabric.now);
             assert!(
-                matches!(held, Some(update::NewsItem::Quarantine(held)) if held.reason == news.reason)
+                matches!(held, Some(update::ItemUpdate::Quarantine(held)) if held.reason == update.reason)
             );
         }
     }
@@ -195,9 +195,9 @@
     claim::MemberClaim {
         name: member.name.clone(),
         version: claim::ClaimVersion {
-            life: claim::LifeStamp {
-                birth_ms: EPOCH_MS,
-                incarnation: member.incarnation,
+            incarnation: claim::MemberIncarnation {
+                started_at_ms: EPOCH_MS,
+                id: member.incarnation,
             },
             refutation: 0,
             state: claim::MemberState::Alive,
@@ -256,7 +256,7 @@
     // Cause: nobody sends to the dead, so the word about it does not reach it.
     let timing = settings::TimingSettings {
         sync_interval: seconds(600),
-        reach_interval: seconds(600),
+        reconnect_interval: seconds(600),
         ..settings::TimingSettings::default()
     };
     let mut fabric = joined_with(11, 6, 1, timing);
@@ -284,7 +284,7 @@
             .members()
             .named(&fabric.vms[1].name)
             .expect("known");
-        assert_eq!(record.claim.version.life.incarnation, life);
+        assert_eq!(record.claim.version.incarnation.id, life);
         assert_eq!(record.state(), claim::MemberState::Alive);
     }
 }
@@ -525,7 +525,7 @@
         .told
         .iter()
         .filter_map(|(_, index, event)| match event {
-            event::GossipEvent::Demand(news) => Some((*index, news.demand.requests)),
+            event::GossipEvent::Demand(update) => Some((*index, update.demand.requests)),
             _ => None,
         });
     let newest = demands.fold(vec![0; 40], |mut newest, (index, requests)| {
--- a/crates/gossip/tests/virtual_time/fabric.rs
+++ b/crates/gossip/tests/virtual_time/fabric.rs
@@ -168,7 +168,7 @@
         vm.identity.incarnation = incarnation;
         let own = settings::OwnSettings {
             identity: vm.identity.clone(),
-            birth_ms: wall_ms.saturating_add_signed(vm.skew_ms),
+            started_at_ms: wall_ms.saturating_add_signed(vm.skew_ms),
             place: vm.place.clone(),
         };
         let timing = self.timing.clone();
@@ -326,7 +326,7 @@
                 );
             }
             let lives = core.members().iter().filter_map(|(_, record)| {
-                let life = record.claim.version.life.incarnation;
+                let life = record.claim.version.incarnation.id;
                 record.in_force.map(|state| (life, state))
             });
             for (life, state) in lives {
--- a/crates/gossip/tests/virtual_time/histories.rs
+++ b/crates/gossip/tests/virtual_time/histories.rs
@@ -124,37 +124,39 @@
         }
         self.published += 1;
         let name = format!("engine-{}", u.int_in_range(0..=2)?);
-        let news = match u.int_in_range(0..=2)? {
-            0 => update::NewsItem::Leaving(update::LeavingSubject::Server {
+        let update = match u.int_in_range(0..=2)? {
+            0 => update::ItemUpdate::Leaving(update::LeavingSubject::Server {
                 name,
                 incarnation: u.int_in_range(0..=3)?.to_string(),
             }),
-            1 => update::NewsItem::Quarantine(update::QuarantineNews {
+            1 => update::ItemUpdate::Quarantine(update::QuarantineUpdate {
                 fingerprint: fingerprint::ContentHash::of(name.as_bytes()),
                 lifted: u.arbitrary()?,
-                lasts: seconds(3600),
+                ttl: seconds(3600),
                 reason: format!("death {}", self.published),
             }),
-            _ => update::NewsItem::Configuration(update::ConfigurationNews {
+            _ => update::ItemUpdate::Configuration(update::ConfigurationUpdate {
                 vm: self.fabric.vms[index].name.clone(),
                 revision: self.published,
                 offset: self.published,
                 chain_hash: fingerprint::ContentHash([7; 32]),
             }),
         };
-        self.fabric.act(index, |core, now| core.publish(now, &news));
+        self.fabric
+            .act(index, |core, now| core.publish(now, &update));
         Ok(())
     }
 
     fn quarantine(&mut self, index: usize, reason: &str) {
-        let news = update::NewsItem::Quarantine(update::QuarantineNews {
+        let update = update::ItemUpdate::Quarantine(update::QuarantineUpdate {
             fingerprint: fingerprint::ContentHash::of(b"raced"),
             lifted: false,
-            lasts: seconds(3600),
+            ttl: seconds(3600),
             reason: reason.to_owned(),
         });
         if !self.fabric.vms[index].paused {
-            self.fabric.act(index, |core, now| core.publish(now, &news));
+            self.fabric
+                .act(index, |core, now| core.publish(now, &update));
         }
     }
 
@@ -223,7 +225,7 @@
                 let record = table.named(&other.name);
                 let state = record.map(|record| record.state());
                 if other.core.is_some() {
-                    let life = record.map(|record| record.claim.version.life.incarnation);
+                    let life = record.map(|record| record.claim.version.incarnation.id);
                     assert_eq!(
                         state,
                         Some(claim::MemberState::Alive),
@@ -313,7 +315,7 @@
         self.fabric.kill(victim);
         let turn = u64::try_from(witnesses.len()).expect("few");
         self.fabric
-            .advance(seconds(2 * turn + 1) + self.fabric.timing.suspicion + seconds(1));
+            .advance(seconds(2 * turn + 1) + self.fabric.timing.suspicion_timeout + seconds(1));
         for witness in witnesses {
             let core = self.fabric.vms[witness].core.as_ref().expect("running");
             let state = core.members().named(&name).map(|record| record.state());
