--- a/crates/gossip/benches/membership.rs
+++ b/crates/gossip/benches/membership.rs
@@ -177,7 +177,7 @@
             if let event::GossipEvent::Load(update) = event {
                 let before = self.heard.insert((index, update.server), (at, update.age));
                 self.ages
-                    .extend(before.map(|(heard_at, age)| at - heard_at + age));
+                    .extend(before.map(|(received_at, age)| at - received_at + age));
             }
         }
     }
--- a/crates/gossip/src/claim.rs
+++ b/crates/gossip/src/claim.rs
@@ -116,10 +116,10 @@
 
 impl MemberPlace {
     fn from_wire(address: &str, failure_domain: String, region: String) -> Option<Self> {
-        let named = |text: &String| (1..=MAX_PLACE_BYTES).contains(&text.len());
-        let named = named(&failure_domain) && named(&region);
+        let is_valid = |text: &String| (1..=MAX_PLACE_BYTES).contains(&text.len());
+        let names_valid = is_valid(&failure_domain) && is_valid(&region);
         let address = address.parse().ok()?;
-        named.then_some(Self {
+        names_valid.then_some(Self {
             address,
             failure_domain,
             region,
--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -14,7 +14,7 @@
 use proto::message::Kind;
 
 /// Maximum number of `Hello` messages sent to unknown senders in one tick.
-const MAX_GREETINGS: u32 = 8;
+const MAX_HELLOS_PER_TICK: u32 = 8;
 
 /// A tick delayed by this many tick intervals means that this process was paused.
 const PAUSE_TICKS: u32 = 10;
@@ -41,7 +41,7 @@
     pub(crate) digests: digest_state::DigestState,
     /// Actions to be performed; returned at the end of each call.
     pub(crate) actions: Vec<CoreAction>,
-    pub(crate) dues: DueTimes,
+    pub(crate) due_times: DueTimes,
     /// Whether this incarnation accepts no new work; never unset.
     pub(crate) leaving: bool,
     /// Configuration in force on this VM, as last published.
@@ -49,14 +49,14 @@
     /// The other incarnation that last claimed this VM's name; reported once.
     pub(crate) conflict: Option<id::Incarnation>,
     /// `Hello` messages that may still be sent to unknown senders before the next tick.
-    pub(crate) greetings_left: u32,
+    pub(crate) hellos_left: u32,
     /// Rounds of `Hello` messages sent since a member of the region was last known.
-    pub(crate) lonely_rounds: u32,
+    pub(crate) isolated_rounds: u32,
     last_tick: time::Duration,
     /// Whether updates received now are already known elsewhere and are not forwarded.
-    pub(crate) muted: bool,
+    pub(crate) forwarding_suppressed: bool,
     /// When this core was created.
-    pub(crate) began_at: time::Duration,
+    pub(crate) started_at: time::Duration,
 }
 
 /// When each periodic task is due next.
@@ -65,8 +65,8 @@
     pub probe: time::Duration,
     pub slow_round: time::Duration,
     pub sync: time::Duration,
-    pub greeting: time::Duration,
-    pub keeping: time::Duration,
+    pub hello: time::Duration,
+    pub maintenance: time::Duration,
     pub plan: time::Duration,
 }
 
@@ -94,12 +94,12 @@
         let mut table = member::MemberTable::default();
         table.merge(&claim, now, now);
         let mut core = Self {
-            dues: DueTimes {
+            due_times: DueTimes {
                 probe: now,
                 slow_round: now,
                 sync: now + timing.sync_interval,
-                greeting: now,
-                keeping: now,
+                hello: now,
+                maintenance: now,
                 plan: now,
             },
             digests: digest_state::DigestState::new(
@@ -123,11 +123,11 @@
             leaving: false,
             configuration: None,
             conflict: None,
-            greetings_left: MAX_GREETINGS,
-            lonely_rounds: 0,
+            hellos_left: MAX_HELLOS_PER_TICK,
+            isolated_rounds: 0,
             last_tick: now,
-            muted: false,
-            began_at: now,
+            forwarding_suppressed: false,
+            started_at: now,
         };
         core.set_seeds(seeds);
         core
@@ -167,19 +167,19 @@
             None => metrics::counter!("pollenchute_gossip_malformed_total").increment(1),
             // A recorded `Hello` can be replayed to any VM at any time. So its content is ignored;
             // it causes only one answer, which only the requesting incarnation can open.
-            Some(Kind::Hello(_)) if !bound => self.answer_greeting(from, sender),
+            Some(Kind::Hello(_)) if !bound => self.answer_hello(from, sender),
             Some(_) if !bound => {
                 metrics::counter!("pollenchute_gossip_unbound_total").increment(1);
             }
             Some(kind) => {
-                self.mute(now, &kind);
-                self.take_claims(now, message.claims);
-                self.take_items(now, message.items);
-                self.take_digests(now, sender, message.digests);
-                self.take_in_force(&message.in_force);
-                self.muted = false;
-                self.note_heard(now, &sender.name);
-                self.take_kind(now, from, sender, kind);
+                self.suppress_forwarding(now, &kind);
+                self.apply_claims(now, message.claims);
+                self.apply_items(now, message.items);
+                self.apply_digests(now, sender, message.digests);
+                self.apply_in_force(&message.in_force);
+                self.forwarding_suppressed = false;
+                self.record_received(now, &sender.name);
+                self.handle_kind(now, from, sender, kind);
             }
         }
         std::mem::take(&mut self.actions)
@@ -187,21 +187,21 @@
 
     /// Runs the tasks that are due; call it every [`settings::TimingSettings::tick`].
     pub fn on_tick(&mut self, now: time::Duration) -> Vec<CoreAction> {
-        let gap = now.saturating_sub(self.last_tick);
+        let pause = now.saturating_sub(self.last_tick);
         self.last_tick = now;
-        if gap > self.timing.tick * PAUSE_TICKS {
-            self.resume(now, gap);
+        if pause > self.timing.tick * PAUSE_TICKS {
+            self.resume(now, pause);
         }
-        self.greetings_left = MAX_GREETINGS;
+        self.hellos_left = MAX_HELLOS_PER_TICK;
         if self.own.version.state != claim::MemberState::Left {
             self.expire_suspicions(now);
             self.probe_round(now);
-            self.greet_round(now);
+            self.hello_round(now);
             self.sync_round(now);
             self.link_round(now);
             self.plan_round(now);
             self.digest_round(now);
-            self.keeping_round(now);
+            self.maintenance_round(now);
         }
         self.spread_round(now);
         std::mem::take(&mut self.actions)
@@ -231,7 +231,7 @@
     pub fn depart(&mut self, now: time::Duration) -> Vec<CoreAction> {
         self.own.version.refutation += 1;
         self.own.version.state = claim::MemberState::Left;
-        self.tell_own(now);
+        self.announce_own(now);
         std::mem::take(&mut self.actions)
     }
 
@@ -257,7 +257,7 @@
             .is_some()
     }
 
-    fn take_kind(
+    fn handle_kind(
         &mut self,
         now: time::Duration,
         from: net::SocketAddr,
@@ -271,20 +271,20 @@
                 });
                 self.send(now, from, sender, ack);
             }
-            Kind::Ack(ack) => self.take_ack(now, ack.number),
+            Kind::Ack(ack) => self.handle_ack(now, ack.number),
             Kind::PingRequest(request) => self.relay_probe(now, from, sender, &request),
-            Kind::Hello(_) => self.answer_greeting(from, sender),
+            Kind::Hello(_) => self.answer_hello(from, sender),
             Kind::HelloAnswer(_) => {
                 // An earlier incarnation or another process of that name would be contacted
                 // forever.
                 if self.is_known_incarnation(sender) {
-                    self.introduce(now, from, sender);
+                    self.start_sync(now, from, sender);
                 }
                 return;
             }
-            Kind::SyncSummary(summary) => self.take_summary(now, from, sender, &summary),
-            Kind::Push(push) => self.take_push(now, push),
+            Kind::SyncSummary(summary) => self.handle_summary(now, from, sender, &summary),
+            Kind::Push(push) => self.handle_push(now, push),
         }
-        self.meet(from, sender);
+        self.contact_unknown(from, sender);
     }
 }
--- a/crates/gossip/src/digest.rs
+++ b/crates/gossip/src/digest.rs
@@ -216,7 +216,7 @@
 #[derive(Clone, Debug)]
 struct OutgoingDigest {
     body: Vec<u8>,
-    taken_at: time::Duration,
+    measured_at: time::Duration,
     /// How often the digest was skipped since it was last sent, because it had not changed.
     skips: u32,
 }
@@ -257,7 +257,7 @@
         &mut self,
         key: DigestKey,
         body: Vec<u8>,
-        taken_at: time::Duration,
+        measured_at: time::Duration,
         receivers: &[id::VmKey],
     ) {
         let mut skips = 0;
@@ -269,7 +269,7 @@
             key,
             OutgoingDigest {
                 body,
-                taken_at,
+                measured_at,
                 skips,
             },
         );
@@ -311,7 +311,7 @@
 
     fn to_wire(&self, key: DigestKey, now: time::Duration) -> Option<proto::Digest> {
         let digest = self.latest.get(&key)?;
-        let age = now.saturating_sub(digest.taken_at);
+        let age = now.saturating_sub(digest.measured_at);
         (age <= MAX_AGE).then(|| proto::Digest {
             kind: key.kind.number(),
             subject: key.subject,
@@ -321,9 +321,9 @@
     }
 
     /// Removes digests that are too old to be sent.
-    pub fn forget_old(&mut self, now: time::Duration) {
+    pub fn remove_old(&mut self, now: time::Duration) {
         self.latest
-            .retain(|_, digest| now.saturating_sub(digest.taken_at) <= MAX_AGE);
+            .retain(|_, digest| now.saturating_sub(digest.measured_at) <= MAX_AGE);
     }
 }
 
@@ -332,33 +332,33 @@
 pub struct DigestTable {
     /// By subject and, where each VM has its own digest, by the sender's incarnation; otherwise by
     /// incarnation 0.
-    taken: collections::BTreeMap<(DigestKey, id::Incarnation), time::Duration>,
+    measured: collections::BTreeMap<(DigestKey, id::Incarnation), time::Duration>,
 }
 
 impl DigestTable {
-    /// Records a digest measured at `taken_at`; `false` when an equally new or newer one is known,
+    /// Records a digest measured at `measured_at`; `false` when an equally new or newer one is known,
     /// or the table is full.
-    pub fn take(
+    pub fn record(
         &mut self,
         key: DigestKey,
         sender: id::Incarnation,
-        taken_at: time::Duration,
+        measured_at: time::Duration,
     ) -> bool {
         let owner = match key.kind {
             DigestKind::EngineLoad => id::Incarnation(0),
             DigestKind::OrganisationDemand | DigestKind::EntryWork => sender,
         };
-        let full = self.taken.len() >= MAX_DIGESTS;
-        match self.taken.entry((key, owner)) {
+        let full = self.measured.len() >= MAX_DIGESTS;
+        match self.measured.entry((key, owner)) {
             collections::btree_map::Entry::Vacant(_) if full => false,
             collections::btree_map::Entry::Vacant(entry) => {
-                entry.insert(taken_at);
+                entry.insert(measured_at);
                 true
             }
             collections::btree_map::Entry::Occupied(mut entry) => {
-                let newer = taken_at > *entry.get();
+                let newer = measured_at > *entry.get();
                 if newer {
-                    entry.insert(taken_at);
+                    entry.insert(measured_at);
                 }
                 newer
             }
@@ -369,14 +369,14 @@
     #[must_use]
     pub fn load_measured_at(&self, subject: u64) -> Option<time::Duration> {
         let kind = DigestKind::EngineLoad;
-        self.taken
+        self.measured
             .get(&(DigestKey { kind, subject }, id::Incarnation(0)))
             .copied()
     }
 
     /// Removes digests that are too old to matter.
-    pub fn forget_old(&mut self, now: time::Duration) {
-        self.taken
-            .retain(|_, taken_at| now.saturating_sub(*taken_at) <= MAX_AGE * 2);
+    pub fn remove_old(&mut self, now: time::Duration) {
+        self.measured
+            .retain(|_, measured_at| now.saturating_sub(*measured_at) <= MAX_AGE * 2);
     }
 }
--- a/crates/gossip/src/digest_state.rs
+++ b/crates/gossip/src/digest_state.rs
@@ -13,7 +13,7 @@
 pub const DATAGRAM_OVERHEAD: usize = 85;
 
 /// A standby watcher sends a load when the newest one it received is at least this old.
-const STANDBY_AFTER: time::Duration = time::Duration::from_millis(3500);
+const STANDBY_TIMEOUT: time::Duration = time::Duration::from_millis(3500);
 
 /// Minimum interval between two computations of the watch plan: when a failure domain fails, many
 /// members change within seconds.
@@ -64,11 +64,11 @@
 
     /// Recomputes the watch plan after members or servers changed.
     pub(crate) fn plan_round(&mut self, now: time::Duration) {
-        if !self.digests.stale || now < self.dues.plan {
+        if !self.digests.stale || now < self.due_times.plan {
             return;
         }
         self.digests.stale = false;
-        self.dues.plan = now + PLAN_INTERVAL;
+        self.due_times.plan = now + PLAN_INTERVAL;
         let region = &self.own.place.region;
         let serving = self
             .table
@@ -98,8 +98,9 @@
         let subject = digest::subject_hash(server);
         let kind = digest::DigestKind::EngineLoad;
         let plan = self.watch_plan();
-        let heard = self.digests.table.load_measured_at(subject);
-        let silent = heard.is_none_or(|taken_at| now.saturating_sub(taken_at) >= STANDBY_AFTER);
+        let newest = self.digests.table.load_measured_at(subject);
+        let silent =
+            newest.is_none_or(|measured_at| now.saturating_sub(measured_at) >= STANDBY_TIMEOUT);
         let sends = match plan.duty(&self.identity.name, server) {
             watching::WatchDuty::First => true,
             watching::WatchDuty::Standby => silent,
@@ -175,18 +176,18 @@
         }
     }
 
-    pub(crate) fn take_digests(
+    pub(crate) fn apply_digests(
         &mut self,
         now: time::Duration,
         sender: &identity::ProcessIdentity,
         digests: Vec<proto::Digest>,
     ) {
         for digest in digests {
-            self.take_digest(now, sender, &digest);
+            self.apply_digest(now, sender, &digest);
         }
     }
 
-    fn take_digest(
+    fn apply_digest(
         &mut self,
         now: time::Duration,
         sender: &identity::ProcessIdentity,
@@ -204,8 +205,13 @@
             return;
         };
         // A digest from before this core was created counts as measured at its creation.
-        let taken_at = now.saturating_sub(age);
-        if age <= digest::MAX_AGE && self.digests.table.take(key, sender.incarnation, taken_at) {
+        let measured_at = now.saturating_sub(age);
+        if age <= digest::MAX_AGE
+            && self
+                .digests
+                .table
+                .record(key, sender.incarnation, measured_at)
+        {
             self.actions.push(CoreAction::Notify(event));
         }
     }
--- a/crates/gossip/src/discovery.rs
+++ b/crates/gossip/src/discovery.rs
@@ -9,16 +9,20 @@
 use proto::message::Kind;
 
 /// `Hello` messages in one round while no other member of the region is known.
-const JOIN_GREETINGS: usize = 5;
+const JOIN_HELLOS: usize = 5;
 
 /// While no VM answers, the interval between rounds grows to at most this many join intervals.
 const MAX_BACKOFF: u32 = 8;
 
 impl<R: rand::Rng> core::MemberCore<R> {
     /// Sends a `Hello` to a sender whose incarnation is not the one known here.
-    pub(crate) fn meet(&mut self, from: net::SocketAddr, sender: &identity::ProcessIdentity) {
-        if !self.is_known_incarnation(sender) && self.greetings_left > 0 {
-            self.greetings_left -= 1;
+    pub(crate) fn contact_unknown(
+        &mut self,
+        from: net::SocketAddr,
+        sender: &identity::ProcessIdentity,
+    ) {
+        if !self.is_known_incarnation(sender) && self.hellos_left > 0 {
+            self.hellos_left -= 1;
             let packet = packet::PacketBuilder::new(Kind::Hello(proto::Hello {}));
             self.send_packet(from, sender.clone(), packet);
         }
@@ -26,38 +30,38 @@
 
     /// Answers a `Hello` with the claim about this VM, and with any claim that the sender may have
     /// to refute.
-    pub(crate) fn answer_greeting(
+    pub(crate) fn answer_hello(
         &mut self,
         from: net::SocketAddr,
         sender: &identity::ProcessIdentity,
     ) {
         let mut packet = packet::PacketBuilder::new(Kind::HelloAnswer(proto::HelloAnswer {}));
         packet.add_claim(self.own.to_wire());
-        self.add_word_about(sender, &mut packet);
+        self.add_claim_about(sender, &mut packet);
         self.send_packet(from, sender.clone(), packet);
     }
 
     /// Sends `Hello` messages to absent members and seeds: several per round while no member of the
     /// region is known, otherwise one now and then. Without this, two sides of a partition that
     /// declared each other dead would never reconnect.
-    pub(crate) fn greet_round(&mut self, now: time::Duration) {
-        if now < self.dues.greeting {
+    pub(crate) fn hello_round(&mut self, now: time::Duration) {
+        if now < self.due_times.hello {
             return;
         }
         let alone = self.neighbours().is_empty();
         let (interval, count) = if alone {
-            self.lonely_rounds = self.lonely_rounds.saturating_add(1);
-            let backoff = (self.lonely_rounds / 4).clamp(1, MAX_BACKOFF);
-            (self.timing.join_interval * backoff, JOIN_GREETINGS)
+            self.isolated_rounds = self.isolated_rounds.saturating_add(1);
+            let backoff = (self.isolated_rounds / 4).clamp(1, MAX_BACKOFF);
+            (self.timing.join_interval * backoff, JOIN_HELLOS)
         } else {
-            self.lonely_rounds = 0;
+            self.isolated_rounds = 0;
             (self.timing.reconnect_interval, 1)
         };
-        self.dues.greeting = now + interval;
+        self.due_times.hello = now + interval;
         let absent = self.absent_addresses();
         let picked: Vec<net::SocketAddr> = absent.sample(&mut self.rng, count).copied().collect();
         for address in picked {
-            self.greet(address);
+            self.send_hello(address);
         }
     }
 
--- a/crates/gossip/src/driver.rs
+++ b/crates/gossip/src/driver.rs
@@ -20,7 +20,7 @@
 const ERROR_PAUSE: std::time::Duration = std::time::Duration::from_millis(10);
 
 /// Ticks during which the departure of this VM is disseminated.
-const GOODBYE_TICKS: u32 = 5;
+const DEPARTURE_TICKS: u32 = 5;
 
 /// Error that prevents gossip from starting.
 #[derive(Debug, snafu::Snafu)]
@@ -118,7 +118,7 @@
                 _ = ticker.tick() => {
                     let actions = self.core.on_tick(self.now());
                     self.perform(actions).await;
-                    self.show();
+                    self.publish_snapshot();
                 }
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((bytes, from)) => self.receive(from, &buffer[..bytes]).await,
@@ -137,8 +137,8 @@
                         return;
                     }
                     Some(command) => {
-                        self.obey(command).await;
-                        self.show();
+                        self.execute(command).await;
+                        self.publish_snapshot();
                     }
                     None => return,
                 },
@@ -163,7 +163,7 @@
         self.perform(actions).await;
     }
 
-    async fn obey(&mut self, command: handle::GossipCommand) {
+    async fn execute(&mut self, command: handle::GossipCommand) {
         let now = self.now();
         let actions = match command {
             handle::GossipCommand::Publish(update) => self.core.publish(now, &update),
@@ -201,7 +201,7 @@
     async fn depart(&mut self, ticker: &mut time::Interval) {
         let actions = self.core.depart(self.now());
         self.perform(actions).await;
-        for _ in 0..GOODBYE_TICKS {
+        for _ in 0..DEPARTURE_TICKS {
             ticker.tick().await;
             let actions = self.core.on_tick(self.now());
             self.perform(actions).await;
@@ -212,7 +212,7 @@
         for action in actions {
             match action {
                 event::CoreAction::Send(outgoing) => self.send(outgoing).await,
-                event::CoreAction::Notify(event) => self.tell(event),
+                event::CoreAction::Notify(event) => self.notify(event),
             }
         }
     }
@@ -234,7 +234,7 @@
         }
     }
 
-    fn tell(&mut self, event: event::GossipEvent) {
+    fn notify(&mut self, event: event::GossipEvent) {
         self.changed |= !matches!(
             event,
             event::GossipEvent::Load(_)
@@ -248,7 +248,7 @@
 
     /// Publishes a snapshot if anything changed: after each command and once per tick. More often
     /// would cost more than everything else while a configuration change spreads through 410 VMs.
-    fn show(&mut self) {
+    fn publish_snapshot(&mut self) {
         if std::mem::take(&mut self.changed) {
             self.snapshots
                 .send_replace(sync::Arc::new(self.core.snapshot(self.now())));
--- a/crates/gossip/src/in_force.rs
+++ b/crates/gossip/src/in_force.rs
@@ -12,7 +12,7 @@
 use crate::{core, event, item, member, packet, spread, update};
 
 /// Number of datagrams in which each member that learns a VM's state forwards it.
-const COPIES: u32 = 12;
+const IN_FORCE_COPIES: u32 = 12;
 
 /// Identifies one state of the configuration. Within one incarnation of a VM it only increases,
 /// since accepted configuration never reverts.
@@ -73,13 +73,13 @@
         }
     }
 
-    pub(crate) fn take_in_force(&mut self, words: &[proto::InForce]) {
-        for word in words {
+    pub(crate) fn apply_in_force(&mut self, reports: &[proto::InForce]) {
+        for report in reports {
             let state = StateKey {
-                offset: word.offset,
-                digest: word.digest,
+                offset: report.offset,
+                digest: report.digest,
             };
-            for holder in &word.holders {
+            for holder in &report.holders {
                 // A report on an incarnation that is not known yet is received again by
                 // anti-entropy.
                 if let Some(key) = self.table.holder(*holder) {
@@ -91,17 +91,17 @@
 
     fn set_in_force(&mut self, key: base::id::VmKey, state: StateKey) {
         if self.table.set_in_force(key, state) {
-            self.pass_on(spread::SpreadKey::InForce(key), false, COPIES);
+            self.forward(spread::SpreadKey::InForce(key), false, IN_FORCE_COPIES);
             let update = self
                 .table
                 .get(key)
                 .and_then(|record| self.configuration_of(record));
-            self.tell_configuration(update);
+            self.notify_configuration(update);
         }
     }
 
     /// Notifies of the configuration of each VM whose state was reported before its item arrived.
-    pub(crate) fn take_state(&mut self, state: &item::ItemKey) {
+    pub(crate) fn notify_state_known(&mut self, state: &item::ItemKey) {
         let records = self.table.iter().map(|(_, record)| record);
         let waiting = records.filter(|record| {
             record
@@ -112,7 +112,7 @@
             .map(|record| self.configuration_of(record))
             .collect();
         for update in update {
-            self.tell_configuration(update);
+            self.notify_configuration(update);
         }
     }
 
@@ -125,7 +125,7 @@
         update::ConfigurationUpdate::from_body(record.claim.name.clone(), &item.body)
     }
 
-    fn tell_configuration(&mut self, update: Option<update::ConfigurationUpdate>) {
+    fn notify_configuration(&mut self, update: Option<update::ConfigurationUpdate>) {
         if let Some(update) = update {
             let update = event::GossipEvent::Item(update::ItemUpdate::Configuration(update));
             self.actions.push(event::CoreAction::Notify(update));
--- a/crates/gossip/src/item.rs
+++ b/crates/gossip/src/item.rs
@@ -12,7 +12,7 @@
 
 /// Items with less remaining lifetime than this are not sent: because of network delays, two VMs
 /// could otherwise keep an item alive forever by sending it back and forth.
-const LAST_TRAVEL: time::Duration = time::Duration::from_secs(5);
+const MIN_SEND_TTL: time::Duration = time::Duration::from_secs(5);
 
 /// Kind of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -89,7 +89,7 @@
     /// When the item expires, by this VM's clock.
     pub expires_at: Option<time::Duration>,
     /// When this VM received or created the item.
-    pub taken_at: time::Duration,
+    pub added_at: time::Duration,
 }
 
 impl Item {
@@ -108,14 +108,14 @@
             version: item.version,
             body: item.body,
             expires_at: (!ttl.is_zero()).then_some(now + ttl),
-            taken_at: now,
+            added_at: now,
         })
     }
 
     /// The wire form of the item at `now`; `None` when it is about to expire.
     #[must_use]
     pub fn to_wire(&self, now: time::Duration) -> Option<proto::Item> {
-        if !self.travels(now) {
+        if !self.is_sendable(now) {
             return None;
         }
         let expires_in_ms = self.expires_at.map_or(0, |expires_at| {
@@ -132,9 +132,9 @@
 
     /// Whether enough lifetime remains for the item to be sent.
     #[must_use]
-    pub fn travels(&self, now: time::Duration) -> bool {
+    pub fn is_sendable(&self, now: time::Duration) -> bool {
         self.expires_at
-            .is_none_or(|expires_at| expires_at > now + LAST_TRAVEL)
+            .is_none_or(|expires_at| expires_at > now + MIN_SEND_TTL)
     }
 
     /// Whether the item has expired.
@@ -144,7 +144,7 @@
     }
 
     /// Whether this item takes precedence over `other`, which has the same key.
-    fn beats(&self, other: &Self) -> bool {
+    fn supersedes(&self, other: &Self) -> bool {
         (self.version, &self.body) > (other.version, &other.body)
     }
 }
@@ -162,7 +162,7 @@
     /// it was stored.
     pub fn merge(&mut self, item: Item) -> bool {
         if let Some(known) = self.items.get_mut(&item.key) {
-            let newer = item.beats(known);
+            let newer = item.supersedes(known);
             if newer {
                 *known = item;
             }
--- a/crates/gossip/src/linking.rs
+++ b/crates/gossip/src/linking.rs
@@ -21,22 +21,22 @@
 const SYNC_TURNS: u32 = 5;
 
 /// After this long without a datagram from another region, other addresses there are tried.
-const SEEK_AFTER: time::Duration = time::Duration::from_secs(3);
+const SILENCE_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
 /// `Hello` messages in one round of trying other addresses.
-const SEEK_GREETINGS: usize = 2;
+const REDISCOVERY_HELLOS: usize = 2;
 
 /// Interval at which a VM announces to its region that it received from another region.
 const BEACON_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
 /// A region from which no member of this region received for this long counts as lost.
-const LOST_AFTER: time::Duration = time::Duration::from_secs(10);
+const LOST_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// State of the link to another region.
 #[derive(Clone, Copy, Debug)]
 struct LinkRecord {
     /// When this VM last received from the region.
-    heard_at: time::Duration,
+    received_at: time::Duration,
     /// When any member of this VM's region last received from it, as far as is known here.
     beacon_at: time::Duration,
     /// Whether the region counts as lost.
@@ -60,7 +60,7 @@
 
     fn record(&mut self, region: &str, now: time::Duration) -> &mut LinkRecord {
         self.links.entry(region.to_owned()).or_insert(LinkRecord {
-            heard_at: now,
+            received_at: now,
             beacon_at: now,
             lost: false,
         })
@@ -85,13 +85,13 @@
         self.links.due = now + LINK_INTERVAL;
         self.links.turn = self.links.turn.wrapping_add(1);
         for (region, keys) in self.linked_regions().iter() {
-            self.write_to(now, region, keys);
+            self.contact_region(now, region, keys);
         }
-        self.notice_losses(now);
+        self.detect_losses(now);
     }
 
-    fn write_to(&mut self, now: time::Duration, region: &str, keys: &[id::VmKey]) {
-        let heard_at = self.links.record(region, now).heard_at;
+    fn contact_region(&mut self, now: time::Duration, region: &str, keys: &[id::VmKey]) {
+        let received_at = self.links.record(region, now).received_at;
         if let Some(&target) = keys.choose(&mut self.rng) {
             let kind = if self.links.turn.is_multiple_of(SYNC_TURNS) {
                 Kind::SyncSummary(self.sync_summary(now, true))
@@ -102,14 +102,14 @@
             self.send_to(now, target, kind);
         }
         // All its representatives may have been replaced without this region having learnt of it.
-        if keys.is_empty() || now.saturating_sub(heard_at) >= SEEK_AFTER {
+        if keys.is_empty() || now.saturating_sub(received_at) >= SILENCE_TIMEOUT {
             let addresses = self.addresses_in(region);
             let picked: Vec<net::SocketAddr> = addresses
-                .sample(&mut self.rng, SEEK_GREETINGS)
+                .sample(&mut self.rng, REDISCOVERY_HELLOS)
                 .copied()
                 .collect();
             for address in picked {
-                self.greet(address);
+                self.send_hello(address);
             }
         }
     }
@@ -125,7 +125,7 @@
     }
 
     /// Records that a datagram arrived from another region, and announces it within this region.
-    pub(crate) fn note_heard(&mut self, now: time::Duration, sender: &str) {
+    pub(crate) fn record_received(&mut self, now: time::Duration, sender: &str) {
         let Some(record) = self.table.named(sender) else {
             return;
         };
@@ -134,7 +134,7 @@
             return;
         }
         let link = self.links.record(&region, now);
-        link.heard_at = now;
+        link.received_at = now;
         if now.saturating_sub(link.beacon_at) >= BEACON_INTERVAL || link.lost {
             let key = item::ItemKey {
                 kind: item::ItemKind::Link,
@@ -151,37 +151,37 @@
                 version,
                 body: Vec::new(),
                 expires_at: None,
-                taken_at: now,
+                added_at: now,
             };
-            self.take_item(now, item);
+            self.apply_item(now, item);
         }
     }
 
     /// Records that a member of this region received from another region.
-    pub(crate) fn take_beacon(&mut self, now: time::Duration, region: &str) {
+    pub(crate) fn record_beacon(&mut self, now: time::Duration, region: &str) {
         let link = self.links.record(region, now);
         link.beacon_at = now;
         if std::mem::take(&mut link.lost) {
-            self.tell_link(region, true);
+            self.notify_link(region, true);
         }
     }
 
-    fn notice_losses(&mut self, now: time::Duration) {
-        let is_lost = |link: &LinkRecord| now.saturating_sub(link.beacon_at) >= LOST_AFTER;
+    fn detect_losses(&mut self, now: time::Duration) {
+        let is_lost = |link: &LinkRecord| now.saturating_sub(link.beacon_at) >= LOST_TIMEOUT;
         let links = self.links.links.iter_mut();
-        let fresh = links.filter(|(_, link)| !link.lost && is_lost(link));
-        let regions: Vec<String> = fresh
+        let newly_lost = links.filter(|(_, link)| !link.lost && is_lost(link));
+        let regions: Vec<String> = newly_lost
             .map(|(region, link)| {
                 link.lost = true;
                 region.clone()
             })
             .collect();
         for region in regions {
-            self.tell_link(&region, false);
+            self.notify_link(&region, false);
         }
     }
 
-    fn tell_link(&mut self, region: &str, reachable: bool) {
+    fn notify_link(&mut self, region: &str, reachable: bool) {
         self.actions
             .push(CoreAction::Notify(event::GossipEvent::Region(
                 event::RegionUpdate {
--- a/crates/gossip/src/list.rs
+++ b/crates/gossip/src/list.rs
@@ -38,14 +38,14 @@
         list: VmListReport,
     ) -> Vec<event::CoreAction> {
         let is_leaving = |claim: &claim::MemberClaim| {
-            let began_before = claim
+            let started_before = claim
                 .version
                 .incarnation
                 .started_at_ms
                 .saturating_add(CLOCK_MARGIN_MS)
                 <= list.as_of_ms;
             // The list lags: an entry may refer to an earlier incarnation of the same name.
-            list.leaving.contains(&claim.name) && began_before
+            list.leaving.contains(&claim.name) && started_before
         };
         let claims = self.table.iter().map(|(_, record)| &record.claim);
         let subjects: Vec<update::LeavingSubject> = claims
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -46,9 +46,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
     /// The claim was discarded: an equal or newer one is known, or it may not add a member.
-    Old,
+    Discarded,
     /// The claim is in force now.
-    Taken(id::VmKey),
+    Applied(id::VmKey),
 }
 
 /// All known members, including this VM.
@@ -82,7 +82,7 @@
             return self.add(record);
         };
         if claim.version <= self.records[key].claim.version {
-            return MergeOutcome::Old;
+            return MergeOutcome::Discarded;
         }
         let before = self.records[key].identity();
         if before.incarnation == claim.version.incarnation.id {
@@ -93,20 +93,20 @@
                 .insert(in_force::holder_hash(&record.identity()), key);
         }
         self.records[key] = record;
-        MergeOutcome::Taken(key)
+        MergeOutcome::Applied(key)
     }
 
     /// Adds an unknown member, unless it is not present or the table is full.
     fn add(&mut self, record: MemberRecord) -> MergeOutcome {
         if !record.state().is_present() || self.records.len() >= MAX_MEMBERS {
-            return MergeOutcome::Old;
+            return MergeOutcome::Discarded;
         }
         let name = record.claim.name.clone();
         let holder = in_force::holder_hash(&record.identity());
         let key = self.records.insert(record);
         self.names.insert(name, key);
         self.holders.insert(holder, key);
-        MergeOutcome::Taken(key)
+        MergeOutcome::Applied(key)
     }
 
     /// The key of a name.
@@ -150,16 +150,16 @@
         self.names.values().map(|key| (*key, &self.records[*key]))
     }
 
-    /// Postpones the expiry of every suspicion by `gap`, during which this process received
+    /// Postpones the expiry of every suspicion by `pause`, during which this process received
     /// nothing.
-    pub fn postpone_deaths(&mut self, gap: time::Duration) {
+    pub fn postpone_deaths(&mut self, pause: time::Duration) {
         for record in self.records.values_mut() {
-            record.dead_at = record.dead_at.map(|dead_at| dead_at + gap);
+            record.dead_at = record.dead_at.map(|dead_at| dead_at + pause);
         }
     }
 
     /// Removes members that have not been present since before `cutoff`.
-    pub fn forget_gone(&mut self, cutoff: time::Duration) {
+    pub fn remove_departed(&mut self, cutoff: time::Duration) {
         let (records, holders) = (&mut self.records, &mut self.holders);
         self.names.retain(|_, key| {
             let record = &records[*key];
--- a/crates/gossip/src/packet.rs
+++ b/crates/gossip/src/packet.rs
@@ -6,7 +6,7 @@
 use crate::in_force;
 
 /// Maximum encoded size of an `InForce` report without its holders.
-const WORD_BYTES: usize = (1 + 3) + (1 + 10) + (1 + 4) + (1 + 3);
+const IN_FORCE_BYTES: usize = (1 + 3) + (1 + 10) + (1 + 4) + (1 + 3);
 
 /// Encoded size of one holder.
 const HOLDER_BYTES: usize = 8;
@@ -16,7 +16,7 @@
 pub struct PacketBuilder {
     message: proto::Message,
     /// Bytes that may still be added.
-    room: usize,
+    remaining_bytes: usize,
 }
 
 impl PacketBuilder {
@@ -27,13 +27,16 @@
             kind: Some(kind),
             ..proto::Message::default()
         };
-        let room = datagram::MAX_PAYLOAD_BYTES.saturating_sub(message.encoded_len());
-        Self { message, room }
+        let remaining_bytes = datagram::MAX_PAYLOAD_BYTES.saturating_sub(message.encoded_len());
+        Self {
+            message,
+            remaining_bytes,
+        }
     }
 
     /// Attaches a claim if it fits.
     pub fn add_claim(&mut self, claim: proto::MemberClaim) -> bool {
-        let fits = self.take_room(claim.encoded_len());
+        let fits = self.reserve(claim.encoded_len());
         if fits {
             self.message.claims.push(claim);
         }
@@ -42,7 +45,7 @@
 
     /// Attaches an item if it fits.
     pub fn add_item(&mut self, item: proto::Item) -> bool {
-        let fits = self.take_room(item.encoded_len());
+        let fits = self.reserve(item.encoded_len());
         if fits {
             self.message.items.push(item);
         }
@@ -51,7 +54,7 @@
 
     /// Attaches a digest if it fits.
     pub fn add_digest(&mut self, digest: proto::Digest) -> bool {
-        let fits = self.take_room(digest.encoded_len());
+        let fits = self.reserve(digest.encoded_len());
         if fits {
             self.message.digests.push(digest);
         }
@@ -60,20 +63,20 @@
 
     /// Attaches the state in force on one incarnation, if it fits.
     pub fn add_in_force(&mut self, holder: u64, state: in_force::StateKey) -> bool {
-        let words = &mut self.message.in_force;
-        let word = words
+        let reports = &mut self.message.in_force;
+        let report = reports
             .iter_mut()
-            .find(|word| word.offset == state.offset && word.digest == state.digest);
-        let cost = word
+            .find(|report| report.offset == state.offset && report.digest == state.digest);
+        let cost = report
             .as_ref()
-            .map_or(WORD_BYTES + HOLDER_BYTES, |_| HOLDER_BYTES);
-        if cost > self.room {
+            .map_or(IN_FORCE_BYTES + HOLDER_BYTES, |_| HOLDER_BYTES);
+        if cost > self.remaining_bytes {
             return false;
         }
-        self.room -= cost;
-        match word {
-            Some(word) => word.holders.push(holder),
-            None => words.push(proto::InForce {
+        self.remaining_bytes -= cost;
+        match report {
+            Some(report) => report.holders.push(holder),
+            None => reports.push(proto::InForce {
                 offset: state.offset,
                 digest: state.digest,
                 holders: vec![holder],
@@ -101,11 +104,11 @@
         self.message.encode_to_vec()
     }
 
-    fn take_room(&mut self, bytes: usize) -> bool {
+    fn reserve(&mut self, bytes: usize) -> bool {
         let framed = 1 + prost::length_delimiter_len(bytes) + bytes;
-        let fits = framed <= self.room;
+        let fits = framed <= self.remaining_bytes;
         if fits {
-            self.room -= framed;
+            self.remaining_bytes -= framed;
         }
         fits
     }
--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -34,7 +34,7 @@
     /// The requester's number of the probe.
     pub number: u32,
     /// When the requester stops waiting.
-    pub over_at: time::Duration,
+    pub expires_at: time::Duration,
 }
 
 /// Order in which members are probed, and the probes under way.
@@ -42,7 +42,7 @@
 pub struct ProbeSchedule {
     /// Members not yet probed in this cycle; each is probed once before any is probed twice, so
     /// that a failure is detected within one cycle.
-    turn: Vec<id::VmKey>,
+    cycle: Vec<id::VmKey>,
     /// The probe under way.
     pub current: Option<ProbeRound>,
     /// Relayed probes, by their number on this VM.
@@ -63,11 +63,11 @@
         present: &[id::VmKey],
         rng: &mut R,
     ) -> Option<id::VmKey> {
-        if self.turn.is_empty() {
-            self.turn.extend_from_slice(present);
-            self.turn.shuffle(rng);
+        if self.cycle.is_empty() {
+            self.cycle.extend_from_slice(present);
+            self.cycle.shuffle(rng);
         }
-        while let Some(key) = self.turn.pop() {
+        while let Some(key) = self.cycle.pop() {
             if present.contains(&key) {
                 return Some(key);
             }
@@ -86,7 +86,7 @@
     }
 
     /// Handles an acknowledgement and returns the relayed probe that it belongs to, if any.
-    pub fn answered(&mut self, number: u32) -> Option<RelayedProbe> {
+    pub fn acknowledge(&mut self, number: u32) -> Option<RelayedProbe> {
         if self.current.is_some_and(|round| round.number == number) {
             self.current = None;
         }
@@ -94,7 +94,7 @@
     }
 
     /// Removes relayed probes whose requesters no longer wait.
-    pub fn forget_over(&mut self, now: time::Duration) {
-        self.relays.retain(|_, probe| probe.over_at > now);
+    pub fn remove_expired(&mut self, now: time::Duration) {
+        self.relays.retain(|_, probe| probe.expires_at > now);
     }
 }
--- a/crates/gossip/src/probing.rs
+++ b/crates/gossip/src/probing.rs
@@ -12,17 +12,17 @@
 impl<R: rand::Rng> core::MemberCore<R> {
     /// Continues the probe under way, or starts the next one.
     pub(crate) fn probe_round(&mut self, now: time::Duration) {
-        self.schedule.forget_over(now);
+        self.schedule.remove_expired(now);
         if let Some(round) = self.schedule.current
             && !round.indirect
             && now >= round.started_at + self.timing.ack_timeout
         {
-            self.ask_others(now, round);
+            self.request_indirect_probes(now, round);
         }
-        if now < self.dues.probe {
+        if now < self.due_times.probe {
             return;
         }
-        self.dues.probe = now + self.timing.probe_interval;
+        self.due_times.probe = now + self.timing.probe_interval;
         if let Some(round) = self.schedule.current.take() {
             self.suspect(now, round);
         }
@@ -30,10 +30,10 @@
         let Some(target) = self.schedule.next_target(&neighbours, &mut self.rng) else {
             return;
         };
-        self.begin_probe(now, target);
+        self.start_probe(now, target);
     }
 
-    fn begin_probe(&mut self, now: time::Duration, target: id::VmKey) {
+    fn start_probe(&mut self, now: time::Duration, target: id::VmKey) {
         let Some(record) = self.table.get(target) else {
             return;
         };
@@ -49,7 +49,7 @@
         self.send_to(now, target, Kind::Ping(proto::Ping { number }));
     }
 
-    fn ask_others(&mut self, now: time::Duration, round: probe::ProbeRound) {
+    fn request_indirect_probes(&mut self, now: time::Duration, round: probe::ProbeRound) {
         self.schedule.current = Some(probe::ProbeRound {
             indirect: true,
             ..round
@@ -80,7 +80,7 @@
         let same_incarnation = claim.version.incarnation.id == round.incarnation;
         if same_incarnation && claim.version.state == claim::MemberState::Alive {
             claim.version.state = claim::MemberState::Suspect;
-            self.take_claim(now, &claim);
+            self.apply_claim(now, &claim);
         }
     }
 
@@ -99,7 +99,7 @@
             requester: sender.clone(),
             address: from,
             number: request.number,
-            over_at: now + self.timing.probe_interval,
+            expires_at: now + self.timing.probe_interval,
         };
         if let Some(number) = self.schedule.relay(relayed) {
             self.send_to(now, target, Kind::Ping(proto::Ping { number }));
@@ -107,8 +107,8 @@
     }
 
     /// Handles an acknowledgement, and forwards it if the probe was relayed for another member.
-    pub(crate) fn take_ack(&mut self, now: time::Duration, number: u32) {
-        if let Some(relayed) = self.schedule.answered(number) {
+    pub(crate) fn handle_ack(&mut self, now: time::Duration, number: u32) {
+        if let Some(relayed) = self.schedule.acknowledge(number) {
             let ack = Kind::Ack(proto::Ack {
                 number: relayed.number,
             });
--- a/crates/gossip/src/receiving.rs
+++ b/crates/gossip/src/receiving.rs
@@ -12,14 +12,15 @@
     /// Suppresses forwarding of updates that a newly started VM learns from answers to its
     /// summaries: the answering VMs know them. Forwarding claims about 410 members would take half
     /// a minute.
-    pub(crate) fn mute(&mut self, now: time::Duration, kind: &Kind) {
+    pub(crate) fn suppress_forwarding(&mut self, now: time::Duration, kind: &Kind) {
         let answer = matches!(kind, Kind::Push(push) if push.sync);
-        self.muted = answer && now.saturating_sub(self.began_at) < sync::CATCHING_UP;
+        self.forwarding_suppressed =
+            answer && now.saturating_sub(self.started_at) < sync::CATCH_UP_PERIOD;
     }
 
     /// Queues an update for `copies` datagrams, unless forwarding is suppressed.
-    pub(crate) fn pass_on(&mut self, key: spread::SpreadKey, urgent: bool, copies: u32) {
-        if !self.muted {
+    pub(crate) fn forward(&mut self, key: spread::SpreadKey, urgent: bool, copies: u32) {
+        if !self.forwarding_suppressed {
             self.queue.add(key, urgent, copies);
         }
     }
@@ -35,37 +36,37 @@
         if same {
             return;
         }
-        let above = known.map(|item| item.version).unwrap_or_default();
+        let known_version = known.map(|item| item.version).unwrap_or_default();
         let item = item::Item {
             key,
-            version: above.saturating_add(1),
+            version: known_version.saturating_add(1),
             body,
             expires_at: Some(now.saturating_add(ttl)),
-            taken_at: now,
+            added_at: now,
         };
-        self.take_item(now, item);
+        self.apply_item(now, item);
     }
 
-    pub(crate) fn take_claims(&mut self, now: time::Duration, claims: Vec<proto::MemberClaim>) {
-        for heard in claims
+    pub(crate) fn apply_claims(&mut self, now: time::Duration, claims: Vec<proto::MemberClaim>) {
+        for received in claims
             .into_iter()
             .filter_map(claim::ReceivedClaim::from_wire)
         {
-            if heard.name == self.identity.name {
-                self.take_own_claim(now, &heard);
-            } else if let Some(claim) = self.complete(heard) {
-                self.take_claim(now, &claim);
+            if received.name == self.identity.name {
+                self.apply_own_claim(now, &received);
+            } else if let Some(claim) = self.complete_claim(received) {
+                self.apply_claim(now, &claim);
             }
         }
     }
 
     /// Adds the omitted location; `None` when that incarnation is not known here.
-    fn complete(&self, heard: claim::ReceivedClaim) -> Option<claim::MemberClaim> {
+    fn complete_claim(&self, received: claim::ReceivedClaim) -> Option<claim::MemberClaim> {
         let claim::ReceivedClaim {
             name,
             version,
             place,
-        } = heard;
+        } = received;
         let known = || {
             let record = self.table.named(&name)?;
             let same_incarnation = record.claim.version.incarnation.id == version.incarnation.id;
@@ -80,11 +81,11 @@
     }
 
     /// Applies a claim about a member; if it is new, forwards it and notifies the subscribers.
-    pub(crate) fn take_claim(&mut self, now: time::Duration, claim: &claim::MemberClaim) {
+    pub(crate) fn apply_claim(&mut self, now: time::Duration, claim: &claim::MemberClaim) {
         let dead_at = now + self.timing.suspicion_timeout;
-        if let member::MergeOutcome::Taken(key) = self.table.merge(claim, now, dead_at) {
+        if let member::MergeOutcome::Applied(key) = self.table.merge(claim, now, dead_at) {
             let copies = self.timing.urgent_copies;
-            self.pass_on(spread::SpreadKey::Member(key), true, copies);
+            self.forward(spread::SpreadKey::Member(key), true, copies);
             self.roster.stale = true;
             self.digests.stale = true;
             self.actions
@@ -95,17 +96,17 @@
     }
 
     /// Refutes a claim of others about this VM, or reports a name conflict.
-    fn take_own_claim(&mut self, now: time::Duration, claim: &claim::ReceivedClaim) {
+    fn apply_own_claim(&mut self, now: time::Duration, claim: &claim::ReceivedClaim) {
         let own = self.own.version;
         if claim.version <= own || own.state == claim::MemberState::Left {
             return;
         }
         let address = claim.place.as_ref().map(|place| place.address);
-        let here = address == Some(self.own.place.address);
+        let same_address = address == Some(self.own.place.address);
         if claim.version.incarnation.id == self.identity.incarnation {
             self.own.version.incarnation = own.incarnation.max(claim.version.incarnation);
             self.own.version.refutation = claim.version.refutation.saturating_add(1);
-        } else if claim.version.state.is_present() && !here {
+        } else if claim.version.state.is_present() && !same_address {
             // Two processes with one name, or an earlier incarnation at another address whose clock
             // was ahead. The latter does not answer and will be declared dead; then this one
             // supersedes it.
@@ -123,26 +124,26 @@
             self.own.version.incarnation.started_at_ms =
                 claim.version.incarnation.started_at_ms.saturating_add(1);
         }
-        self.tell_own(now);
+        self.announce_own(now);
     }
 
     /// Announces the claim about this VM after it changed.
-    pub(crate) fn tell_own(&mut self, now: time::Duration) {
+    pub(crate) fn announce_own(&mut self, now: time::Duration) {
         let own = self.own.clone();
-        self.muted = false;
-        self.take_claim(now, &own);
+        self.forwarding_suppressed = false;
+        self.apply_claim(now, &own);
     }
 
-    pub(crate) fn take_items(&mut self, now: time::Duration, items: Vec<proto::Item>) {
+    pub(crate) fn apply_items(&mut self, now: time::Duration, items: Vec<proto::Item>) {
         for item in items
             .into_iter()
             .filter_map(|item| item::Item::from_wire(item, now))
         {
-            self.take_item(now, item);
+            self.apply_item(now, item);
         }
     }
 
-    pub(crate) fn take_item(&mut self, now: time::Duration, item: item::Item) {
+    pub(crate) fn apply_item(&mut self, now: time::Duration, item: item::Item) {
         let (key, update) = (item.key.clone(), update::ItemUpdate::from_item(&item, now));
         let for_core = matches!(
             key.kind,
@@ -161,10 +162,10 @@
         } else {
             timing.slow_copies
         };
-        self.pass_on(spread::SpreadKey::Item(key.clone()), urgent, copies);
+        self.forward(spread::SpreadKey::Item(key.clone()), urgent, copies);
         match update {
-            None if key.kind == item::ItemKind::Link => self.take_beacon(now, &key.subject),
-            None => self.take_state(&key),
+            None if key.kind == item::ItemKind::Link => self.record_beacon(now, &key.subject),
+            None => self.notify_state_known(&key),
             Some(update) => {
                 self.digests.stale |= key.kind == item::ItemKind::Leaving;
                 self.actions
--- a/crates/gossip/src/roster.rs
+++ b/crates/gossip/src/roster.rs
@@ -28,7 +28,7 @@
 impl<R: rand::Rng> core::MemberCore<R> {
     /// The present members of this region, without this VM.
     pub(crate) fn neighbours(&mut self) -> sync::Arc<[id::VmKey]> {
-        self.renew_roster();
+        self.refresh_roster();
         sync::Arc::clone(&self.roster.neighbours)
     }
 
@@ -36,11 +36,11 @@
     pub(crate) fn linked_regions(
         &mut self,
     ) -> sync::Arc<collections::BTreeMap<String, Vec<id::VmKey>>> {
-        self.renew_roster();
+        self.refresh_roster();
         sync::Arc::clone(&self.roster.links)
     }
 
-    fn renew_roster(&mut self) {
+    fn refresh_roster(&mut self) {
         if !std::mem::take(&mut self.roster.stale) {
             return;
         }
@@ -52,12 +52,12 @@
         });
         self.roster.neighbours = others.map(|(key, _)| key).collect();
         let own_key = self.table.key(&self.identity.name);
-        let speaks = |other: &String| {
+        let is_representative = |other: &String| {
             self.representatives(own, other)
                 .iter()
                 .any(|key| Some(*key) == own_key)
         };
-        let regions = self.other_regions().into_iter().filter(speaks);
+        let regions = self.other_regions().into_iter().filter(is_representative);
         let links = regions.map(|other| (other.clone(), self.representatives(&other, own)));
         self.roster.links = sync::Arc::new(links.collect());
     }
--- a/crates/gossip/src/sending.rs
+++ b/crates/gossip/src/sending.rs
@@ -12,9 +12,9 @@
 impl<R: rand::Rng> core::MemberCore<R> {
     /// Sends the queued updates to randomly chosen members.
     pub(crate) fn spread_round(&mut self, now: time::Duration) {
-        let slow = now >= self.dues.slow_round;
+        let slow = now >= self.due_times.slow_round;
         if slow {
-            self.dues.slow_round = now + self.timing.slow_interval;
+            self.due_times.slow_round = now + self.timing.slow_interval;
         }
         if !(self.queue.has_urgent() || slow && !self.queue.is_empty()) {
             return;
@@ -49,12 +49,12 @@
         kind: Kind,
     ) {
         let mut packet = packet::PacketBuilder::new(kind);
-        self.add_word_about(receiver, &mut packet);
+        self.add_claim_about(receiver, &mut packet);
         let (table, items) = (&self.table, &self.items);
         let region = table
             .named(&receiver.name)
             .map(|record| &record.claim.place.region);
-        let abroad = region.is_some_and(|region| *region != self.own.place.region);
+        let to_other_region = region.is_some_and(|region| *region != self.own.place.region);
         self.queue.offer(|key| match key {
             spread::SpreadKey::Member(key) => table
                 .get(*key)
@@ -62,7 +62,9 @@
             spread::SpreadKey::InForce(key) => table
                 .get(*key)
                 .is_some_and(|record| record.add_in_force(&mut packet)),
-            spread::SpreadKey::Item(key) if abroad && key.kind == item::ItemKind::Link => false,
+            spread::SpreadKey::Item(key) if to_other_region && key.kind == item::ItemKind::Link => {
+                false
+            }
             spread::SpreadKey::Item(key) => items
                 .get(key)
                 .and_then(|item| item.to_wire(now))
@@ -73,7 +75,7 @@
 
     /// Attaches the claim about the receiver if it is suspect, dead or of another incarnation, so
     /// that the receiver can refute it.
-    pub(crate) fn add_word_about(
+    pub(crate) fn add_claim_about(
         &self,
         receiver: &identity::ProcessIdentity,
         packet: &mut packet::PacketBuilder,
@@ -103,7 +105,7 @@
     }
 
     /// Sends a `Hello` to an address whose incarnation is unknown.
-    pub(crate) fn greet(&mut self, address: net::SocketAddr) {
+    pub(crate) fn send_hello(&mut self, address: net::SocketAddr) {
         let packet = packet::PacketBuilder::new(Kind::Hello(proto::Hello {}));
         self.actions
             .push(event::CoreAction::Send(event::OutgoingDatagram {
--- a/crates/gossip/src/sync.rs
+++ b/crates/gossip/src/sync.rs
@@ -14,10 +14,10 @@
 const BUCKETS: usize = 64;
 
 /// Interval to the next summary when the answer to the last one did not fit.
-const MORE_INTERVAL: time::Duration = time::Duration::from_millis(100);
+const FOLLOW_UP_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// For this long after its start a VM sends the next summary as soon as it received an answer.
-pub(crate) const CATCHING_UP: time::Duration = time::Duration::from_secs(15);
+pub(crate) const CATCH_UP_PERIOD: time::Duration = time::Duration::from_secs(15);
 
 /// An entry that anti-entropy compares and sends.
 #[derive(Clone, Copy, Debug)]
@@ -83,10 +83,10 @@
 impl<R: rand::Rng> core::MemberCore<R> {
     /// Sends a state summary to one neighbour.
     pub(crate) fn sync_round(&mut self, now: time::Duration) {
-        if now < self.dues.sync {
+        if now < self.due_times.sync {
             return;
         }
-        self.dues.sync = now + self.timing.sync_interval;
+        self.due_times.sync = now + self.timing.sync_interval;
         let neighbours = self.neighbours();
         if let Some(&target) = neighbours.choose(&mut self.rng) {
             let summary = Kind::SyncSummary(self.sync_summary(now, true));
@@ -125,12 +125,12 @@
             item::ItemKind::Link => false,
             item::ItemKind::Configuration
             | item::ItemKind::Leaving
-            | item::ItemKind::Quarantine => item.travels(now),
+            | item::ItemKind::Quarantine => item.is_sendable(now),
         }
     }
 
     /// Answers a summary with everything in the buckets that differ, as far as it fits.
-    pub(crate) fn take_summary(
+    pub(crate) fn handle_summary(
         &mut self,
         now: time::Duration,
         from: net::SocketAddr,
@@ -193,15 +193,15 @@
 
     /// Schedules the next summary soon when the answer did not fit, or this VM has just started: it
     /// lacks much state, and some of it can be applied only after the rest.
-    pub(crate) fn take_push(&mut self, now: time::Duration, push: proto::Push) {
-        let catching_up = now.saturating_sub(self.began_at) < CATCHING_UP;
-        if push.sync && (push.more || catching_up) {
-            self.dues.sync = self.dues.sync.min(now + MORE_INTERVAL);
+    pub(crate) fn handle_push(&mut self, now: time::Duration, push: proto::Push) {
+        let is_catching_up = now.saturating_sub(self.started_at) < CATCH_UP_PERIOD;
+        if push.sync && (push.more || is_catching_up) {
+            self.due_times.sync = self.due_times.sync.min(now + FOLLOW_UP_INTERVAL);
         }
     }
 
     /// Starts anti-entropy with a member that has just answered a `Hello`.
-    pub(crate) fn introduce(
+    pub(crate) fn start_sync(
         &mut self,
         now: time::Duration,
         from: net::SocketAddr,
--- a/crates/gossip/src/update.rs
+++ b/crates/gossip/src/update.rs
@@ -164,7 +164,7 @@
             Self::Leaving(_) => Vec::new(),
             Self::Quarantine(update) => proto::QuarantineBody {
                 lifted: update.lifted,
-                reason: cut(&update.reason, MAX_REASON_BYTES),
+                reason: truncate(&update.reason, MAX_REASON_BYTES),
             }
             .encode_to_vec(),
         }
@@ -182,7 +182,7 @@
 }
 
 /// The longest prefix of `text` that has at most `bytes` bytes.
-fn cut(text: &str, bytes: usize) -> String {
+fn truncate(text: &str, bytes: usize) -> String {
     let end = (0..=bytes.min(text.len()))
         .rev()
         .find(|end| text.is_char_boundary(*end));
