--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -1,4 +1,4 @@
-//! What a call needs to know, and how it ends.
+//! Options and errors of calls.
 
 use std::{net, time};
 
@@ -7,74 +7,78 @@
 use crate::{handshake, proto::peer};
 use peer::{reply, response};
 
-/// Why a call has no answer.
+/// Error of a call that got no valid response.
 #[derive(Debug, snafu::Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CallError {
-    /// No connection.
-    #[snafu(display("no connection to {address}: {source}; it may be down, ask another VM"))]
+    /// The connection could not be opened.
+    #[snafu(display(
+        "cannot connect to {address}: {source}; the VM may be down, call another one"
+    ))]
     Connect {
-        /// Whom.
+        /// Address of the other VM.
         address: net::SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The handshake failed.
-    #[snafu(display("no connection to {address}: {source}"))]
+    #[snafu(display("handshake with {address} failed: {source}"))]
     Handshake {
-        /// Whom.
+        /// Address of the other VM.
         address: net::SocketAddr,
-        /// Why.
+        /// Error of the handshake.
         source: handshake::HandshakeError,
     },
-    /// The other side refused before anything was started.
-    #[snafu(display("{address} refused the call: {message}"))]
+    /// The other side rejected the call before it started.
+    #[snafu(display("{address} rejected the call: {message}"))]
     Refused {
-        /// Whom.
+        /// Address of the other VM.
         address: net::SocketAddr,
-        /// Why, for programs.
+        /// Reason, for programs.
         kind: peer::FailureKind,
-        /// Why, for people.
+        /// Reason, for operators.
         message: String,
     },
-    /// The other side failed and may have had an effect.
+    /// The other side failed; the call may have had an effect.
     #[snafu(display("{address} failed and the call may have had an effect: {message}"))]
     Failed {
-        /// Whom.
+        /// Address of the other VM.
         address: net::SocketAddr,
-        /// Why.
+        /// Reason, for operators.
         message: String,
     },
-    /// The connection broke or went silent with the call under way.
+    /// The connection broke or fell silent during the call.
     #[snafu(display("the connection to {address} was lost; the call may have had an effect"))]
     Lost {
-        /// Whom.
+        /// Address of the other VM.
         address: net::SocketAddr,
     },
-    /// The connection broke before the call was written.
-    #[snafu(display("the connection to {address} was lost before the call left; call again"))]
+    /// The connection broke before the call was sent.
+    #[snafu(display("the connection to {address} was lost before the call was sent; call again"))]
     NotSent {
-        /// Whom.
+        /// Address of the other VM.
         address: net::SocketAddr,
     },
-    /// The deadline passed.
-    #[snafu(display("{address} did not answer in time; ask another VM or allow more time"))]
+    /// The deadline passed without a response.
+    #[snafu(display("{address} did not answer before the deadline; call another VM or extend it"))]
     Deadline {
-        /// Whom.
+        /// Address of the other VM.
         address: net::SocketAddr,
-        /// Whether it may have had an effect.
+        /// Whether the call may have had an effect.
         ran: outcome::RanState,
     },
-    /// The answer is not one to this kind of request.
-    #[snafu(display("{address} gave an answer that is none to this call; compare releases"))]
+    /// The response does not match the kind of the request.
+    #[snafu(display(
+        "the response of {address} does not match the request; compare the releases of both VMs"
+    ))]
     Nonsense {
-        /// Whom.
+        /// Address of the other VM.
         address: net::SocketAddr,
     },
 }
 
 impl CallError {
-    /// Whether the call had an effect, as far as this side can prove.
+    /// Whether the call had an effect, as far as this side can tell.
     #[must_use]
     pub const fn ran(&self) -> outcome::RanState {
         match self {
@@ -90,17 +94,17 @@
     }
 }
 
-/// How long a call may take, and whether it may be made twice.
+/// Timeout of a call, and whether it may be repeated.
 #[derive(Clone, Copy, Debug)]
 pub struct CallOptions {
-    /// The whole call, connecting and repeating included.
+    /// Timeout of the complete call, including connecting and repeated attempts.
     pub within: time::Duration,
-    /// Whether it does no harm when it runs twice; then a lost connection is replaced and the
-    /// call made again while there is time.
+    /// Whether the call may run twice without harm; then it is repeated on a new connection after a
+    /// connection is lost, while the timeout allows.
     pub repeatable: bool,
 }
 
-/// What a reply says to the one who called `address`.
+/// Converts a reply from `address` into the result of the call.
 pub(crate) fn read_reply(
     address: net::SocketAddr,
     kind: reply::Kind,
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -1,4 +1,4 @@
-//! The side that calls other entry VMs.
+//! Client for calls to other entry VMs.
 
 use std::{collections, net, sync, time};
 
@@ -12,22 +12,22 @@
 use connection::{CallEnd, ConnectionCommand};
 use peer::{request, response};
 
-/// Calls that wait to be written on one connection.
+/// Maximum number of calls queued for sending on one connection.
 const CALL_BACKLOG: usize = 64;
 
-/// Connections that one call tries at the most.
+/// Maximum number of attempts per call, each on its own connection if the last one was lost.
 const MAX_TRIES: u32 = 3;
 
-/// Bounds of a client.
+/// Limits of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Connecting may take this long.
+    /// Timeout of connecting, and of the handshake.
     pub connect: time::Duration,
-    /// A connection with a call under way that shows nothing for this long is replaced.
+    /// A connection with calls in progress that receives nothing for this long is replaced.
     pub silence: time::Duration,
-    /// A connection without a call for this long is closed.
+    /// A connection without calls for this long is closed.
     pub idle: time::Duration,
-    /// Largest frame.
+    /// Maximum size of a frame.
     pub frame_bytes: usize,
 }
 
@@ -44,7 +44,7 @@
 
 /// Opens streams to other entry VMs.
 pub trait StreamConnector: Send + Sync + 'static {
-    /// What it opens.
+    /// Type of the streams.
     type Stream: io::AsyncRead + io::AsyncWrite + Unpin + Send + 'static;
 
     /// Opens one stream.
@@ -63,13 +63,13 @@
 
     async fn connect(&self, address: net::SocketAddr) -> std::io::Result<Self::Stream> {
         let stream = tokio::net::TcpStream::connect(address).await?;
-        // Calls are short; waiting to fill a segment would only delay them.
+        // Calls are short; Nagle's algorithm would only delay them.
         stream.set_nodelay(true)?;
         Ok(stream)
     }
 }
 
-/// Calls other entry VMs; cheap to clone. Connections are kept and shared.
+/// Calls other entry VMs; cheap to clone. Clones share the open connections.
 #[derive(Debug)]
 pub struct PeerClient<C = TcpConnector> {
     shared: sync::Arc<SharedClient<C>>,
@@ -89,8 +89,8 @@
     own: identity::ProcessIdentity,
     keys: key::KeyHandle,
     limits: ClientLimits,
-    /// One slot for each address that was called; its lock is held while connecting, so that
-    /// many calls at once open one connection.
+    /// One slot per called address; its lock is held while connecting, so that concurrent calls
+    /// open only one connection.
     slots: sync::Mutex<collections::HashMap<net::SocketAddr, SharedSlot>>,
     calls: sync::atomic::AtomicU64,
     stamper: stamper::MessageStamper,
@@ -100,7 +100,7 @@
 type ConnectionSender = channels::mpsc::Sender<ConnectionCommand>;
 
 impl PeerClient {
-    /// A client of the process `own` over TCP.
+    /// Creates a client of the process `own` over TCP.
     #[must_use]
     pub fn new(own: identity::ProcessIdentity, keys: key::KeyHandle, limits: ClientLimits) -> Self {
         Self::with_connector(own, keys, limits, TcpConnector)
@@ -108,7 +108,7 @@
 }
 
 impl<C: StreamConnector> PeerClient<C> {
-    /// A client of the process `own` over streams of another kind.
+    /// Creates a client of the process `own` over the streams of `connector`.
     #[must_use]
     pub fn with_connector(
         own: identity::ProcessIdentity,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The same client with stamps on its calls; it makes connections of its own.
+    /// Returns a copy of this client that stamps its calls; it does not share connections.
     #[must_use]
     pub fn with_stamper(&self, stamper: stamper::MessageStamper) -> Self
     where
@@ -149,10 +149,11 @@
         }
     }
 
-    /// Makes one call.
+    /// Sends a request and waits for the response.
     ///
     /// # Errors
-    /// Why there is no answer; [`CallError::ran`] tells whether it may have had an effect.
+    /// When there is no valid response; [`CallError::ran`] tells whether the call may have had an
+    /// effect.
     pub async fn call(
         &self,
         address: net::SocketAddr,
@@ -208,7 +209,7 @@
         {
             return call::NotSentSnafu { address }.fail();
         }
-        // Also when the caller itself is dropped, the other side need not go on.
+        // Cancels the call on the other side also when the caller's future is dropped.
         let guard = CancelGuard { connection, id };
         let waited = tokio::time::timeout_at(deadline, end).await;
         drop(guard);
@@ -223,12 +224,12 @@
         }
     }
 
-    /// The connection to `address`; a new one when there is none or it has ended.
+    /// Returns the open connection to `address`, or opens a new one.
     async fn connection(&self, address: net::SocketAddr) -> Result<ConnectionSender, CallError> {
         let slot = {
             let slots = self.shared.slots.lock();
             let mut slots = slots.unwrap_or_else(sync::PoisonError::into_inner);
-            // A slot that nobody else holds and whose connection has ended is of no more use.
+            // Unreferenced slots whose connection has ended are removed.
             slots.retain(|_, slot| sync::Arc::strong_count(slot) > 1 || is_open(slot));
             sync::Arc::clone(slots.entry(address).or_default())
         };
@@ -278,7 +279,7 @@
         .is_ok_and(|slot| slot.as_ref().is_some_and(|sender| !sender.is_closed()))
 }
 
-/// Tells the other side that nobody waits any more.
+/// Cancels the call on the other side when dropped.
 struct CancelGuard {
     connection: ConnectionSender,
     id: u64,
@@ -286,7 +287,7 @@
 
 impl Drop for CancelGuard {
     fn drop(&mut self) {
-        // When the backlog is full the call runs to its deadline there; no harm.
+        // When the backlog is full, the call harmlessly runs to its deadline there.
         let _ = self.connection.try_send(ConnectionCommand::Cancel(self.id));
     }
 }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection that this process opened, with the calls under way on it.
+//! Client side of a connection, with its calls in progress.
 
 use std::{collections, time};
 
@@ -9,20 +9,20 @@
 use crate::{handshake, key, proto::peer};
 use peer::{client_frame, server_frame};
 
-/// How one call ended, as the connection sees it.
+/// Outcome of a call on its connection.
 #[derive(Debug)]
 pub(crate) enum CallEnd {
-    /// The other side answered.
+    /// The other side replied.
     Replied(peer::reply::Kind),
-    /// The connection was over before the call was written: it did not run.
+    /// The connection ended before the call was sent: the call did not run.
     NotSent,
-    /// The connection ended with the call under way.
+    /// The connection ended during the call.
     Closed,
-    /// The connection went silent with the call under way.
+    /// The connection fell silent during the call.
     Silent,
 }
 
-/// A call to be made.
+/// A call to be sent.
 #[derive(Debug)]
 pub(crate) struct OutgoingCall {
     /// Unique on the connection.
@@ -32,40 +32,40 @@
     pub done: channels::oneshot::Sender<CallEnd>,
 }
 
-/// What the connection is asked to do.
+/// A command to the connection.
 #[derive(Debug)]
 pub(crate) enum ConnectionCommand {
     Call(Box<OutgoingCall>),
-    /// Nobody waits for this call any more.
+    /// The caller no longer waits for this call.
     Cancel(u64),
 }
 
 /// Time limits of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
-    /// An unanswered ping this old means that the connection is silent.
+    /// A connection whose ping is unanswered for this long counts as silent.
     pub silence: time::Duration,
-    /// Pings this often while calls are under way.
+    /// Interval between checks for silence, with pings while calls are in progress.
     pub heartbeat: time::Duration,
-    /// Closed after this long without a call.
+    /// A connection without calls for this long is closed.
     pub idle: time::Duration,
 }
 
-/// Why a connection ended.
+/// Reason why a connection ended.
 enum Ending {
     Closed,
     Silent,
 }
 
-/// Runs one connection; ends when it breaks, goes silent or has been idle.
+/// Runs one connection until it breaks, falls silent or has been idle.
 pub(crate) struct ConnectionActor<S> {
     session: handshake::Session<S>,
     keys: key::KeyHandle,
     limits: ConnectionLimits,
     stamper: stamper::MessageStamper,
-    /// Calls that were written and not yet answered.
+    /// Calls that were sent and not yet answered.
     pending: collections::BTreeMap<u64, channels::oneshot::Sender<CallEnd>>,
-    /// When the ping that still has no answer was sent. Whatever arrives answers it.
+    /// When the unanswered ping was sent. Any received frame counts as its answer.
     pinged_at: Option<Instant>,
     last_call: Instant,
     pings: u64,
@@ -115,7 +115,7 @@
     ) -> Result<Ending, Ending> {
         let mut heartbeat = tokio::time::interval(self.limits.heartbeat);
         heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        // The first frame shows the server that this side has the key.
+        // The first frame proves to the server that this side has the key.
         self.ping().await?;
         loop {
             tokio::select! {
@@ -138,9 +138,9 @@
         }
     }
 
-    /// Notices silence: something between the two ends may have lost track of the connection, and
-    /// then nothing ever arrives, not even an error. So while a call waits there is always a ping
-    /// on its way, and a ping that stays unanswered ends the connection.
+    /// Detects silent connections: a middlebox may lose the connection's state, after which nothing
+    /// arrives, not even an error. So a ping is always outstanding while a call is pending, and an
+    /// unanswered ping ends the connection.
     async fn watch(&mut self) -> Result<(), Ending> {
         if self.keys.current().accepted(self.session.key_id).is_none() {
             return Err(Ending::Closed);
@@ -159,7 +159,8 @@
             return Err(Ending::Closed);
         };
         self.pinged_at = None;
-        // A reply that nobody waits for is late; there is no other call it could be taken for.
+        // A reply without a pending call arrived late; call ids are unique, so it matches no other
+        // call.
         if let server_frame::Kind::Reply(reply) = &kind {
             self.stamper.observe(&self.session.peer.name, reply.stamp);
         }
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -1,33 +1,35 @@
-//! Datagrams: bounded, authenticated, protected against replay.
+//! Datagrams: limited in size, authenticated, protected against replay.
 //!
-//! Layout: one byte for version and binding, one for the key's number, the MAC, then an
+//! Layout: one byte for version and binding, one byte for the key id, the MAC, then an
 //! [`envelope::Datagram`]. The MAC is checked before anything is decoded.
 //!
-//! A *bound* datagram is one whose MAC also covers the receiver's name and incarnation, which
-//! costs no byte on the wire. Replayed to another VM, or to the same VM after a restart, its MAC
-//! is wrong. Only a greeting, sent before the receiver's incarnation is known, is not bound; its
-//! receiver must do no more than answer it.
+//! The MAC of a *bound* datagram also covers the receiver's name and incarnation, which adds no
+//! bytes on the wire. When it is replayed to another VM, or to the same VM after a restart, its MAC
+//! does not verify. Only a `Hello`, sent before the receiver's incarnation is known, is unbound;
+//! its receiver must only answer it.
 
 use prost::Message as _;
 use trace::stamper;
 
 use crate::{identity, key, proto::envelope, replay};
 
-/// Largest datagram, headers of UDP and IP not counted: fits any path without fragments.
+/// Maximum size of a datagram without UDP and IP headers: small enough for any path without
+/// fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// Largest payload, whatever the sender's name and counter.
+/// Maximum size of the payload, for any name and counter of the sender.
 pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - MAX_ENVELOPE_BYTES;
 
-/// Version and binding, key number, MAC.
+/// Version and binding, key id, MAC.
 const HEADER_BYTES: usize = 2 + key::TAG_BYTES;
 
-/// All of an envelope but its payload: name, incarnation, counter, the payload's own length, and
-/// the stamp.
+/// Maximum size of an envelope without its payload: name, incarnation, counter, the length of the
+/// payload, and the stamp.
 const MAX_ENVELOPE_BYTES: usize =
     (2 + identity::MAX_NAME_BYTES) + (2 + 16) + (1 + 10) + (1 + 2) + (1 + 8);
 
-/// Lives whose replay windows are kept: 410 entry VMs with 190 restarts a day for some weeks.
+/// Number of incarnations whose replay windows are kept: enough for 410 entry VMs with 190 restarts
+/// a day for some weeks.
 const REPLAY_LIVES: usize = 8192;
 
 const UNBOUND: u8 = 0x10;
@@ -41,18 +43,20 @@
     Oversized,
     /// Not a datagram of this protocol and version.
     Malformed,
-    /// A key number that is not in force.
+    /// The key id is not in force.
     UnknownKey,
-    /// The MAC is wrong: another key, damage, or bound to another receiver or another life.
+    /// The MAC does not verify: another key, corruption, or bound to another receiver or
+    /// incarnation.
     WrongTag,
-    /// This counter of this life was taken before, or is too old to tell.
+    /// This counter of the sender's incarnation was accepted before, or is behind the replay
+    /// window.
     Replayed,
-    /// Sent by this very process.
+    /// Sent by this process itself.
     Own,
 }
 
 impl DropReason {
-    /// Its label in metrics.
+    /// Label of the reason in metrics.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -78,11 +82,11 @@
 /// A datagram that passed every check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenedDatagram {
-    /// Who sent it, as far as a key that all processes share can prove.
+    /// Sender, as far as a key shared by all processes can prove.
     pub sender: identity::ProcessIdentity,
-    /// Whether it was bound to this life of this process.
+    /// Whether the datagram was bound to this incarnation of this process.
     pub bound: bool,
-    /// The message of the protocol above.
+    /// Message of the protocol that uses the datagram.
     pub payload: Vec<u8>,
 }
 
@@ -91,14 +95,14 @@
 pub struct DatagramCodec {
     own: identity::ProcessIdentity,
     keys: key::KeyHandle,
-    /// Counter of the last datagram sealed; never repeated within one life.
+    /// Counter of the last sealed datagram; never repeated within one incarnation.
     counter: u64,
     table: replay::ReplayTable,
     stamper: stamper::MessageStamper,
 }
 
 impl DatagramCodec {
-    /// A codec for the process `own`.
+    /// Creates a codec for the process `own`.
     #[must_use]
     pub fn new(own: identity::ProcessIdentity, keys: key::KeyHandle) -> Self {
         Self {
@@ -110,14 +114,15 @@
         }
     }
 
-    /// The same codec with stamps on its datagrams.
+    /// Adds stamps to the datagrams of this codec.
     #[must_use]
     pub fn with_stamper(mut self, stamper: stamper::MessageStamper) -> Self {
         self.stamper = stamper;
         self
     }
 
-    /// Seals `payload` for one life of the receiver, or for whoever gets it.
+    /// Seals `payload`, bound to one incarnation of the receiver, or unbound when `receiver` is
+    /// `None`.
     ///
     /// # Errors
     /// When the payload is too long.
@@ -150,10 +155,10 @@
         Ok(datagram)
     }
 
-    /// Opens what arrived; whatever is wrong with it is counted and dropped.
+    /// Opens a received datagram; invalid ones are counted and dropped.
     ///
     /// # Errors
-    /// Why it was dropped.
+    /// The reason why the datagram was dropped.
     pub fn open(&mut self, datagram: &[u8]) -> Result<OpenedDatagram, DropReason> {
         let opened = self.check(datagram);
         if let Err(reason) = opened {
@@ -195,8 +200,8 @@
         if !self.table.take(sender.incarnation, envelope.counter) {
             return Err(DropReason::Replayed);
         }
-        // A greeting is not bound: whoever recorded it may send it again, with an old stamp, which
-        // does no harm to a clock that only grows.
+        // An unbound datagram may be replayed with an old stamp, which does not affect a clock that
+        // only advances.
         self.stamper.observe(&sender.name, envelope.stamp);
         Ok(OpenedDatagram {
             sender,
@@ -210,7 +215,8 @@
     if receiver.is_some() { BOUND } else { UNBOUND }
 }
 
-/// Hands `use_parts` what the MAC covers: the key number too, so that it cannot be changed.
+/// Passes the input of the MAC to `use_parts`; it includes the key id, so that it cannot be
+/// changed.
 fn with_covered<T>(
     receiver: Option<&identity::ProcessIdentity>,
     key_id: u8,
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,8 +1,8 @@
-//! Frames: bounded, authenticated, in order, each of them taken once.
+//! Frames: limited in size, authenticated, in order, each accepted once.
 //!
 //! Every frame of a connection is sealed under a key of that connection and direction, together
-//! with its number in the stream. TCP keeps order, so the number need not travel: a frame that is
-//! changed, repeated, left out or moved has a wrong MAC and ends the connection.
+//! with its sequence number. TCP preserves order, so the number is not sent: a frame that is
+//! changed, repeated, omitted or reordered fails its MAC and ends the connection.
 
 use bytes::{Buf as _, BufMut as _};
 use tokio::io;
@@ -10,18 +10,18 @@
 
 use crate::key;
 
-/// Largest frame, by default.
+/// Default maximum size of a frame.
 pub const DEFAULT_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
-/// Largest frame before the other side has shown that it has a key.
+/// Maximum size of a frame before the other side has proved that it has a key.
 pub(crate) const HELLO_BYTES: usize = 512;
 
 const LABEL: &[u8] = b"pollenchute frame";
 
-/// A connection cut into frames.
+/// A stream that is split into frames.
 pub(crate) type FramedStream<S> = codec::Framed<S, codec::LengthDelimitedCodec>;
 
-/// Cuts `stream` into frames, short ones until the handshake is over.
+/// Splits `stream` into frames, limited to the size of a hello until the handshake is complete.
 pub(crate) fn cut<S: io::AsyncRead + io::AsyncWrite>(stream: S) -> FramedStream<S> {
     let codec = codec::LengthDelimitedCodec::builder()
         .max_frame_length(HELLO_BYTES)
@@ -33,12 +33,12 @@
 #[derive(Debug)]
 pub struct FrameSealer {
     key: key::WireKey,
-    /// Frames sealed so far.
+    /// Number of frames sealed so far.
     counter: u64,
 }
 
 impl FrameSealer {
-    /// Seals under `key`, which serves this direction of this connection only.
+    /// Seals under `key`, which is used only for this direction of this connection.
     #[must_use]
     pub const fn new(key: key::WireKey) -> Self {
         Self { key, counter: 0 }
@@ -65,18 +65,18 @@
 #[derive(Debug)]
 pub struct FrameOpener {
     key: key::WireKey,
-    /// Frames opened so far.
+    /// Number of frames opened so far.
     counter: u64,
 }
 
 impl FrameOpener {
-    /// Opens what was sealed under `key`.
+    /// Opens frames sealed under `key`.
     #[must_use]
     pub const fn new(key: key::WireKey) -> Self {
         Self { key, counter: 0 }
     }
 
-    /// The message in the next frame; `None` when the frame is not the one that was sent next.
+    /// Decodes the next frame; `None` when it is invalid or out of sequence.
     pub fn open<M: prost::Message + Default>(&mut self, frame: &mut bytes::BytesMut) -> Option<M> {
         let tag: key::MacTag = *frame.first_chunk()?;
         frame.advance(key::TAG_BYTES);
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,9 +1,9 @@
-//! How a connection begins: both sides show that they have a key, and draw keys of its own.
+//! Handshake of a connection: both sides prove that they have a key, and derive session keys.
 //!
 //! Client to server: a hello with a nonce. Server to client: a hello with a nonce and a MAC over
-//! both hellos, which proves the server. Both derive one key for each direction from the shared
-//! key and both hellos; the client's first frame under it proves the client. A recorded
-//! connection cannot be replayed, since the other side's nonce is new each time.
+//! both hellos, which authenticates the server. Both derive one key for each direction from the
+//! shared key and both hellos; the client's first frame under it authenticates the client. A
+//! recorded connection cannot be replayed, since the other side's nonce is new each time.
 
 use std::time;
 
@@ -14,48 +14,50 @@
 
 use crate::{frame, identity, key, proto::envelope};
 
-/// Version of the protocol of frames.
+/// Version of the frame protocol.
 const VERSION: u32 = 1;
 
-/// Longest time that the whole handshake may take.
+/// Timeout of the complete handshake.
 pub(crate) const HANDSHAKE_LIMIT: time::Duration = time::Duration::from_secs(2);
 
-/// Why a connection did not begin.
+/// Error that ends a handshake.
 #[derive(Debug, snafu::Snafu)]
 pub enum HandshakeError {
-    /// The other side closed, sent too much, or the network failed.
-    #[snafu(display("the connection ended during the handshake: {source}; look at the other VM"))]
+    /// The other side closed the connection, sent an oversized frame, or the network failed.
+    #[snafu(display("the connection ended during the handshake: {source}; check the other VM"))]
     Broken {
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The other side closed without a word.
+    /// The other side closed the connection without an answer.
     #[snafu(display(
         "the other side closed during the handshake; check that both VMs have a peer key in common"
     ))]
     Closed,
-    /// Not a hello of this protocol.
-    #[snafu(display("what arrived is no hello of version {VERSION}; check address and release"))]
+    /// The frame is not a hello of this protocol.
+    #[snafu(display(
+        "received no hello of version {VERSION}; check the address and release of the other VM"
+    ))]
     Malformed,
-    /// A key number that is not in force here.
+    /// The key id is not in force here.
     #[snafu(display("peer key {id} is not in force here; put it in force before it signs"))]
     UnknownKey {
-        /// The number.
+        /// The key id.
         id: u32,
     },
-    /// The MAC is wrong.
+    /// The MAC does not verify.
     #[snafu(display("the other side does not have peer key {id}; compare the keys of both VMs"))]
     WrongTag {
-        /// The number.
+        /// The key id.
         id: u8,
     },
     /// The handshake took too long.
-    #[snafu(display("the handshake took longer than {HANDSHAKE_LIMIT:?}; look at the network"))]
+    #[snafu(display("the handshake took longer than {HANDSHAKE_LIMIT:?}; check the network"))]
     Late,
 }
 
 impl HandshakeError {
-    /// Its label in metrics.
+    /// Label of the error in metrics.
     #[must_use]
     pub const fn label(&self) -> &'static str {
         match self {
@@ -69,17 +71,17 @@
     }
 }
 
-/// A connection whose other side is known.
+/// A connection after the handshake.
 pub(crate) struct Session<S> {
     pub stream: frame::FramedStream<S>,
     pub peer: identity::ProcessIdentity,
-    /// Number of the key that both sides proved; the connection ends when it is out of force.
+    /// Id of the shared key; the connection ends when the key is no longer in force.
     pub key_id: u8,
     pub sealer: frame::FrameSealer,
     pub opener: frame::FrameOpener,
 }
 
-/// Opens a connection as its client.
+/// Performs the client side of the handshake.
 pub(crate) async fn connect<S: io::AsyncRead + io::AsyncWrite + Unpin>(
     stream: S,
     own: &identity::ProcessIdentity,
@@ -123,7 +125,8 @@
     })
 }
 
-/// Takes a connection as its server. The client has proved nothing before its first frame opens.
+/// Performs the server side of the handshake. The client is not authenticated until its first frame
+/// is opened.
 pub(crate) async fn accept<S: io::AsyncRead + io::AsyncWrite + Unpin>(
     stream: S,
     own: &identity::ProcessIdentity,
@@ -171,7 +174,7 @@
 const TO_SERVER: &[u8] = b"pollenchute frames to server";
 const TO_CLIENT: &[u8] = b"pollenchute frames to client";
 
-/// Both hellos as they travelled, the server's without its MAC.
+/// Both hellos as sent, the server's without its MAC.
 struct HelloPair {
     client: Vec<u8>,
     server: Vec<u8>,
--- a/crates/wire/src/identity.rs
+++ b/crates/wire/src/identity.rs
@@ -1,21 +1,21 @@
-//! Who sends: a VM's name and one life of its process.
+//! Identity of a process: the name of its VM and its incarnation.
 
 use base::id;
 
-/// Longest name of an entry VM on the wire.
+/// Maximum length of the name of an entry VM on the wire.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// One life of one process.
+/// One incarnation of a process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessIdentity {
     /// Name of the entry VM, 1 to [`MAX_NAME_BYTES`] bytes.
     pub name: String,
-    /// This life; a restarted process draws a new one.
+    /// Incarnation; a restarted process draws a new one.
     pub incarnation: id::Incarnation,
 }
 
 impl ProcessIdentity {
-    /// Reads both parts from the wire; `None` when either has a wrong length.
+    /// Decodes both parts; `None` when either has an invalid length.
     #[must_use]
     pub fn from_wire(name: String, incarnation: &[u8]) -> Option<Self> {
         let incarnation = incarnation_from_wire(incarnation)?;
@@ -24,14 +24,14 @@
     }
 }
 
-/// Reads an incarnation from its 16 bytes.
+/// Decodes an incarnation from its 16 bytes.
 #[must_use]
 pub fn incarnation_from_wire(bytes: &[u8]) -> Option<id::Incarnation> {
     let bytes: [u8; 16] = bytes.try_into().ok()?;
     Some(id::Incarnation(u128::from_be_bytes(bytes)))
 }
 
-/// The 16 bytes of an incarnation.
+/// Encodes an incarnation as 16 bytes.
 #[must_use]
 pub fn incarnation_to_wire(incarnation: id::Incarnation) -> [u8; 16] {
     incarnation.0.to_be_bytes()
--- a/crates/wire/src/key.rs
+++ b/crates/wire/src/key.rs
@@ -1,14 +1,14 @@
-//! Keys that processes of the system share, two valid at once so that they can be rotated.
+//! Keys shared by the processes of the system; two may be valid at once for rotation.
 
 use std::{fmt, sync};
 
 use hmac::{KeyInit as _, Mac as _};
 use snafu::{OptionExt as _, ResultExt as _};
 
-/// Bytes of a MAC on the wire.
+/// Size of a MAC on the wire, in bytes.
 ///
-/// HMAC-SHA256 gives 32. Half of them still leave an outsider one chance in 2^128 for each try,
-/// and each of the many small datagrams is 16 bytes shorter.
+/// HMAC-SHA256 yields 32 bytes. Truncated to half, an attacker still has one chance in 2^128 per
+/// attempt, and each of the many small datagrams is 16 bytes shorter.
 pub const TAG_BYTES: usize = 16;
 
 /// A MAC on the wire.
@@ -16,30 +16,30 @@
 
 type HmacSha256 = hmac::Hmac<sha2::Sha256>;
 
-/// Why a key or a ring of keys was refused.
+/// Error of an invalid key or key ring.
 #[derive(Debug, snafu::Snafu)]
 pub enum KeyError {
-    /// Not 64 hexadecimal digits.
+    /// The key is not 64 hexadecimal digits.
     #[snafu(display("peer key {id} is not 64 hexadecimal digits; draw 32 random bytes for it"))]
     Malformed {
-        /// Which key.
+        /// Id of the key.
         id: u8,
-        /// What is wrong with it.
+        /// Error of the decoder.
         source: hex::FromHexError,
     },
-    /// No key at all.
+    /// No key is given.
     #[snafu(display("no peer key is given; give one, or two while a key is rotated"))]
     Missing,
-    /// More than two.
+    /// More than two keys are given.
     #[snafu(display("{count} peer keys are given; keep at most two, remove the oldest first"))]
     TooMany {
-        /// How many.
+        /// Number of keys.
         count: usize,
     },
-    /// Two of one number.
+    /// Two keys have the same id.
     #[snafu(display("two peer keys have the number {id}; give the new one another number"))]
     Repeated {
-        /// The number.
+        /// The repeated id.
         id: u8,
     },
 }
@@ -47,21 +47,21 @@
 /// One shared key.
 #[derive(Clone)]
 pub struct WireKey {
-    /// Its number, which travels in clear.
+    /// Id of the key, sent in the clear.
     id: u8,
-    /// HMAC state after the key was taken in, so that a message costs no key schedule.
+    /// HMAC state after processing the key, so that this is not repeated for each message.
     state: HmacSha256,
 }
 
 impl WireKey {
-    /// The key with number `id`.
+    /// Creates the key with id `id`.
     #[must_use]
     pub fn new(id: u8, secret: &[u8; 32]) -> Self {
         let state = HmacSha256::new_from_slice(secret).expect("HMAC takes a key of any length");
         Self { id, state }
     }
 
-    /// The key with number `id` from 64 hexadecimal digits.
+    /// Creates the key with id `id` from 64 hexadecimal digits.
     ///
     /// # Errors
     /// When `text` is anything else.
@@ -71,13 +71,13 @@
         Ok(Self::new(id, &secret))
     }
 
-    /// Its number.
+    /// Id of the key.
     #[must_use]
     pub const fn id(&self) -> u8 {
         self.id
     }
 
-    /// The MAC over `parts`, whose boundaries count.
+    /// The MAC over `parts`, including their boundaries.
     #[must_use]
     pub fn tag(&self, parts: &[&[u8]]) -> MacTag {
         let whole = self.mac(parts).finalize().into_bytes();
@@ -86,13 +86,13 @@
         tag
     }
 
-    /// Whether `tag` is the MAC over `parts`; takes the same time whichever byte differs.
+    /// Whether `tag` is the MAC over `parts`, compared in constant time.
     #[must_use]
     pub fn verifies(&self, parts: &[&[u8]], tag: &MacTag) -> bool {
         self.mac(parts).verify_truncated_left(tag).is_ok()
     }
 
-    /// A key for one purpose, which tells nothing about this one.
+    /// Derives a key for one purpose, which reveals nothing about this key.
     #[must_use]
     pub fn derive(&self, parts: &[&[u8]]) -> Self {
         let secret: [u8; 32] = self.mac(parts).finalize().into_bytes().into();
@@ -118,18 +118,18 @@
     }
 }
 
-/// The keys in force: the first signs, each one is accepted.
+/// The keys in force: the first one signs, all are accepted.
 #[derive(Clone, Debug)]
 pub struct KeyRing {
-    /// One or two, with different numbers.
+    /// One or two keys with different ids.
     keys: Vec<WireKey>,
 }
 
 impl KeyRing {
-    /// A ring of one or two keys, the signing one first.
+    /// Creates a ring of one or two keys, the signing key first.
     ///
     /// # Errors
-    /// When there are none, more than two, or two of one number.
+    /// When there are no keys, more than two, or two with the same id.
     pub fn new(keys: Vec<WireKey>) -> Result<Self, KeyError> {
         snafu::ensure!(keys.len() <= 2, TooManySnafu { count: keys.len() });
         let first = keys.first().context(MissingSnafu)?;
@@ -138,27 +138,27 @@
         Ok(Self { keys })
     }
 
-    /// The key that signs.
+    /// The signing key.
     #[must_use]
     pub fn signing(&self) -> &WireKey {
         &self.keys[0]
     }
 
-    /// The accepted key of that number.
+    /// The accepted key with that id.
     #[must_use]
     pub fn accepted(&self, id: u8) -> Option<&WireKey> {
         self.keys.iter().find(|key| key.id == id)
     }
 }
 
-/// The ring that every part of a process uses, replaceable while it runs.
+/// Handle to the key ring of a process, replaceable at run time.
 #[derive(Clone, Debug)]
 pub struct KeyHandle {
     current: sync::Arc<sync::RwLock<sync::Arc<KeyRing>>>,
 }
 
 impl KeyHandle {
-    /// A handle to `ring`.
+    /// Creates a handle to `ring`.
     #[must_use]
     pub fn new(ring: KeyRing) -> Self {
         Self {
@@ -176,7 +176,7 @@
         sync::Arc::clone(&guard)
     }
 
-    /// Puts `ring` in force; connections whose key is no longer in it end.
+    /// Puts `ring` in force; connections whose key is not in it are closed.
     pub fn replace(&self, ring: KeyRing) {
         let mut guard = self
             .current
--- a/crates/wire/src/proto.rs
+++ b/crates/wire/src/proto.rs
@@ -1,10 +1,10 @@
 //! Messages, generated from `proto/*.proto` by `cargo run -p protogen`.
 #![allow(missing_docs, unused_qualifications, clippy::all)]
 
-/// What surrounds every datagram and opens every connection.
+/// Envelopes of datagrams, and hellos of connections.
 #[rustfmt::skip]
 pub mod envelope;
-/// Membership and what spreads with it.
+/// Messages of gossip membership and dissemination.
 #[rustfmt::skip]
 pub mod gossip;
 /// Requests and responses between entry VMs.
--- a/crates/wire/src/proto/envelope.rs
+++ b/crates/wire/src/proto/envelope.rs
@@ -5,23 +5,23 @@
     /// Name of the entry VM that sent it.
     #[prost(string, tag = "1")]
     pub sender: ::prost::alloc::string::String,
-    /// 16 bytes: the sender's life; a restarted process draws a new one.
+    /// 16 bytes: the sender's incarnation; a restarted process draws a new one.
     #[prost(bytes = "vec", tag = "2")]
     pub incarnation: ::prost::alloc::vec::Vec<u8>,
-    /// Grows with every datagram that this life of the sender sends; starts at 1.
+    /// Incremented with every datagram of this incarnation of the sender; starts at 1.
     #[prost(uint64, tag = "3")]
     pub counter: u64,
-    /// The message of the protocol above.
+    /// Message of the protocol that uses the datagram.
     #[prost(bytes = "vec", tag = "4")]
     pub payload: ::prost::alloc::vec::Vec<u8>,
-    /// Hybrid logical clock of the sender; 0: none.
+    /// Hybrid logical clock of the sender; 0 if not set.
     #[prost(fixed64, tag = "5")]
     pub stamp: u64,
 }
 /// First frame of a connection, from the side that opened it.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ClientHello {
-    /// Version of the protocol.
+    /// Version of the frame protocol.
     #[prost(uint32, tag = "1")]
     pub version: u32,
     /// Key under which the rest of the connection is authenticated.
@@ -30,26 +30,26 @@
     /// Name of the entry VM that opened the connection.
     #[prost(string, tag = "3")]
     pub name: ::prost::alloc::string::String,
-    /// 16 bytes: its life.
+    /// 16 bytes: incarnation of that VM's process.
     #[prost(bytes = "vec", tag = "4")]
     pub incarnation: ::prost::alloc::vec::Vec<u8>,
-    /// 32 random bytes, fresh for this connection.
+    /// 32 random bytes, new for each connection.
     #[prost(bytes = "vec", tag = "5")]
     pub nonce: ::prost::alloc::vec::Vec<u8>,
 }
 /// Answer to a ClientHello.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ServerHello {
-    /// Name of the entry VM that took the connection.
+    /// Name of the entry VM that accepted the connection.
     #[prost(string, tag = "1")]
     pub name: ::prost::alloc::string::String,
-    /// 16 bytes: its life.
+    /// 16 bytes: incarnation of that VM's process.
     #[prost(bytes = "vec", tag = "2")]
     pub incarnation: ::prost::alloc::vec::Vec<u8>,
-    /// 32 random bytes, fresh for this connection.
+    /// 32 random bytes, new for each connection.
     #[prost(bytes = "vec", tag = "3")]
     pub nonce: ::prost::alloc::vec::Vec<u8>,
-    /// MAC over both hellos: proves that the server has the key and saw this very ClientHello.
+    /// MAC over both hellos: proves that the server has the key and received this ClientHello.
     #[prost(bytes = "vec", tag = "4")]
     pub tag: ::prost::alloc::vec::Vec<u8>,
 }
--- a/crates/wire/src/proto/gossip.rs
+++ b/crates/wire/src/proto/gossip.rs
@@ -2,16 +2,16 @@
 /// The payload of one datagram.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Message {
-    /// Word about members.
+    /// Claims about members.
     #[prost(message, repeated, tag = "8")]
     pub claims: ::prost::alloc::vec::Vec<MemberClaim>,
     /// Versioned items.
     #[prost(message, repeated, tag = "9")]
     pub items: ::prost::alloc::vec::Vec<Item>,
-    /// Short-lived digests, for this receiver only.
+    /// Short-lived digests for this receiver only.
     #[prost(message, repeated, tag = "10")]
     pub digests: ::prost::alloc::vec::Vec<Digest>,
-    /// Which configuration is in force where.
+    /// States of the configuration in force on members.
     #[prost(message, repeated, tag = "11")]
     pub in_force: ::prost::alloc::vec::Vec<InForce>,
     #[prost(oneof = "message::Kind", tags = "1, 2, 3, 4, 5, 6, 7")]
@@ -21,44 +21,44 @@
 pub mod message {
     #[derive(Clone, PartialEq, Eq, Hash, ::prost::Oneof)]
     pub enum Kind {
-        /// Are you there?
+        /// Probes the receiver.
         #[prost(message, tag = "1")]
         Ping(super::Ping),
-        /// I am, or another VM that you asked about is.
+        /// Acknowledges a Ping or a PingRequest.
         #[prost(message, tag = "2")]
         Ack(super::Ack),
-        /// Ask another VM for me.
+        /// Requests an indirect probe.
         #[prost(message, tag = "3")]
         PingRequest(super::PingRequest),
-        /// Who are you? The only message that need not name its receiver's life.
+        /// Requests a HelloAnswer; the only message that may be unbound.
         #[prost(message, tag = "4")]
         Hello(super::Hello),
-        /// Answer to a Hello.
+        /// Answers a Hello.
         #[prost(message, tag = "5")]
         HelloAnswer(super::HelloAnswer),
-        /// Hashes of everything that the sender knows.
+        /// Hashes of the sender's complete state.
         #[prost(message, tag = "6")]
         SyncSummary(super::SyncSummary),
-        /// Nothing but what is attached.
+        /// Carries only the attached updates.
         #[prost(message, tag = "7")]
         Push(super::Push),
     }
 }
-/// Asks for an Ack.
+/// Requests an Ack.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Ping {
     /// Returned in the Ack.
     #[prost(uint32, tag = "1")]
     pub number: u32,
 }
-/// Answers a Ping, directly or for another VM.
+/// Answers a Ping directly, or a PingRequest on behalf of the probed VM.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Ack {
     /// The number of the Ping or PingRequest.
     #[prost(uint32, tag = "1")]
     pub number: u32,
 }
-/// Asks the receiver to ping another VM.
+/// Requests that the receiver ping another VM.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct PingRequest {
     /// Returned in the Ack.
@@ -68,111 +68,112 @@
     #[prost(string, tag = "2")]
     pub target: ::prost::alloc::string::String,
 }
-/// Asks for a HelloAnswer.
+/// Requests a HelloAnswer.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Hello {}
-/// Answers a Hello with the answering VM's own claim attached; bound to the asking life, so that
-/// an old one cannot be replayed.
+/// Answers a Hello, with the claim about the answering VM attached; bound to the requesting
+/// incarnation, so that an old answer cannot be replayed.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct HelloAnswer {}
-/// What the sender knows, as one hash for each bucket of keys.
+/// Summary of the sender's state, with one hash per bucket of keys.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct SyncSummary {
     /// XOR of the hashes of all entries in a bucket.
     #[prost(fixed32, repeated, tag = "1")]
     pub buckets: ::prost::alloc::vec::Vec<u32>,
-    /// Whether the receiver shall send its own summary back when they differ.
+    /// Whether the receiver should return its own summary when they differ.
     #[prost(bool, tag = "2")]
     pub answer_wanted: bool,
 }
-/// Nothing but what is attached.
+/// Carries only the attached updates.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Push {
-    /// Whether it answers a SyncSummary.
+    /// Whether the message answers a SyncSummary.
     #[prost(bool, tag = "1")]
     pub sync: bool,
-    /// Whether the answer did not fit, so that it pays to ask again soon.
+    /// Whether the answer is incomplete, so that another summary should be sent soon.
     #[prost(bool, tag = "2")]
     pub more: bool,
 }
-/// Word about one member.
+/// Claim about one member.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct MemberClaim {
     /// Name of the VM.
     #[prost(string, tag = "1")]
     pub name: ::prost::alloc::string::String,
-    /// When its life began, in milliseconds of the Unix epoch by its own clock, or later if an older
-    /// life of the same name claimed more.
+    /// Start time of the incarnation by its own clock, in milliseconds since the Unix epoch, or later
+    /// if an older incarnation of the same name claimed a later time.
     #[prost(uint64, tag = "2")]
     pub birth_ms: u64,
-    /// 16 bytes: its life.
+    /// 16 bytes: incarnation of the VM's process.
     #[prost(bytes = "vec", tag = "3")]
     pub incarnation: ::prost::alloc::vec::Vec<u8>,
-    /// Raised by the member itself to refute a suspicion.
+    /// Incremented by the member itself to refute a suspicion.
     #[prost(uint32, tag = "4")]
     pub refutation: u32,
-    /// What is said.
+    /// Claimed state.
     #[prost(enumeration = "MemberState", tag = "5")]
     pub state: i32,
-    /// Where it listens, as text; empty, as are the next two: as known before.
+    /// Address of the VM as text. Empty, like the next two fields, when the location is already known.
     #[prost(string, tag = "6")]
     pub address: ::prost::alloc::string::String,
-    /// Its failure domain.
+    /// Failure domain of the VM.
     #[prost(string, tag = "7")]
     pub failure_domain: ::prost::alloc::string::String,
-    /// Its region.
+    /// Region of the VM.
     #[prost(string, tag = "8")]
     pub region: ::prost::alloc::string::String,
 }
-/// One versioned item; of one kind and subject the highest version wins.
+/// One versioned item; for one kind and subject the highest version wins.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Item {
-    /// The kind, as number of gossip's ItemKind.
+    /// Number of the kind in gossip's ItemKind.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// What it is about.
+    /// Subject of the item.
     #[prost(string, tag = "2")]
     pub subject: ::prost::alloc::string::String,
-    /// Raised by whoever changes it.
+    /// Incremented by the VM that changes the item.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// Its body, encoded by kind.
+    /// Body, encoded by kind.
     #[prost(bytes = "vec", tag = "4")]
     pub body: ::prost::alloc::vec::Vec<u8>,
-    /// Milliseconds after which it is forgotten; 0: never.
+    /// Milliseconds until the item expires; 0 if it does not expire.
     #[prost(uint32, tag = "5")]
     pub expires_in_ms: u32,
 }
-/// A short-lived digest; the receiver keeps the newest of each kind and subject and lets it age.
+/// A short-lived digest; the receiver keeps the newest of each kind and subject until it is too old.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Digest {
-    /// The kind, as number of gossip's DigestKind.
+    /// Number of the kind in gossip's DigestKind.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
     /// Hash of the subject's name.
     #[prost(fixed64, tag = "2")]
     pub subject: u64,
-    /// How old it was when it was sent, in milliseconds.
+    /// Age of the digest when it was sent, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub age_ms: u32,
-    /// Its body, encoded by kind.
+    /// Body, encoded by kind.
     #[prost(bytes = "vec", tag = "4")]
     pub body: ::prost::alloc::vec::Vec<u8>,
 }
-/// Lives on which one state of the configuration is in force; of one life the highest offset wins.
+/// Incarnations on which one state of the configuration is in force; for one incarnation the highest
+/// offset wins.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct InForce {
     /// Offset after the last record applied.
     #[prost(uint64, tag = "1")]
     pub offset: u64,
-    /// Hash of revision and chain, so that VMs that differ at one offset are told apart.
+    /// Hash of revision and chain, which distinguishes VMs that differ at the same offset.
     #[prost(fixed32, tag = "2")]
     pub digest: u32,
-    /// Hash of each life's name and incarnation.
+    /// Hash of the name and incarnation of each holder.
     #[prost(fixed64, repeated, tag = "3")]
     pub holders: ::prost::alloc::vec::Vec<u64>,
 }
-/// Body of an item of kind configuration: one state, whose subject is its offset and digest.
+/// Body of an item of kind configuration: one state, with offset and digest as the item's subject.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ConfigurationBody {
     /// Revision in force.
@@ -181,7 +182,7 @@
     /// Offset after the last record applied.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
-    /// Hash of the chain of changes that led to it.
+    /// Hash of the chain of changes that led to the revision.
     #[prost(bytes = "vec", tag = "3")]
     pub chain_hash: ::prost::alloc::vec::Vec<u8>,
 }
@@ -191,7 +192,7 @@
     /// Whether the quarantine was lifted.
     #[prost(bool, tag = "1")]
     pub lifted: bool,
-    /// Why, for operators.
+    /// Reason, for operators.
     #[prost(string, tag = "2")]
     pub reason: ::prost::alloc::string::String,
 }
@@ -201,29 +202,29 @@
     /// First 32 bits of the hash of the engine's incarnation.
     #[prost(fixed32, tag = "1")]
     pub incarnation_hash: u32,
-    /// KV blocks free.
+    /// Free KV blocks.
     #[prost(uint32, tag = "2")]
     pub free_blocks: u32,
-    /// Generations running.
+    /// Running generations.
     #[prost(uint32, tag = "3")]
     pub running: u32,
     /// Generations waiting in the engine.
     #[prost(uint32, tag = "4")]
     pub waiting: u32,
-    /// Preemptions since the digest before.
+    /// Preemptions since the previous digest.
     #[prost(uint32, tag = "5")]
     pub preemptions: u32,
 }
 /// Body of a digest of kind organisation demand.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct OrganisationDemandBody {
-    /// Requests in ten seconds.
+    /// Requests in the last ten seconds.
     #[prost(uint32, tag = "1")]
     pub requests: u32,
-    /// Generated tokens in ten seconds.
+    /// Generated tokens in the last ten seconds.
     #[prost(uint32, tag = "2")]
     pub tokens: u32,
-    /// Generations running.
+    /// Running generations.
     #[prost(uint32, tag = "3")]
     pub running: u32,
 }
@@ -233,7 +234,7 @@
     /// Sum of the weights of organisations with work at the sender.
     #[prost(float, tag = "1")]
     pub weight: f32,
-    /// Of each model that there is work for.
+    /// Work for each model.
     #[prost(message, repeated, tag = "2")]
     pub models: ::prost::alloc::vec::Vec<ModelWorkBody>,
 }
@@ -243,30 +244,30 @@
     /// Hash of the model's name.
     #[prost(fixed64, tag = "1")]
     pub model_hash: u64,
-    /// Engine memory that urgent and normal work asks for, in tokens.
+    /// Engine memory requested by urgent and normal work, in tokens.
     #[prost(float, tag = "2")]
     pub firm: f32,
     /// The same for deferrable work.
     #[prost(float, tag = "3")]
     pub deferrable: f32,
-    /// The part of both that waits.
+    /// The waiting part of both, in tokens.
     #[prost(float, tag = "4")]
     pub waiting: f32,
-    /// Urgent generations at once.
+    /// Concurrent urgent generations.
     #[prost(float, tag = "5")]
     pub urgent: f32,
 }
-/// What is said of a member, in order of precedence at equal refutation.
+/// Claimed state of a member, in order of precedence at equal refutation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive = 0,
-    /// It did not answer.
+    /// The member did not answer a probe.
     Suspect = 1,
-    /// It did not answer and did not refute the suspicion in time.
+    /// The member neither answered nor refuted the suspicion in time.
     Dead = 2,
-    /// It said goodbye.
+    /// The member announced its departure.
     Left = 3,
 }
 impl MemberState {
--- a/crates/wire/src/replay.rs
+++ b/crates/wire/src/replay.rs
@@ -1,23 +1,23 @@
-//! Replay protection: which counters of a sender's life have been taken.
+//! Replay protection by a sliding window over the counters of each sender's incarnation.
 
 use std::collections;
 
 use base::id;
 
-/// Counters behind the highest one that are still told apart.
+/// Size of the window below the highest counter.
 const WINDOW_COUNTERS: u64 = 128;
 
-/// Which counters of one sender's life were taken.
+/// Sliding window over the accepted counters of one sender's incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayWindow {
-    /// Highest counter taken; 0 when none was.
+    /// Highest accepted counter; 0 when there is none.
     top: u64,
-    /// Bit `i` tells whether `top - i` was taken; bit 0 is set unless `top` is 0.
+    /// Bit `i` tells whether `top - i` was accepted; bit 0 is set unless `top` is 0.
     taken: u128,
 }
 
 impl ReplayWindow {
-    /// Takes `counter`; `false` when it was taken before or is too old to tell.
+    /// Accepts `counter`; `false` when it was accepted before or is behind the window.
     pub fn take(&mut self, counter: u64) -> bool {
         if counter == 0 {
             return false;
@@ -39,25 +39,25 @@
     }
 }
 
-/// The windows of all senders' lives that were heard.
+/// Replay windows of the senders' incarnations, the least recently used evicted first.
 #[derive(Debug)]
 pub struct ReplayTable {
     windows: collections::HashMap<id::Incarnation, HeardWindow>,
-    /// Lives kept at the most; only holders of a key can fill the table.
+    /// Maximum number of windows; only holders of a key can fill the table.
     capacity: usize,
-    /// Counts datagrams, as a measure of age.
+    /// Number of datagrams received, used as a logical time.
     heard: u64,
 }
 
 #[derive(Debug, Default)]
 struct HeardWindow {
     window: ReplayWindow,
-    /// Value of the table's `heard` at the last datagram.
+    /// Value of the table's `received` at the last datagram.
     last_heard: u64,
 }
 
 impl ReplayTable {
-    /// An empty table for `capacity` lives.
+    /// Creates an empty table for `capacity` incarnations.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes `counter` of the life `sender`; `false` when it is a replay.
+    /// Accepts `counter` of the incarnation `sender`; `false` when it is a replay.
     pub fn take(&mut self, sender: id::Incarnation, counter: u64) -> bool {
         self.heard += 1;
         if !self.windows.contains_key(&sender) && self.windows.len() >= self.capacity {
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,4 +1,4 @@
-//! The side that takes calls from other entry VMs.
+//! Server for calls from other entry VMs.
 
 use std::{collections, sync, time};
 
@@ -9,21 +9,21 @@
 use crate::{frame, handshake, identity, key, proto::peer};
 use peer::{client_frame, reply, request, response, server_frame};
 
-/// Answers that wait to be written on one connection.
+/// Maximum number of replies queued for sending on one connection.
 const REPLY_BACKLOG: usize = 64;
 
-/// Why a call was not done, as the service tells its caller.
+/// Failure of a call, as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallFailure {
-    /// The reason.
+    /// Kind of the failure.
     pub kind: peer::FailureKind,
-    /// What happened and what to do, for people.
+    /// Cause and remedy, for operators.
     pub message: String,
 }
 
-/// What answers calls.
+/// Handler of calls.
 pub trait PeerService: Send + Sync + 'static {
-    /// Answers one call of `caller`. Dropped when the caller no longer waits.
+    /// Handles one call of `caller`. The future is dropped when the caller no longer waits.
     fn handle(
         &self,
         caller: &identity::ProcessIdentity,
@@ -31,20 +31,20 @@
     ) -> impl Future<Output = Result<response::Kind, CallFailure>> + Send;
 }
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Connections at once; one more is closed at once.
+    /// Maximum number of connections; further ones are closed immediately.
     pub connections: usize,
-    /// Connections at once that have not yet shown that they have a key.
+    /// Maximum number of connections that have not yet proved that they have a key.
     pub strangers: usize,
-    /// Calls at once over all connections; one more is refused at once as busy.
+    /// Maximum number of concurrent calls over all connections; further ones are rejected as busy.
     pub calls: usize,
-    /// Calls at once on one connection.
+    /// Maximum number of concurrent calls on one connection.
     pub calls_per_connection: usize,
-    /// Largest frame.
+    /// Maximum size of a frame.
     pub frame_bytes: usize,
-    /// A connection on which nothing arrives for this long is closed.
+    /// A connection that receives nothing for this long is closed.
     pub idle: time::Duration,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Takes calls from other entry VMs.
+/// Serves calls from other entry VMs.
 #[derive(Debug)]
 pub struct PeerServer<P> {
     shared: sync::Arc<SharedServer<P>>,
@@ -80,7 +80,7 @@
 }
 
 impl<P: PeerService> PeerServer<P> {
-    /// A server that answers with `service`.
+    /// Creates a server whose calls are handled by `service`.
     #[must_use]
     pub fn new(
         own: identity::ProcessIdentity,
@@ -97,7 +97,7 @@
         )
     }
 
-    /// The same with stamps on its answers.
+    /// Creates a server that also stamps its replies.
     #[must_use]
     pub fn stamped(
         own: identity::ProcessIdentity,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Serves one connection of whatever kind until it ends.
+    /// Serves one connection over any kind of stream until it ends.
     pub async fn serve_stream<S>(&self, stream: S)
     where
         S: io::AsyncRead + io::AsyncWrite + Unpin + Send + 'static,
@@ -128,7 +128,7 @@
         sync::Arc::clone(&self.shared).serve_stream(stream).await;
     }
 
-    /// Takes connections until dropped; dropping it ends them all.
+    /// Accepts connections until the future is dropped, which closes all of them.
     pub async fn serve(self, listener: net::TcpListener) {
         let mut tasks = task::JoinSet::new();
         loop {
@@ -137,7 +137,7 @@
                 Some(_) = tasks.join_next() => continue,
             };
             let Ok((stream, _)) = accepted else {
-                // For instance no file descriptor is left: trying again at once would spin.
+                // For example, no file descriptor is left: an immediate retry would be a busy loop.
                 tokio::time::sleep(time::Duration::from_millis(50)).await;
                 continue;
             };
@@ -146,7 +146,7 @@
                 count_refused("too_many");
                 continue;
             };
-            // Calls are short; waiting to fill a segment would only delay them.
+            // Calls are short; Nagle's algorithm would only delay them.
             let _ = stream.set_nodelay(true);
             let shared = sync::Arc::clone(&self.shared);
             tasks.spawn(async move {
@@ -162,20 +162,20 @@
         .increment(1);
 }
 
-/// A call that arrived, or the end of the connection.
+/// A received frame, or the end of the connection.
 enum Arrival {
     Frame(client_frame::Kind),
     End,
 }
 
-/// What one connection needs to answer.
+/// State of one connection.
 struct ConnectionState<P> {
     shared: sync::Arc<SharedServer<P>>,
     caller: sync::Arc<identity::ProcessIdentity>,
     replies: channels::mpsc::Sender<peer::ServerFrame>,
-    /// Calls under way; dropped with the connection, since nobody waits for them any more.
+    /// Calls in progress; aborted with the connection, since no caller waits for them any more.
     tasks: task::JoinSet<()>,
-    /// Handles of the same calls by id.
+    /// Abort handles of the same calls, by call id.
     handles: collections::HashMap<u64, task::AbortHandle>,
 }
 
@@ -204,7 +204,8 @@
         self.serve_session(session, first).await;
     }
 
-    /// Shakes hands and waits for the first frame, which proves that the client has the key.
+    /// Performs the handshake and waits for the first frame, which proves that the client has the
+    /// key.
     async fn meet<S: io::AsyncRead + io::AsyncWrite + Unpin>(
         &self,
         stream: S,
@@ -249,8 +250,8 @@
         };
         let mut arrival = Arrival::Frame(first);
         while let Arrival::Frame(kind) = arrival {
-            // A key is taken out of force because somebody else may have it; what was opened
-            // with it must not outlive it.
+            // A key is revoked because it may be compromised; connections that were opened with
+            // it must not outlive it.
             let in_force = state.shared.keys.current().accepted(key_id).is_some();
             if !in_force || !state.take(kind).await {
                 break;
@@ -282,7 +283,7 @@
 }
 
 impl<P: PeerService> ConnectionState<P> {
-    /// Takes one frame; `false` when the connection is over.
+    /// Handles one frame; `false` when the connection has ended.
     async fn take(&mut self, kind: client_frame::Kind) -> bool {
         while self.tasks.try_join_next().is_some() {}
         match kind {
