--- a/crates/entry/src/adapt/peers.rs
+++ b/crates/entry/src/adapt/peers.rs
@@ -58,7 +58,7 @@
             body,
         });
         let options = wire::client::CallOptions {
-            within,
+            timeout: within,
             repeatable: true,
         };
         match self.client.call(address, request, options).await {
@@ -83,7 +83,7 @@
         };
         let request = peer::request::Kind::FetchConfiguration(ask);
         let options = wire::client::CallOptions {
-            within,
+            timeout: within,
             repeatable: true,
         };
         match self.client.call(address, request, options).await {
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -71,7 +71,7 @@
     #[snafu(display(
         "the response of {address} does not match the request; compare the releases of both VMs"
     ))]
-    Nonsense {
+    UnexpectedResponse {
         /// Address of the other VM.
         address: net::SocketAddr,
     },
@@ -87,7 +87,7 @@
             | Self::Refused { .. }
             | Self::NotSent { .. } => outcome::RanState::No,
             Self::Deadline { ran, .. } => *ran,
-            Self::Failed { .. } | Self::Lost { .. } | Self::Nonsense { .. } => {
+            Self::Failed { .. } | Self::Lost { .. } | Self::UnexpectedResponse { .. } => {
                 outcome::RanState::Unknown
             }
         }
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CallOptions {
     /// Timeout of the complete call, including connecting and repeated attempts.
-    pub within: time::Duration,
+    pub timeout: time::Duration,
     /// Whether the call may run twice without harm; then it is repeated on a new connection after a
     /// connection is lost, while the timeout allows.
     pub repeatable: bool,
@@ -110,7 +110,9 @@
     kind: reply::Kind,
 ) -> Result<response::Kind, CallError> {
     match kind {
-        reply::Kind::Response(response) => response.kind.ok_or(CallError::Nonsense { address }),
+        reply::Kind::Response(response) => response
+            .kind
+            .ok_or(CallError::UnexpectedResponse { address }),
         reply::Kind::Failure(failure) => {
             let (kind, message) = (failure.kind(), failure.message);
             let not_started = matches!(
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -16,28 +16,28 @@
 const CALL_BACKLOG: usize = 64;
 
 /// Maximum number of attempts per call, each on its own connection if the last one was lost.
-const MAX_TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// Limits of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
     /// Timeout of connecting, and of the handshake.
-    pub connect: time::Duration,
+    pub connect_timeout: time::Duration,
     /// A connection with calls in progress that receives nothing for this long is replaced.
-    pub silence: time::Duration,
+    pub silence_timeout: time::Duration,
     /// A connection without calls for this long is closed.
-    pub idle: time::Duration,
+    pub idle_timeout: time::Duration,
     /// Maximum size of a frame.
-    pub frame_bytes: usize,
+    pub max_frame_bytes: usize,
 }
 
 impl Default for ClientLimits {
     fn default() -> Self {
         Self {
-            connect: time::Duration::from_millis(1000),
-            silence: time::Duration::from_millis(1000),
-            idle: time::Duration::from_secs(30),
-            frame_bytes: frame::DEFAULT_FRAME_BYTES,
+            connect_timeout: time::Duration::from_millis(1000),
+            silence_timeout: time::Duration::from_millis(1000),
+            idle_timeout: time::Duration::from_secs(30),
+            max_frame_bytes: frame::DEFAULT_MAX_FRAME_BYTES,
         }
     }
 }
@@ -160,9 +160,9 @@
         request: request::Kind,
         options: CallOptions,
     ) -> Result<response::Kind, CallError> {
-        let deadline = Instant::now() + options.within;
-        for _ in 1..MAX_TRIES {
-            let error = match self.try_call(address, request.clone(), deadline).await {
+        let deadline = Instant::now() + options.timeout;
+        for _ in 1..MAX_ATTEMPTS {
+            let error = match self.attempt_call(address, request.clone(), deadline).await {
                 Ok(response) => return Ok(response),
                 Err(error) => error,
             };
@@ -176,10 +176,10 @@
             }
             metrics::counter!("pollenchute_wire_calls_repeated_total").increment(1);
         }
-        self.try_call(address, request, deadline).await
+        self.attempt_call(address, request, deadline).await
     }
 
-    async fn try_call(
+    async fn attempt_call(
         &self,
         address: net::SocketAddr,
         request: request::Kind,
@@ -196,7 +196,7 @@
         let (done, end) = channels::oneshot::channel();
         let call = Box::new(connection::OutgoingCall {
             id,
-            within: deadline.saturating_duration_since(Instant::now()),
+            timeout: deadline.saturating_duration_since(Instant::now()),
             request: peer::Request {
                 kind: Some(request),
             },
@@ -246,20 +246,21 @@
         let shared = &self.shared;
         let limits = shared.limits;
         let dialing = shared.connector.connect(address);
-        let stream = tokio::time::timeout(limits.connect, dialing)
+        let stream = tokio::time::timeout(limits.connect_timeout, dialing)
             .await
             .unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
             .context(call::ConnectSnafu { address })?;
-        let greeting = handshake::connect(stream, &shared.own, &shared.keys, limits.frame_bytes);
-        let session = tokio::time::timeout(limits.connect, greeting)
+        let handshaking =
+            handshake::connect(stream, &shared.own, &shared.keys, limits.max_frame_bytes);
+        let session = tokio::time::timeout(limits.connect_timeout, handshaking)
             .await
-            .unwrap_or(Err(handshake::HandshakeError::Late))
+            .unwrap_or(Err(handshake::HandshakeError::TimedOut))
             .context(call::HandshakeSnafu { address })?;
         let (connection, inbox) = channels::mpsc::channel(CALL_BACKLOG);
         let limits = connection::ConnectionLimits {
-            silence: limits.silence,
-            heartbeat: limits.silence / 2,
-            idle: limits.idle,
+            silence_timeout: limits.silence_timeout,
+            heartbeat_interval: limits.silence_timeout / 2,
+            idle_timeout: limits.idle_timeout,
         };
         tokio::spawn(
             connection::ConnectionActor::new(
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -27,7 +27,7 @@
 pub(crate) struct OutgoingCall {
     /// Unique on the connection.
     pub id: u64,
-    pub within: time::Duration,
+    pub timeout: time::Duration,
     pub request: peer::Request,
     pub done: channels::oneshot::Sender<CallEnd>,
 }
@@ -44,15 +44,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
     /// A connection whose ping is unanswered for this long counts as silent.
-    pub silence: time::Duration,
+    pub silence_timeout: time::Duration,
     /// Interval between checks for silence, with pings while calls are in progress.
-    pub heartbeat: time::Duration,
+    pub heartbeat_interval: time::Duration,
     /// A connection without calls for this long is closed.
-    pub idle: time::Duration,
+    pub idle_timeout: time::Duration,
 }
 
 /// Reason why a connection ended.
-enum Ending {
+enum EndReason {
     Closed,
     Silent,
 }
@@ -91,8 +91,8 @@
     }
 
     pub(crate) async fn run(mut self, mut inbox: channels::mpsc::Receiver<ConnectionCommand>) {
-        let ending = self.go_on(&mut inbox).await.unwrap_or_else(|ending| ending);
-        if matches!(ending, Ending::Silent) {
+        let reason = self.serve(&mut inbox).await.unwrap_or_else(|reason| reason);
+        if matches!(reason, EndReason::Silent) {
             metrics::counter!("pollenchute_wire_connections_silent_total").increment(1);
         }
         inbox.close();
@@ -102,37 +102,37 @@
             }
         }
         for done in std::mem::take(&mut self.pending).into_values() {
-            let _ = done.send(match ending {
-                Ending::Closed => CallEnd::Closed,
-                Ending::Silent => CallEnd::Silent,
+            let _ = done.send(match reason {
+                EndReason::Closed => CallEnd::Closed,
+                EndReason::Silent => CallEnd::Silent,
             });
         }
     }
 
-    async fn go_on(
+    async fn serve(
         &mut self,
         inbox: &mut channels::mpsc::Receiver<ConnectionCommand>,
-    ) -> Result<Ending, Ending> {
-        let mut heartbeat = tokio::time::interval(self.limits.heartbeat);
+    ) -> Result<EndReason, EndReason> {
+        let mut heartbeat = tokio::time::interval(self.limits.heartbeat_interval);
         heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         // The first frame proves to the server that this side has the key.
         self.ping().await?;
         loop {
             tokio::select! {
                 frame = self.session.stream.next() => match frame {
-                    Some(Ok(mut frame)) => self.take(&mut frame)?,
-                    Some(Err(_)) | None => return Ok(Ending::Closed),
+                    Some(Ok(mut frame)) => self.handle_frame(&mut frame)?,
+                    Some(Err(_)) | None => return Ok(EndReason::Closed),
                 },
                 command = inbox.recv() => match command {
-                    Some(command) => self.obey(command).await?,
-                    None => return Ok(Ending::Closed),
+                    Some(command) => self.execute(command).await?,
+                    None => return Ok(EndReason::Closed),
                 },
                 _ = heartbeat.tick() => {
                     self.pending.retain(|_, done| !done.is_closed());
-                    if self.pending.is_empty() && self.last_call.elapsed() >= self.limits.idle {
-                        return Ok(Ending::Closed);
+                    if self.pending.is_empty() && self.last_call.elapsed() >= self.limits.idle_timeout {
+                        return Ok(EndReason::Closed);
                     }
-                    self.watch().await?;
+                    self.check_silence().await?;
                 }
             }
         }
@@ -141,22 +141,24 @@
     /// Detects silent connections: a middlebox may lose the connection's state, after which nothing
     /// arrives, not even an error. So a ping is always outstanding while a call is pending, and an
     /// unanswered ping ends the connection.
-    async fn watch(&mut self) -> Result<(), Ending> {
+    async fn check_silence(&mut self) -> Result<(), EndReason> {
         if self.keys.current().accepted(self.session.key_id).is_none() {
-            return Err(Ending::Closed);
+            return Err(EndReason::Closed);
         }
         match self.pinged_at {
-            Some(pinged_at) if pinged_at.elapsed() >= self.limits.silence => Err(Ending::Silent),
+            Some(pinged_at) if pinged_at.elapsed() >= self.limits.silence_timeout => {
+                Err(EndReason::Silent)
+            }
             None if !self.pending.is_empty() => self.ping().await,
             Some(_) | None => Ok(()),
         }
     }
 
-    fn take(&mut self, frame: &mut bytes::BytesMut) -> Result<(), Ending> {
+    fn handle_frame(&mut self, frame: &mut bytes::BytesMut) -> Result<(), EndReason> {
         let frame: Option<peer::ServerFrame> = self.session.opener.open(frame);
         let Some(kind) = frame.and_then(|frame| frame.kind) else {
             metrics::counter!("pollenchute_wire_frames_dropped_total").increment(1);
-            return Err(Ending::Closed);
+            return Err(EndReason::Closed);
         };
         self.pinged_at = None;
         // A reply without a pending call arrived late; call ids are unique, so it matches no other
@@ -173,7 +175,7 @@
         Ok(())
     }
 
-    async fn obey(&mut self, command: ConnectionCommand) -> Result<(), Ending> {
+    async fn execute(&mut self, command: ConnectionCommand) -> Result<(), EndReason> {
         match command {
             ConnectionCommand::Cancel(id) => {
                 if self.pending.remove(&id).is_some() {
@@ -184,7 +186,7 @@
             ConnectionCommand::Call(call) => {
                 self.last_call = Instant::now();
                 self.pending.insert(call.id, call.done);
-                let within_ms = u32::try_from(call.within.as_millis()).unwrap_or(u32::MAX);
+                let within_ms = u32::try_from(call.timeout.as_millis()).unwrap_or(u32::MAX);
                 self.write(client_frame::Kind::Call(peer::Call {
                     id: call.id,
                     within_ms,
@@ -201,22 +203,22 @@
         }
     }
 
-    async fn ping(&mut self) -> Result<(), Ending> {
+    async fn ping(&mut self) -> Result<(), EndReason> {
         self.pings += 1;
         self.pinged_at = Some(Instant::now());
         self.write(client_frame::Kind::Ping(self.pings)).await
     }
 
-    async fn write(&mut self, kind: client_frame::Kind) -> Result<(), Ending> {
+    async fn write(&mut self, kind: client_frame::Kind) -> Result<(), EndReason> {
         let frame = self
             .session
             .sealer
             .seal(&peer::ClientFrame { kind: Some(kind) });
         let sent = self.session.stream.send(frame);
-        match tokio::time::timeout(self.limits.silence, sent).await {
+        match tokio::time::timeout(self.limits.silence_timeout, sent).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(Ending::Closed),
-            Err(_) => Err(Ending::Silent),
+            Ok(Err(_)) => Err(EndReason::Closed),
+            Err(_) => Err(EndReason::Silent),
         }
     }
 }
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -30,7 +30,7 @@
 
 /// Number of incarnations whose replay windows are kept: enough for 410 entry VMs with 190 restarts
 /// a day for some weeks.
-const REPLAY_LIVES: usize = 8192;
+const MAX_REPLAY_WINDOWS: usize = 8192;
 
 const UNBOUND: u8 = 0x10;
 const BOUND: u8 = 0x11;
@@ -109,7 +109,7 @@
             own,
             keys,
             counter: 0,
-            table: replay::ReplayTable::new(REPLAY_LIVES),
+            table: replay::ReplayTable::new(MAX_REPLAY_WINDOWS),
             stamper: stamper::MessageStamper::default(),
         }
     }
@@ -150,7 +150,7 @@
             .encode(&mut datagram)
             .expect("a vector grows as needed");
         let sealed = &datagram[HEADER_BYTES..];
-        let tag = with_covered(receiver, key.id(), sealed, |parts| key.tag(parts));
+        let tag = with_mac_input(receiver, key.id(), sealed, |parts| key.tag(parts));
         datagram[2..HEADER_BYTES].copy_from_slice(&tag);
         Ok(datagram)
     }
@@ -185,7 +185,7 @@
         let ring = self.keys.current();
         let key = ring.accepted(header[1]).ok_or(DropReason::UnknownKey)?;
         let tag = header.last_chunk().expect("the header ends with the MAC");
-        if !with_covered(receiver, header[1], sealed, |parts| {
+        if !with_mac_input(receiver, header[1], sealed, |parts| {
             key.verifies(parts, tag)
         }) {
             return Err(DropReason::WrongTag);
@@ -197,7 +197,7 @@
         if sender == self.own {
             return Err(DropReason::Own);
         }
-        if !self.table.take(sender.incarnation, envelope.counter) {
+        if !self.table.accept(sender.incarnation, envelope.counter) {
             return Err(DropReason::Replayed);
         }
         // An unbound datagram may be replayed with an old stamp, which does not affect a clock that
@@ -217,7 +217,7 @@
 
 /// Passes the input of the MAC to `use_parts`; it includes the key id, so that it cannot be
 /// changed.
-fn with_covered<T>(
+fn with_mac_input<T>(
     receiver: Option<&identity::ProcessIdentity>,
     key_id: u8,
     sealed: &[u8],
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -11,10 +11,10 @@
 use crate::key;
 
 /// Default maximum size of a frame.
-pub const DEFAULT_FRAME_BYTES: usize = 8 * 1024 * 1024;
+pub const DEFAULT_MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// Maximum size of a frame before the other side has proved that it has a key.
-pub(crate) const HELLO_BYTES: usize = 512;
+pub(crate) const MAX_HELLO_BYTES: usize = 512;
 
 const LABEL: &[u8] = b"pollenchute frame";
 
@@ -22,9 +22,9 @@
 pub(crate) type FramedStream<S> = codec::Framed<S, codec::LengthDelimitedCodec>;
 
 /// Splits `stream` into frames, limited to the size of a hello until the handshake is complete.
-pub(crate) fn cut<S: io::AsyncRead + io::AsyncWrite>(stream: S) -> FramedStream<S> {
+pub(crate) fn split<S: io::AsyncRead + io::AsyncWrite>(stream: S) -> FramedStream<S> {
     let codec = codec::LengthDelimitedCodec::builder()
-        .max_frame_length(HELLO_BYTES)
+        .max_frame_length(MAX_HELLO_BYTES)
         .new_codec();
     codec::Framed::new(stream, codec)
 }
@@ -51,7 +51,7 @@
         message
             .encode(&mut frame)
             .expect("a buffer of bytes grows as needed");
-        let tag = self.key.tag(&covered(
+        let tag = self.key.tag(&mac_input(
             &self.counter.to_le_bytes(),
             &frame[key::TAG_BYTES..],
         ));
@@ -82,7 +82,7 @@
         frame.advance(key::TAG_BYTES);
         if !self
             .key
-            .verifies(&covered(&self.counter.to_le_bytes(), frame), &tag)
+            .verifies(&mac_input(&self.counter.to_le_bytes(), frame), &tag)
         {
             return None;
         }
@@ -91,6 +91,6 @@
     }
 }
 
-const fn covered<'a>(counter: &'a [u8; 8], message: &'a [u8]) -> [&'a [u8]; 3] {
+const fn mac_input<'a>(counter: &'a [u8; 8], message: &'a [u8]) -> [&'a [u8]; 3] {
     [LABEL, counter, message]
 }
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -18,7 +18,7 @@
 const VERSION: u32 = 1;
 
 /// Timeout of the complete handshake.
-pub(crate) const HANDSHAKE_LIMIT: time::Duration = time::Duration::from_secs(2);
+pub(crate) const HANDSHAKE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// Error that ends a handshake.
 #[derive(Debug, snafu::Snafu)]
@@ -52,8 +52,8 @@
         id: u8,
     },
     /// The handshake took too long.
-    #[snafu(display("the handshake took longer than {HANDSHAKE_LIMIT:?}; check the network"))]
-    Late,
+    #[snafu(display("the handshake took longer than {HANDSHAKE_TIMEOUT:?}; check the network"))]
+    TimedOut,
 }
 
 impl HandshakeError {
@@ -66,7 +66,7 @@
             Self::Malformed => "malformed",
             Self::UnknownKey { .. } => "unknown_key",
             Self::WrongTag { .. } => "wrong_tag",
-            Self::Late => "late",
+            Self::TimedOut => "late",
         }
     }
 }
@@ -88,7 +88,7 @@
     keys: &key::KeyHandle,
     max_frame_bytes: usize,
 ) -> Result<Session<S>, HandshakeError> {
-    let mut stream = frame::cut(stream);
+    let mut stream = frame::split(stream);
     let ring = keys.current();
     let key = ring.signing();
     let client = envelope::ClientHello {
@@ -96,7 +96,7 @@
         key_id: key.id().into(),
         name: own.name.clone(),
         incarnation: identity::incarnation_to_wire(own.incarnation).to_vec(),
-        nonce: fresh_nonce(),
+        nonce: random_nonce(),
     }
     .encode_to_vec();
     stream
@@ -132,7 +132,7 @@
     own: &identity::ProcessIdentity,
     keys: &key::KeyHandle,
 ) -> Result<Session<S>, HandshakeError> {
-    let mut stream = frame::cut(stream);
+    let mut stream = frame::split(stream);
     let client = receive(&mut stream).await?.to_vec();
     let hello = envelope::ClientHello::decode(client.as_slice())
         .ok()
@@ -149,7 +149,7 @@
     let mut server = envelope::ServerHello {
         name: own.name.clone(),
         incarnation: identity::incarnation_to_wire(own.incarnation).to_vec(),
-        nonce: fresh_nonce(),
+        nonce: random_nonce(),
         tag: Vec::new(),
     };
     let hellos = HelloPair {
@@ -186,7 +186,7 @@
     }
 }
 
-fn fresh_nonce() -> Vec<u8> {
+fn random_nonce() -> Vec<u8> {
     rand::random::<[u8; 32]>().to_vec()
 }
 
--- a/crates/wire/src/replay.rs
+++ b/crates/wire/src/replay.rs
@@ -13,18 +13,18 @@
     /// Highest accepted counter; 0 when there is none.
     top: u64,
     /// Bit `i` tells whether `top - i` was accepted; bit 0 is set unless `top` is 0.
-    taken: u128,
+    accepted: u128,
 }
 
 impl ReplayWindow {
     /// Accepts `counter`; `false` when it was accepted before or is behind the window.
-    pub fn take(&mut self, counter: u64) -> bool {
+    pub fn accept(&mut self, counter: u64) -> bool {
         if counter == 0 {
             return false;
         }
         if counter > self.top {
             let shift = u32::try_from(counter - self.top).unwrap_or(u32::MAX);
-            self.taken = self.taken.checked_shl(shift).unwrap_or(0) | 1;
+            self.accepted = self.accepted.checked_shl(shift).unwrap_or(0) | 1;
             self.top = counter;
             return true;
         }
@@ -33,27 +33,27 @@
             return false;
         }
         let bit = 1u128 << behind;
-        let fresh = self.taken & bit == 0;
-        self.taken |= bit;
-        fresh
+        let is_new = self.accepted & bit == 0;
+        self.accepted |= bit;
+        is_new
     }
 }
 
 /// Replay windows of the senders' incarnations, the least recently used evicted first.
 #[derive(Debug)]
 pub struct ReplayTable {
-    windows: collections::HashMap<id::Incarnation, HeardWindow>,
+    windows: collections::HashMap<id::Incarnation, WindowEntry>,
     /// Maximum number of windows; only holders of a key can fill the table.
     capacity: usize,
     /// Number of datagrams received, used as a logical time.
-    heard: u64,
+    received: u64,
 }
 
 #[derive(Debug, Default)]
-struct HeardWindow {
+struct WindowEntry {
     window: ReplayWindow,
     /// Value of the table's `received` at the last datagram.
-    last_heard: u64,
+    last_received: u64,
 }
 
 impl ReplayTable {
@@ -63,26 +63,26 @@
         Self {
             windows: collections::HashMap::new(),
             capacity,
-            heard: 0,
+            received: 0,
         }
     }
 
     /// Accepts `counter` of the incarnation `sender`; `false` when it is a replay.
-    pub fn take(&mut self, sender: id::Incarnation, counter: u64) -> bool {
-        self.heard += 1;
+    pub fn accept(&mut self, sender: id::Incarnation, counter: u64) -> bool {
+        self.received += 1;
         if !self.windows.contains_key(&sender) && self.windows.len() >= self.capacity {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         let entry = self.windows.entry(sender).or_default();
-        entry.last_heard = self.heard;
-        entry.window.take(counter)
+        entry.last_received = self.received;
+        entry.window.accept(counter)
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let oldest = self
             .windows
             .iter()
-            .min_by_key(|(_, entry)| entry.last_heard);
+            .min_by_key(|(_, entry)| entry.last_received);
         if let Some(sender) = oldest.map(|(sender, _)| *sender) {
             self.windows.remove(&sender);
         }
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -37,26 +37,26 @@
     /// Maximum number of connections; further ones are closed immediately.
     pub connections: usize,
     /// Maximum number of connections that have not yet proved that they have a key.
-    pub strangers: usize,
+    pub unauthenticated: usize,
     /// Maximum number of concurrent calls over all connections; further ones are rejected as busy.
     pub calls: usize,
     /// Maximum number of concurrent calls on one connection.
     pub calls_per_connection: usize,
     /// Maximum size of a frame.
-    pub frame_bytes: usize,
+    pub max_frame_bytes: usize,
     /// A connection that receives nothing for this long is closed.
-    pub idle: time::Duration,
+    pub idle_timeout: time::Duration,
 }
 
 impl Default for ServerLimits {
     fn default() -> Self {
         Self {
             connections: 1024,
-            strangers: 256,
+            unauthenticated: 256,
             calls: 256,
             calls_per_connection: 64,
-            frame_bytes: frame::DEFAULT_FRAME_BYTES,
-            idle: time::Duration::from_secs(60),
+            max_frame_bytes: frame::DEFAULT_MAX_FRAME_BYTES,
+            idle_timeout: time::Duration::from_secs(60),
         }
     }
 }
@@ -74,7 +74,7 @@
     service: P,
     limits: ServerLimits,
     connections: sync::Arc<channels::Semaphore>,
-    strangers: channels::Semaphore,
+    unauthenticated: channels::Semaphore,
     calls: sync::Arc<channels::Semaphore>,
     stamper: stamper::MessageStamper,
 }
@@ -113,7 +113,7 @@
                 service,
                 limits,
                 connections: sync::Arc::new(channels::Semaphore::new(limits.connections)),
-                strangers: channels::Semaphore::new(limits.strangers),
+                unauthenticated: channels::Semaphore::new(limits.unauthenticated),
                 calls: sync::Arc::new(channels::Semaphore::new(limits.calls)),
                 stamper,
             }),
@@ -184,29 +184,30 @@
         self: sync::Arc<Self>,
         stream: S,
     ) {
-        let Ok(stranger) = self.strangers.try_acquire() else {
+        let Ok(permit) = self.unauthenticated.try_acquire() else {
             count_refused("too_many_strangers");
             return;
         };
-        let meeting = tokio::time::timeout(handshake::HANDSHAKE_LIMIT, self.meet(stream));
-        let (mut session, first) = match meeting
+        let authenticating =
+            tokio::time::timeout(handshake::HANDSHAKE_TIMEOUT, self.authenticate(stream));
+        let (mut session, first) = match authenticating
             .await
-            .unwrap_or(Err(handshake::HandshakeError::Late))
+            .unwrap_or(Err(handshake::HandshakeError::TimedOut))
         {
-            Ok(met) => met,
+            Ok(authenticated) => authenticated,
             Err(error) => return count_refused(error.label()),
         };
-        drop(stranger);
+        drop(permit);
         session
             .stream
             .codec_mut()
-            .set_max_frame_length(self.limits.frame_bytes);
+            .set_max_frame_length(self.limits.max_frame_bytes);
         self.serve_session(session, first).await;
     }
 
     /// Performs the handshake and waits for the first frame, which proves that the client has the
     /// key.
-    async fn meet<S: io::AsyncRead + io::AsyncWrite + Unpin>(
+    async fn authenticate<S: io::AsyncRead + io::AsyncWrite + Unpin>(
         &self,
         stream: S,
     ) -> Result<(handshake::Session<S>, client_frame::Kind), handshake::HandshakeError> {
@@ -229,13 +230,13 @@
         session: handshake::Session<S>,
         first: client_frame::Kind,
     ) {
-        let (idle, key_id) = (self.limits.idle, session.key_id);
+        let (idle_timeout, key_id) = (self.limits.idle_timeout, session.key_id);
         let (mut sink, mut source) = session.stream.split();
         let (replies, mut outbox) = channels::mpsc::channel::<peer::ServerFrame>(REPLY_BACKLOG);
         let (mut sealer, mut opener) = (session.sealer, session.opener);
         let writer = task::spawn(async move {
             while let Some(reply) = outbox.recv().await {
-                let sent = tokio::time::timeout(idle, sink.send(sealer.seal(&reply))).await;
+                let sent = tokio::time::timeout(idle_timeout, sink.send(sealer.seal(&reply))).await;
                 if !matches!(sent, Ok(Ok(()))) {
                     return;
                 }
@@ -253,10 +254,10 @@
             // A key is revoked because it may be compromised; connections that were opened with
             // it must not outlive it.
             let in_force = state.shared.keys.current().accepted(key_id).is_some();
-            if !in_force || !state.take(kind).await {
+            if !in_force || !state.handle_frame(kind).await {
                 break;
             }
-            arrival = next_arrival(&mut source, &mut opener, idle).await;
+            arrival = next_arrival(&mut source, &mut opener, idle_timeout).await;
         }
         drop(state);
         writer.abort();
@@ -266,12 +267,12 @@
 async fn next_arrival<T>(
     source: &mut T,
     opener: &mut frame::FrameOpener,
-    idle: time::Duration,
+    idle_timeout: time::Duration,
 ) -> Arrival
 where
     T: futures_util::Stream<Item = Result<bytes::BytesMut, std::io::Error>> + Unpin,
 {
-    let Ok(Some(Ok(mut frame))) = tokio::time::timeout(idle, source.next()).await else {
+    let Ok(Some(Ok(mut frame))) = tokio::time::timeout(idle_timeout, source.next()).await else {
         return Arrival::End;
     };
     let frame: Option<peer::ClientFrame> = opener.open(&mut frame);
@@ -284,7 +285,7 @@
 
 impl<P: PeerService> ConnectionState<P> {
     /// Handles one frame; `false` when the connection has ended.
-    async fn take(&mut self, kind: client_frame::Kind) -> bool {
+    async fn handle_frame(&mut self, kind: client_frame::Kind) -> bool {
         while self.tasks.try_join_next().is_some() {}
         match kind {
             client_frame::Kind::Ping(number) => {
@@ -302,12 +303,12 @@
             }
             client_frame::Kind::Call(call) => {
                 self.shared.stamper.observe(&self.caller.name, call.stamp);
-                self.begin(call).await
+                self.start_call(call).await
             }
         }
     }
 
-    async fn begin(&mut self, call: peer::Call) -> bool {
+    async fn start_call(&mut self, call: peer::Call) -> bool {
         self.handles.retain(|_, handle| !handle.is_finished());
         let slot = sync::Arc::clone(&self.shared.calls).try_acquire_owned();
         let full = self.handles.len() >= self.shared.limits.calls_per_connection;
--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -161,7 +161,7 @@
                 .saturating_add(ahead)
                 .saturating_sub(150)
                 .saturating_add(jump);
-            let fresh = window.take(counter);
+            let fresh = window.accept(counter);
             let in_window = top.saturating_sub(counter) < 128;
             let expected = counter > 0 && in_window && taken.insert(counter);
             assert_eq!(fresh, expected, "seed {seed}, counter {counter}, top {top}");
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -67,7 +67,7 @@
 
 fn within_ms(within_ms: u64, repeatable: bool) -> CallOptions {
     CallOptions {
-        within: time::Duration::from_millis(within_ms),
+        timeout: time::Duration::from_millis(within_ms),
         repeatable,
     }
 }
--- a/crates/wire/tests/stamps.rs
+++ b/crates/wire/tests/stamps.rs
@@ -101,7 +101,7 @@
     let before = (caller.stamper.stamp(), callee.stamper.stamp());
     let request = request::Kind::Extension(peer::Extension::default());
     let options = client::CallOptions {
-        within: std::time::Duration::from_secs(20),
+        timeout: std::time::Duration::from_secs(20),
         repeatable: false,
     };
     client
