--- a/crates/gossip/benches/membership.rs
+++ b/crates/gossip/benches/membership.rs
@@ -1,37 +1,38 @@
-//! What membership costs and how fast it is, by number of VMs: the real core, many in one process,
-//! on virtual time. `cargo bench -p gossip --bench membership [-- sizes…]`.
+//! Cost and speed of membership by number of VMs: many real cores in one process, on virtual time.
+//! `cargo bench -p gossip --bench membership [-- sizes…]`.
 
 use std::{collections, env, fs, hint, time};
 
 use base::{fingerprint, id};
-use fabric::{Fabric, NetworkFaults, TestCore};
+use cluster::{NetworkFaults, SimulatedCluster, TestCore};
 use gossip::{claim, digest, event, settings, update, watching};
 use rand_chacha::rand_core::Rng as _;
 use wire::{datagram, identity, key};
 
-#[allow(dead_code, reason = "the tests use the rest")]
-#[path = "../tests/virtual_time/fabric.rs"]
-mod fabric;
+#[allow(dead_code, reason = "the tests use the other functions")]
+#[path = "../tests/virtual_time/cluster.rs"]
+mod cluster;
 
-/// Regions, and failure domains in each.
+/// Number of regions, and of failure domains in each.
 const REGIONS: usize = 3;
 const DOMAINS: usize = 3;
 
-/// Window of the steady state: one change of configuration falls into it, as 1,200 a day do.
+/// Duration of the steady-state measurement; it contains one configuration change, which matches
+/// 1,200 changes a day.
 const WINDOW_S: u64 = 72;
 
-/// Organisations with recent demand that one VM tells two others about every five seconds, at
-/// 410 VMs: 38,000 organisations on three VMs each, one in ten active.
+/// Number of organisations whose demand one VM sends to two others every five seconds at 410 VMs:
+/// 38,000 organisations on three VMs each, one in ten active.
 const DEMANDS_AT_410: usize = 28;
 
-/// Deaths, and marks at each rate of loss.
+/// Number of failures, and of leaving marks at each loss rate.
 const TRIALS: u32 = 30;
 
 fn seconds(seconds: u64) -> time::Duration {
     time::Duration::from_secs(seconds)
 }
 
-/// Processor time of this process so far.
+/// CPU time of this process so far.
 fn cpu_time() -> time::Duration {
     let text = fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     let nanoseconds = text.split(' ').next().and_then(|field| field.parse().ok());
@@ -56,16 +57,16 @@
     sorted.get(index).map_or(0, time::Duration::as_millis)
 }
 
-/// All VMs of one size, joined.
+/// A cluster of one size whose VMs have all joined.
 struct Site {
-    fabric: Fabric,
+    cluster: SimulatedCluster,
     /// Model engines of each region.
     engines: collections::BTreeMap<String, Vec<String>>,
     round: u32,
-    /// Ages of the load that a user had just before the next came: how old it gets.
+    /// Age of each load when its successor arrived, which is its maximum age.
     ages: Vec<time::Duration>,
-    /// When each user heard last of each engine, and how old that was then.
-    heard: collections::BTreeMap<(usize, String), (time::Duration, time::Duration)>,
+    /// When each user last received the load of each engine, and its age at that time.
+    last_received: collections::BTreeMap<(usize, String), (time::Duration, time::Duration)>,
 }
 
 impl Site {
@@ -79,7 +80,7 @@
                 )
             })
             .collect();
-        let mut fabric = Fabric::new(7, &places, settings::TimingSettings::default());
+        let mut cluster = SimulatedCluster::new(7, &places, settings::TimingSettings::default());
         let mut engines: collections::BTreeMap<String, Vec<String>> = collections::BTreeMap::new();
         for number in 0..count * 600 / 410 {
             let region = format!("region-{}", number % REGIONS);
@@ -90,59 +91,62 @@
         }
         let before = resident_bytes();
         for index in 0..count {
-            fabric.start(index);
+            cluster.start(index);
             let own = engines
-                .get(&fabric.vms[index].place.region)
+                .get(&cluster.vms[index].place.region)
                 .cloned()
                 .unwrap_or_default();
-            fabric.act(index, |core, _| {
+            cluster.act(index, |core, _| {
                 core.set_servers(own);
                 Vec::new()
             });
         }
-        let joined_after = Self::wait_until(&mut fabric, |fabric| {
-            fabric
+        let joined_after = Self::wait_until(&mut cluster, |cluster| {
+            cluster
                 .vms
                 .iter()
                 .filter_map(|vm| vm.core.as_ref())
                 .all(|core| core.members().iter().count() == count)
         });
-        fabric.advance(seconds(60));
-        fabric.told.clear();
+        cluster.advance(seconds(60));
+        cluster.events.clear();
         let memory = resident_bytes().saturating_sub(before) / count as u64;
         println!(
-            "{count:>4} VMs  all join together in {} ms  memory {} KB a VM",
+            "{count:>4} VMs  all joined within {} ms  memory {} KB per VM",
             joined_after.as_millis(),
             memory / 1024
         );
         Self {
-            fabric,
+            cluster,
             engines,
             round: 0,
             ages: Vec::new(),
-            heard: collections::BTreeMap::new(),
+            last_received: collections::BTreeMap::new(),
         }
     }
 
-    fn wait_until(fabric: &mut Fabric, is_met: impl Fn(&Fabric) -> bool) -> time::Duration {
-        let started_at = fabric.now;
-        while !is_met(fabric) && fabric.now < started_at + seconds(120) {
-            fabric.advance(time::Duration::from_millis(20));
+    fn wait_until(
+        cluster: &mut SimulatedCluster,
+        is_met: impl Fn(&SimulatedCluster) -> bool,
+    ) -> time::Duration {
+        let started_at = cluster.now;
+        while !is_met(cluster) && cluster.now < started_at + seconds(120) {
+            cluster.advance(time::Duration::from_millis(20));
         }
-        fabric.now - started_at
+        cluster.now - started_at
     }
 
-    /// One second of the steady state: watchers read engines, VMs tell of demand.
+    /// Simulates one second of the steady state: watchers read engines, VMs send demand.
     fn second(&mut self) {
         self.round += 1;
-        let fabric = &mut self.fabric;
-        let names: Vec<String> = fabric.vms.iter().map(|vm| vm.name.clone()).collect();
+        let cluster = &mut self.cluster;
+        let names: Vec<String> = cluster.vms.iter().map(|vm| vm.name.clone()).collect();
         let demands = DEMANDS_AT_410 * names.len() / 410;
         for index in 0..names.len() {
-            let (round, seed) = (self.round, fabric.rng.next_u32());
-            let region = &fabric.vms[index].place.region;
+            let (round, seed) = (self.round, cluster.rng.next_u32());
+            let region = &cluster.vms[index].place.region;
             let engines = self.engines.get(region).map_or(&[][..], Vec::as_slice);
-            fabric.act(index, |core, now| {
+            cluster.act(index, |core, now| {
                 let plan = core.watch_plan();
                 for (number, engine) in engines.iter().enumerate() {
                     let duty = plan.duty(&names[index], engine);
@@ -172,10 +176,12 @@
                 Vec::new()
             });
         }
-        fabric.advance(seconds(1));
-        for (at, index, event) in fabric.told.drain(..) {
+        cluster.advance(seconds(1));
+        for (at, index, event) in cluster.events.drain(..) {
             if let event::GossipEvent::Load(update) = event {
-                let before = self.heard.insert((index, update.server), (at, update.age));
+                let before = self
+                    .last_received
+                    .insert((index, update.server), (at, update.age));
                 self.ages
                     .extend(before.map(|(received_at, age)| at - received_at + age));
             }
@@ -183,8 +189,8 @@
     }
 
     fn change_configuration(&mut self) {
-        for index in self.fabric.running() {
-            let vm = self.fabric.vms[index].name.clone();
+        for index in self.cluster.running() {
+            let vm = self.cluster.vms[index].name.clone();
             let revision: u64 = self.round.into();
             let update = update::ConfigurationUpdate {
                 vm,
@@ -192,7 +198,7 @@
                 offset: revision,
                 chain_hash: fingerprint::ContentHash::of(&revision.to_le_bytes()),
             };
-            self.fabric.act(index, |core, now| {
+            self.cluster.act(index, |core, now| {
                 core.publish(now, &update::ItemUpdate::Configuration(update))
             });
         }
@@ -203,7 +209,7 @@
             self.second();
         }
         self.ages.clear();
-        let (sent, received) = (self.fabric.sent.clone(), self.fabric.received.clone());
+        let (sent, received) = (self.cluster.sent.clone(), self.cluster.received.clone());
         let cpu = cpu_time();
         for second in 0..WINDOW_S {
             if second == 10 {
@@ -212,31 +218,31 @@
             self.second();
         }
         let cpu = cpu_time() - cpu;
-        let count = self.fabric.vms.len() as f64;
+        let count = self.cluster.vms.len() as f64;
         let window = WINDOW_S as f64;
         let per_vm = |total: u64| total as f64 / count / window;
         let out: Vec<u64> = self
-            .fabric
+            .cluster
             .sent
             .iter()
             .zip(&sent)
             .map(|(now, then)| now.1 - then.1)
             .collect();
         let datagrams: u64 = self
-            .fabric
+            .cluster
             .sent
             .iter()
             .zip(&sent)
             .map(|(now, then)| now.0 - then.0)
             .sum();
-        let both = self.fabric.received.iter().zip(&received).zip(&out);
+        let both = self.cluster.received.iter().zip(&received).zip(&out);
         let both: Vec<u64> = both.map(|((now, then), out)| now - then + out).collect();
-        let most = both.iter().max().copied().unwrap_or(0) as f64 / window;
+        let max = both.iter().max().copied().unwrap_or(0) as f64 / window;
         let core_share = cpu.as_secs_f64() / count / window;
         let codec_share = per_vm(datagrams) * codec.as_secs_f64();
         println!(
-            "{:>4} VMs  steady: sent {:.0} B/s, both ways {:.0} B/s (most of one VM {most:.0}), {:.1} datagrams/s, core {:.3} % + codec {:.3} % of a processor",
-            self.fabric.vms.len(),
+            "{:>4} VMs  steady: sent {:.0} B/s, both ways {:.0} B/s (max of one VM {max:.0}), {:.1} datagrams/s, core {:.3} % + codec {:.3} % of a CPU core",
+            self.cluster.vms.len(),
             per_vm(out.iter().sum()),
             per_vm(both.iter().sum()),
             per_vm(datagrams),
@@ -247,51 +253,57 @@
 
     fn print_ages(&self) {
         println!(
-            "{:>4} VMs  oldest that a load gets at its users: p50 {} ms, p99 {} ms",
-            self.fabric.vms.len(),
+            "{:>4} VMs  maximum age of a load at its users: p50 {} ms, p99 {} ms",
+            self.cluster.vms.len(),
             percentile(&self.ages, 50),
             percentile(&self.ages, 99),
         );
     }
 
-    /// How long until all who run hold an item that one VM publishes, in its region and in all.
+    /// Measures the time until all running VMs hold an item that one VM publishes, in its region
+    /// and in all regions.
     fn measure_spread(&mut self, loss: u32) {
-        self.fabric.faults = NetworkFaults {
+        self.cluster.faults = NetworkFaults {
             loss,
-            ..self.fabric.faults
+            ..self.cluster.faults
         };
         let (mut near, mut far) = (Vec::new(), Vec::new());
         for number in 0..TRIALS {
-            let running = self.fabric.running();
-            let index = running[self.fabric.rng.next_u32() as usize % running.len()];
+            let running = self.cluster.running();
+            let index = running[self.cluster.rng.next_u32() as usize % running.len()];
             let subject = update::LeavingSubject::Server {
                 name: format!("engine-{number}"),
                 incarnation: format!("{loss}"),
             };
             let item = update::ItemUpdate::Leaving(subject);
-            let started_at = self.fabric.now;
-            self.fabric.act(index, |core, now| core.publish(now, &item));
-            self.fabric.advance(seconds(8));
-            let region = self.fabric.vms[index].place.region.clone();
-            let told = self
-                .fabric
-                .told
+            let started_at = self.cluster.now;
+            self.cluster
+                .act(index, |core, now| core.publish(now, &item));
+            self.cluster.advance(seconds(8));
+            let region = self.cluster.vms[index].place.region.clone();
+            let events = self
+                .cluster
+                .events
                 .iter()
                 .filter(|(_, _, event)| *event == event::GossipEvent::Item(item.clone()));
-            let learnt: collections::BTreeMap<usize, time::Duration> =
-                told.map(|(at, vm, _)| (*vm, *at - started_at)).collect();
-            assert_eq!(learnt.len(), running.len(), "everybody learns it");
-            let in_region = learnt
+            let delays: collections::BTreeMap<usize, time::Duration> =
+                events.map(|(at, vm, _)| (*vm, *at - started_at)).collect();
+            assert_eq!(
+                delays.len(),
+                running.len(),
+                "every running VM receives the item"
+            );
+            let in_region = delays
                 .iter()
-                .filter(|(vm, _)| self.fabric.vms[**vm].place.region == region);
+                .filter(|(vm, _)| self.cluster.vms[**vm].place.region == region);
             near.extend(in_region.map(|(_, after)| *after).max());
-            far.extend(learnt.values().max());
-            self.fabric.told.clear();
+            far.extend(delays.values().max());
+            self.cluster.events.clear();
         }
-        self.fabric.faults.loss = 0;
+        self.cluster.faults.loss = 0;
         println!(
-            "{:>4} VMs  a mark at everybody, loss {:.0} %: region p50 {} ms, p99 {} ms; all regions p50 {} ms, p99 {} ms",
-            self.fabric.vms.len(),
+            "{:>4} VMs  leaving mark on all VMs, loss {:.0} %: region p50 {} ms, p99 {} ms; all regions p50 {} ms, p99 {} ms",
+            self.cluster.vms.len(),
             f64::from(loss) / 2.56,
             percentile(&near, 50),
             percentile(&near, 99),
@@ -300,10 +312,11 @@
         );
     }
 
-    /// How long after one change of configuration all VMs know that it is in force on all.
+    /// Measures the time after a configuration change until all VMs know that it is in force on
+    /// all.
     fn measure_in_force(&mut self) {
-        let count = self.fabric.vms.len();
-        let before: u64 = self.fabric.sent.iter().map(|sent| sent.1).sum();
+        let count = self.cluster.vms.len();
+        let before: u64 = self.cluster.sent.iter().map(|sent| sent.1).sum();
         self.round += 1;
         let offset = u64::from(self.round);
         self.change_configuration();
@@ -314,35 +327,35 @@
                 .filter(|(_, record)| record.in_force.is_some_and(|state| state.offset == offset));
             known.count() == count
         };
-        let all = |fabric: &Fabric| {
-            fabric
+        let all = |cluster: &SimulatedCluster| {
+            cluster
                 .vms
                 .iter()
                 .filter_map(|vm| vm.core.as_ref())
                 .all(knows)
         };
-        let after = Self::wait_until(&mut self.fabric, all);
-        let sent: u64 = self.fabric.sent.iter().map(|sent| sent.1).sum();
+        let after = Self::wait_until(&mut self.cluster, all);
+        let sent: u64 = self.cluster.sent.iter().map(|sent| sent.1).sum();
         println!(
-            "{count:>4} VMs  one configuration on all: known to all after {} ms, {} B sent a VM meanwhile",
+            "{count:>4} VMs  one configuration in force on all: known to all after {} ms, {} B sent per VM",
             after.as_millis(),
             (sent - before) / count as u64,
         );
-        self.fabric.told.clear();
+        self.cluster.events.clear();
     }
 
-    /// How long until a fresh VM knows all members and what is in force on them.
+    /// Measures the time until a new VM knows all members and the configuration in force on them.
     fn measure_fresh_join(&mut self) {
-        let count = self.fabric.vms.len();
+        let count = self.cluster.vms.len();
         let mut joins = Vec::new();
         for trial in 0..10 {
             let index = trial * 7 % count;
-            self.fabric.kill(index);
-            self.fabric.advance(seconds(15));
-            self.fabric.start(index);
-            let name = self.fabric.vms[index].name.clone();
-            joins.push(Self::wait_until(&mut self.fabric, |fabric| {
-                fabric.vms[index].core.as_ref().is_some_and(|core| {
+            self.cluster.kill(index);
+            self.cluster.advance(seconds(15));
+            self.cluster.start(index);
+            let name = self.cluster.vms[index].name.clone();
+            joins.push(Self::wait_until(&mut self.cluster, |cluster| {
+                cluster.vms[index].core.as_ref().is_some_and(|core| {
                     let known = core.members().iter().filter(|(_, record)| {
                         record.in_force.is_some() || record.claim.name == name
                     });
@@ -350,49 +363,49 @@
                 })
             }));
             self.change_configuration();
-            self.fabric.advance(seconds(20));
+            self.cluster.advance(seconds(20));
         }
         println!(
-            "{count:>4} VMs  a fresh VM knows all members: p50 {} ms, p99 {} ms",
+            "{count:>4} VMs  new VM knows all members: p50 {} ms, p99 {} ms",
             percentile(&joins, 50),
             percentile(&joins, 99),
         );
-        self.fabric.told.clear();
+        self.cluster.events.clear();
     }
 
-    /// How long until a death is known to the first, to the region, and to all.
+    /// Measures the time until a failure is known to the first VM, to the region, and to all VMs.
     fn measure_detection(&mut self) {
         let (mut first, mut near, mut far) = (Vec::new(), Vec::new(), Vec::new());
         for _ in 0..TRIALS {
-            let running = self.fabric.running();
-            let victim = running[self.fabric.rng.next_u32() as usize % running.len()];
+            let running = self.cluster.running();
+            let victim = running[self.cluster.rng.next_u32() as usize % running.len()];
             let (name, region) = (
-                self.fabric.vms[victim].name.clone(),
-                self.fabric.vms[victim].place.region.clone(),
+                self.cluster.vms[victim].name.clone(),
+                self.cluster.vms[victim].place.region.clone(),
             );
-            let started_at = self.fabric.now;
-            self.fabric.kill(victim);
-            self.fabric.advance(seconds(20));
-            let told = self.fabric.told.iter().filter(|(_, _, event)| {
+            let started_at = self.cluster.now;
+            self.cluster.kill(victim);
+            self.cluster.advance(seconds(20));
+            let events = self.cluster.events.iter().filter(|(_, _, event)| {
                 matches!(event, event::GossipEvent::Member(claim) if claim.name == name && claim.version.state == claim::MemberState::Dead)
             });
-            let learnt: collections::BTreeMap<usize, time::Duration> =
-                told.map(|(at, vm, _)| (*vm, *at - started_at)).collect();
-            let in_region: Vec<time::Duration> = learnt
+            let delays: collections::BTreeMap<usize, time::Duration> =
+                events.map(|(at, vm, _)| (*vm, *at - started_at)).collect();
+            let in_region: Vec<time::Duration> = delays
                 .iter()
-                .filter(|(vm, _)| self.fabric.vms[**vm].place.region == region)
+                .filter(|(vm, _)| self.cluster.vms[**vm].place.region == region)
                 .map(|(_, after)| *after)
                 .collect();
             first.extend(in_region.iter().min());
             near.extend(in_region.iter().max());
-            far.extend(learnt.values().max());
-            self.fabric.start(victim);
-            self.fabric.advance(seconds(10));
-            self.fabric.told.clear();
+            far.extend(delays.values().max());
+            self.cluster.start(victim);
+            self.cluster.advance(seconds(10));
+            self.cluster.events.clear();
         }
         println!(
-            "{:>4} VMs  a death: first p50 {} ms, p99 {} ms; region p50 {} ms, p99 {} ms; all p50 {} ms, p99 {} ms",
-            self.fabric.vms.len(),
+            "{:>4} VMs  failure detection: first p50 {} ms, p99 {} ms; region p50 {} ms, p99 {} ms; all p50 {} ms, p99 {} ms",
+            self.cluster.vms.len(),
             percentile(&first, 50),
             percentile(&first, 99),
             percentile(&near, 50),
@@ -402,21 +415,21 @@
         );
     }
 
-    /// One whole failure domain goes at once, and comes back.
+    /// Measures the loss and the return of a complete failure domain.
     fn measure_domain_loss(&mut self) {
-        let domain = self.fabric.vms[0].place.failure_domain.clone();
-        let lost: Vec<usize> = (0..self.fabric.vms.len())
-            .filter(|index| self.fabric.vms[*index].place.failure_domain == domain)
+        let domain = self.cluster.vms[0].place.failure_domain.clone();
+        let lost: Vec<usize> = (0..self.cluster.vms.len())
+            .filter(|index| self.cluster.vms[*index].place.failure_domain == domain)
             .collect();
-        lost.iter().for_each(|index| self.fabric.kill(*index));
-        let mut most = 0;
-        let started_at = self.fabric.now;
+        lost.iter().for_each(|index| self.cluster.kill(*index));
+        let mut max = 0;
+        let started_at = self.cluster.now;
         let names: collections::BTreeSet<String> = lost
             .iter()
-            .map(|index| self.fabric.vms[*index].name.clone())
+            .map(|index| self.cluster.vms[*index].name.clone())
             .collect();
-        let all_know = |fabric: &Fabric| {
-            fabric
+        let all_know = |cluster: &SimulatedCluster| {
+            cluster
                 .vms
                 .iter()
                 .filter_map(|vm| vm.core.as_ref())
@@ -426,26 +439,26 @@
                     })
                 })
         };
-        while !all_know(&self.fabric) && self.fabric.now < started_at + seconds(120) {
-            let before = self.fabric.sent.clone();
-            let received = self.fabric.received.clone();
-            self.fabric.advance(seconds(1));
+        while !all_know(&self.cluster) && self.cluster.now < started_at + seconds(120) {
+            let before = self.cluster.sent.clone();
+            let received = self.cluster.received.clone();
+            self.cluster.advance(seconds(1));
             let both = (0..before.len()).map(|index| {
-                self.fabric.sent[index].1 - before[index].1 + self.fabric.received[index]
+                self.cluster.sent[index].1 - before[index].1 + self.cluster.received[index]
                     - received[index]
             });
-            most = both.max().unwrap_or(0).max(most);
+            max = both.max().unwrap_or(0).max(max);
         }
-        let dead_after = self.fabric.now - started_at;
-        lost.iter().for_each(|index| self.fabric.start(*index));
-        let back_after = Self::wait_until(&mut self.fabric, |fabric| {
-            fabric
+        let dead_after = self.cluster.now - started_at;
+        lost.iter().for_each(|index| self.cluster.start(*index));
+        let back_after = Self::wait_until(&mut self.cluster, |cluster| {
+            cluster
                 .vms
                 .iter()
                 .filter_map(|vm| vm.core.as_ref())
                 .all(|core| {
                     let members = core.members();
-                    fabric.vms.iter().all(|vm| {
+                    cluster.vms.iter().all(|vm| {
                         members.named(&vm.name).is_some_and(|record| {
                             record.claim.version.incarnation.id == vm.identity.incarnation
                                 && record.state() == claim::MemberState::Alive
@@ -454,13 +467,13 @@
                 })
         });
         println!(
-            "{:>4} VMs  {} of one domain go: dead everywhere after {} ms, at most {most} B in a second both ways; back everywhere after {} ms",
-            self.fabric.vms.len(),
+            "{:>4} VMs  loss of one domain of {} VMs: dead on all VMs after {} ms, max {max} B in one second both ways; alive on all VMs after {} ms",
+            self.cluster.vms.len(),
             lost.len(),
             dead_after.as_millis(),
             back_after.as_millis(),
         );
-        self.fabric.told.clear();
+        self.cluster.events.clear();
     }
 }
 
@@ -475,12 +488,12 @@
     }
 }
 
-/// Processor time to seal and to open one datagram of usual size.
+/// CPU time to seal and open one datagram of typical size.
 fn measure_codec() -> time::Duration {
     let ring = key::KeyRing::new(vec![key::WireKey::new(1, &[7; 32])]).expect("one key");
-    let process = |name: &str, life| identity::ProcessIdentity {
+    let process = |name: &str, incarnation| identity::ProcessIdentity {
         name: name.to_owned(),
-        incarnation: id::Incarnation(life),
+        incarnation: id::Incarnation(incarnation),
     };
     let (sender, receiver) = (process("region-0-1-vm-1", 1), process("region-0-1-vm-2", 2));
     let mut sealing = datagram::DatagramCodec::new(sender, key::KeyHandle::new(ring.clone()));
@@ -488,7 +501,9 @@
     let count = 100_000_u32;
     let before = cpu_time();
     for _ in 0..count {
-        let datagram = sealing.seal(Some(&receiver), vec![7; 60]).expect("short");
+        let datagram = sealing
+            .seal(Some(&receiver), vec![7; 60])
+            .expect("the payload fits");
         hint::black_box(opening.open(&datagram).expect("valid"));
     }
     (cpu_time() - before) / count
@@ -515,6 +530,6 @@
         site.measure_spread(13);
         site.measure_detection();
         site.measure_domain_loss();
-        let _: Option<&TestCore> = site.fabric.vms[0].core.as_ref();
+        let _: Option<&TestCore> = site.cluster.vms[0].core.as_ref();
     }
 }
--- a/crates/gossip/tests/udp.rs
+++ b/crates/gossip/tests/udp.rs
@@ -1,4 +1,4 @@
-//! The whole crate over real sockets on loopback.
+//! Tests of the complete crate over loopback sockets.
 
 use std::{net, time};
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Addresses that were free a moment ago.
+/// Loopback addresses with ports that were free when probed.
 fn free_addresses(count: usize) -> Vec<net::SocketAddr> {
     let sockets: Vec<net::UdpSocket> = (0..count)
         .map(|_| net::UdpSocket::bind("127.0.0.1:0").expect("a free port"))
@@ -75,14 +75,16 @@
     let waited = members.wait_for(|snapshot| is_met(snapshot));
     let limit = time::Duration::from_secs(60);
     let waited = tokio::time::timeout(limit, waited).await;
-    assert!(waited.is_ok_and(|outcome| outcome.is_ok()), "never met");
+    assert!(
+        waited.is_ok_and(|outcome| outcome.is_ok()),
+        "timed out waiting for the snapshot"
+    );
 }
 
 #[tokio::test]
-async fn members_find_each_other_and_lose_the_dead() {
-    // Symptom: a VM that was killed goes on being named to callers.
-    // Sequence: three VMs meet; one marks itself as leaving; one stops without a goodbye.
-    // Cause: nobody else can notice either.
+async fn members_join_leave_and_are_detected_as_dead() {
+    // Guards against reporting a leaving or killed VM as serving: of three members one marks itself
+    // as leaving and one stops without announcing its departure, which only the others can detect.
     let addresses = free_addresses(3);
     let mut handles = start_all(&addresses).await;
     for handle in &handles {
--- a/crates/gossip/tests/virtual_time/fabric.rs
+++ b/crates/gossip/tests/virtual_time/cluster.rs
@@ -1,4 +1,4 @@
-//! Many cores on virtual time, and the network that moves datagrams between them.
+//! Simulated cluster: many cores on virtual time, and the network between them.
 
 use std::{cmp, collections, net, time};
 
@@ -12,42 +12,42 @@
 
 pub type TestCore = core::MemberCore<ChaCha8Rng>;
 
-/// What the network does to datagrams.
+/// Faults that the network injects.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkFaults {
-    /// Chance of loss in 256.
+    /// Probability of loss, in 1/256.
     pub loss: u32,
-    /// Chance of a second delivery in 256.
-    pub twice: u32,
-    /// Longest delay; each datagram draws its own, so they overtake each other.
+    /// Probability of duplicate delivery, in 1/256.
+    pub duplication: u32,
+    /// Maximum delay; each datagram draws its own, so datagrams are reordered.
     pub delay_ms: u32,
 }
 
-/// One VM and the life that runs on it, if any.
-pub struct FabricVm {
+/// A simulated VM and its running core, if any.
+pub struct SimulatedVm {
     pub name: String,
     pub place: claim::MemberPlace,
     pub core: Option<TestCore>,
     pub identity: identity::ProcessIdentity,
-    /// How far its wall clock is off.
+    /// Offset of the VM's wall clock.
     pub skew_ms: i64,
-    /// Stopped for now; what arrives waits.
+    /// Whether the process is paused; received datagrams are queued.
     pub paused: bool,
-    /// VMs with different sides cannot reach each other.
-    pub side: u32,
-    /// What arrived during the pause.
-    pub backlog: Vec<Flight>,
-    /// Since when the newest life runs.
-    pub born_at: time::Duration,
-    /// Versions that this life has held; they must never fall.
+    /// VMs in different network partitions cannot reach each other.
+    pub partition: u32,
+    /// Datagrams received during the pause.
+    pub backlog: Vec<DatagramInFlight>,
+    /// Start time of the newest incarnation.
+    pub started_at: time::Duration,
+    /// Item versions that this incarnation has held; they must never decrease.
     held: collections::BTreeMap<item::ItemKey, u64>,
     in_force: collections::BTreeMap<id::Incarnation, in_force::StateKey>,
     claims: collections::BTreeMap<String, claim::ClaimVersion>,
 }
 
-/// A datagram on its way.
+/// A datagram in datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Flight {
+pub struct DatagramInFlight {
     pub at: time::Duration,
     order: u64,
     from: usize,
@@ -57,79 +57,81 @@
     payload: Vec<u8>,
 }
 
-impl Ord for Flight {
+impl Ord for DatagramInFlight {
     fn cmp(&self, other: &Self) -> cmp::Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
 
-impl PartialOrd for Flight {
+impl PartialOrd for DatagramInFlight {
     fn partial_cmp(&self, other: &Self) -> Option<cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-/// All VMs and the network.
-pub struct Fabric {
+/// Simulated VMs and the network between them.
+pub struct SimulatedCluster {
     pub now: time::Duration,
-    pub vms: Vec<FabricVm>,
+    pub vms: Vec<SimulatedVm>,
     pub faults: NetworkFaults,
     pub rng: ChaCha8Rng,
     pub timing: settings::TimingSettings,
-    /// Everything that was told, newest last, with the VM that told it.
-    pub told: Vec<(time::Duration, usize, event::GossipEvent)>,
-    /// Datagrams and bytes sent, headers of UDP and IP counted, by VM.
+    /// All events, newest last, with the VM that emitted them.
+    pub events: Vec<(time::Duration, usize, event::GossipEvent)>,
+    /// Datagrams and bytes sent by each VM, including UDP and IP headers.
     pub sent: Vec<(u64, u64)>,
-    /// Bytes received by VM.
+    /// Bytes received by each VM.
     pub received: Vec<u64>,
     /// VMs that sent to another region.
-    pub crossing: collections::BTreeSet<usize>,
-    flights: collections::BinaryHeap<Flight>,
-    /// When each VM ticks next; each has its own phase.
+    pub cross_region_senders: collections::BTreeSet<usize>,
+    in_flight: collections::BinaryHeap<DatagramInFlight>,
+    /// Next tick of each VM; each has its own phase.
     ticks: collections::BinaryHeap<cmp::Reverse<(time::Duration, usize)>>,
     addresses: collections::BTreeMap<net::SocketAddr, usize>,
     order: u64,
 }
 
-/// Bytes of a datagram beside payload and sender's name: IP, UDP, header, and the rest of the
-/// envelope.
-const AROUND_PAYLOAD: u64 = 28 + 18 + 27;
+/// Bytes of a datagram without the payload and the sender's name: IP and UDP headers, own header,
+/// and the rest of the envelope.
+const DATAGRAM_OVERHEAD_BYTES: u64 = 28 + 18 + 27;
 
-/// Wall clock at the virtual beginning.
+/// Wall clock at virtual time zero.
 pub const EPOCH_MS: u64 = 1_700_000_000_000;
 
-impl Fabric {
-    /// VMs that are all down; `places` gives region and failure domain of each.
+impl SimulatedCluster {
+    /// Creates VMs that are all stopped; `places` lists region and failure domain of each.
     pub fn new(seed: u64, places: &[(String, String)], timing: settings::TimingSettings) -> Self {
-        let mut fabric = Self {
+        let mut cluster = Self {
             now: time::Duration::from_secs(1),
             vms: Vec::new(),
             faults: NetworkFaults {
                 loss: 0,
-                twice: 0,
+                duplication: 0,
                 delay_ms: 2,
             },
             rng: ChaCha8Rng::seed_from_u64(seed),
             timing,
-            told: Vec::new(),
+            events: Vec::new(),
             sent: vec![(0, 0); places.len()],
             received: vec![0; places.len()],
-            crossing: collections::BTreeSet::new(),
-            flights: collections::BinaryHeap::new(),
+            cross_region_senders: collections::BTreeSet::new(),
+            in_flight: collections::BinaryHeap::new(),
             ticks: collections::BinaryHeap::new(),
             addresses: collections::BTreeMap::new(),
             order: 0,
         };
         for (index, (region, failure_domain)) in places.iter().enumerate() {
-            let tick_ms = u32::try_from(fabric.timing.tick.as_millis()).expect("short");
-            let phase = time::Duration::from_millis((fabric.rng.next_u32() % tick_ms).into());
-            fabric.ticks.push(cmp::Reverse((fabric.now + phase, index)));
+            let tick_ms = u32::try_from(cluster.timing.tick.as_millis()).expect("short");
+            let phase = time::Duration::from_millis((cluster.rng.next_u32() % tick_ms).into());
+            cluster
+                .ticks
+                .push(cmp::Reverse((cluster.now + phase, index)));
             let number = u16::try_from(index).expect("few VMs");
             let [high, low] = number.to_be_bytes();
             let address = net::SocketAddr::from(([10, 0, high, low], 7000));
-            fabric.addresses.insert(address, index);
+            cluster.addresses.insert(address, index);
             let name = format!("{failure_domain}-vm-{index}");
-            fabric.vms.push(FabricVm {
+            cluster.vms.push(SimulatedVm {
                 identity: identity::ProcessIdentity {
                     name: name.clone(),
                     incarnation: id::Incarnation(0),
@@ -143,18 +145,18 @@
                 core: None,
                 skew_ms: 0,
                 paused: false,
-                side: 0,
+                partition: 0,
                 backlog: Vec::new(),
-                born_at: time::Duration::ZERO,
+                started_at: time::Duration::ZERO,
                 held: collections::BTreeMap::new(),
                 in_force: collections::BTreeMap::new(),
                 claims: collections::BTreeMap::new(),
             });
         }
-        fabric
+        cluster
     }
 
-    /// Begins a new life on a VM, ending the one before without a word.
+    /// Starts a new incarnation on a VM; the previous one ends without announcing its departure.
     pub fn start(&mut self, index: usize) {
         let seeds = self.vms.iter().map(|vm| settings::SeedEntry {
             name: vm.name.clone(),
@@ -174,20 +176,20 @@
         let timing = self.timing.clone();
         vm.core = Some(core::MemberCore::new(own, timing, seeds, rng, self.now));
         vm.paused = false;
-        vm.born_at = self.now;
+        vm.started_at = self.now;
         vm.backlog.clear();
         vm.held.clear();
         vm.in_force.clear();
         vm.claims.clear();
     }
 
-    /// Ends the life on a VM without a word.
+    /// Stops the core of a VM without announcing its departure.
     pub fn kill(&mut self, index: usize) {
         self.vms[index].core = None;
         self.vms[index].paused = false;
     }
 
-    /// VMs on which a life runs that is not paused.
+    /// VMs whose core is running and not paused.
     pub fn running(&self) -> Vec<usize> {
         let indices = 0..self.vms.len();
         indices
@@ -195,7 +197,7 @@
             .collect()
     }
 
-    /// Lets the core of a VM do something and performs what it wants.
+    /// Calls the core of a VM and performs the actions that it returns.
     pub fn act<F>(&mut self, index: usize, act: F)
     where
         F: FnOnce(&mut TestCore, time::Duration) -> Vec<event::CoreAction>,
@@ -207,37 +209,39 @@
         for action in act(core, now) {
             match action {
                 event::CoreAction::Send(outgoing) => self.send(index, outgoing),
-                event::CoreAction::Notify(event) => self.told.push((now, index, event)),
+                event::CoreAction::Notify(event) => self.events.push((now, index, event)),
             }
         }
     }
 
-    /// Lets a paused life go on. It may notice the time first and what had arrived after that.
+    /// Resumes a paused VM. It first runs a tick, then receives the queued datagrams.
     pub fn resume(&mut self, index: usize) {
         if std::mem::take(&mut self.vms[index].paused) {
             self.act(index, TestCore::on_tick);
         }
         let backlog = std::mem::take(&mut self.vms[index].backlog);
-        backlog.into_iter().for_each(|flight| self.deliver(flight));
+        backlog
+            .into_iter()
+            .for_each(|datagram| self.deliver(datagram));
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time.
     pub fn advance(&mut self, span: time::Duration) {
         let end = self.now + span;
         loop {
-            let flight_at = self
-                .flights
+            let delivery_at = self
+                .in_flight
                 .peek()
-                .map_or(time::Duration::MAX, |flight| flight.at);
+                .map_or(time::Duration::MAX, |datagram| datagram.at);
             let cmp::Reverse((tick_at, index)) = *self.ticks.peek().expect("one for each VM");
-            let next = flight_at.min(tick_at);
+            let next = delivery_at.min(tick_at);
             if next > end {
                 break;
             }
             self.now = self.now.max(next);
-            if flight_at <= tick_at {
-                let flight = self.flights.pop().expect("just seen");
-                self.deliver(flight);
+            if delivery_at <= tick_at {
+                let datagram = self.in_flight.pop().expect("just seen");
+                self.deliver(datagram);
                 continue;
             }
             self.ticks.pop();
@@ -259,25 +263,31 @@
             outgoing.payload.len() <= datagram::MAX_PAYLOAD_BYTES,
             "datagram too long"
         );
-        let bytes = AROUND_PAYLOAD + (outgoing.payload.len() + self.vms[from].name.len()) as u64;
+        let bytes =
+            DATAGRAM_OVERHEAD_BYTES + (outgoing.payload.len() + self.vms[from].name.len()) as u64;
         self.sent[from].0 += 1;
         self.sent[from].1 += bytes;
         let Some(&to) = self.addresses.get(&outgoing.address) else {
             return;
         };
         if self.vms[to].place.region != self.vms[from].place.region {
-            self.crossing.insert(from);
+            self.cross_region_senders.insert(from);
         }
-        let copies = if self.chance(self.faults.twice) { 2 } else { 1 };
+        let copies = if self.chance(self.faults.duplication) {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let delay_us = 300 + self.rng.next_u32() % (self.faults.delay_ms * 1000);
-            let lost = self.chance(self.faults.loss) || self.vms[from].side != self.vms[to].side;
+            let lost =
+                self.chance(self.faults.loss) || self.vms[from].partition != self.vms[to].partition;
             if lost {
                 continue;
             }
             self.received[to] += bytes;
             self.order += 1;
-            self.flights.push(Flight {
+            self.in_flight.push(DatagramInFlight {
                 at: self.now + time::Duration::from_micros(delay_us.into()),
                 order: self.order,
                 from,
@@ -289,28 +299,28 @@
         }
     }
 
-    /// Hands a datagram over as crate `wire` would: only if bound to this very life, or to none.
-    fn deliver(&mut self, flight: Flight) {
-        let vm = &mut self.vms[flight.to];
+    /// Delivers a datagram as crate `wire` would: only if bound to this incarnation, or unbound.
+    fn deliver(&mut self, datagram: DatagramInFlight) {
+        let vm = &mut self.vms[datagram.to];
         if vm.paused {
-            vm.backlog.push(flight);
+            vm.backlog.push(datagram);
             return;
         }
-        let bound = flight.receiver.is_some();
-        if flight
+        let bound = datagram.receiver.is_some();
+        if datagram
             .receiver
             .as_ref()
             .is_some_and(|receiver| *receiver != vm.identity)
         {
             return;
         }
-        let address = self.vms[flight.from].place.address;
-        self.act(flight.to, |core, now| {
-            core.on_datagram(now, address, &flight.sender, bound, &flight.payload)
+        let address = self.vms[datagram.from].place.address;
+        self.act(datagram.to, |core, now| {
+            core.on_datagram(now, address, &datagram.sender, bound, &datagram.payload)
         });
     }
 
-    /// Checks what must hold at every moment: no version falls, no mark of leaving is unlearnt.
+    /// Checks the invariants: no version decreases, and no leaving mark is removed.
     pub fn check_monotone(&mut self) {
         for vm in &mut self.vms {
             let Some(core) = &vm.core else {
@@ -321,29 +331,29 @@
                 let before = vm.claims.insert(record.claim.name.clone(), version);
                 assert!(
                     before.is_none_or(|before| before <= version),
-                    "{} fell",
+                    "a claim version decreased on {}",
                     vm.name
                 );
             }
-            let lives = core.members().iter().filter_map(|(_, record)| {
-                let life = record.claim.version.incarnation.id;
-                record.in_force.map(|state| (life, state))
+            let states = core.members().iter().filter_map(|(_, record)| {
+                let incarnation = record.claim.version.incarnation.id;
+                record.in_force.map(|state| (incarnation, state))
             });
-            for (life, state) in lives {
-                let before = vm.in_force.insert(life, state);
+            for (incarnation, state) in states {
+                let before = vm.in_force.insert(incarnation, state);
                 assert!(
                     before.is_none_or(|before| before <= state),
-                    "{} reverted",
+                    "the configuration in force reverted on {}",
                     vm.name
                 );
             }
             for (key, before) in &mut vm.held {
                 let now = core.items().get(key).map(|item| item.version);
-                let gone = now.is_none() && key.kind == item::ItemKind::Leaving;
-                assert!(!gone, "{} unlearnt {key:?}", vm.name);
+                let removed = now.is_none() && key.kind == item::ItemKind::Leaving;
+                assert!(!removed, "{} removed {key:?}", vm.name);
                 assert!(
                     now.is_none_or(|now| *before <= now),
-                    "{} fell at {key:?}",
+                    "the version of {key:?} decreased on {}",
                     vm.name
                 );
             }
--- a/crates/gossip/tests/virtual_time/directed.rs
+++ b/crates/gossip/tests/virtual_time/directed.rs
@@ -1,4 +1,4 @@
-//! Failures one by one, on virtual time.
+//! Tests of individual failures, on virtual time.
 
 use std::time;
 
@@ -8,49 +8,49 @@
 use rand_chacha::rand_core::{Rng as _, SeedableRng as _};
 use wire::{identity, proto::gossip as proto};
 
-use crate::fabric::{EPOCH_MS, Fabric, TestCore};
+use crate::cluster::{EPOCH_MS, SimulatedCluster, TestCore};
 
 fn seconds(seconds: u64) -> time::Duration {
     time::Duration::from_secs(seconds)
 }
 
-/// `count` VMs in regions of two failure domains each, all started and known to each other.
-fn joined(seed: u64, count: usize, regions: usize) -> Fabric {
-    joined_with(seed, count, regions, settings::TimingSettings::default())
+/// Starts `count` VMs in regions of two failure domains each and waits until all know each other.
+fn joined_cluster(seed: u64, count: usize, regions: usize) -> SimulatedCluster {
+    joined_cluster_with(seed, count, regions, settings::TimingSettings::default())
 }
 
-fn joined_with(
+fn joined_cluster_with(
     seed: u64,
     count: usize,
     regions: usize,
     timing: settings::TimingSettings,
-) -> Fabric {
+) -> SimulatedCluster {
     let places: Vec<(String, String)> = (0..count)
         .map(|index| {
             let region = format!("region-{}", index % regions);
             (region.clone(), format!("{region}-{}", index / regions % 2))
         })
         .collect();
-    let mut fabric = Fabric::new(seed, &places, timing);
-    (0..count).for_each(|index| fabric.start(index));
-    fabric.advance(seconds(20));
+    let mut cluster = SimulatedCluster::new(seed, &places, timing);
+    (0..count).for_each(|index| cluster.start(index));
+    cluster.advance(seconds(20));
     for index in 0..count {
         assert_eq!(
-            present(&fabric, index).len(),
+            present(&cluster, index).len(),
             count,
-            "seed {seed}: all have met"
+            "seed {seed}: VM {index} does not know all members"
         );
     }
-    fabric.told.clear();
-    fabric
+    cluster.events.clear();
+    cluster
 }
 
-fn core(fabric: &Fabric, index: usize) -> &TestCore {
-    fabric.vms[index].core.as_ref().expect("it runs")
+fn core(cluster: &SimulatedCluster, index: usize) -> &TestCore {
+    cluster.vms[index].core.as_ref().expect("the VM is running")
 }
 
-fn present(fabric: &Fabric, index: usize) -> Vec<String> {
-    let members = core(fabric, index).members().iter();
+fn present(cluster: &SimulatedCluster, index: usize) -> Vec<String> {
+    let members = core(cluster, index).members().iter();
     let present = members.filter(|(_, record)| record.state().is_present());
     present
         .map(|(_, record)| record.claim.name.clone())
@@ -67,43 +67,41 @@
 }
 
 #[test]
-fn news_outlives_everyone_who_first_had_it() {
-    // Symptom: a quarantined request crashes engines again after a release.
-    // Sequence: it is quarantined; all VMs are replaced one after another.
-    // Cause: VMs keep nothing; only their neighbours remember.
-    let mut fabric = joined(1, 5, 1);
-    fabric.act(0, |core, now| core.publish(now, &quarantine(seconds(3600))));
-    fabric.act(1, TestCore::leave);
+fn items_survive_a_rolling_replacement_of_all_vms() {
+    // Guards against losing a quarantine in a rolling release, after which the content crashes
+    // engines again: VMs store nothing, so items survive only on their neighbours.
+    let mut cluster = joined_cluster(1, 5, 1);
+    cluster.act(0, |core, now| core.publish(now, &quarantine(seconds(3600))));
+    cluster.act(1, TestCore::leave);
     let leaving = update::LeavingSubject::Server {
         name: "engine-1".to_owned(),
         incarnation: "a".to_owned(),
     };
-    fabric.act(1, |core, now| {
+    cluster.act(1, |core, now| {
         core.publish(now, &update::ItemUpdate::Leaving(leaving.clone()))
     });
-    fabric.advance(seconds(1));
+    cluster.advance(seconds(1));
     for index in 0..5 {
-        fabric.start(index);
-        fabric.advance(seconds(3));
+        cluster.start(index);
+        cluster.advance(seconds(3));
     }
     for index in 0..5 {
-        let snapshot = core(&fabric, index).snapshot(fabric.now);
+        let snapshot = core(&cluster, index).snapshot(cluster.now);
         assert!(snapshot.leaving.contains(&leaving));
         assert_eq!(
             snapshot.serving("region-0").count(),
             5,
-            "a successor is not leaving"
+            "a restarted VM is not leaving"
         );
-        assert_eq!(core(&fabric, index).items().iter().count(), 3);
+        assert_eq!(core(&cluster, index).items().iter().count(), 3);
     }
 }
 
 #[test]
-fn the_last_word_on_a_quarantine_holds() {
-    // Symptom: an operator lifts a quarantine and it comes back, or the other way round.
-    // Sequence: it is imposed, lifted and imposed again, each time on another VM.
-    // Cause: the words differ only in their versions.
-    let mut fabric = joined(13, 5, 1);
+fn the_latest_quarantine_decision_wins() {
+    // Guards against an older quarantine decision replacing a newer one: a quarantine is imposed,
+    // lifted and imposed again on different VMs, and only the item versions tell the order.
+    let mut cluster = joined_cluster(13, 5, 1);
     for round in 0..4 {
         let update::ItemUpdate::Quarantine(mut update) = quarantine(seconds(3600)) else {
             unreachable!()
@@ -111,17 +109,17 @@
         update.lifted = round % 2 == 1;
         update.reason = format!("round {}", 9 - round);
         let index = round % 5;
-        fabric.act(index, |core, now| {
+        cluster.act(index, |core, now| {
             core.publish(now, &update::ItemUpdate::Quarantine(update.clone()))
         });
-        fabric.advance(seconds(2));
+        cluster.advance(seconds(2));
         for index in 0..5 {
-            let item = core(&fabric, index)
+            let item = core(&cluster, index)
                 .items()
                 .iter()
                 .next()
                 .expect("published");
-            let held = update::ItemUpdate::from_item(item, fabric.now);
+            let held = update::ItemUpdate::from_item(item, cluster.now);
             assert!(
                 matches!(held, Some(update::ItemUpdate::Quarantine(held)) if held.reason == update.reason)
             );
@@ -130,24 +128,23 @@
 }
 
 #[test]
-fn a_greeting_is_answered_and_not_believed() {
-    // Symptom: a VM that was just restarted believes what somebody recorded long ago.
-    // Sequence: a datagram that names no receiver's life arrives, with a claim and an item in it.
-    // Cause: such a datagram is valid anywhere, at any time.
-    let mut fabric = joined(14, 2, 1);
+fn an_unbound_hello_is_answered_and_its_content_ignored() {
+    // Guards against replay: an unbound datagram is valid on any VM at any time, so a restarted VM
+    // must not apply the claims and items in it.
+    let mut cluster = joined_cluster(14, 2, 1);
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(1);
     let sender = identity::ProcessIdentity {
         name: "stranger".to_owned(),
         incarnation: id::Incarnation(9),
     };
-    let address = fabric.vms[1].place.address;
+    let address = cluster.vms[1].place.address;
     let mut send = |bound, kind| {
-        let mut message = odd_message(&mut rng, "stranger");
+        let mut message = random_message(&mut rng, "stranger");
         message.claims = vec![claim_of(&sender, address).to_wire()];
         message.kind = Some(kind);
-        let core = fabric.vms[0].core.as_mut().expect("it runs");
+        let core = cluster.vms[0].core.as_mut().expect("the VM is running");
         let actions = core.on_datagram(
-            fabric.now,
+            cluster.now,
             address,
             &sender,
             bound,
@@ -169,11 +166,10 @@
 }
 
 #[test]
-fn a_stranger_is_greeted() {
-    // Symptom: a VM hears another but never names it to a caller.
-    // Sequence: it forgot the other, or was restarted; the other goes on probing it.
-    // Cause: a probe does not say who the sender is beyond its name.
-    let mut fabric = joined(15, 2, 1);
+fn an_unknown_sender_is_sent_a_hello() {
+    // Guards against a member that is received from but never becomes known: after a restart, or
+    // after removing the member, a VM is probed by it, and a probe carries only its identity.
+    let mut cluster = joined_cluster(15, 2, 1);
     let sender = identity::ProcessIdentity {
         name: "stranger".to_owned(),
         incarnation: id::Incarnation(9),
@@ -182,10 +178,10 @@
         kind: Some(proto::message::Kind::Ping(proto::Ping { number: 1 })),
         ..proto::Message::default()
     };
-    let (now, address) = (fabric.now, fabric.vms[1].place.address);
-    let core = fabric.vms[0].core.as_mut().expect("it runs");
+    let (now, address) = (cluster.now, cluster.vms[1].place.address);
+    let core = cluster.vms[0].core.as_mut().expect("the VM is running");
     let actions = core.on_datagram(now, address, &sender, true, &ping.encode_to_vec());
-    assert_eq!(actions.len(), 2, "an answer and a greeting: {actions:?}");
+    assert_eq!(actions.len(), 2, "expected an Ack and a Hello: {actions:?}");
 }
 
 fn claim_of(
@@ -211,134 +207,133 @@
 }
 
 #[test]
-fn what_expires_is_forgotten_everywhere() {
-    // Symptom: a quarantine never ends.
-    // Sequence: it expires at slightly different times on different VMs, which compare notes.
-    // Cause: those that still have it hand it back to those that have dropped it.
-    let mut fabric = joined(2, 6, 1);
-    fabric.faults.loss = 30;
-    fabric.faults.delay_ms = 800;
-    fabric.act(0, |core, now| core.publish(now, &quarantine(seconds(30))));
-    fabric.advance(seconds(45));
-    (0..6).for_each(|index| assert_eq!(core(&fabric, index).items().iter().count(), 0));
+fn expired_items_are_removed_on_all_members() {
+    // Guards against items that never expire: VMs remove an item at slightly different times, and
+    // anti-entropy could send it back to those that have already removed it.
+    let mut cluster = joined_cluster(2, 6, 1);
+    cluster.faults.loss = 30;
+    cluster.faults.delay_ms = 800;
+    cluster.act(0, |core, now| core.publish(now, &quarantine(seconds(30))));
+    cluster.advance(seconds(45));
+    (0..6).for_each(|index| assert_eq!(core(&cluster, index).items().iter().count(), 0));
 }
 
 #[test]
-fn a_pause_kills_nobody_else() {
-    // Symptom: after one VM was paused, it and its neighbours take each other for dead.
-    // Sequence: it is paused in the middle of a probe for a minute and goes on.
-    // Cause: it heard nobody for a minute, but that was its own doing.
+fn a_paused_vm_suspects_no_other_member() {
+    // Guards against a VM declaring its neighbours dead after it was itself paused for a minute in
+    // the middle of a probe and received nothing meanwhile.
     for phase_ms in (0..2000).step_by(100) {
-        let mut fabric = joined(3, 6, 1);
-        // So slow that an answer is often on its way.
-        fabric.faults.delay_ms = 150;
-        fabric.advance(time::Duration::from_millis(phase_ms));
-        fabric.vms[2].paused = true;
-        fabric.advance(seconds(60));
-        assert_eq!(present(&fabric, 0).len(), 5);
-        fabric.told.clear();
-        fabric.resume(2);
-        fabric.advance(seconds(10));
-        let paused = &fabric.vms[2].name;
-        let bad = fabric.told.iter().find(|(_, _, event)| {
+        let mut cluster = joined_cluster(3, 6, 1);
+        // Long delays, so that an acknowledgement is often in datagram when the pause begins.
+        cluster.faults.delay_ms = 150;
+        cluster.advance(time::Duration::from_millis(phase_ms));
+        cluster.vms[2].paused = true;
+        cluster.advance(seconds(60));
+        assert_eq!(present(&cluster, 0).len(), 5);
+        cluster.events.clear();
+        cluster.resume(2);
+        cluster.advance(seconds(10));
+        let paused = &cluster.vms[2].name;
+        let bad = cluster.events.iter().find(|(_, _, event)| {
             matches!(event, event::GossipEvent::Member(claim)
                 if claim.name != *paused && claim.version.state != claim::MemberState::Alive)
         });
-        assert!(bad.is_none(), "after {phase_ms} ms: {bad:?}");
-        (0..6).for_each(|index| assert_eq!(present(&fabric, index).len(), 6));
+        assert!(
+            bad.is_none(),
+            "paused after {phase_ms} ms, a member was suspected: {bad:?}"
+        );
+        (0..6).for_each(|index| assert_eq!(present(&cluster, index).len(), 6));
     }
 }
 
 #[test]
-fn the_dead_hear_of_it_from_the_first_they_ask() {
-    // Symptom: a VM that was paused serves, but is named to no caller for long.
-    // Sequence: the others found it dead; it goes on and hears nothing of that.
-    // Cause: nobody sends to the dead, so the word about it does not reach it.
+fn a_vm_declared_dead_learns_of_it_from_its_first_probe() {
+    // Guards against a resumed VM that stays dead to the others although it serves: they declared
+    // it dead during its pause and send nothing to dead members, so it learns of this only from the
+    // answers to its own probes.
     let timing = settings::TimingSettings {
         sync_interval: seconds(600),
         reconnect_interval: seconds(600),
         ..settings::TimingSettings::default()
     };
-    let mut fabric = joined_with(11, 6, 1, timing);
-    fabric.vms[2].paused = true;
-    fabric.advance(seconds(60));
-    // More arrived than its socket holds.
-    fabric.vms[2].backlog.clear();
-    fabric.resume(2);
-    fabric.advance(seconds(4));
-    (0..6).for_each(|index| assert_eq!(present(&fabric, index).len(), 6));
+    let mut cluster = joined_cluster_with(11, 6, 1, timing);
+    cluster.vms[2].paused = true;
+    cluster.advance(seconds(60));
+    // More datagrams arrived than its socket buffer holds.
+    cluster.vms[2].backlog.clear();
+    cluster.resume(2);
+    cluster.advance(seconds(4));
+    (0..6).for_each(|index| assert_eq!(present(&cluster, index).len(), 6));
 }
 
 #[test]
-fn a_clock_set_back_only_delays() {
-    // Symptom: a restarted VM stays invisible for good.
-    // Sequence: it restarts, and its clock is an hour behind; its earlier life counts as newer.
-    // Cause: lives are ordered by their beginning.
-    let mut fabric = joined(4, 4, 1);
-    fabric.vms[1].skew_ms = -3_600_000;
-    fabric.start(1);
-    fabric.advance(seconds(15));
-    let life = fabric.vms[1].identity.incarnation;
+fn a_clock_set_back_only_delays_the_rejoin() {
+    // Guards against a restarted VM that is never seen again: its clock is set back by an hour, so
+    // its earlier incarnation counts as newer, since incarnations are ordered by start time.
+    let mut cluster = joined_cluster(4, 4, 1);
+    cluster.vms[1].skew_ms = -3_600_000;
+    cluster.start(1);
+    cluster.advance(seconds(15));
+    let incarnation = cluster.vms[1].identity.incarnation;
     for index in 0..4 {
-        let record = core(&fabric, index)
+        let record = core(&cluster, index)
             .members()
-            .named(&fabric.vms[1].name)
+            .named(&cluster.vms[1].name)
             .expect("known");
-        assert_eq!(record.claim.version.incarnation.id, life);
+        assert_eq!(record.claim.version.incarnation.id, incarnation);
         assert_eq!(record.state(), claim::MemberState::Alive);
     }
 }
 
 #[test]
-fn two_processes_of_one_name_cost_little_and_are_told() {
-    // Symptom: the network between entry VMs fills up.
-    // Sequence: two processes run under one name, at two addresses.
-    // Cause: the one that the others do not see is a stranger to them with each datagram.
-    let mut fabric = joined(16, 5, 1);
-    fabric.kill(4);
-    fabric.vms[4].name = fabric.vms[3].name.clone();
-    fabric.vms[4].identity.name = fabric.vms[3].name.clone();
-    fabric.start(4);
-    fabric.advance(seconds(30));
-    let before: u64 = fabric.sent.iter().map(|sent| sent.1).sum();
-    fabric.advance(seconds(60));
-    let after: u64 = fabric.sent.iter().map(|sent| sent.1).sum();
+fn a_name_conflict_is_reported_and_causes_little_traffic() {
+    // Guards against excessive traffic when two processes run under one name at two addresses: the
+    // one that loses is an unknown sender to the others with each datagram.
+    let mut cluster = joined_cluster(16, 5, 1);
+    cluster.kill(4);
+    cluster.vms[4].name = cluster.vms[3].name.clone();
+    cluster.vms[4].identity.name = cluster.vms[3].name.clone();
+    cluster.start(4);
+    cluster.advance(seconds(30));
+    let before: u64 = cluster.sent.iter().map(|sent| sent.1).sum();
+    cluster.advance(seconds(60));
+    let after: u64 = cluster.sent.iter().map(|sent| sent.1).sum();
     let bytes_per_second = (after - before) / 60 / 5;
-    assert!(bytes_per_second < 1000, "{bytes_per_second}");
-    let conflicts = fabric.told.iter().filter(|(_, index, event)| {
+    assert!(bytes_per_second < 1000, "{bytes_per_second} B/s per VM");
+    let conflicts = cluster.events.iter().filter(|(_, index, event)| {
         *index == 3 && matches!(event, event::GossipEvent::NameConflict(_))
     });
-    assert_eq!(conflicts.count(), 1, "the earlier one is told once");
+    assert_eq!(conflicts.count(), 1, "the earlier process is notified once");
 }
 
 #[test]
-fn a_lost_region_is_told_and_found_again() {
-    // Symptom: members of a region that cannot be reached look healthy.
-    // Sequence: two regions lose each other for two minutes.
-    // Cause: nobody here probes them; their last word stands.
-    let mut fabric = joined(5, 8, 2);
+fn a_region_is_reported_lost_and_reachable_again() {
+    // Guards against members of an unreachable region that appear healthy: they are probed only in
+    // their own region, so their last claims stand while two regions are partitioned for two
+    // minutes.
+    let mut cluster = joined_cluster(5, 8, 2);
     for index in (1..8).step_by(2) {
-        fabric.vms[index].side = 1;
+        cluster.vms[index].partition = 1;
     }
-    fabric.advance(seconds(20));
+    cluster.advance(seconds(20));
     for index in 0..8 {
-        let snapshot = core(&fabric, index).snapshot(fabric.now);
+        let snapshot = core(&cluster, index).snapshot(cluster.now);
         assert_eq!(snapshot.lost_regions.len(), 1);
         assert_eq!(
-            present(&fabric, index).len(),
+            present(&cluster, index).len(),
             8,
-            "nobody is killed by a lost link"
+            "a lost link must not make members dead"
         );
     }
-    fabric.act(0, |core, now| core.publish(now, &quarantine(seconds(3600))));
-    fabric.advance(seconds(100));
-    (0..8).for_each(|index| fabric.vms[index].side = 0);
-    fabric.advance(seconds(10));
+    cluster.act(0, |core, now| core.publish(now, &quarantine(seconds(3600))));
+    cluster.advance(seconds(100));
+    (0..8).for_each(|index| cluster.vms[index].partition = 0);
+    cluster.advance(seconds(10));
     for index in 0..8 {
-        let snapshot = core(&fabric, index).snapshot(fabric.now);
+        let snapshot = core(&cluster, index).snapshot(cluster.now);
         assert!(snapshot.lost_regions.is_empty());
         assert_eq!(
-            core(&fabric, index)
+            core(&cluster, index)
                 .items()
                 .iter()
                 .filter(|item| { item.key.kind == gossip::item::ItemKind::Quarantine })
@@ -349,73 +344,70 @@
 }
 
 #[test]
-fn a_suspicion_that_crossed_last_kills_nobody() {
-    // Symptom: a healthy VM is dead in another region for as long as the link is down.
-    // Sequence: it is suspected, the suspicion crosses, the link fails, it refutes.
-    // Cause: the refutation cannot cross any more.
-    let mut fabric = joined(12, 8, 2);
-    let (victim, name) = (2, fabric.vms[2].name.clone());
-    let state = |fabric: &Fabric| {
-        core(fabric, 1)
+fn a_suspicion_from_another_region_does_not_expire() {
+    // Guards against a healthy VM that is dead in another region while the link is down: a
+    // suspicion crosses the link, the link fails, and the refutation cannot cross any more.
+    let mut cluster = joined_cluster(12, 8, 2);
+    let (victim, name) = (2, cluster.vms[2].name.clone());
+    let state = |cluster: &SimulatedCluster| {
+        core(cluster, 1)
             .members()
             .named(&name)
             .map(|record| record.state())
     };
-    fabric.vms[victim].paused = true;
-    while state(&fabric) == Some(claim::MemberState::Alive) {
-        fabric.advance(time::Duration::from_millis(50));
+    cluster.vms[victim].paused = true;
+    while state(&cluster) == Some(claim::MemberState::Alive) {
+        cluster.advance(time::Duration::from_millis(50));
     }
     (1..8)
         .step_by(2)
-        .for_each(|index| fabric.vms[index].side = 1);
-    fabric.resume(victim);
-    fabric.advance(seconds(20));
-    assert_eq!(state(&fabric), Some(claim::MemberState::Suspect));
-    (0..8).for_each(|index| fabric.vms[index].side = 0);
-    fabric.advance(seconds(10));
-    assert_eq!(state(&fabric), Some(claim::MemberState::Alive));
+        .for_each(|index| cluster.vms[index].partition = 1);
+    cluster.resume(victim);
+    cluster.advance(seconds(20));
+    assert_eq!(state(&cluster), Some(claim::MemberState::Suspect));
+    (0..8).for_each(|index| cluster.vms[index].partition = 0);
+    cluster.advance(seconds(10));
+    assert_eq!(state(&cluster), Some(claim::MemberState::Alive));
 }
 
 #[test]
-fn few_cross_between_regions() {
-    let mut fabric = joined(6, 24, 2);
-    fabric.crossing.clear();
-    fabric.advance(seconds(60));
+fn only_representatives_send_across_regions() {
+    let mut cluster = joined_cluster(6, 24, 2);
+    cluster.cross_region_senders.clear();
+    cluster.advance(seconds(60));
     assert!(
-        fabric.crossing.len() <= 4,
-        "two failure domains, two regions: {:?}",
-        fabric.crossing
+        cluster.cross_region_senders.len() <= 4,
+        "more senders than one per failure domain in two regions: {:?}",
+        cluster.cross_region_senders
     );
 }
 
 #[test]
-fn the_list_marks_only_lives_that_it_can_mean() {
-    // Symptom: a VM that was just replaced gets no work.
-    // Sequence: a VM leaves and is replaced under its name; the platform's list still calls it
-    // leaving.
-    // Cause: the list lags.
-    let mut fabric = joined(7, 3, 1);
-    let name = fabric.vms[1].name.clone();
-    let wall_ms = |fabric: &Fabric| EPOCH_MS + fabric.now.as_millis() as u64;
+fn an_outdated_vm_list_does_not_mark_a_new_incarnation() {
+    // Guards against a replaced VM that gets no work: the platform's list lags and still reports
+    // the earlier incarnation under the same name as leaving.
+    let mut cluster = joined_cluster(7, 3, 1);
+    let name = cluster.vms[1].name.clone();
+    let wall_ms = |cluster: &SimulatedCluster| EPOCH_MS + cluster.now.as_millis() as u64;
     let report = |as_of_ms| list::VmListReport {
         as_of_ms,
         leaving: [name.clone()].into(),
         ..list::VmListReport::default()
     };
-    let old = wall_ms(&fabric);
-    fabric.start(1);
-    fabric.advance(seconds(20));
-    fabric.act(0, |core, now| core.set_vm_list(now, report(old)));
-    fabric.advance(seconds(2));
-    assert!(!core(&fabric, 2).snapshot(fabric.now).members[&name].leaving);
-    let new = wall_ms(&fabric);
-    fabric.act(0, |core, now| core.set_vm_list(now, report(new)));
-    fabric.advance(seconds(2));
-    assert!(core(&fabric, 2).snapshot(fabric.now).members[&name].leaving);
+    let old = wall_ms(&cluster);
+    cluster.start(1);
+    cluster.advance(seconds(20));
+    cluster.act(0, |core, now| core.set_vm_list(now, report(old)));
+    cluster.advance(seconds(2));
+    assert!(!core(&cluster, 2).snapshot(cluster.now).members[&name].leaving);
+    let new = wall_ms(&cluster);
+    cluster.act(0, |core, now| core.set_vm_list(now, report(new)));
+    cluster.advance(seconds(2));
+    assert!(core(&cluster, 2).snapshot(cluster.now).members[&name].leaving);
 }
 
 #[test]
-fn watching_is_divided_alike_and_moves_little() {
+fn watch_plans_are_balanced_and_stable() {
     let vms: Vec<String> = (0..137).map(|number| format!("vm-{number}")).collect();
     let servers: Vec<String> = (0..200).map(|number| format!("engine-{number}")).collect();
     let vms: Vec<&str> = vms.iter().map(String::as_str).collect();
@@ -437,21 +429,20 @@
 
 #[test]
 fn a_standby_watcher_takes_over() {
-    // Symptom: an engine's load stands still on all VMs but its own watcher's.
-    // Sequence: the first watcher is paused; the standby goes on reading the engine.
-    // Cause: only the first watcher's word is sent.
-    let mut fabric = joined(8, 5, 1);
+    // Guards against outdated engine loads when the first watcher is paused: the standby watcher
+    // reads the engine, but normally only the first watcher sends.
+    let mut cluster = joined_cluster(8, 5, 1);
     let servers = || ["engine-1".to_owned()];
     (0..5).for_each(|index| {
-        fabric.act(index, |core, _| {
+        cluster.act(index, |core, _| {
             core.set_servers(servers());
             Vec::new()
         });
     });
-    fabric.advance(seconds(1));
-    let plan = core(&fabric, 0).watch_plan();
-    let index_of = |fabric: &Fabric, name: &String| {
-        fabric
+    cluster.advance(seconds(1));
+    let plan = core(&cluster, 0).watch_plan();
+    let index_of = |cluster: &SimulatedCluster, name: &String| {
+        cluster
             .vms
             .iter()
             .position(|vm| vm.name == *name)
@@ -460,48 +451,48 @@
     let watchers: Vec<usize> = plan
         .watchers("engine-1")
         .iter()
-        .map(|name| index_of(&fabric, name))
+        .map(|name| index_of(&cluster, name))
         .collect();
-    let rounds = |fabric: &mut Fabric, range: std::ops::Range<u32>| {
-        fabric.told.clear();
+    let rounds = |cluster: &mut SimulatedCluster, range: std::ops::Range<u32>| {
+        cluster.events.clear();
         for free_blocks in range {
             for watcher in &watchers {
                 let load = digest::EngineLoad {
                     free_blocks,
                     ..digest::EngineLoad::default()
                 };
-                if !fabric.vms[*watcher].paused {
-                    fabric.act(*watcher, |core, now| {
+                if !cluster.vms[*watcher].paused {
+                    cluster.act(*watcher, |core, now| {
                         core.publish_load(now, "engine-1", load);
                         Vec::new()
                     });
                 }
             }
-            fabric.advance(seconds(1));
+            cluster.advance(seconds(1));
         }
-        let loads = fabric
-            .told
+        let loads = cluster
+            .events
             .iter()
             .filter(|(_, _, event)| matches!(event, event::GossipEvent::Load(_)));
         loads.count()
     };
-    // At first both speak, since neither has heard the other.
-    rounds(&mut fabric, 0..2);
+    // At first both watchers send, since neither has received from the other.
+    rounds(&mut cluster, 0..2);
     assert_eq!(
-        rounds(&mut fabric, 2..12),
+        rounds(&mut cluster, 2..12),
         40,
-        "one word for each other VM, from the first only"
+        "one load per second to each other VM, from the first watcher only"
     );
-    fabric.vms[watchers[0]].paused = true;
-    let heard = rounds(&mut fabric, 12..22);
-    assert!((18..=30).contains(&heard), "{heard}");
+    cluster.vms[watchers[0]].paused = true;
+    let received = rounds(&mut cluster, 12..22);
+    assert!((18..=30).contains(&received), "{received} loads received");
 }
 
 #[test]
-fn digests_keep_to_their_bound() {
-    let mut fabric = joined(9, 40, 1);
-    let receivers: Vec<String> = fabric.vms.iter().map(|vm| vm.name.clone()).collect();
-    let before = fabric.sent[0].1;
+fn digests_respect_the_bandwidth_limit() {
+    let mut cluster = joined_cluster(9, 40, 1);
+    let receivers: Vec<String> = cluster.vms.iter().map(|vm| vm.name.clone()).collect();
+    let before = cluster.sent[0].1;
     for round in 0..20 {
         for number in 0..10 {
             let demand = digest::OrganisationDemand {
@@ -509,20 +500,23 @@
                 ..Default::default()
             };
             let organisation = format!("organisation-{number}");
-            fabric.act(0, |core, now| {
+            cluster.act(0, |core, now| {
                 core.publish_demand(now, &organisation, demand, &receivers);
                 Vec::new()
             });
         }
-        fabric.advance(seconds(1));
+        cluster.advance(seconds(1));
     }
-    let bytes_per_second = (fabric.sent[0].1 - before) / 20;
-    // Probes and answers come on top of the bound for digests.
-    let bound = u64::from(fabric.timing.digest_bytes_per_second);
+    let bytes_per_second = (cluster.sent[0].1 - before) / 20;
+    // Probes and acknowledgements are not part of the digest limit.
+    let bound = u64::from(cluster.timing.digest_bytes_per_second);
     let allowed = bound * 9 / 10..bound + 1500;
-    assert!(allowed.contains(&bytes_per_second), "{bytes_per_second}");
-    let demands = fabric
-        .told
+    assert!(
+        allowed.contains(&bytes_per_second),
+        "{bytes_per_second} B/s"
+    );
+    let demands = cluster
+        .events
         .iter()
         .filter_map(|(_, index, event)| match event {
             event::GossipEvent::Demand(update) => Some((*index, update.demand.requests)),
@@ -532,7 +526,7 @@
         newest[index] = requests.max(newest[index]);
         newest
     });
-    // 39 receivers of about 340 bytes each take turns of 4.4 s; nobody waits for two.
+    // 39 receivers of about 340 bytes each are served once in 4.4 s; none waits for two cycles.
     assert!(
         newest[1..].iter().all(|requests| *requests >= 13),
         "{newest:?}"
@@ -540,39 +534,42 @@
 }
 
 #[test]
-fn no_message_makes_a_core_panic_or_grow_without_bound() {
-    // Symptom: one process takes all others down with it.
-    // Sequence: a process with a key, of another release or broken, sends what makes no sense.
-    // Cause: a key proves membership, not sanity.
-    let mut fabric = joined(10, 3, 1);
+fn invalid_messages_cause_no_panic_and_no_unbounded_growth() {
+    // Guards against one process crashing all others: a process with a valid key, faulty or of
+    // another release, may send invalid messages.
+    let mut cluster = joined_cluster(10, 3, 1);
     let sender = identity::ProcessIdentity {
         name: "stranger".to_owned(),
         incarnation: id::Incarnation(9),
     };
-    let address = fabric.vms[1].place.address;
+    let address = cluster.vms[1].place.address;
     for seed in 0..20_000 {
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-        let mut payload = odd_message(&mut rng, &fabric.vms[0].name).encode_to_vec();
+        let mut payload = random_message(&mut rng, &cluster.vms[0].name).encode_to_vec();
         if seed % 2 == 0 && !payload.is_empty() {
             let position = rng.next_u32() as usize % payload.len();
             payload[position] = rng.next_u32().to_le_bytes()[0];
         }
         let bound = seed % 5 != 0;
-        let core = fabric.vms[0].core.as_mut().expect("it runs");
-        let actions = core.on_datagram(fabric.now, address, &sender, bound, &payload);
-        assert!(actions.len() <= 30, "seed {seed}: {}", actions.len());
+        let core = cluster.vms[0].core.as_mut().expect("the VM is running");
+        let actions = core.on_datagram(cluster.now, address, &sender, bound, &payload);
+        assert!(
+            actions.len() <= 30,
+            "seed {seed}: {} actions",
+            actions.len()
+        );
         if seed % 100 == 0 {
-            core.on_tick(fabric.now);
-            core.leave(fabric.now);
-            core.publish(fabric.now, &quarantine(seconds(60 + seed)));
+            core.on_tick(cluster.now);
+            core.leave(cluster.now);
+            core.publish(cluster.now, &quarantine(seconds(60 + seed)));
         }
     }
-    assert!(core(&fabric, 0).members().iter().count() <= 4096);
-    fabric.advance(seconds(10));
+    assert!(core(&cluster, 0).members().iter().count() <= 4096);
+    cluster.advance(seconds(10));
 }
 
-fn odd_message(rng: &mut rand_chacha::ChaCha8Rng, own: &str) -> proto::Message {
-    let odd = |rng: &mut rand_chacha::ChaCha8Rng| match rng.next_u32() % 4 {
+fn random_message(rng: &mut rand_chacha::ChaCha8Rng, own: &str) -> proto::Message {
+    let edge_value = |rng: &mut rand_chacha::ChaCha8Rng| match rng.next_u32() % 4 {
         0 => 0,
         1 => u64::MAX,
         2 => 1,
@@ -581,13 +578,13 @@
     let names = [own, "", "stranger", "x\ny", &"n".repeat(90)];
     let name = names[rng.next_u32() as usize % 5].to_owned();
     proto::Message {
-        kind: odd_kind(rng, &name),
+        kind: random_kind(rng, &name),
         claims: vec![proto::MemberClaim {
             name: name.clone(),
-            birth_ms: odd(rng),
+            birth_ms: edge_value(rng),
             incarnation: vec![7; 15 + rng.next_u32() as usize % 3],
-            refutation: odd(rng) as u32,
-            state: (odd(rng) % 6) as i32,
+            refutation: edge_value(rng) as u32,
+            state: (edge_value(rng) % 6) as i32,
             address: ["10.0.0.1:7000", "nowhere", "10.0.9.9:1"][rng.next_u32() as usize % 3]
                 .to_owned(),
             failure_domain: "region-0-0".to_owned(),
@@ -596,25 +593,25 @@
         items: vec![proto::Item {
             kind: rng.next_u32() % 6,
             subject: name,
-            version: odd(rng),
+            version: edge_value(rng),
             body: vec![8; rng.next_u32() as usize % 300],
-            expires_in_ms: odd(rng) as u32,
+            expires_in_ms: edge_value(rng) as u32,
         }],
         in_force: vec![proto::InForce {
-            offset: odd(rng),
+            offset: edge_value(rng),
             digest: 1,
-            holders: vec![odd(rng); rng.next_u32() as usize % 4],
+            holders: vec![edge_value(rng); rng.next_u32() as usize % 4],
         }],
         digests: vec![proto::Digest {
             kind: rng.next_u32() % 4,
-            subject: odd(rng),
-            age_ms: odd(rng) as u32,
+            subject: edge_value(rng),
+            age_ms: edge_value(rng) as u32,
             body: vec![8; rng.next_u32() as usize % 9],
         }],
     }
 }
 
-fn odd_kind(rng: &mut rand_chacha::ChaCha8Rng, name: &str) -> Option<proto::message::Kind> {
+fn random_kind(rng: &mut rand_chacha::ChaCha8Rng, name: &str) -> Option<proto::message::Kind> {
     use proto::message::Kind;
     let kinds = [
         Kind::Ping(proto::Ping { number: 1 }),
--- a/crates/gossip/tests/virtual_time/main.rs
+++ b/crates/gossip/tests/virtual_time/main.rs
@@ -1,5 +1,5 @@
-//! The core under failure, many members in one process on virtual time.
+//! Tests of the membership core under faults: many members in one process, on virtual time.
 
+mod cluster;
 mod directed;
-mod fabric;
 mod histories;
