--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams: what is opened, and that all else is dropped without a panic.
+//! Tests of datagrams: valid ones are opened, all others are dropped without a panic.
 
 use std::collections;
 
@@ -17,14 +17,14 @@
     key::KeyHandle::new(key::KeyRing::new(keys).expect("one or two keys"))
 }
 
-fn process(name: &str, life: u128) -> identity::ProcessIdentity {
+fn process(name: &str, incarnation: u128) -> identity::ProcessIdentity {
     identity::ProcessIdentity {
         name: name.to_owned(),
-        incarnation: id::Incarnation(life),
+        incarnation: id::Incarnation(incarnation),
     }
 }
 
-/// A sender, its receiver, and the receiver's identity.
+/// Codecs of a sender and a receiver, and the receiver's identity.
 fn pair() -> (DatagramCodec, DatagramCodec, identity::ProcessIdentity) {
     let receiver = process("hall-b", 2);
     let sender = DatagramCodec::new(process("hall-a", 1), keys(&[1]));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_datagram_is_opened_once() {
+fn a_datagram_is_opened_only_once() {
     let (mut sender, mut receiver, identity) = pair();
     let datagram = sender
         .seal(Some(&identity), b"word".to_vec())
@@ -49,10 +49,9 @@
 }
 
 #[test]
-fn a_datagram_does_not_outlive_its_receiver() {
-    // Symptom: a VM that was just restarted believes what was said long ago.
-    // Sequence: an outsider records a datagram, the receiver restarts, the datagram is sent again.
-    // Cause: the receiver's replay window was lost with its memory.
+fn a_datagram_is_bound_to_one_incarnation_of_its_receiver() {
+    // Guards against replay to a restarted receiver: an attacker records a datagram and sends it
+    // again after the restart, when the receiver's replay window is lost.
     let (mut sender, _, identity) = pair();
     let datagram = sender
         .seal(Some(&identity), b"word".to_vec())
@@ -64,17 +63,16 @@
 }
 
 #[test]
-fn a_greeting_is_opened_by_anybody_and_says_so() {
+fn an_unbound_datagram_is_opened_by_any_receiver_and_marked_unbound() {
     let (mut sender, mut receiver, _) = pair();
     let datagram = sender.seal(None, b"hello".to_vec()).expect("short");
     assert!(!receiver.open(&datagram).expect("valid").bound);
 }
 
 #[test]
-fn keys_rotate_without_a_gap() {
-    // Symptom: VMs stop hearing each other while a key is replaced.
-    // Sequence: 1; 1 with 2 accepted; 2 with 1 accepted; 2. Neighbouring steps run side by side.
-    // Cause: not all VMs can change at the same moment.
+fn keys_rotate_without_dropped_datagrams() {
+    // Guards against lost datagrams during a key rotation, since VMs cannot change keys at the same
+    // moment. Steps: 1; 1 with 2 accepted; 2 with 1 accepted; 2. Adjacent steps run concurrently.
     let steps: [&[u8]; 4] = [&[1], &[1, 2], &[2, 1], &[2]];
     let receiver = process("hall-b", 2);
     for window in steps.windows(2) {
@@ -111,7 +109,7 @@
 }
 
 #[test]
-fn whatever_is_not_a_datagram_is_dropped() {
+fn invalid_datagrams_are_dropped() {
     let (mut sender, mut receiver, identity) = pair();
     let mut reasons = collections::BTreeMap::new();
     for seed in 0..20_000 {
@@ -143,8 +141,8 @@
 }
 
 #[test]
-fn the_window_takes_each_counter_once() {
-    // The oracle remembers every counter that was taken.
+fn the_replay_window_accepts_each_counter_once() {
+    // The oracle records every accepted counter.
     for seed in 0..500 {
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let mut window = replay::ReplayWindow::default();
--- a/crates/wire/tests/generated.rs
+++ b/crates/wire/tests/generated.rs
@@ -1,12 +1,11 @@
-//! The committed code is what the `.proto` files give.
+//! Tests that the committed code matches the `.proto` files.
 
 use std::{fs, path};
 
 #[test]
 fn committed_code_is_current() {
-    // Symptom: a field is in the `.proto` file but not on the wire.
-    // Sequence: the `.proto` file was changed and the generator was not run.
-    // Cause: generated code is committed.
+    // Guards against a field that is in the `.proto` file but not on the wire: generated code is
+    // committed, so a change without running the generator goes unnoticed.
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let texts = protogen::generate(&root.join("proto")).expect("the .proto files compile");
     assert_eq!(texts.len(), protogen::PACKAGES.len());
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between two processes over streams in memory, on the paused clock.
+//! Tests of calls between two processes over in-memory streams, with a paused clock.
 
 use std::{net, sync, time};
 
@@ -21,14 +21,14 @@
     key::KeyHandle::new(key::KeyRing::new(vec![key]).expect("one key"))
 }
 
-fn process(name: &str, life: u128) -> identity::ProcessIdentity {
+fn process(name: &str, incarnation: u128) -> identity::ProcessIdentity {
     identity::ProcessIdentity {
         name: name.to_owned(),
-        incarnation: id::Incarnation(life),
+        incarnation: id::Incarnation(incarnation),
     }
 }
 
-/// Answers an extension with its own body, after as many milliseconds as its name says.
+/// Answers an extension with its own body after a delay, given in milliseconds by its name.
 #[derive(Clone, Default)]
 struct EchoService {
     bodies: sync::Arc<sync::Mutex<Vec<Vec<u8>>>>,
@@ -72,20 +72,20 @@
     }
 }
 
-/// Connects to a server through a copier that may lose track of a connection, or record it.
+/// Connects to a server through a relay that may silently stall a connection, and records it.
 #[derive(Clone)]
 struct FakeNetwork {
     /// Keys of the server.
     keys: key::KeyHandle,
     server: sync::Arc<server::PeerServer<EchoService>>,
-    /// Connections opened so far.
+    /// Number of connections opened so far.
     opened: sync::Arc<sync::atomic::AtomicUsize>,
-    /// The first this many connections go silent once this many bytes have come through.
+    /// Number of first connections that fall silent after `silent_after_bytes` bytes.
     silent: usize,
     silent_after_bytes: usize,
-    /// All of them do after this long.
+    /// Time after which every connection falls silent.
     silent_after: time::Duration,
-    /// What clients sent.
+    /// Bytes sent by clients.
     recorded: sync::Arc<sync::Mutex<Vec<u8>>>,
 }
 
@@ -150,7 +150,7 @@
                 return;
             }
             if passed > limit {
-                // Both ends stay open, and nothing ever comes through again.
+                // Both ends stay open, but nothing is relayed any more.
                 return std::future::pending().await;
             }
             if upwards {
@@ -167,10 +167,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn crossed_answers_reach_their_own_calls() {
-    // Symptom: a caller gets the answer to another's question.
-    // Sequence: many calls on one connection, answered in another order; some are given up.
-    // Cause: answers carry nothing but the call's number.
+async fn out_of_order_responses_reach_their_own_calls() {
+    // Guards against a caller receiving the response of another call: many calls share one
+    // connection, are answered out of order and partly cancelled, and replies carry only the call
+    // id.
     let (network, _) = FakeNetwork::new(server::ServerLimits::default());
     let client = network.client(keys(1, 1));
     let calls = (0..50_u64).map(|number| {
@@ -197,9 +197,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_silent_connection_is_replaced() {
-    // Symptom: calls hang although new connections work.
-    // Sequence: a connection is opened; something between the two ends loses track of it.
-    // Cause: neither end is told.
+    // Guards against calls that hang although new connections work: a middlebox loses the state of
+    // an open connection, and neither end is notified.
     let (mut network, service) = FakeNetwork::new(server::ServerLimits::default());
     (network.silent, network.silent_after_bytes) = (1, 500);
     let client = network.client(keys(1, 1));
@@ -219,16 +218,15 @@
     (network.silent, network.silent_after_bytes) = (3, 500);
     let client = network.client(keys(1, 1));
     let lost = client.call(ADDRESS, request, within_ms(5_000, false)).await;
-    let lost = lost.expect_err("a call that may not be repeated is not");
+    let lost = lost.expect_err("a call that is not repeatable must not be repeated");
     assert_eq!(lost.ran(), outcome::RanState::Unknown);
     assert_eq!(network.opened(), 3);
 }
 
 #[tokio::test(start_paused = true)]
-async fn silence_is_noticed_in_the_middle_of_a_call() {
-    // Symptom: a call that takes long hangs until its deadline.
-    // Sequence: it is under way, and then something between the two ends loses track of it.
-    // Cause: nothing is due on the connection but the answer.
+async fn silence_is_detected_during_a_call() {
+    // Guards against a long call that hangs until its deadline: a middlebox loses the connection's
+    // state during the call, while only the response is expected on the connection.
     let (mut network, _) = FakeNetwork::new(server::ServerLimits::default());
     network.silent_after = time::Duration::from_secs(5);
     let client = network.client(keys(1, 1));
@@ -241,7 +239,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_answer_is_not_silence() {
+async fn a_slow_response_is_not_silence() {
     let (network, _) = FakeNetwork::new(server::ServerLimits::default());
     let client = network.client(keys(1, 1));
     let answer = client
@@ -255,7 +253,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_full_server_refuses_at_once() {
+async fn a_server_at_its_limit_rejects_calls_immediately() {
     let limits = server::ServerLimits {
         calls: 2,
         ..server::ServerLimits::default()
@@ -280,11 +278,11 @@
     let after = client
         .call(ADDRESS, echo(0, b"x"), within_ms(1_000, false))
         .await;
-    assert!(after.is_ok(), "slots come back");
+    assert!(after.is_ok(), "slots must be released after the calls");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_given_up_is_given_up_on_the_other_side() {
+async fn a_dropped_call_is_cancelled_on_the_server() {
     let (network, service) = FakeNetwork::new(server::ServerLimits::default());
     let client = network.client(keys(1, 1));
     let call = client.call(ADDRESS, echo(10_000, b"x"), within_ms(60_000, false));
@@ -296,7 +294,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn another_key_opens_nothing() {
+async fn a_client_with_another_key_is_rejected() {
     let (network, service) = FakeNetwork::new(server::ServerLimits::default());
     for (id, secret) in [(1, 2), (2, 1)] {
         let client = network.client(keys(id, secret));
@@ -311,10 +309,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_does_not_outlive_its_key() {
-    // Symptom: somebody who got hold of a key goes on calling after it was replaced.
-    // Sequence: a connection is opened with it; the key is taken out of force on the server.
-    // Cause: a connection has keys of its own, derived from it.
+async fn a_connection_is_closed_when_its_key_is_removed() {
+    // Guards against a stolen key that stays usable after it was replaced: a connection opened with
+    // it has its own derived keys, which the server must discard with the key.
     let (network, _) = FakeNetwork::new(server::ServerLimits::default());
     let client = network.client(keys(1, 1));
     client
@@ -337,12 +334,12 @@
     );
 }
 
-/// Sends `bytes` to the server over a connection of its own, and waits until it is done.
+/// Sends `bytes` to the server over a new connection, and waits until the connection has ended.
 async fn send_raw(network: &FakeNetwork, bytes: &[u8]) {
     let (mut near, far) = io::duplex(1 << 16);
     let sending = async {
         let _ = near.write_all(bytes).await;
-        // Whatever is valid has the time to be handled before the connection ends.
+        // Leaves time for valid frames to be handled before the connection ends.
         tokio::time::sleep(time::Duration::from_millis(100)).await;
         let _ = near.shutdown().await;
         let _ = near.read_to_end(&mut Vec::new()).await;
@@ -351,11 +348,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_an_outsider_sends_is_never_handled() {
-    // Symptom: an append is made twice, or one that nobody made.
-    // Sequence: an outsider records a connection and sends its bytes again, changed or not, or
-    // sends garbage; then an honest client calls.
-    // Cause: the bytes were valid once.
+async fn replayed_and_forged_bytes_are_never_handled() {
+    // Guards against duplicate or forged appends: an attacker records a connection and sends its
+    // bytes again, unchanged or modified, or sends garbage. The server must then still serve a
+    // valid client.
     let (network, service) = FakeNetwork::new(server::ServerLimits::default());
     let client = network.client(keys(1, 1));
     client
@@ -388,10 +384,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_changed_frame_ends_the_connection_unhandled() {
-    // Symptom: a request arrives other than it was sent.
-    // Sequence: one bit is changed on the way, in any frame after the handshake.
-    // Cause: TCP's checksum is no protection against somebody who means it.
+async fn modified_or_out_of_sequence_frames_are_not_opened() {
+    // Guards against tampering: one bit is changed in transit, in any frame after the handshake.
+    // TCP's checksum does not protect against an attacker.
     use futures_util::{SinkExt as _, StreamExt as _};
     for position in 0..40 {
         let key = key::WireKey::new(1, &[position; 32]);
@@ -406,9 +401,9 @@
         let mut open = |frame: &bytes::BytesMut| -> Option<peer::ClientFrame> {
             opener.open(&mut frame.clone())
         };
-        assert!(open(&frames[1]).is_none(), "left out");
+        assert!(open(&frames[1]).is_none(), "a frame was omitted");
         assert!(open(&frames[0]).is_some());
-        assert!(open(&frames[0]).is_none(), "repeated");
+        assert!(open(&frames[0]).is_none(), "a frame was repeated");
         let mut changed = frames[1].clone();
         let index = usize::from(position) % changed.len();
         changed[index] ^= 1;
@@ -425,9 +420,9 @@
     );
     sink.send(bytes::Bytes::from_static(&[0; 9]))
         .await
-        .expect("room");
+        .expect("the stream has capacity");
     assert!(
         source.next().await.is_some_and(|frame| frame.is_err()),
-        "too long"
+        "an oversized frame must be rejected"
     );
 }
--- a/crates/wire/tests/stamps.rs
+++ b/crates/wire/tests/stamps.rs
@@ -1,4 +1,4 @@
-//! Messages carry the sender's clock, so that what they cause is ordered after it.
+//! Tests that messages carry the sender's clock, so that their effects are ordered after them.
 
 use std::sync;
 
@@ -28,14 +28,14 @@
     stamper: stamper::MessageStamper,
 }
 
-fn side(name: &str, life: u128, wall: stamper::WallClock) -> Side {
+fn side(name: &str, incarnation: u128, wall: stamper::WallClock) -> Side {
     let limits = trace::ring::RingLimits::default();
-    let journal = journal::EventJournal::new(name.to_owned(), id::Incarnation(life), limits);
+    let journal = journal::EventJournal::new(name.to_owned(), id::Incarnation(incarnation), limits);
     let journal = sync::Arc::new(journal);
     Side {
         identity: identity::ProcessIdentity {
             name: name.to_owned(),
-            incarnation: id::Incarnation(life),
+            incarnation: id::Incarnation(incarnation),
         },
         stamper: stamper::MessageStamper::new(sync::Arc::clone(&journal), wall),
         journal,
@@ -48,10 +48,10 @@
 }
 
 #[test]
-fn datagram_orders_its_effect_after_its_cause() {
-    // Symptom: in the time line a VM learns of a death before anybody has noticed it.
-    // Sequence: VM A, whose clock is 1.5 s ahead, records the death and tells VM B, who records it.
-    // Cause: B stamped by its own wall clock alone.
+fn a_datagram_orders_its_effects_after_their_cause() {
+    // Guards against a timeline in which a VM learns of a failure before another VM detected it:
+    // VM A, whose clock is 1.5 s ahead, records the failure and sends it to VM B, which would stamp
+    // its own record by its wall clock alone.
     let (sender, receiver) = (side("hall-a", 1, ahead), side("hall-b", 2, behind));
     let codec = datagram::DatagramCodec::new(sender.identity, keys());
     let mut codec = codec.with_stamper(sender.stamper);
@@ -67,7 +67,7 @@
     opener.open(&forged).expect_err("the MAC covers the stamp");
     assert!(
         receiver.journal.stamp(BEHIND_MS) < cause,
-        "a forged stamp was followed"
+        "the stamp of a forged datagram was applied"
     );
     opener.open(&sealed).expect("valid");
     assert!(receiver.journal.stamp(BEHIND_MS) > cause);
@@ -85,7 +85,7 @@
     }
 }
 
-/// One call from `caller` to `callee`; returns the stamps of both sides before it.
+/// Makes one call from `caller` to `callee`; returns the stamps of both sides before the call.
 async fn call(caller: &Side, callee: &Side) -> (clock::HybridStamp, clock::HybridStamp) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
@@ -117,17 +117,17 @@
 }
 
 #[tokio::test]
-async fn call_and_answer_order_what_they_cause() {
+async fn calls_and_replies_order_their_effects_after_them() {
     let (late, early) = (side("hall-a", 1, ahead), side("hall-b", 2, behind));
     let (caller_before, _) = call(&late, &early).await;
     assert!(
         early.journal.stamp(BEHIND_MS) > caller_before,
-        "the call carries its stamp"
+        "the call must carry the caller's stamp"
     );
     let (late, early) = (side("hall-a", 1, ahead), side("hall-b", 2, behind));
     let (_, callee_before) = call(&early, &late).await;
     assert!(
         early.journal.stamp(BEHIND_MS) > callee_before,
-        "the answer carries its stamp"
+        "the reply must carry the callee's stamp"
     );
 }
