--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -207,7 +207,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Publishes an item; does nothing when an equal one is known that does not expire soon.
+    /// Publishes an item; does nothing when an equal one has at least half of its lifetime left.
     pub fn publish(&mut self, now: time::Duration, update: &update::ItemUpdate) -> Vec<CoreAction> {
         match update {
             update::ItemUpdate::Configuration(update) if update.vm != self.identity.name => {}
--- a/crates/gossip/src/maintenance.rs
+++ b/crates/gossip/src/maintenance.rs
@@ -26,7 +26,7 @@
     }
 
     /// Discards the probe under way and extends suspicions after this process was paused, since the
-    /// silence of others was then its own.
+    /// missing answers are due to the pause.
     pub(crate) fn resume(&mut self, now: time::Duration, pause: time::Duration) {
         metrics::counter!("pollenchute_gossip_pauses_total").increment(1);
         self.schedule.current = None;
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -29,8 +29,8 @@
         /// Error of the handshake.
         source: handshake::HandshakeError,
     },
-    /// The other side rejected the call before it started.
-    #[snafu(display("{address} rejected the call: {message}"))]
+    /// The other side refused the call before it started.
+    #[snafu(display("{address} refused the call: {message}"))]
     Refused {
         /// Address of the other VM.
         address: net::SocketAddr,
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -15,7 +15,7 @@
 /// Maximum number of calls queued for sending on one connection.
 const CALL_BACKLOG: usize = 64;
 
-/// Maximum number of attempts per call, each on its own connection if the last one was lost.
+/// Maximum number of attempts per call; a lost connection is replaced between attempts.
 const MAX_ATTEMPTS: u32 = 3;
 
 /// Limits of a client.
--- a/crates/wire/src/proto/peer.rs
+++ b/crates/wire/src/proto/peer.rs
@@ -230,7 +230,7 @@
     Busy = 1,
     /// The server does not support this kind of request; the call was not started.
     Unsupported = 2,
-    /// The server rejected the call before it was started.
+    /// The server refused the call before it was started.
     Refused = 3,
     /// The call may have had an effect.
     Unknown = 4,
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -38,7 +38,7 @@
     pub connections: usize,
     /// Maximum number of connections that have not yet proved that they have a key.
     pub unauthenticated: usize,
-    /// Maximum number of concurrent calls over all connections; further ones are rejected as busy.
+    /// Maximum number of concurrent calls over all connections; further ones are refused as busy.
     pub calls: usize,
     /// Maximum number of concurrent calls on one connection.
     pub calls_per_connection: usize,
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -253,7 +253,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_server_at_its_limit_rejects_calls_immediately() {
+async fn a_server_at_its_limit_refuses_calls_immediately() {
     let limits = server::ServerLimits {
         calls: 2,
         ..server::ServerLimits::default()
@@ -294,7 +294,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_with_another_key_is_rejected() {
+async fn a_client_with_another_key_is_refused() {
     let (network, service) = FakeNetwork::new(server::ServerLimits::default());
     for (id, secret) in [(1, 2), (2, 1)] {
         let client = network.client(keys(id, secret));
