--- a/crates/gossip/tests/virtual_time/cluster.rs
+++ b/crates/gossip/tests/virtual_time/cluster.rs
@@ -45,7 +45,7 @@
     claims: collections::BTreeMap<String, claim::ClaimVersion>,
 }
 
-/// A datagram in datagram.
+/// A datagram in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DatagramInFlight {
     pub at: time::Duration,
@@ -121,7 +121,8 @@
             order: 0,
         };
         for (index, (region, failure_domain)) in places.iter().enumerate() {
-            let tick_ms = u32::try_from(cluster.timing.tick.as_millis()).expect("short");
+            let tick_ms =
+                u32::try_from(cluster.timing.tick.as_millis()).expect("a tick fits 32 bits");
             let phase = time::Duration::from_millis((cluster.rng.next_u32() % tick_ms).into());
             cluster
                 .ticks
@@ -163,7 +164,8 @@
             place: vm.place.clone(),
         });
         let seeds = seeds.collect();
-        let wall_ms = EPOCH_MS + u64::try_from(self.now.as_millis()).expect("short");
+        let wall_ms =
+            EPOCH_MS + u64::try_from(self.now.as_millis()).expect("virtual time fits 64 bits");
         let incarnation = id::Incarnation::draw(&mut self.rng);
         let rng = ChaCha8Rng::seed_from_u64(self.rng.next_u64());
         let vm = &mut self.vms[index];
@@ -240,7 +242,7 @@
             }
             self.now = self.now.max(next);
             if delivery_at <= tick_at {
-                let datagram = self.in_flight.pop().expect("just seen");
+                let datagram = self.in_flight.pop().expect("peeked above");
                 self.deliver(datagram);
                 continue;
             }
--- a/crates/gossip/tests/virtual_time/histories.rs
+++ b/crates/gossip/tests/virtual_time/histories.rs
@@ -174,7 +174,8 @@
         let other = u.int_in_range(0..=self.cluster.vms.len() - 1)?;
         let started_at = self.cluster.vms[other].started_at;
         // The list is older than the newest incarnation, so it must not mark that one.
-        list.as_of_ms = EPOCH_MS + u64::try_from(started_at.as_millis()).expect("short");
+        list.as_of_ms =
+            EPOCH_MS + u64::try_from(started_at.as_millis()).expect("virtual time fits 64 bits");
         list.leaving
             .extend(list.live.take(&self.cluster.vms[other].name));
         if !self.cluster.vms[index].paused {
@@ -229,14 +230,14 @@
                     assert_eq!(
                         state,
                         Some(claim::MemberState::Alive),
-                        "{} reports {}",
+                        "{} does not report {} as alive",
                         vm.name,
                         other.name
                     );
                     assert_eq!(
                         incarnation,
                         Some(other.identity.incarnation),
-                        "{} reports {}",
+                        "{} reports another incarnation of {}",
                         vm.name,
                         other.name
                     );
@@ -298,7 +299,7 @@
                 let seen = &view.members[*name].configuration;
                 assert_eq!(
                     seen, &own.members[*name].configuration,
-                    "{other} reports the configuration of {name}"
+                    "{other} reports another configuration of {name}"
                 );
             }
         }
@@ -319,9 +320,9 @@
             .collect();
         self.cluster.faults.loss = 0;
         self.cluster.kill(victim);
-        let turn = u64::try_from(witnesses.len()).expect("few");
+        let cycle = u64::try_from(witnesses.len()).expect("few");
         self.cluster
-            .advance(seconds(2 * turn + 1) + self.cluster.timing.suspicion_timeout + seconds(1));
+            .advance(seconds(2 * cycle + 1) + self.cluster.timing.suspicion_timeout + seconds(1));
         for witness in witnesses {
             let core = self.cluster.vms[witness].core.as_ref().expect("running");
             let state = core.members().named(&name).map(|record| record.state());
--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -40,7 +40,7 @@
     let (mut sender, mut receiver, identity) = pair();
     let datagram = sender
         .seal(Some(&identity), b"word".to_vec())
-        .expect("short");
+        .expect("the payload fits");
     let opened = receiver.open(&datagram).expect("valid");
     assert_eq!(opened.sender, process("hall-a", 1));
     assert_eq!(opened.payload, b"word");
@@ -55,7 +55,7 @@
     let (mut sender, _, identity) = pair();
     let datagram = sender
         .seal(Some(&identity), b"word".to_vec())
-        .expect("short");
+        .expect("the payload fits");
     let mut restarted = DatagramCodec::new(process("hall-b", 3), keys(&[1]));
     assert_eq!(restarted.open(&datagram), Err(DropReason::WrongTag));
     let mut other = DatagramCodec::new(process("hall-c", 2), keys(&[1]));
@@ -65,7 +65,9 @@
 #[test]
 fn an_unbound_datagram_is_opened_by_any_receiver_and_marked_unbound() {
     let (mut sender, mut receiver, _) = pair();
-    let datagram = sender.seal(None, b"hello".to_vec()).expect("short");
+    let datagram = sender
+        .seal(None, b"hello".to_vec())
+        .expect("the payload fits");
     assert!(!receiver.open(&datagram).expect("valid").bound);
 }
 
@@ -78,13 +80,17 @@
     for window in steps.windows(2) {
         for (from, to) in [(window[0], window[1]), (window[1], window[0])] {
             let mut sender = DatagramCodec::new(process("hall-a", 1), keys(from));
-            let datagram = sender.seal(Some(&receiver), Vec::new()).expect("short");
+            let datagram = sender
+                .seal(Some(&receiver), Vec::new())
+                .expect("the payload fits");
             let opened = DatagramCodec::new(receiver.clone(), keys(to)).open(&datagram);
             assert!(opened.is_ok(), "from {from:?} to {to:?}: {opened:?}");
         }
     }
     let mut sender = DatagramCodec::new(process("hall-a", 1), keys(&[1]));
-    let datagram = sender.seal(Some(&receiver), Vec::new()).expect("short");
+    let datagram = sender
+        .seal(Some(&receiver), Vec::new())
+        .expect("the payload fits");
     let opened = DatagramCodec::new(receiver, keys(&[2])).open(&datagram);
     assert_eq!(opened, Err(DropReason::UnknownKey));
 }
@@ -116,7 +122,7 @@
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let mut datagram = sender
             .seal(Some(&identity), b"word".to_vec())
-            .expect("short");
+            .expect("the payload fits");
         match rng.next_u32() % 4 {
             0 => {
                 datagram = vec![0; (rng.next_u32() % 1300) as usize];
--- a/crates/wire/tests/stamps.rs
+++ b/crates/wire/tests/stamps.rs
@@ -57,7 +57,7 @@
     let mut codec = codec.with_stamper(sender.stamper);
     let cause = sender.journal.stamp(AHEAD_MS);
     let sealed = codec.seal(Some(&receiver.identity), b"word".to_vec());
-    let sealed = sealed.expect("short");
+    let sealed = sealed.expect("the payload fits");
     let opener = datagram::DatagramCodec::new(receiver.identity, keys());
     let mut opener = opener.with_stamper(receiver.stamper);
     let stale = receiver.journal.stamp(BEHIND_MS);
