--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -1,4 +1,4 @@
-//! The decisions of membership, without I/O, clock or random source of their own.
+//! The membership state machine, without I/O, clock or random source of its own.
 
 use std::{collections, net, time};
 
@@ -7,26 +7,27 @@
 use wire::{identity, proto::gossip as proto};
 
 use crate::{
-    claim, event, item, linking, list, loads, member, news, probe, roster, settings, spread,
+    claim, digest_state, event, item, linking, list, member, probe, roster, settings, spread,
+    update,
 };
 use event::CoreAction;
 use proto::message::Kind;
 
-/// Greetings in answer to strangers in one tick at the most.
-const MAX_GREETINGS: u32 = 8;
+/// Maximum number of `Hello` messages sent to unknown senders in one tick.
+const MAX_HELLOS_PER_TICK: u32 = 8;
 
-/// A tick that comes this many ticks late means that this process was paused.
+/// A tick delayed by this many tick intervals means that this process was paused.
 const PAUSE_TICKS: u32 = 10;
 
-/// What one VM knows of all others, and what it does next.
+/// One VM's view of all members, and the actions it takes next.
 ///
-/// `now` is the time since any fixed moment on this VM's monotonic clock; it never goes back.
+/// `now` is the time since a fixed moment on this VM's monotonic clock; it never decreases.
 #[derive(Debug)]
 pub struct MemberCore<R> {
     pub(crate) timing: settings::TimingSettings,
-    /// The own identity; constant.
+    /// Identity of this process; constant.
     pub(crate) identity: identity::ProcessIdentity,
-    /// The own claim; also in `table`, always equal there.
+    /// Claim about this VM; `table` always holds an equal copy.
     pub(crate) own: claim::MemberClaim,
     pub(crate) rng: R,
     pub(crate) table: member::MemberTable,
@@ -37,40 +38,40 @@
     pub(crate) roster: roster::RosterCache,
     pub(crate) list: list::VmListReport,
     pub(crate) links: linking::LinkState,
-    pub(crate) digests: loads::DigestState,
-    /// What is to be done; handed out at the end of each call.
+    pub(crate) digests: digest_state::DigestState,
+    /// Actions to be performed; returned at the end of each call.
     pub(crate) actions: Vec<CoreAction>,
-    pub(crate) dues: DueTimes,
-    /// Whether this life takes no new work; never unset.
+    pub(crate) due_times: DueTimes,
+    /// Whether this incarnation accepts no new work; never unset.
     pub(crate) leaving: bool,
-    /// Configuration in force here, as last published.
-    pub(crate) configuration: Option<news::ConfigurationNews>,
-    /// The other life that claimed the own name last; told once.
+    /// Configuration in force on this VM, as last published.
+    pub(crate) configuration: Option<update::ConfigurationUpdate>,
+    /// The other incarnation that last claimed this VM's name; reported once.
     pub(crate) conflict: Option<id::Incarnation>,
-    /// Greetings that strangers may still cause before the next tick.
-    pub(crate) greetings_left: u32,
-    /// Rounds of greetings since somebody of the region was known.
-    pub(crate) lonely_rounds: u32,
+    /// `Hello` messages that may still be sent to unknown senders before the next tick.
+    pub(crate) hellos_left: u32,
+    /// Rounds of `Hello` messages sent since a member of the region was last known.
+    pub(crate) isolated_rounds: u32,
     last_tick: time::Duration,
-    /// Whether what is learnt now is old news that need not be passed on.
-    pub(crate) muted: bool,
-    /// When this core began.
-    pub(crate) began_at: time::Duration,
+    /// Whether updates received now are already known elsewhere and are not forwarded.
+    pub(crate) forwarding_suppressed: bool,
+    /// When this core was created.
+    pub(crate) started_at: time::Duration,
 }
 
-/// When each recurring duty is due next.
+/// When each periodic task is due next.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DueTimes {
     pub probe: time::Duration,
     pub slow_round: time::Duration,
     pub sync: time::Duration,
-    pub greeting: time::Duration,
-    pub keeping: time::Duration,
+    pub hello: time::Duration,
+    pub maintenance: time::Duration,
     pub plan: time::Duration,
 }
 
 impl<R: rand::Rng> MemberCore<R> {
-    /// A core that knows itself and the seeds.
+    /// Creates a core that knows only this VM and the seeds.
     pub fn new(
         own: settings::OwnSettings,
         timing: settings::TimingSettings,
@@ -81,9 +82,9 @@
         let claim = claim::MemberClaim {
             name: own.identity.name.clone(),
             version: claim::ClaimVersion {
-                life: claim::LifeStamp {
-                    birth_ms: own.birth_ms,
-                    incarnation: own.identity.incarnation,
+                incarnation: claim::MemberIncarnation {
+                    started_at_ms: own.started_at_ms,
+                    id: own.identity.incarnation,
                 },
                 refutation: 0,
                 state: claim::MemberState::Alive,
@@ -93,15 +94,19 @@
         let mut table = member::MemberTable::default();
         table.merge(&claim, now, now);
         let mut core = Self {
-            dues: DueTimes {
+            due_times: DueTimes {
                 probe: now,
                 slow_round: now,
                 sync: now + timing.sync_interval,
-                greeting: now,
-                keeping: now,
+                hello: now,
+                maintenance: now,
                 plan: now,
             },
-            digests: loads::DigestState::new(timing.digest_bytes_per_second, timing.watching, now),
+            digests: digest_state::DigestState::new(
+                timing.digest_bytes_per_second,
+                timing.watching,
+                now,
+            ),
             timing,
             identity: own.identity,
             own: claim,
@@ -118,11 +123,11 @@
             leaving: false,
             configuration: None,
             conflict: None,
-            greetings_left: MAX_GREETINGS,
-            lonely_rounds: 0,
+            hellos_left: MAX_HELLOS_PER_TICK,
+            isolated_rounds: 0,
             last_tick: now,
-            muted: false,
-            began_at: now,
+            forwarding_suppressed: false,
+            started_at: now,
         };
         core.set_seeds(seeds);
         core
@@ -136,19 +141,19 @@
         self.roster.stale = true;
     }
 
-    /// All members that are known, the own VM among them.
+    /// All known members, including this VM.
     #[must_use]
     pub const fn members(&self) -> &member::MemberTable {
         &self.table
     }
 
-    /// All items that are known.
+    /// All known items.
     #[must_use]
     pub const fn items(&self) -> &item::ItemStore {
         &self.items
     }
 
-    /// Takes a datagram that passed every check of crate `wire`.
+    /// Handles a datagram that passed every check of crate `wire`.
     pub fn on_datagram(
         &mut self,
         now: time::Duration,
@@ -160,99 +165,99 @@
         let message = proto::Message::decode(payload).unwrap_or_default();
         match message.kind {
             None => metrics::counter!("pollenchute_gossip_malformed_total").increment(1),
-            // Whoever has recorded a greeting may send it again to anybody, at any time. So nothing
-            // in it is believed; it only causes one answer, which only the asking life can open.
-            Some(Kind::Hello(_)) if !bound => self.answer_greeting(from, sender),
+            // A recorded `Hello` can be replayed to any VM at any time. So its content is ignored;
+            // it causes only one answer, which only the requesting incarnation can open.
+            Some(Kind::Hello(_)) if !bound => self.answer_hello(from, sender),
             Some(_) if !bound => {
                 metrics::counter!("pollenchute_gossip_unbound_total").increment(1);
             }
             Some(kind) => {
-                self.mute(now, &kind);
-                self.take_claims(now, message.claims);
-                self.take_items(now, message.items);
-                self.take_digests(now, sender, message.digests);
-                self.take_in_force(&message.in_force);
-                self.muted = false;
-                self.note_heard(now, &sender.name);
-                self.take_kind(now, from, sender, kind);
+                self.suppress_forwarding(now, &kind);
+                self.apply_claims(now, message.claims);
+                self.apply_items(now, message.items);
+                self.apply_digests(now, sender, message.digests);
+                self.apply_in_force(&message.in_force);
+                self.forwarding_suppressed = false;
+                self.record_received(now, &sender.name);
+                self.handle_kind(now, from, sender, kind);
             }
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// Does what is due; call it every [`settings::TimingSettings::tick`].
+    /// Runs the tasks that are due; call it every [`settings::TimingSettings::tick`].
     pub fn on_tick(&mut self, now: time::Duration) -> Vec<CoreAction> {
-        let gap = now.saturating_sub(self.last_tick);
+        let pause = now.saturating_sub(self.last_tick);
         self.last_tick = now;
-        if gap > self.timing.tick * PAUSE_TICKS {
-            self.resume(now, gap);
+        if pause > self.timing.tick * PAUSE_TICKS {
+            self.resume(now, pause);
         }
-        self.greetings_left = MAX_GREETINGS;
+        self.hellos_left = MAX_HELLOS_PER_TICK;
         if self.own.version.state != claim::MemberState::Left {
             self.expire_suspicions(now);
             self.probe_round(now);
-            self.greet_round(now);
+            self.hello_round(now);
             self.sync_round(now);
             self.link_round(now);
             self.plan_round(now);
             self.digest_round(now);
-            self.keeping_round(now);
+            self.maintenance_round(now);
         }
         self.spread_round(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Publishes an item; one that says the same and still lasts is left alone.
-    pub fn publish(&mut self, now: time::Duration, news: &news::NewsItem) -> Vec<CoreAction> {
-        match news {
-            news::NewsItem::Configuration(news) if news.vm != self.identity.name => {}
-            news::NewsItem::Configuration(news) => {
-                self.configuration = Some(news.clone());
-                self.publish_state(now, news);
+    /// Publishes an item; does nothing when an equal one has at least half of its lifetime left.
+    pub fn publish(&mut self, now: time::Duration, update: &update::ItemUpdate) -> Vec<CoreAction> {
+        match update {
+            update::ItemUpdate::Configuration(update) if update.vm != self.identity.name => {}
+            update::ItemUpdate::Configuration(update) => {
+                self.configuration = Some(update.clone());
+                self.publish_state(now, update);
             }
-            news => self.add_news(now, news),
+            update => self.add_update(now, update),
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// Marks this life of this VM as leaving: it takes no new work, but stays a member.
+    /// Marks this incarnation of the VM as leaving: it accepts no new work, but stays a member.
     pub fn leave(&mut self, now: time::Duration) -> Vec<CoreAction> {
         self.leaving = true;
-        let subject = news::LeavingSubject::of_vm(&self.own);
-        self.publish(now, &news::NewsItem::Leaving(subject))
+        let subject = update::LeavingSubject::of_vm(&self.own);
+        self.publish(now, &update::ItemUpdate::Leaving(subject))
     }
 
-    /// Says goodbye; the ticks that follow spread it and do nothing else.
+    /// Announces the departure of this VM; the ticks that follow only disseminate it.
     pub fn depart(&mut self, now: time::Duration) -> Vec<CoreAction> {
         self.own.version.refutation += 1;
         self.own.version.state = claim::MemberState::Left;
-        self.tell_own(now);
+        self.announce_own(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether the sender is the life that holds its name here.
-    pub(crate) fn is_newest_life(&self, sender: &identity::ProcessIdentity) -> bool {
+    /// Whether the sender is the incarnation known here under its name.
+    pub(crate) fn is_known_incarnation(&self, sender: &identity::ProcessIdentity) -> bool {
         self.table
             .named(&sender.name)
-            .is_some_and(|record| record.claim.version.life.incarnation == sender.incarnation)
+            .is_some_and(|record| record.claim.version.incarnation.id == sender.incarnation)
     }
 
-    /// Whether somebody of that name is there.
+    /// Whether a member of that name is present.
     pub(crate) fn is_present(&self, name: &str) -> bool {
         self.table
             .named(name)
             .is_some_and(|record| record.state().is_present())
     }
 
-    /// Whether the life that the claim speaks of is marked as leaving.
+    /// Whether the incarnation that the claim is about is marked as leaving.
     pub(crate) fn is_leaving(&self, claim: &claim::MemberClaim) -> bool {
-        let subject = news::LeavingSubject::of_vm(claim);
+        let subject = update::LeavingSubject::of_vm(claim);
         self.items
-            .get(&news::NewsItem::Leaving(subject).key())
+            .get(&update::ItemUpdate::Leaving(subject).key())
             .is_some()
     }
 
-    fn take_kind(
+    fn handle_kind(
         &mut self,
         now: time::Duration,
         from: net::SocketAddr,
@@ -266,19 +271,20 @@
                 });
                 self.send(now, from, sender, ack);
             }
-            Kind::Ack(ack) => self.take_ack(now, ack.number),
+            Kind::Ack(ack) => self.handle_ack(now, ack.number),
             Kind::PingRequest(request) => self.relay_probe(now, from, sender, &request),
-            Kind::Hello(_) => self.answer_greeting(from, sender),
+            Kind::Hello(_) => self.answer_hello(from, sender),
             Kind::HelloAnswer(_) => {
-                // An earlier life, or another process of that name, would be met for ever.
-                if self.is_newest_life(sender) {
-                    self.introduce(now, from, sender);
+                // An earlier incarnation or another process of that name would be contacted
+                // forever.
+                if self.is_known_incarnation(sender) {
+                    self.start_sync(now, from, sender);
                 }
                 return;
             }
-            Kind::SyncSummary(summary) => self.take_summary(now, from, sender, &summary),
-            Kind::Push(push) => self.take_push(now, push),
+            Kind::SyncSummary(summary) => self.handle_summary(now, from, sender, &summary),
+            Kind::Push(push) => self.handle_push(now, push),
         }
-        self.meet(from, sender);
+        self.contact_unknown(from, sender);
     }
 }
--- a/crates/gossip/src/greeting.rs
+++ b/crates/gossip/src/discovery.rs
@@ -1,4 +1,4 @@
-//! How VMs find each other: at the start, after a restart, and after a partition.
+//! Discovery of members: at startup, after a restart, and after a partition.
 
 use std::{collections, net, time};
 
@@ -8,59 +8,65 @@
 use crate::{claim, core, packet};
 use proto::message::Kind;
 
-/// Greetings in one round while nobody of the region is known.
-const JOIN_GREETINGS: usize = 5;
+/// `Hello` messages in one round while no other member of the region is known.
+const JOIN_HELLOS: usize = 5;
 
-/// While nobody answers, rounds become rarer up to this many join intervals.
+/// While no VM answers, the interval between rounds grows to at most this many join intervals.
 const MAX_BACKOFF: u32 = 8;
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Greets a sender of whose life nothing is known.
-    pub(crate) fn meet(&mut self, from: net::SocketAddr, sender: &identity::ProcessIdentity) {
-        if !self.is_newest_life(sender) && self.greetings_left > 0 {
-            self.greetings_left -= 1;
+    /// Sends a `Hello` to a sender whose incarnation is not the one known here.
+    pub(crate) fn contact_unknown(
+        &mut self,
+        from: net::SocketAddr,
+        sender: &identity::ProcessIdentity,
+    ) {
+        if !self.is_known_incarnation(sender) && self.hellos_left > 0 {
+            self.hellos_left -= 1;
             let packet = packet::PacketBuilder::new(Kind::Hello(proto::Hello {}));
             self.send_packet(from, sender.clone(), packet);
         }
     }
 
-    /// Answers a greeting with the own claim, and with what is held against the greeter.
-    pub(crate) fn answer_greeting(
+    /// Answers a `Hello` with the claim about this VM, and with any claim that the sender may have
+    /// to refute.
+    pub(crate) fn answer_hello(
         &mut self,
         from: net::SocketAddr,
         sender: &identity::ProcessIdentity,
     ) {
         let mut packet = packet::PacketBuilder::new(Kind::HelloAnswer(proto::HelloAnswer {}));
         packet.add_claim(self.own.to_wire());
-        self.add_word_about(sender, &mut packet);
+        self.add_claim_about(sender, &mut packet);
         self.send_packet(from, sender.clone(), packet);
     }
 
-    /// Greets seeds: many while alone, else now and then somebody absent. Without this two halves
-    /// that took each other for dead would never speak again.
-    pub(crate) fn greet_round(&mut self, now: time::Duration) {
-        if now < self.dues.greeting {
+    /// Sends `Hello` messages to absent members and seeds: several per round while no member of the
+    /// region is known, otherwise one now and then. Without this, two sides of a partition that
+    /// declared each other dead would never reconnect.
+    pub(crate) fn hello_round(&mut self, now: time::Duration) {
+        if now < self.due_times.hello {
             return;
         }
         let alone = self.neighbours().is_empty();
         let (interval, count) = if alone {
-            self.lonely_rounds = self.lonely_rounds.saturating_add(1);
-            let backoff = (self.lonely_rounds / 4).clamp(1, MAX_BACKOFF);
-            (self.timing.join_interval * backoff, JOIN_GREETINGS)
+            self.isolated_rounds = self.isolated_rounds.saturating_add(1);
+            let backoff = (self.isolated_rounds / 4).clamp(1, MAX_BACKOFF);
+            (self.timing.join_interval * backoff, JOIN_HELLOS)
         } else {
-            self.lonely_rounds = 0;
-            (self.timing.reach_interval, 1)
+            self.isolated_rounds = 0;
+            (self.timing.reconnect_interval, 1)
         };
-        self.dues.greeting = now + interval;
+        self.due_times.hello = now + interval;
         let absent = self.absent_addresses();
         let picked: Vec<net::SocketAddr> = absent.sample(&mut self.rng, count).copied().collect();
         for address in picked {
-            self.greet(address);
+            self.send_hello(address);
         }
     }
 
-    /// Where somebody of the region might be of whom nothing is heard; only those that the
-    /// platform's list calls live, if there are any.
+    /// Addresses of seeds and dead members of the region that are not present; only those that the
+    /// platform's list reports as live, if there are any.
     fn absent_addresses(&self) -> Vec<net::SocketAddr> {
         let seeds = self
             .seeds
--- a/crates/gossip/src/in_force.rs
+++ b/crates/gossip/src/in_force.rs
@@ -1,7 +1,7 @@
-//! Which configuration is in force on which VM.
+//! Dissemination of the configuration in force on each VM.
 //!
-//! Nearly always it is the same on all of them. So the state itself spreads once, as an item, and
-//! what spreads for each VM is no more than the eight bytes that name its life.
+//! It is nearly always the same on all VMs. So the state itself is disseminated once, as an item,
+//! and each VM adds only the eight bytes that identify its incarnation.
 
 use std::{fmt, time};
 
@@ -9,13 +9,13 @@
 use wire::{identity, proto::gossip as proto};
 use xxhash_rust::xxh3;
 
-use crate::{core, event, item, member, news, packet, spread};
+use crate::{core, event, item, member, packet, spread, update};
 
-/// Datagrams that carry word of one VM's state, from each member that learns it.
-const COPIES: u32 = 12;
+/// Number of datagrams in which each member that learns a VM's state forwards it.
+const IN_FORCE_COPIES: u32 = 12;
 
-/// Names one state of the configuration. Within one life of a VM only greater ones follow, since
-/// what is accepted never reverts.
+/// Identifies one state of the configuration. Within one incarnation of a VM it only increases,
+/// since accepted configuration never reverts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StateKey {
     /// Offset after the last record applied.
@@ -25,17 +25,17 @@
 }
 
 impl StateKey {
-    /// The key of what is in force on a VM.
+    /// The key of the configuration in force on a VM.
     #[must_use]
-    pub fn of(news: &news::ConfigurationNews) -> Self {
-        let hash = xxh3::xxh3_64_with_seed(&news.chain_hash.0, news.revision);
+    pub fn of(update: &update::ConfigurationUpdate) -> Self {
+        let hash = xxh3::xxh3_64_with_seed(&update.chain_hash.0, update.revision);
         Self {
-            offset: news.offset,
+            offset: update.offset,
             digest: (hash >> 32) as u32,
         }
     }
 
-    /// The key of the item that tells the state.
+    /// The key of the item that holds the state.
     #[must_use]
     pub fn item_key(self) -> item::ItemKey {
         item::ItemKey {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The hash by which word of a VM's state names its life.
+/// Hash that identifies a VM's incarnation in reports of the configuration in force.
 #[must_use]
 pub fn holder_hash(member: &identity::ProcessIdentity) -> u64 {
     let mut hasher = xxh3::Xxh3::new();
@@ -61,22 +61,27 @@
 }
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Tells what is in force on this VM.
-    pub(crate) fn publish_state(&mut self, now: time::Duration, news: &news::ConfigurationNews) {
-        self.add_news(now, &news::NewsItem::Configuration(news.clone()));
+    /// Announces the configuration in force on this VM.
+    pub(crate) fn publish_state(
+        &mut self,
+        now: time::Duration,
+        update: &update::ConfigurationUpdate,
+    ) {
+        self.add_update(now, &update::ItemUpdate::Configuration(update.clone()));
         if let Some(key) = self.table.key(&self.identity.name) {
-            self.set_in_force(key, StateKey::of(news));
+            self.set_in_force(key, StateKey::of(update));
         }
     }
 
-    pub(crate) fn take_in_force(&mut self, words: &[proto::InForce]) {
-        for word in words {
+    pub(crate) fn apply_in_force(&mut self, reports: &[proto::InForce]) {
+        for report in reports {
             let state = StateKey {
-                offset: word.offset,
-                digest: word.digest,
+                offset: report.offset,
+                digest: report.digest,
             };
-            for holder in &word.holders {
-                // Word of a life that is not known yet comes again when notes are compared.
+            for holder in &report.holders {
+                // A report on an incarnation that is not known yet is received again by
+                // anti-entropy.
                 if let Some(key) = self.table.holder(*holder) {
                     self.set_in_force(key, state);
                 }
@@ -86,50 +91,50 @@
 
     fn set_in_force(&mut self, key: base::id::VmKey, state: StateKey) {
         if self.table.set_in_force(key, state) {
-            self.pass_on(spread::SpreadKey::InForce(key), false, COPIES);
-            let news = self
+            self.forward(spread::SpreadKey::InForce(key), false, IN_FORCE_COPIES);
+            let update = self
                 .table
                 .get(key)
                 .and_then(|record| self.configuration_of(record));
-            self.tell_configuration(news);
+            self.notify_configuration(update);
         }
     }
 
-    /// Tells of the VMs that were waiting for a state to be known.
-    pub(crate) fn take_state(&mut self, state: &item::ItemKey) {
+    /// Notifies of the configuration of each VM whose state was reported before its item arrived.
+    pub(crate) fn notify_state_known(&mut self, state: &item::ItemKey) {
         let records = self.table.iter().map(|(_, record)| record);
         let waiting = records.filter(|record| {
             record
                 .in_force
                 .is_some_and(|in_force| in_force.item_key() == *state)
         });
-        let news: Vec<Option<news::ConfigurationNews>> = waiting
+        let update: Vec<Option<update::ConfigurationUpdate>> = waiting
             .map(|record| self.configuration_of(record))
             .collect();
-        for news in news {
-            self.tell_configuration(news);
+        for update in update {
+            self.notify_configuration(update);
         }
     }
 
-    /// What is in force on a member, as last heard.
+    /// Configuration in force on a member, as last received.
     pub(crate) fn configuration_of(
         &self,
         record: &member::MemberRecord,
-    ) -> Option<news::ConfigurationNews> {
+    ) -> Option<update::ConfigurationUpdate> {
         let item = self.items.get(&record.in_force?.item_key())?;
-        news::ConfigurationNews::from_body(record.claim.name.clone(), &item.body)
+        update::ConfigurationUpdate::from_body(record.claim.name.clone(), &item.body)
     }
 
-    fn tell_configuration(&mut self, news: Option<news::ConfigurationNews>) {
-        if let Some(news) = news {
-            let news = event::GossipEvent::News(news::NewsItem::Configuration(news));
-            self.actions.push(event::CoreAction::Notify(news));
+    fn notify_configuration(&mut self, update: Option<update::ConfigurationUpdate>) {
+        if let Some(update) = update {
+            let update = event::GossipEvent::Item(update::ItemUpdate::Configuration(update));
+            self.actions.push(event::CoreAction::Notify(update));
         }
     }
 }
 
 impl member::MemberRecord {
-    /// Attaches word of what is in force on the member, if that is known and fits.
+    /// Attaches the state in force on the member, if it is known and fits.
     pub(crate) fn add_in_force(&self, packet: &mut packet::PacketBuilder) -> bool {
         let holder = holder_hash(&self.identity());
         self.in_force
@@ -137,8 +142,8 @@
     }
 }
 
-impl news::ConfigurationNews {
-    /// What the body of an item says to be in force on `vm`.
+impl update::ConfigurationUpdate {
+    /// Decodes the body of a configuration item that is in force on `vm`.
     #[must_use]
     pub fn from_body(vm: String, body: &[u8]) -> Option<Self> {
         let body = proto::ConfigurationBody::decode(body).ok()?;
--- a/crates/gossip/src/linking.rs
+++ b/crates/gossip/src/linking.rs
@@ -1,7 +1,8 @@
-//! Few links between regions: one VM of each failure domain speaks for its region.
+//! Links between regions: one VM of each failure domain represents its region.
 //!
-//! Only these cross the links, so a VM's cost does not grow with the number of regions' members.
-//! What crosses then spreads within the region as everything else does.
+//! Only representatives send across regions, so a VM's cost does not grow with the number of
+//! members in other regions. Updates that cross a link then spread within the region like all
+//! others.
 
 use std::{collections, net, time};
 
@@ -13,32 +14,32 @@
 use event::CoreAction;
 use proto::message::Kind;
 
-/// Each representative writes to another region this often.
+/// Interval at which each representative sends to another region.
 const LINK_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Each representative compares notes with another region at every so-manieth turn.
+/// Each representative sends a state summary instead of a ping at every n-th turn.
 const SYNC_TURNS: u32 = 5;
 
-/// Another region from which nothing came for this long is sought at other addresses.
-const SEEK_AFTER: time::Duration = time::Duration::from_secs(3);
+/// After this long without a datagram from another region, other addresses there are tried.
+const SILENCE_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-/// Greetings in one round of seeking.
-const SEEK_GREETINGS: usize = 2;
+/// `Hello` messages in one round of trying other addresses.
+const REDISCOVERY_HELLOS: usize = 2;
 
-/// Word that another region was heard spreads this often.
+/// Interval at which a VM announces to its region that it received from another region.
 const BEACON_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
-/// A region of which nobody here heard for this long counts as lost.
-const LOST_AFTER: time::Duration = time::Duration::from_secs(10);
+/// A region from which no member of this region received for this long counts as lost.
+const LOST_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// What is known of another region.
+/// State of the link to another region.
 #[derive(Clone, Copy, Debug)]
 struct LinkRecord {
-    /// When this very VM last heard from it.
-    heard_at: time::Duration,
-    /// When anybody of the own region did, as far as is known here.
+    /// When this VM last received from the region.
+    received_at: time::Duration,
+    /// When any member of this VM's region last received from it, as far as is known here.
     beacon_at: time::Duration,
-    /// Whether it counts as lost.
+    /// Whether the region counts as lost.
     lost: bool,
 }
 
@@ -59,7 +60,7 @@
 
     fn record(&mut self, region: &str, now: time::Duration) -> &mut LinkRecord {
         self.links.entry(region.to_owned()).or_insert(LinkRecord {
-            heard_at: now,
+            received_at: now,
             beacon_at: now,
             lost: false,
         })
@@ -67,7 +68,7 @@
 }
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Members of other regions to which a round of spreading sends, too.
+    /// Members of other regions that a dissemination round also sends to.
     pub(crate) fn link_targets(&mut self) -> Vec<id::VmKey> {
         let regions = self.linked_regions();
         regions
@@ -76,7 +77,7 @@
             .collect()
     }
 
-    /// Keeps the links to other regions up, and notices when one is lost.
+    /// Maintains the links to other regions, and detects lost ones.
     pub(crate) fn link_round(&mut self, now: time::Duration) {
         if now < self.links.due {
             return;
@@ -84,13 +85,13 @@
         self.links.due = now + LINK_INTERVAL;
         self.links.turn = self.links.turn.wrapping_add(1);
         for (region, keys) in self.linked_regions().iter() {
-            self.write_to(now, region, keys);
+            self.contact_region(now, region, keys);
         }
-        self.notice_losses(now);
+        self.detect_losses(now);
     }
 
-    fn write_to(&mut self, now: time::Duration, region: &str, keys: &[id::VmKey]) {
-        let heard_at = self.links.record(region, now).heard_at;
+    fn contact_region(&mut self, now: time::Duration, region: &str, keys: &[id::VmKey]) {
+        let received_at = self.links.record(region, now).received_at;
         if let Some(&target) = keys.choose(&mut self.rng) {
             let kind = if self.links.turn.is_multiple_of(SYNC_TURNS) {
                 Kind::SyncSummary(self.sync_summary(now, true))
@@ -100,15 +101,15 @@
             };
             self.send_to(now, target, kind);
         }
-        // Its representatives may all be gone without a word having reached this region.
-        if keys.is_empty() || now.saturating_sub(heard_at) >= SEEK_AFTER {
+        // All its representatives may have been replaced without this region having learnt of it.
+        if keys.is_empty() || now.saturating_sub(received_at) >= SILENCE_TIMEOUT {
             let addresses = self.addresses_in(region);
             let picked: Vec<net::SocketAddr> = addresses
-                .sample(&mut self.rng, SEEK_GREETINGS)
+                .sample(&mut self.rng, REDISCOVERY_HELLOS)
                 .copied()
                 .collect();
             for address in picked {
-                self.greet(address);
+                self.send_hello(address);
             }
         }
     }
@@ -123,8 +124,8 @@
         addresses.into_iter().collect()
     }
 
-    /// Notes that a member of another region was heard, and has its own region know.
-    pub(crate) fn note_heard(&mut self, now: time::Duration, sender: &str) {
+    /// Records that a datagram arrived from another region, and announces it within this region.
+    pub(crate) fn record_received(&mut self, now: time::Duration, sender: &str) {
         let Some(record) = self.table.named(sender) else {
             return;
         };
@@ -133,7 +134,7 @@
             return;
         }
         let link = self.links.record(&region, now);
-        link.heard_at = now;
+        link.received_at = now;
         if now.saturating_sub(link.beacon_at) >= BEACON_INTERVAL || link.lost {
             let key = item::ItemKey {
                 kind: item::ItemKind::Link,
@@ -150,40 +151,40 @@
                 version,
                 body: Vec::new(),
                 expires_at: None,
-                taken_at: now,
+                added_at: now,
             };
-            self.take_item(now, item);
+            self.apply_item(now, item);
         }
     }
 
-    /// Notes that somebody of the own region heard another region.
-    pub(crate) fn take_beacon(&mut self, now: time::Duration, region: &str) {
+    /// Records that a member of this region received from another region.
+    pub(crate) fn record_beacon(&mut self, now: time::Duration, region: &str) {
         let link = self.links.record(region, now);
         link.beacon_at = now;
         if std::mem::take(&mut link.lost) {
-            self.tell_link(region, true);
+            self.notify_link(region, true);
         }
     }
 
-    fn notice_losses(&mut self, now: time::Duration) {
-        let is_lost = |link: &LinkRecord| now.saturating_sub(link.beacon_at) >= LOST_AFTER;
+    fn detect_losses(&mut self, now: time::Duration) {
+        let is_lost = |link: &LinkRecord| now.saturating_sub(link.beacon_at) >= LOST_TIMEOUT;
         let links = self.links.links.iter_mut();
-        let fresh = links.filter(|(_, link)| !link.lost && is_lost(link));
-        let regions: Vec<String> = fresh
+        let newly_lost = links.filter(|(_, link)| !link.lost && is_lost(link));
+        let regions: Vec<String> = newly_lost
             .map(|(region, link)| {
                 link.lost = true;
                 region.clone()
             })
             .collect();
         for region in regions {
-            self.tell_link(&region, false);
+            self.notify_link(&region, false);
         }
     }
 
-    fn tell_link(&mut self, region: &str, reachable: bool) {
+    fn notify_link(&mut self, region: &str, reachable: bool) {
         self.actions
             .push(CoreAction::Notify(event::GossipEvent::Region(
-                event::RegionNews {
+                event::RegionUpdate {
                     region: region.to_owned(),
                     reachable,
                 },
--- a/crates/gossip/src/packet.rs
+++ b/crates/gossip/src/packet.rs
@@ -1,14 +1,14 @@
-//! Messages that fill a datagram and never exceed it.
+//! Builds messages that never exceed a datagram.
 
 use prost::Message as _;
 use wire::{datagram, proto::gossip as proto};
 
 use crate::in_force;
 
-/// Word of what is in force, without its holders, at its longest.
-const WORD_BYTES: usize = (1 + 3) + (1 + 10) + (1 + 4) + (1 + 3);
+/// Maximum encoded size of an `InForce` report without its holders.
+const IN_FORCE_BYTES: usize = (1 + 3) + (1 + 10) + (1 + 4) + (1 + 3);
 
-/// One holder.
+/// Encoded size of one holder.
 const HOLDER_BYTES: usize = 8;
 
 /// A message under construction.
@@ -16,24 +16,27 @@
 pub struct PacketBuilder {
     message: proto::Message,
     /// Bytes that may still be added.
-    room: usize,
+    remaining_bytes: usize,
 }
 
 impl PacketBuilder {
-    /// A message of that kind with nothing attached.
+    /// Creates a message of that kind with nothing attached.
     #[must_use]
     pub fn new(kind: proto::message::Kind) -> Self {
         let message = proto::Message {
             kind: Some(kind),
             ..proto::Message::default()
         };
-        let room = datagram::MAX_PAYLOAD_BYTES.saturating_sub(message.encoded_len());
-        Self { message, room }
+        let remaining_bytes = datagram::MAX_PAYLOAD_BYTES.saturating_sub(message.encoded_len());
+        Self {
+            message,
+            remaining_bytes,
+        }
     }
 
     /// Attaches a claim if it fits.
     pub fn add_claim(&mut self, claim: proto::MemberClaim) -> bool {
-        let fits = self.take_room(claim.encoded_len());
+        let fits = self.reserve(claim.encoded_len());
         if fits {
             self.message.claims.push(claim);
         }
@@ -42,7 +45,7 @@
 
     /// Attaches an item if it fits.
     pub fn add_item(&mut self, item: proto::Item) -> bool {
-        let fits = self.take_room(item.encoded_len());
+        let fits = self.reserve(item.encoded_len());
         if fits {
             self.message.items.push(item);
         }
@@ -51,29 +54,29 @@
 
     /// Attaches a digest if it fits.
     pub fn add_digest(&mut self, digest: proto::Digest) -> bool {
-        let fits = self.take_room(digest.encoded_len());
+        let fits = self.reserve(digest.encoded_len());
         if fits {
             self.message.digests.push(digest);
         }
         fits
     }
 
-    /// Attaches word of what is in force on one life, if it fits.
+    /// Attaches the state in force on one incarnation, if it fits.
     pub fn add_in_force(&mut self, holder: u64, state: in_force::StateKey) -> bool {
-        let words = &mut self.message.in_force;
-        let word = words
+        let reports = &mut self.message.in_force;
+        let report = reports
             .iter_mut()
-            .find(|word| word.offset == state.offset && word.digest == state.digest);
-        let cost = word
+            .find(|report| report.offset == state.offset && report.digest == state.digest);
+        let cost = report
             .as_ref()
-            .map_or(WORD_BYTES + HOLDER_BYTES, |_| HOLDER_BYTES);
-        if cost > self.room {
+            .map_or(IN_FORCE_BYTES + HOLDER_BYTES, |_| HOLDER_BYTES);
+        if cost > self.remaining_bytes {
             return false;
         }
-        self.room -= cost;
-        match word {
-            Some(word) => word.holders.push(holder),
-            None => words.push(proto::InForce {
+        self.remaining_bytes -= cost;
+        match report {
+            Some(report) => report.holders.push(holder),
+            None => reports.push(proto::InForce {
                 offset: state.offset,
                 digest: state.digest,
                 holders: vec![holder],
@@ -82,14 +85,14 @@
         true
     }
 
-    /// Says of an answer to a comparison that nothing was left out.
+    /// Marks an answer to a state summary as complete: nothing was left out.
     pub fn mark_complete(&mut self) {
         if let Some(proto::message::Kind::Push(push)) = &mut self.message.kind {
             push.more = false;
         }
     }
 
-    /// Bytes of the payload.
+    /// Size of the payload in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.message.encoded_len()
@@ -101,11 +104,11 @@
         self.message.encode_to_vec()
     }
 
-    fn take_room(&mut self, bytes: usize) -> bool {
+    fn reserve(&mut self, bytes: usize) -> bool {
         let framed = 1 + prost::length_delimiter_len(bytes) + bytes;
-        let fits = framed <= self.room;
+        let fits = framed <= self.remaining_bytes;
         if fits {
-            self.room -= framed;
+            self.remaining_bytes -= framed;
         }
         fits
     }
--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probing: whom to ask next, and who did not answer.
+//! Probe schedule: the next target, the probe under way, and probes relayed for other members.
 
 use std::{collections, time};
 
@@ -6,68 +6,68 @@
 use rand::seq::SliceRandom as _;
 use wire::identity;
 
-/// Probes for others that are under way at the most.
+/// Maximum number of relayed probes under way.
 const MAX_RELAYS: usize = 256;
 
 /// A probe under way.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeRound {
-    /// Who is asked.
+    /// The member being probed.
     pub target: id::VmKey,
-    /// The life that is asked.
+    /// The incarnation being probed.
     pub incarnation: id::Incarnation,
-    /// The number that an answer carries.
+    /// The number that an acknowledgement carries.
     pub number: u32,
-    /// When it began.
+    /// When the probe was sent.
     pub started_at: time::Duration,
-    /// Whether others were asked to probe, too.
+    /// Whether indirect probes were requested.
     pub indirect: bool,
 }
 
-/// A probe made for another member.
+/// A probe relayed for another member.
 #[derive(Clone, Debug)]
 pub struct RelayedProbe {
-    /// Who wants to know.
+    /// The member that requested the probe.
     pub requester: identity::ProcessIdentity,
-    /// Where it is.
+    /// Address of the requester.
     pub address: std::net::SocketAddr,
-    /// The number that it gave.
+    /// The requester's number of the probe.
     pub number: u32,
-    /// When it no longer waits.
-    pub over_at: time::Duration,
+    /// When the requester stops waiting.
+    pub expires_at: time::Duration,
 }
 
-/// Whom to ask next, and who has been asked.
+/// Order in which members are probed, and the probes under way.
 #[derive(Clone, Debug, Default)]
 pub struct ProbeSchedule {
-    /// Members not yet asked in this turn; each is asked once before any is asked twice, so that
-    /// no death stays unnoticed for longer than one turn.
-    turn: Vec<id::VmKey>,
+    /// Members not yet probed in this cycle; each is probed once before any is probed twice, so
+    /// that a failure is detected within one cycle.
+    cycle: Vec<id::VmKey>,
     /// The probe under way.
     pub current: Option<ProbeRound>,
-    /// Probes made for others, by their number here.
+    /// Relayed probes, by their number on this VM.
     relays: collections::BTreeMap<u32, RelayedProbe>,
     last_number: u32,
 }
 
 impl ProbeSchedule {
-    /// A number that no probe under way has.
+    /// A number not used by any probe under way.
     pub const fn next_number(&mut self) -> u32 {
         self.last_number = self.last_number.wrapping_add(1);
         self.last_number
     }
 
-    /// The member to ask next among `present`, in an order drawn anew for each turn.
+    /// The member of `present` to probe next, in an order shuffled for each cycle.
     pub fn next_target<R: rand::Rng>(
         &mut self,
         present: &[id::VmKey],
         rng: &mut R,
     ) -> Option<id::VmKey> {
-        if self.turn.is_empty() {
-            self.turn.extend_from_slice(present);
-            self.turn.shuffle(rng);
+        if self.cycle.is_empty() {
+            self.cycle.extend_from_slice(present);
+            self.cycle.shuffle(rng);
         }
-        while let Some(key) = self.turn.pop() {
+        while let Some(key) = self.cycle.pop() {
             if present.contains(&key) {
                 return Some(key);
             }
@@ -75,7 +75,7 @@
         None
     }
 
-    /// Remembers a probe for another member under a number of its own, if there is room.
+    /// Records a relayed probe under a new number, unless too many are under way.
     pub fn relay(&mut self, probe: RelayedProbe) -> Option<u32> {
         if self.relays.len() >= MAX_RELAYS {
             return None;
@@ -85,16 +85,16 @@
         Some(number)
     }
 
-    /// Takes an answer: the relayed probe that it belongs to, if any.
-    pub fn answered(&mut self, number: u32) -> Option<RelayedProbe> {
+    /// Handles an acknowledgement and returns the relayed probe that it belongs to, if any.
+    pub fn acknowledge(&mut self, number: u32) -> Option<RelayedProbe> {
         if self.current.is_some_and(|round| round.number == number) {
             self.current = None;
         }
         self.relays.remove(&number)
     }
 
-    /// Forgets probes for others that no longer wait.
-    pub fn forget_over(&mut self, now: time::Duration) {
-        self.relays.retain(|_, probe| probe.over_at > now);
+    /// Removes relayed probes whose requesters no longer wait.
+    pub fn remove_expired(&mut self, now: time::Duration) {
+        self.relays.retain(|_, probe| probe.expires_at > now);
     }
 }
--- a/crates/gossip/src/probing.rs
+++ b/crates/gossip/src/probing.rs
@@ -1,4 +1,4 @@
-//! How the core probes its neighbours.
+//! Failure detection by probing the neighbours.
 
 use std::{net, time};
 
@@ -10,19 +10,19 @@
 use proto::message::Kind;
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Goes on with the probe under way, or begins the next.
+    /// Continues the probe under way, or starts the next one.
     pub(crate) fn probe_round(&mut self, now: time::Duration) {
-        self.schedule.forget_over(now);
+        self.schedule.remove_expired(now);
         if let Some(round) = self.schedule.current
             && !round.indirect
             && now >= round.started_at + self.timing.ack_timeout
         {
-            self.ask_others(now, round);
+            self.request_indirect_probes(now, round);
         }
-        if now < self.dues.probe {
+        if now < self.due_times.probe {
             return;
         }
-        self.dues.probe = now + self.timing.probe_interval;
+        self.due_times.probe = now + self.timing.probe_interval;
         if let Some(round) = self.schedule.current.take() {
             self.suspect(now, round);
         }
@@ -30,14 +30,14 @@
         let Some(target) = self.schedule.next_target(&neighbours, &mut self.rng) else {
             return;
         };
-        self.begin_probe(now, target);
+        self.start_probe(now, target);
     }
 
-    fn begin_probe(&mut self, now: time::Duration, target: id::VmKey) {
+    fn start_probe(&mut self, now: time::Duration, target: id::VmKey) {
         let Some(record) = self.table.get(target) else {
             return;
         };
-        let incarnation = record.claim.version.life.incarnation;
+        let incarnation = record.claim.version.incarnation.id;
         let number = self.schedule.next_number();
         self.schedule.current = Some(probe::ProbeRound {
             target,
@@ -49,7 +49,7 @@
         self.send_to(now, target, Kind::Ping(proto::Ping { number }));
     }
 
-    fn ask_others(&mut self, now: time::Duration, round: probe::ProbeRound) {
+    fn request_indirect_probes(&mut self, now: time::Duration, round: probe::ProbeRound) {
         self.schedule.current = Some(probe::ProbeRound {
             indirect: true,
             ..round
@@ -71,20 +71,20 @@
         }
     }
 
-    /// Holds against a member that it did not answer, unless it has begun another life since.
+    /// Suspects a member that did not answer, unless it has restarted since.
     fn suspect(&mut self, now: time::Duration, round: probe::ProbeRound) {
         let Some(record) = self.table.get(round.target) else {
             return;
         };
         let mut claim = record.claim.clone();
-        let same_life = claim.version.life.incarnation == round.incarnation;
-        if same_life && claim.version.state == claim::MemberState::Alive {
+        let same_incarnation = claim.version.incarnation.id == round.incarnation;
+        if same_incarnation && claim.version.state == claim::MemberState::Alive {
             claim.version.state = claim::MemberState::Suspect;
-            self.take_claim(now, &claim);
+            self.apply_claim(now, &claim);
         }
     }
 
-    /// Probes a member for another one.
+    /// Probes a member on behalf of another one.
     pub(crate) fn relay_probe(
         &mut self,
         now: time::Duration,
@@ -99,16 +99,16 @@
             requester: sender.clone(),
             address: from,
             number: request.number,
-            over_at: now + self.timing.probe_interval,
+            expires_at: now + self.timing.probe_interval,
         };
         if let Some(number) = self.schedule.relay(relayed) {
             self.send_to(now, target, Kind::Ping(proto::Ping { number }));
         }
     }
 
-    /// Takes an answer, and passes it on when the question was another member's.
-    pub(crate) fn take_ack(&mut self, now: time::Duration, number: u32) {
-        if let Some(relayed) = self.schedule.answered(number) {
+    /// Handles an acknowledgement, and forwards it if the probe was relayed for another member.
+    pub(crate) fn handle_ack(&mut self, now: time::Duration, number: u32) {
+        if let Some(relayed) = self.schedule.acknowledge(number) {
             let ack = Kind::Ack(proto::Ack {
                 number: relayed.number,
             });
--- a/crates/gossip/src/roster.rs
+++ b/crates/gossip/src/roster.rs
@@ -1,4 +1,4 @@
-//! Whom this VM speaks to: its neighbours, and across the links between regions.
+//! Communication peers of this VM: its neighbours, and representatives of other regions.
 
 use std::{collections, sync};
 
@@ -6,12 +6,12 @@
 
 use crate::core;
 
-/// Lists made from the member table, kept until it changes.
+/// Lists derived from the member table, cached until it changes.
 #[derive(Clone, Debug)]
 pub(crate) struct RosterCache {
     neighbours: sync::Arc<[id::VmKey]>,
     links: sync::Arc<collections::BTreeMap<String, Vec<id::VmKey>>>,
-    /// Whether members or seeds changed since the lists were made.
+    /// Whether members or seeds changed since the lists were computed.
     pub stale: bool,
 }
 
@@ -26,21 +26,21 @@
 }
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// The present members of the own region, without this VM.
+    /// The present members of this region, without this VM.
     pub(crate) fn neighbours(&mut self) -> sync::Arc<[id::VmKey]> {
-        self.renew_roster();
+        self.refresh_roster();
         sync::Arc::clone(&self.roster.neighbours)
     }
 
-    /// The other regions to which this VM speaks for its own, and whom it speaks to there.
+    /// The other regions towards which this VM represents its own, with their representatives.
     pub(crate) fn linked_regions(
         &mut self,
     ) -> sync::Arc<collections::BTreeMap<String, Vec<id::VmKey>>> {
-        self.renew_roster();
+        self.refresh_roster();
         sync::Arc::clone(&self.roster.links)
     }
 
-    fn renew_roster(&mut self) {
+    fn refresh_roster(&mut self) {
         if !std::mem::take(&mut self.roster.stale) {
             return;
         }
@@ -52,18 +52,18 @@
         });
         self.roster.neighbours = others.map(|(key, _)| key).collect();
         let own_key = self.table.key(&self.identity.name);
-        let speaks = |other: &String| {
+        let is_representative = |other: &String| {
             self.representatives(own, other)
                 .iter()
                 .any(|key| Some(*key) == own_key)
         };
-        let regions = self.other_regions().into_iter().filter(speaks);
+        let regions = self.other_regions().into_iter().filter(is_representative);
         let links = regions.map(|other| (other.clone(), self.representatives(&other, own)));
         self.roster.links = sync::Arc::new(links.collect());
     }
 
-    /// The VMs that speak for `region` towards `other`: the best of each failure domain, so that
-    /// the loss of one domain leaves a link.
+    /// The representatives of `region` towards `other`: the highest-ranked VM of each failure
+    /// domain, so that a link remains when one domain fails.
     fn representatives(&self, region: &str, other: &str) -> Vec<id::VmKey> {
         let subject = format!("link {region} {other}");
         let mut best: collections::BTreeMap<&str, (u64, id::VmKey)> = collections::BTreeMap::new();
--- a/crates/gossip/src/sending.rs
+++ b/crates/gossip/src/sending.rs
@@ -1,4 +1,4 @@
-//! How the core builds datagrams and fills them with what has to be passed on.
+//! Building of datagrams, filled up with queued updates.
 
 use std::{net, time};
 
@@ -10,11 +10,11 @@
 use proto::message::Kind;
 
 impl<R: rand::Rng> core::MemberCore<R> {
-    /// Sends to members picked at random what still has to be passed on.
+    /// Sends the queued updates to randomly chosen members.
     pub(crate) fn spread_round(&mut self, now: time::Duration) {
-        let slow = now >= self.dues.slow_round;
+        let slow = now >= self.due_times.slow_round;
         if slow {
-            self.dues.slow_round = now + self.timing.slow_interval;
+            self.due_times.slow_round = now + self.timing.slow_interval;
         }
         if !(self.queue.has_urgent() || slow && !self.queue.is_empty()) {
             return;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Sends to a member that is known, filled up with what has to be passed on.
+    /// Sends a message to a known member, filled up with queued updates.
     pub(crate) fn send_to(&mut self, now: time::Duration, target: id::VmKey, kind: Kind) {
         if let Some(record) = self.table.get(target) {
             let (address, receiver) = (record.claim.place.address, record.identity());
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Sends to one life, filled up with what has to be passed on.
+    /// Sends a message to one incarnation, filled up with queued updates.
     pub(crate) fn send(
         &mut self,
         now: time::Duration,
@@ -49,20 +49,22 @@
         kind: Kind,
     ) {
         let mut packet = packet::PacketBuilder::new(kind);
-        self.add_word_about(receiver, &mut packet);
+        self.add_claim_about(receiver, &mut packet);
         let (table, items) = (&self.table, &self.items);
         let region = table
             .named(&receiver.name)
             .map(|record| &record.claim.place.region);
-        let abroad = region.is_some_and(|region| *region != self.own.place.region);
+        let to_other_region = region.is_some_and(|region| *region != self.own.place.region);
         self.queue.offer(|key| match key {
             spread::SpreadKey::Member(key) => table
                 .get(*key)
-                .is_some_and(|record| packet.add_claim(record.claim.to_news())),
+                .is_some_and(|record| packet.add_claim(record.claim.to_update())),
             spread::SpreadKey::InForce(key) => table
                 .get(*key)
                 .is_some_and(|record| record.add_in_force(&mut packet)),
-            spread::SpreadKey::Item(key) if abroad && key.kind == item::ItemKind::Link => false,
+            spread::SpreadKey::Item(key) if to_other_region && key.kind == item::ItemKind::Link => {
+                false
+            }
             spread::SpreadKey::Item(key) => items
                 .get(key)
                 .and_then(|item| item.to_wire(now))
@@ -71,8 +73,9 @@
         self.send_packet(address, receiver.clone(), packet);
     }
 
-    /// Attaches what is held against the receiver, so that it can refute it.
-    pub(crate) fn add_word_about(
+    /// Attaches the claim about the receiver if it is suspect, dead or of another incarnation, so
+    /// that the receiver can refute it.
+    pub(crate) fn add_claim_about(
         &self,
         receiver: &identity::ProcessIdentity,
         packet: &mut packet::PacketBuilder,
@@ -80,13 +83,13 @@
         let Some(record) = self.table.named(&receiver.name) else {
             return;
         };
-        let same_life = record.claim.version.life.incarnation == receiver.incarnation;
-        if !same_life || record.state() != claim::MemberState::Alive {
-            packet.add_claim(record.claim.to_news());
+        let same_incarnation = record.claim.version.incarnation.id == receiver.incarnation;
+        if !same_incarnation || record.state() != claim::MemberState::Alive {
+            packet.add_claim(record.claim.to_update());
         }
     }
 
-    /// Sends a message to one life.
+    /// Sends a message to one incarnation.
     pub(crate) fn send_packet(
         &mut self,
         address: net::SocketAddr,
@@ -101,8 +104,8 @@
             }));
     }
 
-    /// Greets somebody of whose life nothing is known.
-    pub(crate) fn greet(&mut self, address: net::SocketAddr) {
+    /// Sends a `Hello` to an address whose incarnation is unknown.
+    pub(crate) fn send_hello(&mut self, address: net::SocketAddr) {
         let packet = packet::PacketBuilder::new(Kind::Hello(proto::Hello {}));
         self.actions
             .push(event::CoreAction::Send(event::OutgoingDatagram {
--- a/crates/gossip/src/news.rs
+++ b/crates/gossip/src/update.rs
@@ -1,4 +1,4 @@
-//! The items that spread, typed.
+//! Typed contents of disseminated items.
 
 use std::time;
 
@@ -8,51 +8,51 @@
 
 use crate::{claim, in_force, item};
 
-/// Between the parts of a subject; neither names nor incarnations contain it.
+/// Separates the parts of a subject; neither names nor incarnations contain it.
 const SEPARATOR: char = '\n';
 
-/// A mark of leaving spreads for this long after it was made or renewed.
-pub const LEAVING_LASTS: time::Duration = time::Duration::from_secs(24 * 3600);
+/// A leaving mark is disseminated for this long after it was created or renewed.
+pub const LEAVING_TTL: time::Duration = time::Duration::from_secs(24 * 3600);
 
-/// A state of the configuration spreads for this long after a VM last renewed it.
-const STATE_LASTS: time::Duration = time::Duration::from_secs(3600);
+/// A configuration state is disseminated for this long after a VM last renewed it.
+const STATE_TTL: time::Duration = time::Duration::from_secs(3600);
 
-/// Longest reason of a quarantine.
+/// Maximum length of the reason of a quarantine.
 const MAX_REASON_BYTES: usize = 200;
 
-/// One life of a VM or a backend server.
+/// An incarnation of a VM or a backend server that is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeavingSubject {
     /// An entry VM.
     Vm {
-        /// Its name.
+        /// Name of the VM or server.
         name: String,
-        /// The life that leaves.
+        /// The incarnation that is leaving.
         incarnation: id::Incarnation,
     },
     /// A backend server.
     Server {
-        /// Its name.
+        /// Name of the VM or server.
         name: String,
-        /// The life that leaves, as the server itself gives it.
+        /// The incarnation that is leaving, as reported by the server.
         incarnation: String,
     },
 }
 
-/// What spreads to every VM.
+/// Content of an item that is disseminated to every VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NewsItem {
+pub enum ItemUpdate {
     /// Configuration in force on a VM.
-    Configuration(ConfigurationNews),
-    /// This life takes no new work; never unlearnt.
+    Configuration(ConfigurationUpdate),
+    /// An incarnation accepts no new work; never revoked.
     Leaving(LeavingSubject),
-    /// Content was put into quarantine, or let out of it.
-    Quarantine(QuarantineNews),
+    /// Content was quarantined, or its quarantine was lifted.
+    Quarantine(QuarantineUpdate),
 }
 
 /// Configuration in force on a VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigurationNews {
+pub struct ConfigurationUpdate {
     /// The VM.
     pub vm: String,
     /// Revision in force.
@@ -63,26 +63,26 @@
     pub chain_hash: fingerprint::ContentHash,
 }
 
-/// Content that crashes backend servers.
+/// Quarantine of content that crashes backend servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct QuarantineNews {
+pub struct QuarantineUpdate {
     /// Hash of the content.
     pub fingerprint: fingerprint::ContentHash,
-    /// Whether it is let out.
+    /// Whether the quarantine is lifted.
     pub lifted: bool,
-    /// How much longer this holds, at the most.
-    pub lasts: time::Duration,
-    /// Why, for operators; cut to 200 bytes.
+    /// Maximum remaining time for which this applies.
+    pub ttl: time::Duration,
+    /// Reason for operators; truncated to 200 bytes.
     pub reason: String,
 }
 
 impl LeavingSubject {
-    /// The life that a claim speaks of.
+    /// The incarnation that a claim is about.
     #[must_use]
     pub fn of_vm(claim: &claim::MemberClaim) -> Self {
         Self::Vm {
             name: claim.name.clone(),
-            incarnation: claim.version.life.incarnation,
+            incarnation: claim.version.incarnation.id,
         }
     }
 
@@ -112,8 +112,9 @@
     }
 }
 
-impl NewsItem {
-    /// What an item says; `None` when its subject or its body makes no sense, or it is for the core.
+impl ItemUpdate {
+    /// Decodes an item; `None` when its subject or body is invalid, or its kind is internal to the
+    /// core.
     #[must_use]
     pub fn from_item(item: &item::Item, now: time::Duration) -> Option<Self> {
         let subject = item.key.subject.as_str();
@@ -124,62 +125,64 @@
                 let body = proto::QuarantineBody::decode(item.body.as_slice()).ok()?;
                 let mut hash = [0; 32];
                 hex::decode_to_slice(subject, &mut hash).ok()?;
-                let lasts = item
+                let ttl = item
                     .expires_at
                     .map(|expires_at| expires_at.saturating_sub(now));
-                Self::Quarantine(QuarantineNews {
+                Self::Quarantine(QuarantineUpdate {
                     fingerprint: fingerprint::ContentHash(hash),
                     lifted: body.lifted,
-                    lasts: lasts.unwrap_or(time::Duration::MAX),
+                    ttl: ttl.unwrap_or(time::Duration::MAX),
                     reason: body.reason,
                 })
             }
         })
     }
 
-    /// The key under which it spreads.
+    /// Key of the item that carries this content.
     #[must_use]
     pub fn key(&self) -> item::ItemKey {
         let (kind, subject) = match self {
-            Self::Configuration(news) => return in_force::StateKey::of(news).item_key(),
+            Self::Configuration(update) => return in_force::StateKey::of(update).item_key(),
             Self::Leaving(subject) => (item::ItemKind::Leaving, subject.to_subject()),
-            Self::Quarantine(news) => (item::ItemKind::Quarantine, news.fingerprint.to_string()),
+            Self::Quarantine(update) => {
+                (item::ItemKind::Quarantine, update.fingerprint.to_string())
+            }
         };
         item::ItemKey { kind, subject }
     }
 
-    /// The body with which it spreads.
+    /// Body of the item that carries this content.
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
         match self {
-            Self::Configuration(news) => proto::ConfigurationBody {
-                revision: news.revision,
-                offset: news.offset,
-                chain_hash: news.chain_hash.0.to_vec(),
+            Self::Configuration(update) => proto::ConfigurationBody {
+                revision: update.revision,
+                offset: update.offset,
+                chain_hash: update.chain_hash.0.to_vec(),
             }
             .encode_to_vec(),
             Self::Leaving(_) => Vec::new(),
-            Self::Quarantine(news) => proto::QuarantineBody {
-                lifted: news.lifted,
-                reason: cut(&news.reason, MAX_REASON_BYTES),
+            Self::Quarantine(update) => proto::QuarantineBody {
+                lifted: update.lifted,
+                reason: truncate(&update.reason, MAX_REASON_BYTES),
             }
             .encode_to_vec(),
         }
     }
 
-    /// How long it spreads unless it is renewed.
+    /// How long the item is disseminated unless it is renewed.
     #[must_use]
-    pub const fn lasts(&self) -> time::Duration {
+    pub const fn ttl(&self) -> time::Duration {
         match self {
-            Self::Configuration(_) => STATE_LASTS,
-            Self::Leaving(_) => LEAVING_LASTS,
-            Self::Quarantine(news) => news.lasts,
+            Self::Configuration(_) => STATE_TTL,
+            Self::Leaving(_) => LEAVING_TTL,
+            Self::Quarantine(update) => update.ttl,
         }
     }
 }
 
-/// The longest beginning of `text` that has at most `bytes` bytes.
-fn cut(text: &str, bytes: usize) -> String {
+/// The longest prefix of `text` that has at most `bytes` bytes.
+fn truncate(text: &str, bytes: usize) -> String {
     let end = (0..=bytes.min(text.len()))
         .rev()
         .find(|end| text.is_char_boundary(*end));
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection that this process opened, with the calls under way on it.
+//! Client side of a connection, with its calls in progress.
 
 use std::{collections, time};
 
@@ -9,63 +9,63 @@
 use crate::{handshake, key, proto::peer};
 use peer::{client_frame, server_frame};
 
-/// How one call ended, as the connection sees it.
+/// Outcome of a call on its connection.
 #[derive(Debug)]
 pub(crate) enum CallEnd {
-    /// The other side answered.
+    /// The other side replied.
     Replied(peer::reply::Kind),
-    /// The connection was over before the call was written: it did not run.
+    /// The connection ended before the call was sent: the call did not run.
     NotSent,
-    /// The connection ended with the call under way.
+    /// The connection ended during the call.
     Closed,
-    /// The connection went silent with the call under way.
+    /// The connection fell silent during the call.
     Silent,
 }
 
-/// A call to be made.
+/// A call to be sent.
 #[derive(Debug)]
 pub(crate) struct OutgoingCall {
     /// Unique on the connection.
     pub id: u64,
-    pub within: time::Duration,
+    pub timeout: time::Duration,
     pub request: peer::Request,
     pub done: channels::oneshot::Sender<CallEnd>,
 }
 
-/// What the connection is asked to do.
+/// A command to the connection.
 #[derive(Debug)]
 pub(crate) enum ConnectionCommand {
     Call(Box<OutgoingCall>),
-    /// Nobody waits for this call any more.
+    /// The caller no longer waits for this call.
     Cancel(u64),
 }
 
 /// Time limits of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
-    /// An unanswered ping this old means that the connection is silent.
-    pub silence: time::Duration,
-    /// Pings this often while calls are under way.
-    pub heartbeat: time::Duration,
-    /// Closed after this long without a call.
-    pub idle: time::Duration,
+    /// A connection whose ping is unanswered for this long counts as silent.
+    pub silence_timeout: time::Duration,
+    /// Interval between checks for silence, with pings while calls are in progress.
+    pub heartbeat_interval: time::Duration,
+    /// A connection without calls for this long is closed.
+    pub idle_timeout: time::Duration,
 }
 
-/// Why a connection ended.
-enum Ending {
+/// Reason why a connection ended.
+enum EndReason {
     Closed,
     Silent,
 }
 
-/// Runs one connection; ends when it breaks, goes silent or has been idle.
+/// Runs one connection until it breaks, falls silent or has been idle.
 pub(crate) struct ConnectionActor<S> {
     session: handshake::Session<S>,
     keys: key::KeyHandle,
     limits: ConnectionLimits,
     stamper: stamper::MessageStamper,
-    /// Calls that were written and not yet answered.
+    /// Calls that were sent and not yet answered.
     pending: collections::BTreeMap<u64, channels::oneshot::Sender<CallEnd>>,
-    /// When the ping that still has no answer was sent. Whatever arrives answers it.
+    /// When the unanswered ping was sent. Any received frame counts as its answer.
     pinged_at: Option<Instant>,
     last_call: Instant,
     pings: u64,
@@ -91,8 +91,8 @@
     }
 
     pub(crate) async fn run(mut self, mut inbox: channels::mpsc::Receiver<ConnectionCommand>) {
-        let ending = self.go_on(&mut inbox).await.unwrap_or_else(|ending| ending);
-        if matches!(ending, Ending::Silent) {
+        let reason = self.serve(&mut inbox).await.unwrap_or_else(|reason| reason);
+        if matches!(reason, EndReason::Silent) {
             metrics::counter!("pollenchute_wire_connections_silent_total").increment(1);
         }
         inbox.close();
@@ -102,64 +102,67 @@
             }
         }
         for done in std::mem::take(&mut self.pending).into_values() {
-            let _ = done.send(match ending {
-                Ending::Closed => CallEnd::Closed,
-                Ending::Silent => CallEnd::Silent,
+            let _ = done.send(match reason {
+                EndReason::Closed => CallEnd::Closed,
+                EndReason::Silent => CallEnd::Silent,
             });
         }
     }
 
-    async fn go_on(
+    async fn serve(
         &mut self,
         inbox: &mut channels::mpsc::Receiver<ConnectionCommand>,
-    ) -> Result<Ending, Ending> {
-        let mut heartbeat = tokio::time::interval(self.limits.heartbeat);
+    ) -> Result<EndReason, EndReason> {
+        let mut heartbeat = tokio::time::interval(self.limits.heartbeat_interval);
         heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        // The first frame shows the server that this side has the key.
+        // The first frame proves to the server that this side has the key.
         self.ping().await?;
         loop {
             tokio::select! {
                 frame = self.session.stream.next() => match frame {
-                    Some(Ok(mut frame)) => self.take(&mut frame)?,
-                    Some(Err(_)) | None => return Ok(Ending::Closed),
+                    Some(Ok(mut frame)) => self.handle_frame(&mut frame)?,
+                    Some(Err(_)) | None => return Ok(EndReason::Closed),
                 },
                 command = inbox.recv() => match command {
-                    Some(command) => self.obey(command).await?,
-                    None => return Ok(Ending::Closed),
+                    Some(command) => self.execute(command).await?,
+                    None => return Ok(EndReason::Closed),
                 },
                 _ = heartbeat.tick() => {
                     self.pending.retain(|_, done| !done.is_closed());
-                    if self.pending.is_empty() && self.last_call.elapsed() >= self.limits.idle {
-                        return Ok(Ending::Closed);
+                    if self.pending.is_empty() && self.last_call.elapsed() >= self.limits.idle_timeout {
+                        return Ok(EndReason::Closed);
                     }
-                    self.watch().await?;
+                    self.check_silence().await?;
                 }
             }
         }
     }
 
-    /// Notices silence: something between the two ends may have lost track of the connection, and
-    /// then nothing ever arrives, not even an error. So while a call waits there is always a ping
-    /// on its way, and a ping that stays unanswered ends the connection.
-    async fn watch(&mut self) -> Result<(), Ending> {
+    /// Detects silent connections: a middlebox may lose the connection's state, after which nothing
+    /// arrives, not even an error. So a ping is always outstanding while a call is pending, and an
+    /// unanswered ping ends the connection.
+    async fn check_silence(&mut self) -> Result<(), EndReason> {
         if self.keys.current().accepted(self.session.key_id).is_none() {
-            return Err(Ending::Closed);
+            return Err(EndReason::Closed);
         }
         match self.pinged_at {
-            Some(pinged_at) if pinged_at.elapsed() >= self.limits.silence => Err(Ending::Silent),
+            Some(pinged_at) if pinged_at.elapsed() >= self.limits.silence_timeout => {
+                Err(EndReason::Silent)
+            }
             None if !self.pending.is_empty() => self.ping().await,
             Some(_) | None => Ok(()),
         }
     }
 
-    fn take(&mut self, frame: &mut bytes::BytesMut) -> Result<(), Ending> {
+    fn handle_frame(&mut self, frame: &mut bytes::BytesMut) -> Result<(), EndReason> {
         let frame: Option<peer::ServerFrame> = self.session.opener.open(frame);
         let Some(kind) = frame.and_then(|frame| frame.kind) else {
             metrics::counter!("pollenchute_wire_frames_dropped_total").increment(1);
-            return Err(Ending::Closed);
+            return Err(EndReason::Closed);
         };
         self.pinged_at = None;
-        // A reply that nobody waits for is late; there is no other call it could be taken for.
+        // A reply without a pending call arrived late; call ids are unique, so it matches no other
+        // call.
         if let server_frame::Kind::Reply(reply) = &kind {
             self.stamper.observe(&self.session.peer.name, reply.stamp);
         }
@@ -172,7 +175,7 @@
         Ok(())
     }
 
-    async fn obey(&mut self, command: ConnectionCommand) -> Result<(), Ending> {
+    async fn execute(&mut self, command: ConnectionCommand) -> Result<(), EndReason> {
         match command {
             ConnectionCommand::Cancel(id) => {
                 if self.pending.remove(&id).is_some() {
@@ -183,7 +186,7 @@
             ConnectionCommand::Call(call) => {
                 self.last_call = Instant::now();
                 self.pending.insert(call.id, call.done);
-                let within_ms = u32::try_from(call.within.as_millis()).unwrap_or(u32::MAX);
+                let within_ms = u32::try_from(call.timeout.as_millis()).unwrap_or(u32::MAX);
                 self.write(client_frame::Kind::Call(peer::Call {
                     id: call.id,
                     within_ms,
@@ -200,22 +203,22 @@
         }
     }
 
-    async fn ping(&mut self) -> Result<(), Ending> {
+    async fn ping(&mut self) -> Result<(), EndReason> {
         self.pings += 1;
         self.pinged_at = Some(Instant::now());
         self.write(client_frame::Kind::Ping(self.pings)).await
     }
 
-    async fn write(&mut self, kind: client_frame::Kind) -> Result<(), Ending> {
+    async fn write(&mut self, kind: client_frame::Kind) -> Result<(), EndReason> {
         let frame = self
             .session
             .sealer
             .seal(&peer::ClientFrame { kind: Some(kind) });
         let sent = self.session.stream.send(frame);
-        match tokio::time::timeout(self.limits.silence, sent).await {
+        match tokio::time::timeout(self.limits.silence_timeout, sent).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(Ending::Closed),
-            Err(_) => Err(Ending::Silent),
+            Ok(Err(_)) => Err(EndReason::Closed),
+            Err(_) => Err(EndReason::Silent),
         }
     }
 }
--- a/crates/wire/src/replay.rs
+++ b/crates/wire/src/replay.rs
@@ -1,30 +1,30 @@
-//! Replay protection: which counters of a sender's life have been taken.
+//! Replay protection by a sliding window over the counters of each sender's incarnation.
 
 use std::collections;
 
 use base::id;
 
-/// Counters behind the highest one that are still told apart.
+/// Size of the window below the highest counter.
 const WINDOW_COUNTERS: u64 = 128;
 
-/// Which counters of one sender's life were taken.
+/// Sliding window over the accepted counters of one sender's incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayWindow {
-    /// Highest counter taken; 0 when none was.
+    /// Highest accepted counter; 0 when there is none.
     top: u64,
-    /// Bit `i` tells whether `top - i` was taken; bit 0 is set unless `top` is 0.
-    taken: u128,
+    /// Bit `i` tells whether `top - i` was accepted; bit 0 is set unless `top` is 0.
+    accepted: u128,
 }
 
 impl ReplayWindow {
-    /// Takes `counter`; `false` when it was taken before or is too old to tell.
-    pub fn take(&mut self, counter: u64) -> bool {
+    /// Accepts `counter`; `false` when it was accepted before or is behind the window.
+    pub fn accept(&mut self, counter: u64) -> bool {
         if counter == 0 {
             return false;
         }
         if counter > self.top {
             let shift = u32::try_from(counter - self.top).unwrap_or(u32::MAX);
-            self.taken = self.taken.checked_shl(shift).unwrap_or(0) | 1;
+            self.accepted = self.accepted.checked_shl(shift).unwrap_or(0) | 1;
             self.top = counter;
             return true;
         }
@@ -33,56 +33,56 @@
             return false;
         }
         let bit = 1u128 << behind;
-        let fresh = self.taken & bit == 0;
-        self.taken |= bit;
-        fresh
+        let is_new = self.accepted & bit == 0;
+        self.accepted |= bit;
+        is_new
     }
 }
 
-/// The windows of all senders' lives that were heard.
+/// Replay windows of the senders' incarnations, the least recently used evicted first.
 #[derive(Debug)]
 pub struct ReplayTable {
-    windows: collections::HashMap<id::Incarnation, HeardWindow>,
-    /// Lives kept at the most; only holders of a key can fill the table.
+    windows: collections::HashMap<id::Incarnation, WindowEntry>,
+    /// Maximum number of windows; only holders of a key can fill the table.
     capacity: usize,
-    /// Counts datagrams, as a measure of age.
-    heard: u64,
+    /// Number of datagrams received, used as a logical time.
+    received: u64,
 }
 
 #[derive(Debug, Default)]
-struct HeardWindow {
+struct WindowEntry {
     window: ReplayWindow,
-    /// Value of the table's `heard` at the last datagram.
-    last_heard: u64,
+    /// Value of the table's `received` at the last datagram.
+    last_received: u64,
 }
 
 impl ReplayTable {
-    /// An empty table for `capacity` lives.
+    /// Creates an empty table for `capacity` incarnations.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
             windows: collections::HashMap::new(),
             capacity,
-            heard: 0,
+            received: 0,
         }
     }
 
-    /// Takes `counter` of the life `sender`; `false` when it is a replay.
-    pub fn take(&mut self, sender: id::Incarnation, counter: u64) -> bool {
-        self.heard += 1;
+    /// Accepts `counter` of the incarnation `sender`; `false` when it is a replay.
+    pub fn accept(&mut self, sender: id::Incarnation, counter: u64) -> bool {
+        self.received += 1;
         if !self.windows.contains_key(&sender) && self.windows.len() >= self.capacity {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         let entry = self.windows.entry(sender).or_default();
-        entry.last_heard = self.heard;
-        entry.window.take(counter)
+        entry.last_received = self.received;
+        entry.window.accept(counter)
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let oldest = self
             .windows
             .iter()
-            .min_by_key(|(_, entry)| entry.last_heard);
+            .min_by_key(|(_, entry)| entry.last_received);
         if let Some(sender) = oldest.map(|(sender, _)| *sender) {
             self.windows.remove(&sender);
         }
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,4 +1,4 @@
-//! The side that takes calls from other entry VMs.
+//! Server for calls from other entry VMs.
 
 use std::{collections, sync, time};
 
@@ -9,21 +9,21 @@
 use crate::{frame, handshake, identity, key, proto::peer};
 use peer::{client_frame, reply, request, response, server_frame};
 
-/// Answers that wait to be written on one connection.
+/// Maximum number of replies queued for sending on one connection.
 const REPLY_BACKLOG: usize = 64;
 
-/// Why a call was not done, as the service tells its caller.
+/// Failure of a call, as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallFailure {
-    /// The reason.
+    /// Kind of the failure.
     pub kind: peer::FailureKind,
-    /// What happened and what to do, for people.
+    /// Cause and remedy, for operators.
     pub message: String,
 }
 
-/// What answers calls.
+/// Handler of calls.
 pub trait PeerService: Send + Sync + 'static {
-    /// Answers one call of `caller`. Dropped when the caller no longer waits.
+    /// Handles one call of `caller`. The future is dropped when the caller no longer waits.
     fn handle(
         &self,
         caller: &identity::ProcessIdentity,
@@ -31,37 +31,37 @@
     ) -> impl Future<Output = Result<response::Kind, CallFailure>> + Send;
 }
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Connections at once; one more is closed at once.
+    /// Maximum number of connections; further ones are closed immediately.
     pub connections: usize,
-    /// Connections at once that have not yet shown that they have a key.
-    pub strangers: usize,
-    /// Calls at once over all connections; one more is refused at once as busy.
+    /// Maximum number of connections that have not yet proved that they have a key.
+    pub unauthenticated: usize,
+    /// Maximum number of concurrent calls over all connections; further ones are refused as busy.
     pub calls: usize,
-    /// Calls at once on one connection.
+    /// Maximum number of concurrent calls on one connection.
     pub calls_per_connection: usize,
-    /// Largest frame.
-    pub frame_bytes: usize,
-    /// A connection on which nothing arrives for this long is closed.
-    pub idle: time::Duration,
+    /// Maximum size of a frame.
+    pub max_frame_bytes: usize,
+    /// A connection that receives nothing for this long is closed.
+    pub idle_timeout: time::Duration,
 }
 
 impl Default for ServerLimits {
     fn default() -> Self {
         Self {
             connections: 1024,
-            strangers: 256,
+            unauthenticated: 256,
             calls: 256,
             calls_per_connection: 64,
-            frame_bytes: frame::DEFAULT_FRAME_BYTES,
-            idle: time::Duration::from_secs(60),
+            max_frame_bytes: frame::DEFAULT_MAX_FRAME_BYTES,
+            idle_timeout: time::Duration::from_secs(60),
         }
     }
 }
 
-/// Takes calls from other entry VMs.
+/// Serves calls from other entry VMs.
 #[derive(Debug)]
 pub struct PeerServer<P> {
     shared: sync::Arc<SharedServer<P>>,
@@ -74,13 +74,13 @@
     service: P,
     limits: ServerLimits,
     connections: sync::Arc<channels::Semaphore>,
-    strangers: channels::Semaphore,
+    unauthenticated: channels::Semaphore,
     calls: sync::Arc<channels::Semaphore>,
     stamper: stamper::MessageStamper,
 }
 
 impl<P: PeerService> PeerServer<P> {
-    /// A server that answers with `service`.
+    /// Creates a server whose calls are handled by `service`.
     #[must_use]
     pub fn new(
         own: identity::ProcessIdentity,
@@ -97,7 +97,7 @@
         )
     }
 
-    /// The same with stamps on its answers.
+    /// Creates a server that also stamps its replies.
     #[must_use]
     pub fn stamped(
         own: identity::ProcessIdentity,
@@ -113,14 +113,14 @@
                 service,
                 limits,
                 connections: sync::Arc::new(channels::Semaphore::new(limits.connections)),
-                strangers: channels::Semaphore::new(limits.strangers),
+                unauthenticated: channels::Semaphore::new(limits.unauthenticated),
                 calls: sync::Arc::new(channels::Semaphore::new(limits.calls)),
                 stamper,
             }),
         }
     }
 
-    /// Serves one connection of whatever kind until it ends.
+    /// Serves one connection over any kind of stream until it ends.
     pub async fn serve_stream<S>(&self, stream: S)
     where
         S: io::AsyncRead + io::AsyncWrite + Unpin + Send + 'static,
@@ -128,7 +128,7 @@
         sync::Arc::clone(&self.shared).serve_stream(stream).await;
     }
 
-    /// Takes connections until dropped; dropping it ends them all.
+    /// Accepts connections until the future is dropped, which closes all of them.
     pub async fn serve(self, listener: net::TcpListener) {
         let mut tasks = task::JoinSet::new();
         loop {
@@ -137,7 +137,7 @@
                 Some(_) = tasks.join_next() => continue,
             };
             let Ok((stream, _)) = accepted else {
-                // For instance no file descriptor is left: trying again at once would spin.
+                // For example, no file descriptor is left: an immediate retry would be a busy loop.
                 tokio::time::sleep(time::Duration::from_millis(50)).await;
                 continue;
             };
@@ -146,7 +146,7 @@
                 count_refused("too_many");
                 continue;
             };
-            // Calls are short; waiting to fill a segment would only delay them.
+            // Calls are short; Nagle's algorithm would only delay them.
             let _ = stream.set_nodelay(true);
             let shared = sync::Arc::clone(&self.shared);
             tasks.spawn(async move {
@@ -162,20 +162,20 @@
         .increment(1);
 }
 
-/// A call that arrived, or the end of the connection.
+/// A received frame, or the end of the connection.
 enum Arrival {
     Frame(client_frame::Kind),
     End,
 }
 
-/// What one connection needs to answer.
+/// State of one connection.
 struct ConnectionState<P> {
     shared: sync::Arc<SharedServer<P>>,
     caller: sync::Arc<identity::ProcessIdentity>,
     replies: channels::mpsc::Sender<peer::ServerFrame>,
-    /// Calls under way; dropped with the connection, since nobody waits for them any more.
+    /// Calls in progress; aborted with the connection, since no caller waits for them any more.
     tasks: task::JoinSet<()>,
-    /// Handles of the same calls by id.
+    /// Abort handles of the same calls, by call id.
     handles: collections::HashMap<u64, task::AbortHandle>,
 }
 
@@ -184,28 +184,30 @@
         self: sync::Arc<Self>,
         stream: S,
     ) {
-        let Ok(stranger) = self.strangers.try_acquire() else {
+        let Ok(permit) = self.unauthenticated.try_acquire() else {
             count_refused("too_many_strangers");
             return;
         };
-        let meeting = tokio::time::timeout(handshake::HANDSHAKE_LIMIT, self.meet(stream));
-        let (mut session, first) = match meeting
+        let authenticating =
+            tokio::time::timeout(handshake::HANDSHAKE_TIMEOUT, self.authenticate(stream));
+        let (mut session, first) = match authenticating
             .await
-            .unwrap_or(Err(handshake::HandshakeError::Late))
+            .unwrap_or(Err(handshake::HandshakeError::TimedOut))
         {
-            Ok(met) => met,
+            Ok(authenticated) => authenticated,
             Err(error) => return count_refused(error.label()),
         };
-        drop(stranger);
+        drop(permit);
         session
             .stream
             .codec_mut()
-            .set_max_frame_length(self.limits.frame_bytes);
+            .set_max_frame_length(self.limits.max_frame_bytes);
         self.serve_session(session, first).await;
     }
 
-    /// Shakes hands and waits for the first frame, which proves that the client has the key.
-    async fn meet<S: io::AsyncRead + io::AsyncWrite + Unpin>(
+    /// Performs the handshake and waits for the first frame, which proves that the client has the
+    /// key.
+    async fn authenticate<S: io::AsyncRead + io::AsyncWrite + Unpin>(
         &self,
         stream: S,
     ) -> Result<(handshake::Session<S>, client_frame::Kind), handshake::HandshakeError> {
@@ -228,13 +230,13 @@
         session: handshake::Session<S>,
         first: client_frame::Kind,
     ) {
-        let (idle, key_id) = (self.limits.idle, session.key_id);
+        let (idle_timeout, key_id) = (self.limits.idle_timeout, session.key_id);
         let (mut sink, mut source) = session.stream.split();
         let (replies, mut outbox) = channels::mpsc::channel::<peer::ServerFrame>(REPLY_BACKLOG);
         let (mut sealer, mut opener) = (session.sealer, session.opener);
         let writer = task::spawn(async move {
             while let Some(reply) = outbox.recv().await {
-                let sent = tokio::time::timeout(idle, sink.send(sealer.seal(&reply))).await;
+                let sent = tokio::time::timeout(idle_timeout, sink.send(sealer.seal(&reply))).await;
                 if !matches!(sent, Ok(Ok(()))) {
                     return;
                 }
@@ -249,13 +251,13 @@
         };
         let mut arrival = Arrival::Frame(first);
         while let Arrival::Frame(kind) = arrival {
-            // A key is taken out of force because somebody else may have it; what was opened
-            // with it must not outlive it.
+            // A key is revoked because it may be compromised; connections that were opened with
+            // it must not outlive it.
             let in_force = state.shared.keys.current().accepted(key_id).is_some();
-            if !in_force || !state.take(kind).await {
+            if !in_force || !state.handle_frame(kind).await {
                 break;
             }
-            arrival = next_arrival(&mut source, &mut opener, idle).await;
+            arrival = next_arrival(&mut source, &mut opener, idle_timeout).await;
         }
         drop(state);
         writer.abort();
@@ -265,12 +267,12 @@
 async fn next_arrival<T>(
     source: &mut T,
     opener: &mut frame::FrameOpener,
-    idle: time::Duration,
+    idle_timeout: time::Duration,
 ) -> Arrival
 where
     T: futures_util::Stream<Item = Result<bytes::BytesMut, std::io::Error>> + Unpin,
 {
-    let Ok(Some(Ok(mut frame))) = tokio::time::timeout(idle, source.next()).await else {
+    let Ok(Some(Ok(mut frame))) = tokio::time::timeout(idle_timeout, source.next()).await else {
         return Arrival::End;
     };
     let frame: Option<peer::ClientFrame> = opener.open(&mut frame);
@@ -282,8 +284,8 @@
 }
 
 impl<P: PeerService> ConnectionState<P> {
-    /// Takes one frame; `false` when the connection is over.
-    async fn take(&mut self, kind: client_frame::Kind) -> bool {
+    /// Handles one frame; `false` when the connection has ended.
+    async fn handle_frame(&mut self, kind: client_frame::Kind) -> bool {
         while self.tasks.try_join_next().is_some() {}
         match kind {
             client_frame::Kind::Ping(number) => {
@@ -301,12 +303,12 @@
             }
             client_frame::Kind::Call(call) => {
                 self.shared.stamper.observe(&self.caller.name, call.stamp);
-                self.begin(call).await
+                self.start_call(call).await
             }
         }
     }
 
-    async fn begin(&mut self, call: peer::Call) -> bool {
+    async fn start_call(&mut self, call: peer::Call) -> bool {
         self.handles.retain(|_, handle| !handle.is_finished());
         let slot = sync::Arc::clone(&self.shared.calls).try_acquire_owned();
         let full = self.handles.len() >= self.shared.limits.calls_per_connection;
