--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -87,7 +87,7 @@
             if config.revision() == 0 {
                 continue;
             }
-            self.leases.tell(self.hints(&config));
+            self.leases.update_hints(self.hints(&config));
             self.round(&config, &client).await;
         }
     }
@@ -236,7 +236,7 @@
                 rollout,
                 want,
             }
-            .give(client, address)
+            .send(client, address)
             .await
         } else {
             order::UnfencedOrder {
@@ -244,11 +244,11 @@
                 rollout,
                 want,
             }
-            .give(client, address)
+            .send(client, address)
             .await
         };
         if outcome == order::OrderOutcome::Lost {
-            self.leases.lost(&permit);
+            self.leases.mark_lost(&permit);
         }
         log::info!(server = server.name.as_str(), fencing = fencing; "order given");
         self.chronicle.record(kind::EventKind::OrderAnswered {
@@ -269,7 +269,7 @@
 fn answer_text(outcome: &order::OrderOutcome) -> String {
     match outcome {
         order::OrderOutcome::InPlace(_) => "already as wanted".to_owned(),
-        order::OrderOutcome::Given(_) => "took effect".to_owned(),
+        order::OrderOutcome::Accepted(_) => "took effect".to_owned(),
         order::OrderOutcome::Lost => "a newer holder gives the orders".to_owned(),
         order::OrderOutcome::NotSent(fault) => format!("not sent: {fault}"),
         order::OrderOutcome::Failed(fault) => fault.to_string(),
--- a/crates/lease/src/choice.rs
+++ b/crates/lease/src/choice.rs
@@ -1,22 +1,23 @@
-//! Which VM should hold which lease.
+//! Assigns leases to VMs.
 //!
-//! Only a few VMs of each region hold all its leases, so that renewals cost few appends. The
-//! choice follows liveness hints and may differ between VMs for a while: the log decides.
+//! Only a few VMs of each region hold all leases of that region, so that renewals need few appends.
+//! The assignment follows liveness hints and may differ between VMs for a while; the log decides
+//! who holds a lease.
 
 use std::collections;
 
 use base::rendezvous;
 
-/// One entry VM or backend server and the region that it is in.
+/// An entry VM or backend server and its region.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RegionMember {
-    /// Its name.
+    /// Name of the VM or server.
     pub name: String,
-    /// Its region.
+    /// Region that the VM or server runs in.
     pub region: String,
 }
 
-/// The servers whose leases `vm` should hold, given the live VMs.
+/// Returns the names of the servers whose leases `vm` should hold, given the live VMs.
 #[must_use]
 pub fn assigned(
     vm: &str,
@@ -39,7 +40,8 @@
     found
 }
 
-/// The VMs that hold a region's leases; of any region when the region itself has no live VM.
+/// Chooses the VMs that hold a region's leases. VMs of all regions are eligible when the region
+/// itself has no live VM.
 fn region_holders<'a>(region: &str, live: &'a [RegionMember], count: usize) -> Vec<&'a str> {
     let near = live.iter().filter(|member| member.region == region);
     let mut names: Vec<&str> = near.map(|member| member.name.as_str()).collect();
--- a/crates/lease/src/driver.rs
+++ b/crates/lease/src/driver.rs
@@ -1,4 +1,4 @@
-//! Runs the leases of one entry daemon: reads the stream, takes and renews, hands out permits.
+//! Runs the leases of one entry daemon: reads the stream, takes and renews leases, issues permits.
 
 use std::{collections, sync};
 
@@ -9,13 +9,14 @@
 
 use crate::{choice, fold, holder, limits};
 
-/// What the daemon tells the driver: hints, which may be late or wrong.
+/// Hints about live VMs and servers that the daemon passes to the driver; they may be late or wrong.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseHints {
     /// Entry VMs that are live and not leaving.
     pub live: Vec<choice::RegionMember>,
-    /// Model engines, which orders go to, and models ([`crate::placement::model_subject`]), each
-    /// with the region whose VM places it; all engines that may serve a model share its region.
+    /// Subjects of leases: model engines, which receive orders, and models
+    /// ([`crate::placement::model_subject`]), each with the region whose VM places the model. All
+    /// engines that may serve a model are in the model's region.
     pub servers: Vec<choice::RegionMember>,
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// The leases of one entry daemon. Its tasks end with it, and its leases lapse.
+/// The leases of one entry daemon. Dropping the driver stops its tasks and lets its leases lapse.
 pub struct LeaseDriver<C: LogClient> {
     shared: sync::Arc<SharedDriver<C>>,
     hints: tokio_sync::watch::Sender<LeaseHints>,
@@ -49,10 +50,10 @@
 }
 
 impl<C: LogClient> LeaseDriver<C> {
-    /// Starts to read the stream `leases` on behalf of `vm`.
+    /// Starts reading the stream `leases` on behalf of `vm`.
     ///
     /// # Errors
-    /// When the limits contradict one another.
+    /// Returns an error if the limits contradict one another.
     pub fn start(
         client: C,
         vm: &str,
@@ -64,12 +65,13 @@
         let stream = LeaseStream::start(client, fold::STREAM, vm, leases, appending);
         let shared = sync::Arc::new(SharedDriver {
             stream,
-            holder: sync::Mutex::new(holder::LeaseHolder::new(new_life(vm), limits)),
+            holder: sync::Mutex::new(holder::LeaseHolder::new(new_holder_id(vm), limits)),
             limits,
         });
         let hints = tokio_sync::watch::Sender::new(LeaseHints::default());
-        let keeping = keep(sync::Arc::clone(&shared), vm.to_owned(), hints.subscribe());
-        let task = tokio::spawn(keeping).abort_handle();
+        let maintenance =
+            maintain_leases(sync::Arc::clone(&shared), vm.to_owned(), hints.subscribe());
+        let task = tokio::spawn(maintenance).abort_handle();
         Ok(Self {
             shared,
             hints,
@@ -77,8 +79,8 @@
         })
     }
 
-    /// Tells what is live; the same again costs nothing.
-    pub fn tell(&self, hints: LeaseHints) {
+    /// Replaces the hints; hints equal to the current ones have no effect.
+    pub fn update_hints(&self, hints: LeaseHints) {
         self.hints.send_if_modified(|known| {
             let changed = *known != hints;
             *known = hints;
@@ -86,22 +88,24 @@
         });
     }
 
-    /// Leave to give orders to `server`; ask again for each order.
+    /// Returns a permit to send orders to `server`. Request a new permit for each order.
     ///
     /// # Errors
-    /// When this VM may not give them.
-    pub fn permit(&self, server: &str) -> Result<holder::OrderPermit, holder::PermitFault> {
+    /// Returns an error if this VM may not send orders to `server`.
+    pub fn permit(&self, server: &str) -> Result<holder::OrderPermit, holder::PermitError> {
         let mut holder = self.shared.lock();
         self.shared.stream.view(|state| holder.observe(&state.fold));
         holder.permit(server, time::Instant::now())
     }
 
-    /// An order ended with [`crate::order::OrderOutcome::Lost`].
-    pub fn lost(&self, permit: &holder::OrderPermit) {
-        self.shared.lock().lost(permit.subject(), permit.fencing());
+    /// Drops the lease of an order that ended with [`crate::order::OrderOutcome::Lost`].
+    pub fn mark_lost(&self, permit: &holder::OrderPermit) {
+        self.shared
+            .lock()
+            .mark_lost(permit.subject(), permit.fencing());
     }
 
-    /// All leases as this VM last read them.
+    /// Returns all leases as of this VM's last read of the stream.
     #[must_use]
     pub fn status(&self) -> Vec<ops::LeaseStatus> {
         let now = time::Instant::now();
@@ -122,38 +126,38 @@
     }
 }
 
-fn new_life(vm: &str) -> fold::HolderId {
+fn new_holder_id(vm: &str) -> fold::HolderId {
     fold::HolderId {
         vm: vm.to_owned(),
         incarnation: id::Incarnation::draw(&mut rand::rng()),
     }
 }
 
-async fn keep<C: LogClient>(
+async fn maintain_leases<C: LogClient>(
     shared: sync::Arc<SharedDriver<C>>,
     vm: String,
     mut hints: tokio_sync::watch::Receiver<LeaseHints>,
 ) {
-    let period = time::Duration::from_millis(shared.limits.renew_ms);
+    let interval = time::Duration::from_millis(shared.limits.renew_ms);
     let mut known_restarts = 0;
     loop {
         let known = hints.borrow_and_update().clone();
         let found = restarts(&shared);
         if found != known_restarts {
-            // Records were dropped unread: what this life held may have changed hands in them.
+            // The leases of this incarnation may have changed hands in the records that were dropped unread.
             known_restarts = found;
-            *shared.lock() = holder::LeaseHolder::new(new_life(&vm), shared.limits);
-            log::warn!(restarts = found; "leases are held anew: records were dropped unread");
+            *shared.lock() = holder::LeaseHolder::new(new_holder_id(&vm), shared.limits);
+            log::warn!(restarts = found; "records were dropped unread; taking leases under a new incarnation");
         }
-        ask(&shared, &vm, &known).await;
+        request_leases(&shared, &vm, &known).await;
         tokio::select! {
-            () = time::sleep(period) => {}
+            () = time::sleep(interval) => {}
             changed = hints.changed() => {
                 if changed.is_err() {
                     return;
                 }
-                // Hints come in bursts; one record serves them all.
-                time::sleep(SETTLE_PAUSE).await;
+                // Hints arrive in bursts; the pause lets one record cover a whole burst.
+                time::sleep(HINT_DEBOUNCE).await;
             }
         }
     }
@@ -163,12 +167,12 @@
     shared.stream.view(|state| state.fold.restarts())
 }
 
-/// Time in which further hints join one record.
-const SETTLE_PAUSE: time::Duration = time::Duration::from_millis(200);
+/// Delay after a changed hint during which further changes are collected into the same record.
+const HINT_DEBOUNCE: time::Duration = time::Duration::from_millis(200);
 
-async fn ask<C: LogClient>(shared: &SharedDriver<C>, vm: &str, hints: &LeaseHints) {
-    let asked = time::Instant::now();
-    let deadline = asked + time::Duration::from_millis(shared.limits.renew_ms);
+async fn request_leases<C: LogClient>(shared: &SharedDriver<C>, vm: &str, hints: &LeaseHints) {
+    let requested_at = time::Instant::now();
+    let deadline = requested_at + time::Duration::from_millis(shared.limits.renew_ms);
     if !shared.stream.wait_loaded(deadline).await {
         metrics::counter!("pollenchute_lease_unread_rounds_total").increment(1);
         return;
@@ -180,14 +184,16 @@
     let Some(item) = planned else { return };
     let entry = fold::LeaseEntry::Hold(item.clone());
     let record = id::RecordId::draw(&mut rand::rng());
-    // `asked` is before the append. An answer that is lost costs this round only: the fold shows
-    // the next round what became of it.
+    // `requested_at` precedes the append. If the answer to the append is lost, only this round
+    // is wasted: the fold shows the next round whether the record took effect.
     match shared.stream.submit(record, &entry, seen, deadline).await {
-        // The fold that gave this verdict has missed what may have become of the leases.
+        // The fold was reset meanwhile, so its verdict ignores records that it has not read.
         Ok(_) if restarts(shared) != before => {}
         Ok(verdict) => {
-            let read = time::Instant::now();
-            shared.lock().settled(&item, &verdict, asked, read);
+            let read_at = time::Instant::now();
+            shared
+                .lock()
+                .apply_verdict(&item, &verdict, requested_at, read_at);
             metrics::gauge!("pollenchute_lease_held_leases").set(verdict.held.len() as f64);
         }
         Err(_) => metrics::counter!("pollenchute_lease_unsettled_rounds_total").increment(1),
@@ -205,7 +211,7 @@
         let log_ms = state.clock.map(|clock| clock.now_ms(now));
         let item = holder.plan(assigned, &state.fold, log_ms);
         if let Some(item) = &item {
-            holder.asking(item);
+            holder.begin_request(item);
         }
         (item, state.position)
     })
--- a/crates/lease/src/engine.rs
+++ b/crates/lease/src/engine.rs
@@ -1,34 +1,34 @@
-//! The face of a model engine as orders use it.
+//! The control interface of a model engine: reading its state and sending it orders.
 
 use std::collections;
 
 use base::id;
 use snafu::Snafu;
 
-/// What an order wants an engine to be.
+/// The state that an order requests of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct WantedState {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Its version.
+    /// Version of the model.
     pub version: String,
-    /// Adapters beside it.
+    /// Adapters to load with the model.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// The engine's role.
+    /// Role of the engine.
     pub role: String,
 }
 
-/// A model that an engine has ready.
+/// A model that an engine has loaded and can serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ReadyModel {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Its version.
+    /// Version of the model.
     pub version: String,
-    /// Adapters beside it.
+    /// Adapters loaded with the model.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
@@ -37,12 +37,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct OrderBody {
-    /// The giver's fencing number.
+    /// Fencing number of the sender's lease.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fencing: Option<u64>,
-    /// What is wanted.
+    /// The requested state.
     pub want: WantedState,
-    /// The engine refuses the order this long after it first saw the connection.
+    /// The engine refuses the order once the connection is older than this, in milliseconds.
     pub within_ms: u64,
 }
 
@@ -50,29 +50,29 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct EngineState {
-    /// The life of its process.
+    /// Incarnation of the engine's process.
     pub incarnation: id::Incarnation,
-    /// What is ready.
+    /// Models that the engine can serve.
     #[serde(default)]
     pub models: Vec<ReadyModel>,
-    /// Its role.
+    /// Role of the engine.
     #[serde(default)]
     pub role: String,
-    /// What is being loaded.
+    /// The state that is being loaded.
     #[serde(default)]
     pub loading: Option<WantedState>,
-    /// The newest fencing number that it saw.
+    /// The highest fencing number that the engine has received.
     #[serde(default)]
     pub fencing: Option<u64>,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
 impl EngineState {
-    /// Whether it is what is wanted.
+    /// Whether the engine is in the state `want`.
     #[must_use]
-    pub fn is(&self, want: &WantedState) -> bool {
+    pub fn matches(&self, want: &WantedState) -> bool {
         self.loading.is_none()
             && self.role == want.role
             && self.models.iter().any(|ready| {
@@ -82,9 +82,9 @@
             })
     }
 
-    /// Whether it is becoming what is wanted.
+    /// Whether the engine is loading the state `want`.
     #[must_use]
-    pub fn becomes(&self, want: &WantedState) -> bool {
+    pub fn is_loading(&self, want: &WantedState) -> bool {
         self.loading.as_ref().is_some_and(|loading| {
             loading.model == want.model
                 && loading.version == want.version
@@ -100,14 +100,14 @@
     left == right
 }
 
-/// Why an engine's answer is missing.
+/// An error of a call to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
-pub enum EngineFault {
+pub enum EngineError {
     /// The engine refuses the order's fencing number.
     #[snafu(display("the engine knows a newer fencing number; its holder gives the orders"))]
     OldFencing,
-    /// The order came too late.
+    /// The order arrived after its time limit.
     #[snafu(display("the order came after its time limit; read the state and send it again"))]
     TooLate,
     /// The engine refuses the call.
@@ -116,37 +116,38 @@
         /// HTTP status of the answer.
         status: u16,
     },
-    /// There is no answer; an order may be in effect.
-    #[snafu(display("the engine did not answer ({cause}); read its state before all else"))]
-    Silent {
-        /// What the connection reported.
+    /// The engine did not answer; an order may have taken effect.
+    #[snafu(display("the engine did not answer ({cause}); read its state before sending orders"))]
+    NoAnswer {
+        /// Cause that the connection reported.
         cause: String,
     },
 }
 
 /// Opens connections to engines.
 pub trait EngineClient: Send + Sync + 'static {
-    /// One connection.
+    /// A connection to an engine.
     type Connection: EngineConnection;
 
-    /// Opens a connection that serves one reading and one order.
+    /// Opens a connection for one state request and one order.
     fn open(
         &self,
         address: std::net::SocketAddr,
-    ) -> impl Future<Output = Result<Self::Connection, EngineFault>> + Send;
+    ) -> impl Future<Output = Result<Self::Connection, EngineError>> + Send;
 }
 
-/// One connection to an engine. It never opens a second one by itself: an order's time limit
-/// counts from when the engine saw the connection, and an answered reading proves that it did.
+/// One connection to an engine.
 ///
-/// An implementation bounds every call in time.
+/// An implementation must not reconnect on its own: the engine counts an order's time limit from
+/// when it accepted the connection, and the answered state request proves that it had accepted it.
+/// An implementation must also limit the time of every call.
 pub trait EngineConnection: Send {
     /// `GET /v1/state`.
-    fn state(&mut self) -> impl Future<Output = Result<EngineState, EngineFault>> + Send;
+    fn state(&mut self) -> impl Future<Output = Result<EngineState, EngineError>> + Send;
 
     /// `POST /v1/orders`.
     fn order(
         &mut self,
         body: &OrderBody,
-    ) -> impl Future<Output = Result<EngineState, EngineFault>> + Send;
+    ) -> impl Future<Output = Result<EngineState, EngineError>> + Send;
 }
--- a/crates/lease/src/fold.rs
+++ b/crates/lease/src/fold.rs
@@ -1,27 +1,27 @@
-//! Who holds which lease: a pure fold over the stream `leases`.
+//! Determines who holds which lease, as a pure fold over the stream `leases`.
 //!
 //! One record takes or renews all leases of one holder. The offset of the record that takes a
-//! lease is its fencing number; a renewal keeps the number. A lease whose holder has not renewed
-//! it within its time, by the times that the log gave the records, goes to the next who asks, and
-//! gets a higher number. The log's clock decides only when a lease may change hands, so a log
-//! whose clock jumps costs a change of holder, never two orders in effect.
+//! lease is its fencing number; a renewal keeps the number. A lease that was not renewed in time,
+//! by the timestamps that the log gives to records, goes to the next VM that requests it, with a
+//! higher number. The log's clock determines only when a lease may change hands: a jump of that
+//! clock can cause a change of holder, but never lets the orders of two holders take effect.
 
 use std::{cmp, collections};
 
 use base::id;
 use ledger::{driver, record};
 
-/// Name of the stream.
+/// Name of the stream that records leases.
 pub const STREAM: &str = "leases";
 
-/// One life of one entry VM. A restarted VM is another holder: its earlier life's orders may
-/// still be under way.
+/// One incarnation of an entry VM. A restarted VM counts as a different holder, because orders of
+/// its previous incarnation may still be in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct HolderId {
     /// Name of the VM.
     pub vm: String,
-    /// The life of its process.
+    /// Incarnation of the VM's process.
     pub incarnation: id::Incarnation,
 }
 
@@ -41,79 +41,81 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct HoldItem {
-    /// Who asks.
+    /// The holder that makes the request.
     pub holder: HolderId,
     /// The leases lapse this long after the record, in milliseconds.
     pub hold_ms: u64,
     /// Time limit of the holder's orders, in milliseconds.
     pub order_ms: u64,
-    /// Leases that the holder has, with their fencing numbers.
+    /// Leases to renew, with their fencing numbers.
     #[serde(default)]
     pub held: collections::BTreeMap<String, u64>,
-    /// Leases that it wants besides.
+    /// Leases to take.
     #[serde(default)]
     pub wanted: collections::BTreeSet<String>,
-    /// Leases that it gives up before their time.
+    /// Leases to release before they lapse, with their fencing numbers.
     #[serde(default)]
     pub released: collections::BTreeMap<String, u64>,
 }
 
-/// What the asker of a record holds once the record is applied, out of what it asked for.
+/// The leases that the writer of a record holds once the record is applied, out of those that the
+/// record requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseVerdict {
     /// Leases by subject.
     pub held: collections::BTreeMap<String, HeldLease>,
 }
 
-/// One lease in the hands of the asker.
+/// One lease that the writer of a record holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HeldLease {
     /// The fencing number.
     pub fencing: u64,
-    /// The longest that an earlier holder's lease and order may last together, in milliseconds.
+    /// Maximum time that an earlier holder's lease and order may last together, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// One lease as the records tell it.
+/// State of one lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseState {
-    /// Who holds it; absent: it was released.
+    /// The holder; `None` if the lease was released.
     pub holder: Option<HolderId>,
-    /// Offset of the record that took it.
+    /// Offset of the record that took the lease.
     pub fencing: u64,
-    /// When it lapses, on the log's clock.
+    /// Time on the log's clock at which the lease lapses.
     pub until_ms: u64,
-    /// The longest lease and order together of all holders before this one, in milliseconds.
+    /// Maximum over all earlier holders of lease time plus order time, in milliseconds.
     pub wait_ms: u64,
-    /// The same with this holder's.
-    longest_ms: u64,
-    /// It was asked for while the fold was warming: it may have been refused, so it is granted to
-    /// nobody here, and it keeps others out until it lapses or a renewal settles its number.
+    /// Like `wait_ms`, but including the current holder.
+    max_wait_ms: u64,
+    /// The lease was requested while the fold was warming, so other folds may have refused it. It is
+    /// granted to nobody, and blocks other requests until it lapses or a renewal confirms its number.
     tentative: bool,
 }
 
-/// The leases as the records of the stream tell them.
+/// State of all leases after the records read so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseFold {
     leases: collections::BTreeMap<String, LeaseState>,
     /// Set while the fold does not know every lease that is in force.
     warming: Option<WarmingState>,
-    /// Fencing numbers below this may be of takings that the fold has not judged.
+    /// Lower fencing numbers may belong to records that the fold could not decide on.
     trusted_from: u64,
     restarts: u64,
 }
 
-/// A fold that starts amid the stream knows every holder once the longest lease has passed.
+/// State of a fold that started in the middle of the stream. Such a fold knows every holder once
+/// the maximum lease time has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct WarmingState {
     until_ms: Option<u64>,
 }
 
-/// No lease is longer: a fold that starts amid the stream grants nothing for so long.
+/// Maximum lease time. A fold that starts in the middle of the stream grants nothing for this long.
 pub const MAX_HOLD_MS: u64 = 60_000;
 
 impl LeaseFold {
-    /// The lease on `subject`; `None` when nobody is known to have held it.
+    /// Returns the lease on `subject`, or `None` if no holder is known.
     #[must_use]
     pub fn find(&self, subject: &str) -> Option<&LeaseState> {
         self.leases.get(subject)
@@ -126,21 +128,21 @@
             .map(|(subject, lease)| (subject.as_str(), lease))
     }
 
-    /// Whether the fold started amid the stream and may not know all holders yet. Nobody asks for
-    /// leases on the word of such a fold.
+    /// Whether the fold started in the middle of the stream and may not know all holders yet. No
+    /// leases are requested on the basis of such a fold.
     #[must_use]
     pub const fn is_warming(&self) -> bool {
         self.warming.is_some()
     }
 
-    /// Times that records were dropped unread. A holder goes on as another one after that: what
-    /// it knew of its leases may have been overtaken in the records that it missed.
+    /// Number of times that records were dropped before they were read. A holder then continues
+    /// under a new incarnation, because the missed records may have given its leases to others.
     #[must_use]
     pub const fn restarts(&self) -> u64 {
         self.restarts
     }
 
-    /// Whether `subject` is free to take at `at_ms` on the log's clock.
+    /// Whether the lease on `subject` can be taken at `at_ms` on the log's clock.
     #[must_use]
     pub fn is_free(&self, subject: &str, at_ms: u64) -> bool {
         let lease = self.leases.get(subject);
@@ -169,7 +171,8 @@
         verdict
     }
 
-    /// A release by anybody but the holder of exactly this number changes nothing: it is late.
+    /// Releases a lease. A release that does not match the current holder and fencing number is
+    /// outdated and changes nothing.
     fn release(&mut self, subject: &str, fencing: u64, holder: &HolderId) {
         if let Some(lease) = self.leases.get_mut(subject)
             && lease.fencing == fencing
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Renews a lease that the asker still holds, also past its time as long as nobody took it.
+    /// Renews a lease that the writer still holds, even a lapsed one as long as nobody else took it.
     fn renew(
         &mut self,
         place: record::RecordPlace,
@@ -187,15 +190,15 @@
         subject: &str,
         fencing: u64,
     ) -> Option<HeldLease> {
-        if self.is_unjudged(subject, fencing) {
-            // The record that took it is older than what this fold has read.
+        if self.is_undecided(subject, fencing) {
+            // The record that took the lease precedes the records that this fold has read.
             let known_ms = self.leases.get(subject).map_or(0, |lease| lease.until_ms);
             let lease = LeaseState {
                 holder: Some(item.holder.clone()),
                 fencing,
                 until_ms: known_ms,
                 wait_ms: 2 * MAX_HOLD_MS,
-                longest_ms: 2 * MAX_HOLD_MS,
+                max_wait_ms: 2 * MAX_HOLD_MS,
                 tentative: false,
             };
             self.leases.insert(subject.to_owned(), lease);
@@ -207,7 +210,7 @@
         Some(lease.extend(place.at_ms, item))
     }
 
-    fn is_unjudged(&self, subject: &str, fencing: u64) -> bool {
+    fn is_undecided(&self, subject: &str, fencing: u64) -> bool {
         let known = self.leases.get(subject);
         fencing < self.trusted_from
             && known.is_none_or(|known| known.tentative || known.fencing < fencing)
@@ -223,7 +226,7 @@
         if let Some(lease) = self.leases.get_mut(subject) {
             let own = lease.holder.as_ref() == Some(&item.holder);
             if own || (warming && lease.tentative) {
-                // The answer to the record that took it was lost, or a record came twice.
+                // The answer to the record that took the lease was lost, or a record was appended twice.
                 let held = lease.extend(place.at_ms, item);
                 return (own && !lease.tentative).then_some(held);
             }
@@ -231,13 +234,16 @@
         if !self.is_free(subject, place.at_ms) {
             return None;
         }
-        let wait_ms = self.leases.get(subject).map_or(0, |lease| lease.longest_ms);
+        let wait_ms = self
+            .leases
+            .get(subject)
+            .map_or(0, |lease| lease.max_wait_ms);
         let mut lease = LeaseState {
             holder: Some(item.holder.clone()),
             fencing: place.offset,
             until_ms: 0,
             wait_ms,
-            longest_ms: wait_ms,
+            max_wait_ms: wait_ms,
             tentative: warming,
         };
         let held = lease.extend(place.at_ms, item);
@@ -262,8 +268,8 @@
     fn extend(&mut self, at_ms: u64, item: &HoldItem) -> HeldLease {
         let until_ms = at_ms.saturating_add(item.hold_ms);
         self.until_ms = cmp::max(self.until_ms, until_ms);
-        let whole_ms = item.hold_ms.saturating_add(item.order_ms);
-        self.longest_ms = cmp::max(self.longest_ms, whole_ms);
+        let total_ms = item.hold_ms.saturating_add(item.order_ms);
+        self.max_wait_ms = cmp::max(self.max_wait_ms, total_ms);
         HeldLease {
             fencing: self.fencing,
             wait_ms: self.wait_ms,
@@ -283,7 +289,8 @@
         self.warm(place);
         let mut verdicts = Vec::with_capacity(batch.entries.len());
         for entry in batch.entries {
-            // A lease longer than a fold that starts amid the stream allows for is no lease.
+            // Leases beyond the maximum are ignored: a fold that starts in the middle of the stream
+            // does not wait long enough for them.
             if let LeaseEntry::Hold(item) = entry.item
                 && item.hold_ms <= MAX_HOLD_MS
                 && item.order_ms <= MAX_HOLD_MS
@@ -296,8 +303,8 @@
         verdicts
     }
 
-    /// Leases are renewed more often than records are dropped, so all that are in force come up
-    /// again within the longest lease; until then nothing is granted here.
+    /// Leases are renewed more often than records are dropped, so every lease in force appears
+    /// again within the maximum lease time. Until then the fold grants nothing.
     fn restart(&mut self, first: u64) {
         *self = Self {
             leases: collections::BTreeMap::new(),
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -1,9 +1,9 @@
-//! What one holder may do by its own monotonic clock.
+//! The leases of one process, timed by its own monotonic clock.
 //!
-//! A deadline is counted from *before* the append that took or renewed the lease. Whoever takes
-//! the lease later does so by a record that follows it on the log, hence after that instant; so a
-//! successor that waits out the whole time from when it *read* its own record acts only after
-//! the deadline, however long the append, its answer or a pause of the holder took.
+//! A deadline is counted from *before* the append that took or renewed the lease. A successor takes
+//! the lease with a record that follows on the log, hence after that instant. A successor that
+//! waits for the full lease time after it *read* its own record therefore acts only after the
+//! deadline, regardless of how long the append, its answer or a pause of the holder took.
 
 use std::{cmp, collections};
 
@@ -12,18 +12,18 @@
 
 use crate::{fold, limits};
 
-/// One lease in this process's hands.
+/// One lease that this process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OwnLease {
     fencing: u64,
-    /// Nothing is sent after this.
+    /// Deadline after which no order is sent.
     until: time::Instant,
-    /// Orders of earlier holders are over by then, also at servers that ignore fencing numbers.
-    quiet_from: time::Instant,
+    /// When the orders of earlier holders have expired, also at servers that ignore fencing numbers.
+    earlier_orders_end: time::Instant,
 }
 
-/// Leave to give orders to one server. Only a [`LeaseHolder`] makes it; it is checked again right
-/// before an order leaves.
+/// Permission to send orders to one server. Only a [`LeaseHolder`] issues permits; a permit is
+/// checked again right before an order is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OrderPermit {
     subject: String,
@@ -31,72 +31,74 @@
     limits: limits::LeaseLimits,
 }
 
-/// Why no order may be given.
+/// The reason why no order may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum PermitFault {
-    /// The lease is not held here.
-    #[snafu(display("this VM does not hold the lease; its holder gives the orders"))]
+pub enum PermitError {
+    /// This process does not hold the lease.
+    #[snafu(display("this VM does not hold the lease; only its holder may send orders"))]
     NotHeld,
-    /// The lease's time is over, or too little of it is left for an order.
-    #[snafu(display("the lease's time does not allow an order; it is renewed first"))]
+    /// The lease has lapsed, or lapses before an order could complete.
+    #[snafu(display(
+        "the lease has lapsed or lapses too soon for an order; it must be renewed first"
+    ))]
     Lapsed,
-    /// An earlier holder's orders may still be under way.
-    #[snafu(display("an earlier holder's orders may be under way; wait {left_ms} ms"))]
-    Quiet {
-        /// Time left to wait, in milliseconds.
+    /// Orders of an earlier holder may still be in flight.
+    #[snafu(display("orders of an earlier holder may be in flight; wait {left_ms} ms"))]
+    PendingOrders {
+        /// Remaining time to wait, in milliseconds.
         left_ms: u64,
     },
 }
 
 impl OrderPermit {
-    /// The server.
+    /// Returns the name of the server or, for a model, the subject of its lease.
     #[must_use]
     pub fn subject(&self) -> &str {
         &self.subject
     }
 
-    /// The fencing number.
+    /// Returns the fencing number.
     #[must_use]
     pub const fn fencing(&self) -> u64 {
         self.lease.fencing
     }
 
-    /// Time limit that its orders carry, in milliseconds.
+    /// Returns the time limit for orders under this permit, in milliseconds.
     #[must_use]
     pub const fn order_ms(&self) -> u64 {
         self.limits.order_ms
     }
 
-    /// Whether an order may leave at `now` for a server that refuses old fencing numbers.
+    /// Checks whether an order may be sent at `now` to a server that refuses old fencing numbers.
     ///
     /// # Errors
-    /// When the lease's time is over.
-    pub fn check_fenced(&self, now: time::Instant) -> Result<(), PermitFault> {
+    /// Returns an error if the lease has lapsed.
+    pub fn check_fenced(&self, now: time::Instant) -> Result<(), PermitError> {
         if now > self.lease.until {
-            return Err(PermitFault::Lapsed);
+            return Err(PermitError::Lapsed);
         }
         Ok(())
     }
 
-    /// Whether an order may leave at `now` for a server that ignores fencing numbers: the order
-    /// must be over within the lease, and those of earlier holders before it.
+    /// Checks whether an order may be sent at `now` to a server that ignores fencing numbers. The
+    /// order must expire before the lease does, and the orders of earlier holders must have expired.
     ///
     /// # Errors
-    /// When it may not.
-    pub fn check_unfenced(&self, now: time::Instant) -> Result<(), PermitFault> {
-        if now < self.lease.quiet_from {
-            let left = self.lease.quiet_from - now;
+    /// Returns an error if the order may not be sent.
+    pub fn check_unfenced(&self, now: time::Instant) -> Result<(), PermitError> {
+        if now < self.lease.earlier_orders_end {
+            let left = self.lease.earlier_orders_end - now;
             let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-            return Err(PermitFault::Quiet { left_ms });
+            return Err(PermitError::PendingOrders { left_ms });
         }
-        if now + self.limits.stretched(self.limits.order_ms) > self.lease.until {
-            return Err(PermitFault::Lapsed);
+        if now + self.limits.drift_adjusted(self.limits.order_ms) > self.lease.until {
+            return Err(PermitError::Lapsed);
         }
         Ok(())
     }
 }
 
-/// The leases of one process.
+/// The leases that one process holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     id: fold::HolderId,
@@ -105,7 +107,7 @@
 }
 
 impl LeaseHolder {
-    /// A holder without leases.
+    /// Creates a holder without leases.
     #[must_use]
     pub const fn new(id: fold::HolderId, limits: limits::LeaseLimits) -> Self {
         Self {
@@ -115,14 +117,14 @@
         }
     }
 
-    /// Who it is.
+    /// Returns the identity of this holder.
     #[must_use]
     pub const fn id(&self) -> &fold::HolderId {
         &self.id
     }
 
-    /// What to ask of the log so that it holds `assigned` and nothing else; `None`: nothing.
-    /// `log_ms` is the log's clock as far as it is known.
+    /// Plans the record that makes this process hold exactly the leases `assigned`; `None` if no
+    /// record is needed. `log_ms` is the estimate of the log's clock, if there is one.
     #[must_use]
     pub fn plan(
         &self,
@@ -163,23 +165,24 @@
         (!empty).then_some(item)
     }
 
-    /// Before `item` is appended: no order follows for what it releases.
-    pub fn asking(&mut self, item: &fold::HoldItem) {
+    /// Drops the leases that `item` releases. Must be called before `item` is appended, so that no
+    /// order is sent under a released lease.
+    pub fn begin_request(&mut self, item: &fold::HoldItem) {
         for subject in item.released.keys() {
             self.leases.remove(subject);
         }
     }
 
-    /// Takes the log's verdict about `item`. `asked` is an instant before the item was first
-    /// appended, `read` one after its verdict was read.
-    pub fn settled(
+    /// Applies the verdict of the fold on `item`. `requested_at` is an instant before the first
+    /// append of the item, `read_at` one after its verdict was read.
+    pub fn apply_verdict(
         &mut self,
         item: &fold::HoldItem,
         verdict: &fold::LeaseVerdict,
-        asked: time::Instant,
-        read: time::Instant,
+        requested_at: time::Instant,
+        read_at: time::Instant,
     ) {
-        let until = asked + time::Duration::from_millis(item.hold_ms);
+        let until = requested_at + time::Duration::from_millis(item.hold_ms);
         for subject in item.held.keys().chain(&item.wanted) {
             let Some(held) = verdict.held.get(subject) else {
                 self.leases.remove(subject);
@@ -190,25 +193,31 @@
                     lease.until = cmp::max(lease.until, until);
                 }
                 _ => {
-                    let lease = self.taken(held, until, read);
+                    let lease = self.taken(held, until, read_at);
                     self.leases.insert(subject.clone(), lease);
                 }
             }
         }
     }
 
-    /// An unknown predecessor is taken to have had the limits of this process.
-    fn taken(&self, held: &fold::HeldLease, until: time::Instant, read: time::Instant) -> OwnLease {
+    /// Creates the entry of a lease that was just taken. An unknown earlier holder is assumed to have
+    /// used the same limits as this process.
+    fn taken(
+        &self,
+        held: &fold::HeldLease,
+        until: time::Instant,
+        read_at: time::Instant,
+    ) -> OwnLease {
         let own_ms = self.limits.hold_ms + self.limits.order_ms;
         let wait_ms = cmp::max(held.wait_ms, own_ms);
         OwnLease {
             fencing: held.fencing,
             until,
-            quiet_from: read + self.limits.stretched(wait_ms),
+            earlier_orders_end: read_at + self.limits.drift_adjusted(wait_ms),
         }
     }
 
-    /// Drops leases that the log has given to others.
+    /// Drops the leases that others hold according to the fold.
     pub fn observe(&mut self, leases: &fold::LeaseFold) {
         let id = &self.id;
         self.leases.retain(|subject, own| {
@@ -218,8 +227,8 @@
         });
     }
 
-    /// A server answered that a newer holder exists.
-    pub fn lost(&mut self, subject: &str, fencing: u64) {
+    /// Drops a lease after a server reported a newer holder.
+    pub fn mark_lost(&mut self, subject: &str, fencing: u64) {
         if self
             .leases
             .get(subject)
@@ -229,12 +238,12 @@
         }
     }
 
-    /// Leave to give orders to `subject`.
+    /// Issues a permit to send orders to `subject`.
     ///
     /// # Errors
-    /// When the lease is not held, or its time is over.
-    pub fn permit(&self, subject: &str, now: time::Instant) -> Result<OrderPermit, PermitFault> {
-        let lease = *self.leases.get(subject).ok_or(PermitFault::NotHeld)?;
+    /// Returns an error if the lease is not held or has lapsed.
+    pub fn permit(&self, subject: &str, now: time::Instant) -> Result<OrderPermit, PermitError> {
+        let lease = *self.leases.get(subject).ok_or(PermitError::NotHeld)?;
         let permit = OrderPermit {
             subject: subject.to_owned(),
             lease,
--- a/crates/lease/src/http.rs
+++ b/crates/lease/src/http.rs
@@ -1,7 +1,8 @@
-//! Engines over HTTP, as docs/INTERFACES.md describes their face.
+//! HTTP client for model engines, as specified in docs/INTERFACES.md.
 //!
-//! A pooling client may send an order over another connection than the reading before it, and
-//! then the order's time limit proves nothing; so a connection is one handshake here.
+//! Each connection is a single handshake without a pool. A client with a pool could send an order
+//! over another connection than the preceding state request, and then the order's time limit,
+//! which counts from the engine's accept, would guarantee nothing.
 
 use std::net;
 
@@ -12,71 +13,73 @@
 use crate::engine;
 use crate::engine::{EngineClient, EngineConnection};
 
-/// Opens one TCP connection for each order.
+/// Opens a new TCP connection for each order.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpEngines {
     timeout: time::Duration,
 }
 
 impl HttpEngines {
-    /// Connecting and each call are given up after `timeout`.
+    /// Creates a client that limits the connection setup and each call to `timeout`.
     #[must_use]
     pub const fn new(timeout: time::Duration) -> Self {
         Self { timeout }
     }
 }
 
-/// One TCP connection; its task ends with it.
+/// One TCP connection; dropping it stops its task.
 #[derive(Debug)]
 pub struct HttpConnection {
     sender: http1::SendRequest<http_body_util::Full<bytes::Bytes>>,
     address: net::SocketAddr,
     timeout: time::Duration,
-    driving: task::AbortHandle,
+    connection_task: task::AbortHandle,
 }
 
 impl Drop for HttpConnection {
     fn drop(&mut self) {
-        self.driving.abort();
+        self.connection_task.abort();
     }
 }
 
 impl EngineClient for HttpEngines {
     type Connection = HttpConnection;
 
-    async fn open(&self, address: net::SocketAddr) -> Result<HttpConnection, engine::EngineFault> {
+    async fn open(&self, address: net::SocketAddr) -> Result<HttpConnection, engine::EngineError> {
         let opening = async {
             let stream = tokio_net::TcpStream::connect(address)
                 .await
-                .map_err(silent)?;
+                .map_err(no_answer)?;
             let io = hyper_util::rt::TokioIo::new(stream);
-            http1::handshake(io).await.map_err(silent)
+            http1::handshake(io).await.map_err(no_answer)
         };
-        let opened = time::timeout(self.timeout, opening).await.map_err(silent)?;
+        let opened = time::timeout(self.timeout, opening)
+            .await
+            .map_err(no_answer)?;
         let (sender, connection) = opened?;
-        let driving = tokio::spawn(async move {
-            // Whoever awaits an answer is told of the fault there.
+        let connection_task = tokio::spawn(async move {
+            // A failed connection is reported to the caller that awaits an answer.
             let _ = connection.await;
         });
         Ok(HttpConnection {
             sender,
             address,
             timeout: self.timeout,
-            driving: driving.abort_handle(),
+            connection_task: connection_task.abort_handle(),
         })
     }
 }
 
 impl EngineConnection for HttpConnection {
-    async fn state(&mut self) -> Result<engine::EngineState, engine::EngineFault> {
+    async fn state(&mut self) -> Result<engine::EngineState, engine::EngineError> {
         self.call("GET", "/v1/state", bytes::Bytes::new()).await
     }
 
     async fn order(
         &mut self,
         body: &engine::OrderBody,
-    ) -> Result<engine::EngineState, engine::EngineFault> {
-        let json = serde_json::to_vec(body).map_err(silent)?;
+    ) -> Result<engine::EngineState, engine::EngineError> {
+        let json = serde_json::to_vec(body).map_err(no_answer)?;
         self.call("POST", "/v1/orders", json.into()).await
     }
 }
@@ -87,33 +90,33 @@
         method: &str,
         path: &str,
         body: bytes::Bytes,
-    ) -> Result<engine::EngineState, engine::EngineFault> {
+    ) -> Result<engine::EngineState, engine::EngineError> {
         let request = hyper::Request::builder()
             .method(method)
             .uri(path)
             .header("host", self.address.to_string())
             .header("content-type", "application/json")
             .body(http_body_util::Full::new(body))
-            .map_err(silent)?;
+            .map_err(no_answer)?;
         let answering = async {
-            let response = self.sender.send_request(request).await.map_err(silent)?;
+            let response = self.sender.send_request(request).await.map_err(no_answer)?;
             let status = response.status().as_u16();
-            let body = response.into_body().collect().await.map_err(silent)?;
+            let body = response.into_body().collect().await.map_err(no_answer)?;
             Ok((status, body.to_bytes()))
         };
         let answered = time::timeout(self.timeout, answering).await;
-        let (status, body) = answered.map_err(silent)??;
+        let (status, body) = answered.map_err(no_answer)??;
         match status {
-            200 => serde_json::from_slice(&body).map_err(silent),
+            200 => serde_json::from_slice(&body).map_err(no_answer),
             409 => engine::OldFencingSnafu.fail(),
             410 => engine::TooLateSnafu.fail(),
             status @ 400..500 => engine::RefusedSnafu { status }.fail(),
-            status => Err(silent(format!("status {status}"))),
+            status => Err(no_answer(format!("status {status}"))),
         }
     }
 }
 
-fn silent(error: impl ToString) -> engine::EngineFault {
+fn no_answer(error: impl ToString) -> engine::EngineError {
     let cause = error.to_string();
-    engine::SilentSnafu { cause }.build()
+    engine::NoAnswerSnafu { cause }.build()
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,8 +1,9 @@
 //! Leases on the platform log, fenced orders to model engines and the placement controller.
 //!
-//! The log's order alone says who holds a lease, and the offset of the record that took it is its
-//! fencing number. What a holder may do with it is decided by the holder's own monotonic clock,
-//! never by the log's: see [`holder`] and [`order`].
+//! The order of records on the log alone determines who holds a lease, and the offset of the
+//! record that took the lease is its fencing number. Whether a holder may still act under the
+//! lease depends on the holder's own monotonic clock, never on the log's clock: see [`holder`] and
+//! [`order`].
 
 pub mod choice;
 pub mod driver;
--- a/crates/lease/src/limits.rs
+++ b/crates/lease/src/limits.rs
@@ -8,16 +8,16 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseLimits {
-    /// A lease lapses this long after it was taken or renewed.
+    /// Time after which a lease lapses unless it is renewed.
     pub hold_ms: u64,
-    /// A holder renews this often.
+    /// Interval between two renewals.
     pub renew_ms: u64,
-    /// An engine refuses an order this long after it first saw the order's connection.
+    /// Time limit of an order; an engine counts it from when it accepted the order's connection.
     pub order_ms: u64,
-    /// Most by which the rate of any process's monotonic clock is off, in parts per million.
+    /// Maximum rate error of any process's monotonic clock, in parts per million.
     pub drift_ppm: u64,
-    /// VMs of one region that hold leases. With one, the same VM holds a region's models and
-    /// engines, and can place the models.
+    /// Number of VMs in each region that hold leases. With one, the same VM holds the leases on a
+    /// region's models and engines, and can place the models.
     pub holders_per_region: usize,
 }
 
@@ -33,26 +33,26 @@
     }
 }
 
-/// Time limits that contradict one another.
+/// An error for time limits that contradict one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum LimitsError {
-    /// A renewal that fails once would let the lease lapse.
+    /// A single failed renewal would let the lease lapse.
     #[snafu(display(
         "leases of {hold_ms} ms cannot be renewed every {renew_ms} ms: two renewals and an order \
          of {order_ms} ms must fit; raise hold_ms or lower renew_ms"
     ))]
     TooShort {
-        /// The lease's time.
+        /// Time after which a lease lapses.
         hold_ms: u64,
-        /// Time between renewals.
+        /// Interval between two renewals.
         renew_ms: u64,
         /// Time limit of an order.
         order_ms: u64,
     },
-    /// The bound on clocks bounds nothing.
-    #[snafu(display("a drift of {drift_ppm} ppm bounds no clock; set drift_ppm below 500000"))]
+    /// The limit on clock drift is too high to be useful.
+    #[snafu(display("a clock drift of {drift_ppm} ppm is too high; set drift_ppm below 500000"))]
     Drift {
-        /// The bound.
+        /// The configured limit.
         drift_ppm: u64,
     },
 }
@@ -60,10 +60,10 @@
 const MILLION: u64 = 1_000_000;
 
 impl LeaseLimits {
-    /// Checks that the limits can be kept.
+    /// Checks that the limits are consistent.
     ///
     /// # Errors
-    /// When they contradict one another.
+    /// Returns an error if the limits contradict one another.
     pub const fn check(&self) -> Result<(), LimitsError> {
         if self.drift_ppm >= MILLION / 2 {
             return Err(LimitsError::Drift {
@@ -80,17 +80,18 @@
         Ok(())
     }
 
-    /// A time on this process's clock in which at least `ms` pass on any other process's.
+    /// Returns the time on this process's clock in which at least `ms` pass on any other process's
+    /// clock.
     #[must_use]
-    pub const fn stretched_ms(&self, ms: u64) -> u64 {
-        let slowest = MILLION - self.drift_ppm;
-        let fastest = MILLION + self.drift_ppm;
-        ms.saturating_mul(fastest).div_ceil(slowest)
+    pub const fn drift_adjusted_ms(&self, ms: u64) -> u64 {
+        let min_rate = MILLION - self.drift_ppm;
+        let max_rate = MILLION + self.drift_ppm;
+        ms.saturating_mul(max_rate).div_ceil(min_rate)
     }
 
-    /// [`Self::stretched_ms`] as a duration.
+    /// Returns [`Self::drift_adjusted_ms`] as a duration.
     #[must_use]
-    pub const fn stretched(&self, ms: u64) -> time::Duration {
-        time::Duration::from_millis(self.stretched_ms(ms))
+    pub const fn drift_adjusted(&self, ms: u64) -> time::Duration {
+        time::Duration::from_millis(self.drift_adjusted_ms(ms))
     }
 }
--- a/crates/lease/src/order.rs
+++ b/crates/lease/src/order.rs
@@ -1,69 +1,72 @@
-//! Orders to engines: two designs, one for servers that check fencing numbers and one for those
-//! that ignore them.
+//! Orders to engines, in two variants: for servers that check fencing numbers and for servers that
+//! ignore them.
 //!
-//! [`FencedOrder`]: the server refuses a number lower than the newest that it saw, so an order of
-//! an old holder cannot land after a new holder's first, whatever clocks and pauses do.
+//! [`FencedOrder`]: the server refuses a number lower than the highest that it has received. An
+//! order of an old holder therefore cannot take effect after the first order of a new holder,
+//! regardless of clocks and pauses.
 //!
-//! [`UnfencedOrder`]: nothing but time keeps an old order out. The giver first reads the state
-//! over a new connection; the answer proves that the server has seen the connection. The order
-//! follows on the same connection only when its whole time limit, counted from then, fits within
-//! the lease. The giver may be paused between that check and sending, or the network may hold the
-//! order back: the server then refuses it as too late. A successor's first order comes after the
-//! longest earlier lease and order together, counted from when it read that the lease is its own.
+//! [`UnfencedOrder`]: old orders are excluded by time alone. The sender first reads the state over
+//! a new connection; the answer proves that the server has accepted the connection. The order
+//! follows on the same connection, and only if its full time limit, counted from then, ends before
+//! the lease does. If the sender is paused between that check and sending, or the network delays
+//! the order, the server refuses the order as too late. A successor waits for the maximum lease
+//! time plus order time of earlier holders, counted from when it read that it holds the lease,
+//! before it sends its first order.
 //!
-//! Both state what is wanted, so giving one again is harmless, and a lost answer is settled by the
-//! reading that opens the next attempt.
+//! Both variants carry the complete requested state, so sending an order twice is harmless, and the
+//! state request at the start of the next attempt shows the effect of an order whose answer was
+//! lost.
 
 use tokio::time;
 
 use crate::engine::{EngineClient, EngineConnection};
 use crate::{engine, holder};
 
-/// How one attempt ended.
+/// Outcome of one attempt to send an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The server is as wanted, or becomes it; nothing was sent.
+    /// The server is already in the requested state or is loading it; no order was sent.
     InPlace(engine::EngineState),
-    /// The order took effect.
-    Given(engine::EngineState),
-    /// A newer holder exists; give no further orders under this lease.
+    /// The server accepted the order.
+    Accepted(engine::EngineState),
+    /// A newer holder exists; no further orders may be sent under this lease.
     Lost,
-    /// Nothing was sent.
-    NotSent(holder::PermitFault),
-    /// The server did not answer as hoped; the next attempt reads what became of it.
-    Failed(engine::EngineFault),
+    /// No order was sent.
+    NotSent(holder::PermitError),
+    /// A call failed; the next attempt reads whether the order took effect.
+    Failed(engine::EngineError),
 }
 
 /// An order to a server that refuses old fencing numbers.
 #[derive(Clone, Debug)]
 pub struct FencedOrder {
-    /// Leave to give it.
+    /// Permit to send orders to the server.
     pub permit: holder::OrderPermit,
-    /// Leave to place the model: whoever has it alone counts the model's engines.
+    /// Permit to place the model, for which one VM at a time counts the serving engines.
     pub rollout: Option<holder::OrderPermit>,
-    /// What is wanted.
+    /// The requested state.
     pub want: engine::WantedState,
 }
 
 /// An order to a server that ignores fencing numbers.
 #[derive(Clone, Debug)]
 pub struct UnfencedOrder {
-    /// Leave to give it.
+    /// Permit to send orders to the server.
     pub permit: holder::OrderPermit,
-    /// Leave to place the model: whoever has it alone counts the model's engines.
+    /// Permit to place the model, for which one VM at a time counts the serving engines.
     pub rollout: Option<holder::OrderPermit>,
-    /// What is wanted.
+    /// The requested state.
     pub want: engine::WantedState,
 }
 
 impl FencedOrder {
-    /// Reads the server's state and gives the order where it differs.
-    pub async fn give<C: EngineClient>(
+    /// Reads the server's state and sends the order if that state differs from the requested one.
+    pub async fn send<C: EngineClient>(
         &self,
         client: &C,
         address: std::net::SocketAddr,
     ) -> OrderOutcome {
-        give(client, address, &self.permit, &self.want, |now| {
+        send(client, address, &self.permit, &self.want, |now| {
             check_rollout(self.rollout.as_ref(), now)?;
             self.permit.check_fenced(now)
         })
@@ -72,13 +75,13 @@
 }
 
 impl UnfencedOrder {
-    /// Reads the server's state and gives the order where it differs.
-    pub async fn give<C: EngineClient>(
+    /// Reads the server's state and sends the order if that state differs from the requested one.
+    pub async fn send<C: EngineClient>(
         &self,
         client: &C,
         address: std::net::SocketAddr,
     ) -> OrderOutcome {
-        give(client, address, &self.permit, &self.want, |now| {
+        send(client, address, &self.permit, &self.want, |now| {
             check_rollout(self.rollout.as_ref(), now)?;
             self.permit.check_unfenced(now)
         })
@@ -86,30 +89,31 @@
     }
 }
 
-/// No server checks the number of the lease on a model, so its rule is the one for such servers.
+/// Checks the permit to place a model. No server checks the fencing number of a model's lease, so
+/// the rule for unfenced servers applies.
 fn check_rollout(
     rollout: Option<&holder::OrderPermit>,
     now: time::Instant,
-) -> Result<(), holder::PermitFault> {
+) -> Result<(), holder::PermitError> {
     rollout.map_or(Ok(()), |permit| permit.check_unfenced(now))
 }
 
-async fn give<C: EngineClient>(
+async fn send<C: EngineClient>(
     client: &C,
     address: std::net::SocketAddr,
     permit: &holder::OrderPermit,
     want: &engine::WantedState,
-    check: impl Fn(time::Instant) -> Result<(), holder::PermitFault>,
+    check: impl Fn(time::Instant) -> Result<(), holder::PermitError>,
 ) -> OrderOutcome {
     let mut connection = match client.open(address).await {
         Ok(connection) => connection,
-        Err(fault) => return OrderOutcome::Failed(fault),
+        Err(error) => return OrderOutcome::Failed(error),
     };
     let state = match connection.state().await {
         Ok(state) => state,
-        Err(fault) => return OrderOutcome::Failed(fault),
+        Err(error) => return OrderOutcome::Failed(error),
     };
-    if let Some(outcome) = settled(permit, want, &state) {
+    if let Some(outcome) = outcome_from_state(permit, want, &state) {
         return outcome;
     }
     let body = engine::OrderBody {
@@ -117,30 +121,31 @@
         want: want.clone(),
         within_ms: permit.order_ms(),
     };
-    // After the reading, not before it: the reading may have taken longer than the lease.
-    if let Err(fault) = check(time::Instant::now()) {
-        return OrderOutcome::NotSent(fault);
+    // Checked after the state request, which may have taken longer than the rest of the lease.
+    if let Err(error) = check(time::Instant::now()) {
+        return OrderOutcome::NotSent(error);
     }
     match connection.order(&body).await {
-        Ok(state) => OrderOutcome::Given(state),
-        Err(engine::EngineFault::OldFencing) => OrderOutcome::Lost,
-        Err(fault) => OrderOutcome::Failed(fault),
+        Ok(state) => OrderOutcome::Accepted(state),
+        Err(engine::EngineError::OldFencing) => OrderOutcome::Lost,
+        Err(error) => OrderOutcome::Failed(error),
     }
 }
 
-/// What the reading alone decides. Servers tell the newest number also when they ignore it.
-fn settled(
+/// Returns the outcome if the server's state alone determines it. Servers report the highest fencing
+/// number that they received even if they do not check fencing numbers.
+fn outcome_from_state(
     permit: &holder::OrderPermit,
     want: &engine::WantedState,
     state: &engine::EngineState,
 ) -> Option<OrderOutcome> {
     if state
         .fencing
-        .is_some_and(|newest| newest > permit.fencing())
+        .is_some_and(|highest| highest > permit.fencing())
     {
         return Some(OrderOutcome::Lost);
     }
-    if state.is(want) || state.becomes(want) {
+    if state.matches(want) || state.is_loading(want) {
         return Some(OrderOutcome::InPlace(state.clone()));
     }
     None
--- a/crates/lease/src/placement.rs
+++ b/crates/lease/src/placement.rs
@@ -1,8 +1,9 @@
-//! What each engine should serve: a pure comparison of what is wanted with what there is.
+//! Decides which model each engine should serve, as a pure comparison of the requested with the
+//! actual state.
 //!
-//! It may be run at any time again: it keeps nothing, and every round starts from what the engines
-//! say they are. A model's version is rolled out one engine at a time, and an engine is never
-//! changed while that would leave a model with fewer engines than its least.
+//! The comparison keeps no state and can be repeated at any time: every round starts from the state
+//! that the engines report. A new version of a model is rolled out one engine at a time, and an
+//! engine is never changed while that would leave a model with fewer engines than its minimum.
 
 use std::collections;
 
@@ -10,79 +11,80 @@
 
 use crate::engine;
 
-/// One model as the inventory wants it.
+/// One model as the inventory requests it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WantedModel {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The version.
+    /// Requested version of the model.
     pub version: String,
-    /// Adapters beside it.
+    /// Adapters to load with the model.
     pub adapters: Vec<String>,
-    /// Engines that must serve it at any moment.
+    /// Minimum number of engines that must serve the model at any time.
     pub min_engines: u32,
-    /// Whether the weight store can give the version now.
+    /// Whether the weight store can provide the version now.
     pub weights: WeightsState,
-    /// Whether this VM holds the lease on [`model_subject`], past its waiting time, since before
-    /// the engines were read. Two VMs that each take one engine away would leave too few.
+    /// Whether this VM held the lease on [`model_subject`], with the wait for earlier holders
+    /// completed, before the engines were read. Otherwise two VMs could each take one engine away
+    /// from the model and leave it with too few.
     pub held: bool,
 }
 
-/// The lease that lets one VM at a time place a model.
+/// Returns the subject of the lease that lets only one VM at a time place the model.
 #[must_use]
 pub fn model_subject(model: &str) -> String {
     format!("model/{model}")
 }
 
-/// Whether the weight store can give a model's version.
+/// Availability of a model's version in the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightsState {
-    /// It can.
+    /// The store can provide the version.
     Available,
-    /// Its rate is used up.
+    /// The store's rate limit is exhausted.
     Limited {
-        /// When to ask again, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// It does not answer, or has no such version.
+    /// The store does not answer or does not have the version.
     Missing,
 }
 
-/// One engine: what it may serve and what it last said it is.
+/// One engine: the models that it may serve and its last reported state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
-    /// Its name.
+    /// Name of the engine.
     pub server: String,
-    /// Models that it may serve; it serves the first unless another one needs it.
+    /// Models that the engine may serve. It serves the first one unless another model needs it.
     pub models: Vec<String>,
-    /// What it said; absent: it cannot be read.
+    /// Last reported state; `None` if the engine cannot be read.
     pub state: Option<engine::EngineState>,
-    /// Whether this VM may give it orders.
+    /// Whether this VM may send orders to the engine.
     pub held: bool,
 }
 
-/// An order that should be given.
+/// An order to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedOrder {
-    /// The engine.
+    /// Name of the engine.
     pub server: String,
-    /// What it should be.
+    /// The requested state.
     pub want: engine::WantedState,
 }
 
-/// The outcome of one comparison.
+/// Result of one comparison.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlacementPlan {
-    /// Orders to give, at the most one for each model.
+    /// Orders to send, at most one for each model.
     pub orders: Vec<PlannedOrder>,
-    /// One row for each model.
+    /// One entry for each model.
     pub status: Vec<ops::PlacementStatus>,
 }
 
-/// The role that orders ask for.
+/// Role of the engine that orders request.
 pub const SERVING_ROLE: &str = "serve";
 
-/// Compares what is wanted with what there is.
+/// Compares the requested models with the state of the engines and plans the next orders.
 #[must_use]
 pub fn reconcile(models: &[WantedModel], engines: &[EngineView]) -> PlacementPlan {
     let mut counts = ServingCounts::of(models, engines);
@@ -91,10 +93,10 @@
         let mut status = status_of(model, engines);
         match next_change(model, models, engines, &status, &counts) {
             Ok(Some(view)) => {
-                counts.leave(view);
+                counts.mark_changing(view);
                 plan.orders.push(PlannedOrder {
                     server: view.server.clone(),
-                    want: want_of(model),
+                    want: wanted_state(model),
                 });
             }
             Ok(None) => {}
@@ -105,13 +107,14 @@
     plan
 }
 
-/// Engines that serve each model now, in whatever version, less those that are about to change.
+/// For each model, the number of engines that serve any version of it, without those that are about
+/// to change.
 struct ServingCounts {
     serving: collections::BTreeMap<String, u32>,
-    least: collections::BTreeMap<String, u32>,
+    min_engines: collections::BTreeMap<String, u32>,
     changing: collections::BTreeSet<String>,
-    /// Models that this VM may not place.
-    elsewhere: collections::BTreeSet<String>,
+    /// Models that another VM may place.
+    placed_elsewhere: collections::BTreeSet<String>,
 }
 
 impl ServingCounts {
@@ -122,15 +125,15 @@
                 *serving.entry(model.to_owned()).or_insert(0) += 1;
             }
         }
-        let least = models
+        let min_engines = models
             .iter()
             .map(|model| (model.model.clone(), model.min_engines))
             .collect();
         Self {
             serving,
-            least,
+            min_engines,
             changing: collections::BTreeSet::new(),
-            elsewhere: models
+            placed_elsewhere: models
                 .iter()
                 .filter(|model| !model.held)
                 .map(|model| model.model.clone())
@@ -138,20 +141,20 @@
         }
     }
 
-    /// Whether the engine can stop serving what it serves; else the model that needs it.
+    /// Returns the model that would have too few engines if this engine stopped serving it.
     fn needed_by<'a>(&self, view: &'a EngineView) -> Option<&'a str> {
         let model = served(view)?;
         let serving = self.serving.get(model).copied().unwrap_or(0);
-        let least = self.least.get(model).copied().unwrap_or(0);
-        (serving <= least).then_some(model)
+        let min_engines = self.min_engines.get(model).copied().unwrap_or(0);
+        (serving <= min_engines).then_some(model)
     }
 
-    /// The model that the engine serves when another VM counts its engines.
-    fn rolled_elsewhere<'a>(&self, view: &'a EngineView) -> Option<&'a str> {
-        served(view).filter(|model| self.elsewhere.contains(*model))
+    /// Returns the model that the engine serves if another VM places that model.
+    fn model_placed_elsewhere<'a>(&self, view: &'a EngineView) -> Option<&'a str> {
+        served(view).filter(|model| self.placed_elsewhere.contains(*model))
     }
 
-    fn leave(&mut self, view: &EngineView) {
+    fn mark_changing(&mut self, view: &EngineView) {
         self.changing.insert(view.server.clone());
         if let Some(serving) = served(view).and_then(|model| self.serving.get_mut(model)) {
             *serving = serving.saturating_sub(1);
@@ -159,7 +162,8 @@
     }
 }
 
-/// The model that an engine serves and goes on serving; one that loads is about to change.
+/// Returns the model that an engine serves and will continue to serve. An engine that is loading is
+/// about to change and does not count.
 fn served(view: &EngineView) -> Option<&str> {
     let state = view.state.as_ref()?;
     if state.leaving || state.loading.is_some() {
@@ -168,7 +172,7 @@
     state.models.first().map(|ready| ready.model.as_str())
 }
 
-fn want_of(model: &WantedModel) -> engine::WantedState {
+fn wanted_state(model: &WantedModel) -> engine::WantedState {
     engine::WantedState {
         model: model.model.clone(),
         version: model.version.clone(),
@@ -187,13 +191,13 @@
         loading: Vec::new(),
         blocked: None,
     };
-    let want = want_of(model);
+    let want = wanted_state(model);
     for view in engines {
         let Some(state) = &view.state else { continue };
         let loads = state.loading.as_ref();
         if loads.is_some_and(|loading| loading.model == model.model) {
             status.loading.push(view.server.clone());
-        } else if state.is(&want) {
+        } else if state.matches(&want) {
             status.ready.push(view.server.clone());
         } else if served(view) == Some(model.model.as_str()) {
             status.outdated.push(view.server.clone());
@@ -202,8 +206,8 @@
     status
 }
 
-/// The engine to change next for `model`; `Ok(None)` when nothing is to be done, else what
-/// holds it up.
+/// Returns the engine to change next for `model`, `Ok(None)` if no change is needed, or an error text
+/// that says what blocks the change.
 fn next_change<'a>(
     model: &WantedModel,
     models: &[WantedModel],
@@ -216,28 +220,30 @@
         let serving = counts.serving.get(&model.model).copied().unwrap_or(0);
         if serving < model.min_engines && status.loading.is_empty() {
             return Err(format!(
-                "{serving} of {} engines serve it and no other engine may: add one to the inventory",
+                "{serving} of {} engines serve the model and no other engine may: add one to the inventory",
                 model.min_engines
             ));
         }
         return Ok(None);
     }
     if !model.held {
-        return Err("another VM places it".to_owned());
+        return Err("another VM places the model".to_owned());
     }
     if let Some(server) = status.loading.first() {
-        return Err(format!("{server} is loading: the next engine follows it"));
+        return Err(format!(
+            "{server} is loading: the next engine changes after it"
+        ));
     }
     match model.weights {
         WeightsState::Available => {}
         WeightsState::Limited { retry_after_ms } => {
             return Err(format!(
-                "the weight store's rate is used up for {retry_after_ms} ms"
+                "the weight store's rate limit is exhausted for {retry_after_ms} ms"
             ));
         }
         WeightsState::Missing => {
             return Err(format!(
-                "the weight store gives no version {}: check that it is up and has it",
+                "the weight store does not provide version {}: check that it is up and has it",
                 model.version
             ));
         }
@@ -245,37 +251,41 @@
     choose(&candidates, counts).map(Some)
 }
 
-/// Engines that should be changed for `model`: those that serve it otherwise than wanted, those
-/// that serve nothing wanted, and, while it has too few, those that another model can spare.
+/// Returns the engines that should change for `model`: those that serve it in another state than
+/// requested, those that serve no requested model and, while `model` has too few engines, those
+/// that another model can spare.
 fn candidates<'a>(
     model: &WantedModel,
     models: &[WantedModel],
     engines: &'a [EngineView],
     counts: &ServingCounts,
 ) -> Vec<&'a EngineView> {
-    let want = want_of(model);
+    let want = wanted_state(model);
     let serving = counts.serving.get(&model.model).copied().unwrap_or(0);
     let wanted = |name: &str| models.iter().any(|other| other.model == name);
-    let suits = |view: &&EngineView| {
+    let is_candidate = |view: &&EngineView| {
         let Some(state) = &view.state else {
             return false;
         };
-        let open = !state.leaving && state.loading.is_none();
-        if !open || counts.changing.contains(&view.server) || !view.models.contains(&model.model) {
+        let is_changeable = !state.leaving && state.loading.is_none();
+        if !is_changeable
+            || counts.changing.contains(&view.server)
+            || !view.models.contains(&model.model)
+        {
             return false;
         }
         match served(view) {
-            Some(name) if name == model.model => !state.is(&want),
+            Some(name) if name == model.model => !state.matches(&want),
             Some(name) if wanted(name) => {
                 serving < model.min_engines && counts.needed_by(view).is_none()
             }
             _ => serving < model.min_engines || view.models.first() == Some(&model.model),
         }
     };
-    engines.iter().filter(suits).collect()
+    engines.iter().filter(is_candidate).collect()
 }
 
-/// An engine that may be changed now, one that serves nothing wanted first.
+/// Chooses an engine that may be changed now, preferably one that serves no model.
 fn choose<'a>(
     candidates: &[&'a EngineView],
     counts: &ServingCounts,
@@ -289,10 +299,10 @@
                 "{} cannot stop serving {needed}, which would have too few engines: add an engine",
                 view.server
             )
-        } else if let Some(other) = counts.rolled_elsewhere(view) {
+        } else if let Some(other) = counts.model_placed_elsewhere(view) {
             format!("another VM places {other}, which {} serves", view.server)
         } else if !view.held {
-            format!("another VM gives orders to {}", view.server)
+            format!("another VM sends orders to {}", view.server)
         } else {
             return Ok(view);
         };
--- a/crates/lease/tests/http_engines.rs
+++ b/crates/lease/tests/http_engines.rs
@@ -46,7 +46,7 @@
 
 async fn order_answered(
     status: &str,
-) -> (Result<engine::EngineState, engine::EngineFault>, String) {
+) -> (Result<engine::EngineState, engine::EngineError>, String) {
     let listener = net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let answers = vec![answer("200 OK", STATE), answer(status, STATE)];
@@ -87,7 +87,7 @@
         .expect("the port again");
     let ordered = connection.order(&body()).await;
     assert!(
-        matches!(ordered, Err(engine::EngineFault::Silent { .. })),
+        matches!(ordered, Err(engine::EngineError::NoAnswer { .. })),
         "{ordered:?}"
     );
     // A second connection would wait here by now: its order was answered, or has failed.
@@ -98,11 +98,11 @@
 #[tokio::test]
 async fn refusals_have_their_types() {
     let (old, _) = order_answered("409 Conflict").await;
-    assert_eq!(old, Err(engine::EngineFault::OldFencing));
+    assert_eq!(old, Err(engine::EngineError::OldFencing));
     let (late, _) = order_answered("410 Gone").await;
-    assert_eq!(late, Err(engine::EngineFault::TooLate));
+    assert_eq!(late, Err(engine::EngineError::TooLate));
     let (refused, _) = order_answered("400 Bad Request").await;
-    assert_eq!(refused, Err(engine::EngineFault::Refused { status: 400 }));
+    assert_eq!(refused, Err(engine::EngineError::Refused { status: 400 }));
     let (broken, _) = order_answered("503 Service Unavailable").await;
-    assert!(matches!(broken, Err(engine::EngineFault::Silent { .. })));
+    assert!(matches!(broken, Err(engine::EngineError::NoAnswer { .. })));
 }
--- a/crates/lease/tests/lease_fuzz.rs
+++ b/crates/lease/tests/lease_fuzz.rs
@@ -129,7 +129,7 @@
         process.holder.observe(&process.fold);
         let planned = process.holder.plan(&assigned, &process.fold, Some(log_ms));
         if let (None, Some(item)) = (&process.ask, planned) {
-            process.holder.asking(&item);
+            process.holder.begin_request(&item);
             self.asks += 1;
             let ask = Ask {
                 id: id::RecordId(self.asks),
@@ -185,7 +185,9 @@
                 if let Some(own) = process.ask.take_if(|own| own.id == decided.id) {
                     let now = time::Instant::now();
                     let verdict = &decided.verdict;
-                    process.holder.settled(&own.item, verdict, own.asked, now);
+                    process
+                        .holder
+                        .apply_verdict(&own.item, verdict, own.asked, now);
                 }
             }
         }
--- a/crates/lease/tests/orders.rs
+++ b/crates/lease/tests/orders.rs
@@ -43,13 +43,13 @@
 impl EngineClient for SlowEngine {
     type Connection = Self;
 
-    async fn open(&self, _address: net::SocketAddr) -> Result<Self, engine::EngineFault> {
+    async fn open(&self, _address: net::SocketAddr) -> Result<Self, engine::EngineError> {
         Ok(self.clone())
     }
 }
 
 impl EngineConnection for SlowEngine {
-    async fn state(&mut self) -> Result<engine::EngineState, engine::EngineFault> {
+    async fn state(&mut self) -> Result<engine::EngineState, engine::EngineError> {
         time::sleep(self.reading).await;
         Ok(state("1", false))
     }
@@ -57,7 +57,7 @@
     async fn order(
         &mut self,
         body: &engine::OrderBody,
-    ) -> Result<engine::EngineState, engine::EngineFault> {
+    ) -> Result<engine::EngineState, engine::EngineError> {
         self.seen.lock().expect("seen").push(body.fencing);
         Ok(state("1", true))
     }
@@ -77,7 +77,7 @@
 ) -> driver::LeaseDriver<memory::MemoryLog> {
     let limits = limits::LeaseLimits::default();
     let driver = driver::LeaseDriver::start(log.clone(), vm, limits).expect("limits");
-    driver.tell(driver::LeaseHints {
+    driver.update_hints(driver::LeaseHints {
         live: live.iter().map(|name| member(name)).collect(),
         servers: vec![member("engine-1")],
     });
@@ -95,7 +95,7 @@
         rollout: None,
         want: want("2"),
     };
-    let outcome = order.give(&client, address).await;
+    let outcome = order.send(&client, address).await;
     let sent = client.seen.lock().expect("seen").len();
     (outcome, sent)
 }
@@ -112,18 +112,18 @@
     let (early, sent) = give(&permit, 0).await;
     assert!(matches!(
         early,
-        order::OrderOutcome::NotSent(holder::PermitFault::Quiet { .. })
+        order::OrderOutcome::NotSent(holder::PermitError::PendingOrders { .. })
     ));
     assert_eq!(sent, 0);
     time::sleep(time::Duration::from_secs(12)).await;
     let permit = driver.permit("engine-1").expect("held");
     let (given, sent) = give(&permit, 10).await;
-    assert!(matches!(given, order::OrderOutcome::Given(_)));
+    assert!(matches!(given, order::OrderOutcome::Accepted(_)));
     assert_eq!(sent, 1);
     let (late, sent) = give(&permit, 10_000).await;
     assert_eq!(
         late,
-        order::OrderOutcome::NotSent(holder::PermitFault::Lapsed)
+        order::OrderOutcome::NotSent(holder::PermitError::Lapsed)
     );
     assert_eq!(sent, 0);
 }
@@ -139,7 +139,7 @@
     let old = first.permit("engine-1").expect("held");
     let second = start(&log, "vm-2", &["vm-2"]);
     time::sleep(time::Duration::from_secs(5)).await;
-    assert_eq!(second.permit("engine-1"), Err(holder::PermitFault::NotHeld));
+    assert_eq!(second.permit("engine-1"), Err(holder::PermitError::NotHeld));
     assert_eq!(second.status()[0].holder.as_deref(), Some("vm-1"));
     drop(first);
     time::sleep(time::Duration::from_secs(20)).await;
--- a/crates/lease/tests/two_holders.rs
+++ b/crates/lease/tests/two_holders.rs
@@ -179,7 +179,7 @@
                 if let Some(item) = process.holder.plan(&assigned, &world.fold, log_ms) {
                     let mut next = world.clone();
                     let process = &mut next.processes[who];
-                    process.holder.asking(&item);
+                    process.holder.begin_request(&item);
                     process.asks += 1;
                     process.waiting = Some(Append {
                         item,
@@ -197,7 +197,7 @@
             if let Some(verdict) = &append.verdict {
                 process
                     .holder
-                    .settled(&append.item, verdict, append.asked, now);
+                    .apply_verdict(&append.item, verdict, append.asked, now);
                 found.push(next.clone());
             } else if who == 0 && process.stray.is_none() {
                 // Both holders meet pauses and late answers; the first also lost requests.
@@ -282,7 +282,7 @@
             // Such a server is not even trusted to refuse late orders.
             ServerRule::ChecksFencing if old => {
                 self.refused += 1;
-                next.processes[who].holder.lost(SERVER, order.fencing);
+                next.processes[who].holder.mark_lost(SERVER, order.fencing);
             }
             ServerRule::ChecksFencing => self.land(&mut next, who, order),
             // One that is too late by now was taken out.
@@ -343,7 +343,7 @@
     let mut holder = new_holder(0);
     let taking = planned(&holder, &world.fold);
     let verdict = Model::append_at(&mut world, &taking, 0);
-    holder.settled(&taking, &verdict, long_ago, long_ago);
+    holder.apply_verdict(&taking, &verdict, long_ago, long_ago);
     let item = planned(&holder, &world.fold);
     let asked = model.now(&world, 0);
     let first = &mut world.processes[0];
