--- a/crates/entry/src/adapt/claims.rs
+++ b/crates/entry/src/adapt/claims.rs
@@ -53,7 +53,7 @@
             content: ask.content,
         };
         match self.router.claim(call).await {
-            permit::ClaimAnswer::Fresh(permit) => {
+            permit::ClaimAnswer::Granted(permit) => {
                 let hold = port::ClaimHold {
                     record: permit.claim(),
                     deadline: permit.deadline(),
--- a/crates/entry/src/adapt/peers.rs
+++ b/crates/entry/src/adapt/peers.rs
@@ -128,12 +128,12 @@
         vm: &str,
         request: &host::LedgerRequest,
         limit: time::Duration,
-    ) -> Result<host::LedgerReply, route::PeerFault> {
-        let body = serde_json::to_vec(request).map_err(|_| route::PeerFault::NotDelivered)?;
+    ) -> Result<host::LedgerReply, route::PeerError> {
+        let body = serde_json::to_vec(request).map_err(|_| route::PeerError::NotDelivered)?;
         match self.0.ask(vm, LEDGER, body, limit).await {
-            Ok(body) => serde_json::from_slice(&body).map_err(|_| route::PeerFault::Lost),
-            Err(outcome::RanState::No) => Err(route::PeerFault::NotDelivered),
-            Err(_) => Err(route::PeerFault::Lost),
+            Ok(body) => serde_json::from_slice(&body).map_err(|_| route::PeerError::Lost),
+            Err(outcome::RanState::No) => Err(route::PeerError::NotDelivered),
+            Err(_) => Err(route::PeerError::Lost),
         }
     }
 }
--- a/crates/entry/src/assemble.rs
+++ b/crates/entry/src/assemble.rs
@@ -146,7 +146,7 @@
 
 fn ledger_settings() -> host::HostSettings {
     let mut settings = host::HostSettings::default();
-    settings.jobs.append.min_gap = JOB_APPEND_GAP;
+    settings.jobs.append.min_interval = JOB_APPEND_GAP;
     settings
 }
 
--- a/crates/ledger/benches/claims.rs
+++ b/crates/ledger/benches/claims.rs
@@ -41,12 +41,12 @@
         vm: &str,
         request: &host::LedgerRequest,
         limit: time::Duration,
-    ) -> Result<host::LedgerReply, route::PeerFault> {
-        let host = self.hosts.get(vm).ok_or(route::PeerFault::NotDelivered)?;
+    ) -> Result<host::LedgerReply, route::PeerError> {
+        let host = self.hosts.get(vm).ok_or(route::PeerError::NotDelivered)?;
         time::sleep(PEER_ONE_WAY).await;
         let reply = time::timeout(limit, host.handle(request.clone())).await;
         time::sleep(PEER_ONE_WAY).await;
-        reply.map_err(|_| route::PeerFault::Lost)
+        reply.map_err(|_| route::PeerError::Lost)
     }
 }
 
@@ -221,7 +221,7 @@
         content: fingerprint::ContentHash::of(key.as_bytes()),
         key,
     };
-    let permit::ClaimAnswer::Fresh(permit) = router.claim(call).await else {
+    let permit::ClaimAnswer::Granted(permit) = router.claim(call).await else {
         return None;
     };
     let wait = begun.elapsed();
--- a/crates/ledger/src/appender.rs
+++ b/crates/ledger/src/appender.rs
@@ -1,4 +1,5 @@
-//! Group commit: many small entries become one record, within the log's cap on appends.
+//! Group commit: combines many small entries into one record, to stay within the log's cap on
+//! appends.
 
 use std::{mem, sync};
 
@@ -10,24 +11,24 @@
 use crate::client::LogClient;
 use crate::{client, record};
 
-/// Bounds of a [`GroupAppender`].
+/// Limits of a [`GroupAppender`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppendLimits {
-    /// Bytes of a record's entries at the most; one entry may not be larger.
+    /// Maximum size of a record's entries, in bytes; also the maximum size of one entry.
     pub max_batch_bytes: usize,
-    /// Entries of a record at the most.
+    /// Maximum number of entries in a record.
     pub max_batch_entries: usize,
-    /// Time between the starts of two appends: its inverse is the most appends a second. An entry
-    /// that finds the appender idle for this long leaves at once.
-    pub min_gap: time::Duration,
-    /// Entries that wait at the most; more are refused at once.
+    /// Minimum time between the starts of two appends; its inverse is the maximum number of appends
+    /// per second. An appender that was idle for this long appends an entry at once.
+    pub min_interval: time::Duration,
+    /// Maximum number of queued entries; further entries are refused at once.
     pub max_queue: usize,
-    /// An entry that the log has refused is answered after this instead of tried again.
-    pub patience: time::Duration,
-    /// Pause between two looks for an append whose answer was lost.
-    pub settle_pause: time::Duration,
-    /// Looks without a find after which such entries are appended again.
-    pub settle_reads: u32,
+    /// Time after which an entry that the log refused is no longer retried.
+    pub retry_timeout: time::Duration,
+    /// Interval between two lookups of an append whose answer was lost.
+    pub lookup_interval: time::Duration,
+    /// Number of lookups without a result after which such entries are appended again.
+    pub max_lookups: u32,
 }
 
 impl Default for AppendLimits {
@@ -35,72 +36,74 @@
         Self {
             max_batch_bytes: 256 * 1024,
             max_batch_entries: 512,
-            min_gap: time::Duration::from_millis(25),
+            min_interval: time::Duration::from_millis(25),
             max_queue: 4_096,
-            patience: time::Duration::from_millis(300),
-            settle_pause: time::Duration::from_millis(50),
-            settle_reads: 4,
+            retry_timeout: time::Duration::from_millis(300),
+            lookup_interval: time::Duration::from_millis(50),
+            max_lookups: 4,
         }
     }
 }
 
-/// Why an entry is surely not on the log, and never will be.
+/// The reason why an entry is certainly not on the log and never will be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotAppended {
-    /// Too many entries wait.
-    #[snafu(display("too many entries wait for the log; nothing was appended, ask again later"))]
+    /// Too many entries are queued.
+    #[snafu(display("too many entries are queued for the log; nothing was appended, retry later"))]
     QueueFull,
     /// The log is over its cap on appends.
-    #[snafu(display("the log is over its cap on appends; nothing was appended, ask again later"))]
+    #[snafu(display("the log is over its cap on appends; nothing was appended, retry later"))]
     OverCap,
     /// The log cannot be reached.
-    #[snafu(display("the log cannot be reached; nothing was appended, ask again later"))]
+    #[snafu(display("the log cannot be reached; nothing was appended, retry later"))]
     Down,
-    /// The log refuses such a record.
+    /// The log refuses the record regardless of its load.
     #[snafu(display("the log refused the record; nothing was appended, check the stream's name"))]
     Refused,
     /// The entry is larger than a record may be.
     #[snafu(display("the entry is larger than a record may be; nothing was appended, split it"))]
     TooLarge,
     /// The stream has not been read up to its end yet.
-    #[snafu(display("the stream is not read up to its end yet; nothing was appended, ask again"))]
+    #[snafu(display(
+        "the stream is not read up to its end yet; nothing was appended, retry later"
+    ))]
     NotLoaded,
-    /// The time allowed ran out before the entry was sent.
-    #[snafu(display("the time allowed ran out; nothing was appended, allow more time"))]
+    /// The deadline passed before the entry was sent.
+    #[snafu(display("the deadline passed; nothing was appended, allow more time"))]
     TimedOut,
     /// The appender was stopped.
-    #[snafu(display("this process is stopping; nothing was appended, ask another entry VM"))]
+    #[snafu(display("this process is stopping; nothing was appended, use another entry VM"))]
     Stopped,
 }
 
-/// What became of an entry.
+/// Outcome of appending an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AppendAnswer {
-    /// It is on the log.
+pub enum AppendOutcome {
+    /// The entry is on the log.
     Appended {
         /// Offset of its record.
         offset: u64,
     },
-    /// It is not on the log and never will be.
+    /// The entry is not on the log and never will be.
     NotAppended(NotAppended),
-    /// It may be on the log, or may yet come to be.
+    /// The entry may be on the log, or may still reach it.
     Unsettled,
 }
 
-/// How far a stream was read, shared between its reader and its appender.
+/// Position up to which a stream was read, shared between its reader and its appender.
 #[derive(Clone, Debug, Default)]
 pub struct PositionMark(sync::Arc<atomic::AtomicU64>);
 
 impl PositionMark {
-    /// Offset of the next record to read.
+    /// Returns the offset of the next record to read.
     #[must_use]
     pub fn get(&self) -> u64 {
         self.0.load(atomic::Ordering::Acquire)
     }
 
-    /// Moves the mark forward; it never moves back.
+    /// Moves the mark forward; a lower position has no effect.
     pub fn advance(&self, position: u64) {
         self.0.fetch_max(position, atomic::Ordering::AcqRel);
     }
@@ -111,17 +114,17 @@
     entry: record::EncodedEntry,
     arrived: time::Instant,
     deadline: time::Instant,
-    reply: tokio_sync::oneshot::Sender<AppendAnswer>,
+    reply: tokio_sync::oneshot::Sender<AppendOutcome>,
 }
 
 impl QueuedEntry {
-    /// Sends the answer; the asker may have gone, which is its own affair.
-    fn answer(self, answer: AppendAnswer) {
-        let _ = self.reply.send(answer);
+    /// Sends the outcome to the requester, which may have stopped waiting.
+    fn complete(self, outcome: AppendOutcome) {
+        let _ = self.reply.send(outcome);
     }
 }
 
-/// The entrance to one stream's group commit; clones share it.
+/// Handle to the group commit of one stream; clones share it.
 #[derive(Clone, Debug)]
 pub struct GroupAppender {
     sender: tokio_sync::mpsc::Sender<QueuedEntry>,
@@ -129,8 +132,8 @@
 }
 
 impl GroupAppender {
-    /// Starts the group commit of `stream`. It ends when every handle is dropped, or when the
-    /// task is aborted.
+    /// Starts the group commit of `stream`. It ends when all handles are dropped or the task is
+    /// aborted.
     pub fn start<C: LogClient>(
         client: C,
         stream: impl Into<String>,
@@ -140,18 +143,18 @@
     ) -> (Self, task::JoinHandle<()>) {
         let (sender, receiver) = tokio_sync::mpsc::channel(limits.max_queue);
         let max_entry_bytes = limits.max_batch_bytes;
-        let loop_state = CommitLoop {
+        let commit_loop = CommitLoop {
             client,
             stream: stream.into(),
             writer: writer.into(),
             mark,
-            low: 0,
+            known_end: 0,
             limits,
             receiver,
             batch: Vec::new(),
             overflow: None,
         };
-        let handle = tokio::spawn(loop_state.run());
+        let handle = tokio::spawn(commit_loop.run());
         let appender = Self {
             sender,
             max_entry_bytes,
@@ -159,16 +162,15 @@
         (appender, handle)
     }
 
-    /// Puts an entry in the queue; the receiver gets its answer, at the latest soon after
-    /// `deadline`.
+    /// Queues an entry. The receiver gets the outcome, at the latest shortly after `deadline`.
     ///
     /// # Errors
-    /// When the entry is refused at once.
+    /// Returns an error if the entry is refused at once.
     pub fn push(
         &self,
         entry: record::EncodedEntry,
         deadline: time::Instant,
-    ) -> Result<tokio_sync::oneshot::Receiver<AppendAnswer>, NotAppended> {
+    ) -> Result<tokio_sync::oneshot::Receiver<AppendOutcome>, NotAppended> {
         if entry.size() > self.max_entry_bytes {
             return Err(NotAppended::TooLarge);
         }
@@ -189,24 +191,24 @@
         }
     }
 
-    /// Appends an entry and waits for its answer.
+    /// Appends an entry and waits for the outcome.
     pub async fn append(
         &self,
         entry: record::EncodedEntry,
         deadline: time::Instant,
-    ) -> AppendAnswer {
+    ) -> AppendOutcome {
         match self.push(entry, deadline) {
-            Err(cause) => AppendAnswer::NotAppended(cause),
-            // The loop drops a reply only when its task was aborted, possibly in an append.
-            Ok(receiver) => receiver.await.unwrap_or(AppendAnswer::Unsettled),
+            Err(cause) => AppendOutcome::NotAppended(cause),
+            // The reply channel is dropped only if the loop's task was aborted, possibly during an append.
+            Ok(receiver) => receiver.await.unwrap_or(AppendOutcome::Unsettled),
         }
     }
 }
 
-/// Whether a look at the stream found what was lost.
-enum LookResult {
+/// Result of looking up a batch in the stream after the answer to its append was lost.
+enum LookupResult {
     Found,
-    Absent,
+    NotFound,
     Unreadable,
 }
 
@@ -215,13 +217,13 @@
     stream: String,
     writer: String,
     mark: PositionMark,
-    /// Offset after the last record that this loop knows it appended.
-    low: u64,
+    /// Offset after the last record that is known to have been appended by this loop.
+    known_end: u64,
     limits: AppendLimits,
     receiver: tokio_sync::mpsc::Receiver<QueuedEntry>,
-    /// What the next append carries.
+    /// Entries of the next append.
     batch: Vec<QueuedEntry>,
-    /// An entry that did not fit into the batch any more.
+    /// An entry that did not fit into the batch.
     overflow: Option<QueuedEntry>,
 }
 
@@ -235,7 +237,7 @@
                 continue;
             }
             self.commit().await;
-            time::sleep_until(started + self.limits.min_gap).await;
+            time::sleep_until(started + self.limits.min_interval).await;
         }
     }
 
@@ -273,7 +275,7 @@
         let now = time::Instant::now();
         let expired = self.batch.extract_if(.., |queued| queued.deadline <= now);
         for queued in expired {
-            queued.answer(AppendAnswer::NotAppended(NotAppended::TimedOut));
+            queued.complete(AppendOutcome::NotAppended(NotAppended::TimedOut));
         }
     }
 
@@ -283,20 +285,20 @@
     }
 
     async fn commit(&mut self) {
-        let from = self.mark.get().max(self.low);
+        let from = self.mark.get().max(self.known_end);
         let body = self.encode();
         metrics::counter!("pollenchute_ledger_appends_total").increment(1);
         metrics::histogram!("pollenchute_ledger_batch_entries").record(self.batch.len() as f64);
         match self.client.append(&self.stream, body).await {
-            Ok(offset) => self.answer_all(offset),
-            Err(client::AppendError::Unknown { .. }) => self.settle(from).await,
-            Err(error) => self.take_refusal(&error).await,
+            Ok(offset) => self.complete_all(offset),
+            Err(client::AppendError::Unknown { .. }) => self.resolve(from).await,
+            Err(error) => self.handle_refusal(&error).await,
         }
     }
 
-    /// The log surely holds nothing of this batch: entries with patience left stay for the next
-    /// append.
-    async fn take_refusal(&mut self, error: &client::AppendError) {
+    /// Handles an append that the log certainly did not execute. Entries within their retry timeout
+    /// stay in the batch for the next append.
+    async fn handle_refusal(&mut self, error: &client::AppendError) {
         let cause = match error {
             client::AppendError::OverCap { .. } => NotAppended::OverCap,
             client::AppendError::Down { .. } => NotAppended::Down,
@@ -304,65 +306,66 @@
         };
         metrics::counter!("pollenchute_ledger_append_failures_total").increment(1);
         let now = time::Instant::now();
-        let patience = self.limits.patience;
+        let retry_timeout = self.limits.retry_timeout;
         let given_up = self.batch.extract_if(.., |queued| {
             cause == NotAppended::Refused
-                || queued.arrived + patience <= now
+                || queued.arrived + retry_timeout <= now
                 || queued.deadline <= now
         });
         for queued in given_up {
-            queued.answer(AppendAnswer::NotAppended(cause));
+            queued.complete(AppendOutcome::NotAppended(cause));
         }
         if !self.batch.is_empty() {
-            time::sleep(self.limits.settle_pause).await;
+            time::sleep(self.limits.lookup_interval).await;
         }
     }
 
-    /// Settles an append whose answer was lost.
+    /// Determines the outcome of an append whose answer was lost.
     ///
-    /// Appending again at once would put most entries on the log twice; not looking would leave
-    /// claims open that were taken. So the stream is read for the entries' ids first. Absence
-    /// proves nothing, for the append may still be under way; so after some looks the entries are
-    /// appended again *with the same ids*, and every fold ignores an id that it has met.
-    async fn settle(&mut self, from: u64) {
+    /// Appending again at once would put most entries on the log twice; giving up would leave claims
+    /// unresolved that did take effect. The stream is therefore searched for the entries' ids first.
+    /// A search without a result proves nothing, because the append may still be in flight. After
+    /// several such searches the entries are appended again *with the same ids*; folds ignore ids
+    /// that they have already processed.
+    async fn resolve(&mut self, from: u64) {
         metrics::counter!("pollenchute_ledger_lost_answers_total").increment(1);
-        let mut absent_looks = 0;
+        let mut failed_lookups = 0;
         loop {
-            self.give_up_unsettled();
+            self.expire_unsettled();
             if self.batch.is_empty() {
                 return;
             }
-            match self.look(from).await {
-                LookResult::Found => continue,
-                LookResult::Absent => absent_looks += 1,
-                LookResult::Unreadable => {}
+            match self.find_batch(from).await {
+                LookupResult::Found => continue,
+                LookupResult::NotFound => failed_lookups += 1,
+                LookupResult::Unreadable => {}
             }
-            if absent_looks >= self.limits.settle_reads {
-                absent_looks = 0;
-                self.append_again().await;
+            if failed_lookups >= self.limits.max_lookups {
+                failed_lookups = 0;
+                self.resend().await;
                 continue;
             }
-            time::sleep(self.limits.settle_pause).await;
+            time::sleep(self.limits.lookup_interval).await;
         }
     }
 
-    fn give_up_unsettled(&mut self) {
+    fn expire_unsettled(&mut self) {
         let now = time::Instant::now();
         for queued in self.batch.extract_if(.., |queued| queued.deadline <= now) {
-            queued.answer(AppendAnswer::Unsettled);
+            queued.complete(AppendOutcome::Unsettled);
         }
     }
 
-    async fn append_again(&mut self) {
+    async fn resend(&mut self) {
         metrics::counter!("pollenchute_ledger_repeated_appends_total").increment(1);
         let body = self.encode();
         if let Ok(offset) = self.client.append(&self.stream, body).await {
-            self.answer_all(offset);
+            self.complete_all(offset);
         }
     }
 
-    /// Reads from `from` to the end of the stream and answers the entries that are there.
-    async fn look(&mut self, from: u64) -> LookResult {
+    /// Reads from `from` to the end of the stream and completes the entries that are found there.
+    async fn find_batch(&mut self, from: u64) -> LookupResult {
         let mut position = from;
         let waiting = self.batch.len();
         loop {
@@ -378,38 +381,38 @@
                     position = first;
                     continue;
                 }
-                Err(_) => return LookResult::Unreadable,
+                Err(_) => return LookupResult::Unreadable,
             };
             let Some(last) = page.records.last() else {
                 break;
             };
             position = last.offset + 1;
             for found in &page.records {
-                self.answer_found(found);
+                self.complete_found(found);
             }
         }
         if self.batch.len() < waiting {
-            LookResult::Found
+            LookupResult::Found
         } else {
-            LookResult::Absent
+            LookupResult::NotFound
         }
     }
 
-    fn answer_found(&mut self, found: &client::LogRecord) {
+    fn complete_found(&mut self, found: &client::LogRecord) {
         let ids: Vec<id::RecordId> = record::entry_ids(&found.body);
         let offset = found.offset;
-        let landed = self
+        let appended = self
             .batch
             .extract_if(.., |queued| ids.contains(&queued.entry.id));
-        for queued in landed {
-            queued.answer(AppendAnswer::Appended { offset });
+        for queued in appended {
+            queued.complete(AppendOutcome::Appended { offset });
         }
     }
 
-    fn answer_all(&mut self, offset: u64) {
-        self.low = self.low.max(offset + 1);
+    fn complete_all(&mut self, offset: u64) {
+        self.known_end = self.known_end.max(offset + 1);
         for queued in mem::take(&mut self.batch) {
-            queued.answer(AppendAnswer::Appended { offset });
+            queued.complete(AppendOutcome::Appended { offset });
         }
     }
 }
--- a/crates/ledger/src/claim_calls.rs
+++ b/crates/ledger/src/claim_calls.rs
@@ -1,17 +1,17 @@
-//! What entry VMs ask one another about idempotency claims.
+//! Requests and replies about idempotency claims between entry VMs.
 
 use base::{fingerprint, id, outcome};
 
 use crate::{appender, claims};
 
-/// A claim that is asked for, possibly by another entry VM.
+/// A request to claim a key, possibly from another entry VM.
 ///
-/// Asking twice, also two processes at once, is harmless as long as `claim` is the same: the fold
-/// knows it again.
+/// Sending the request twice, also to two processes at once, is harmless as long as `claim` is the
+/// same: the fold recognises the repetition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ClaimRequest {
-    /// Id of the claim, drawn by its holder.
+    /// Random id of the claim, chosen by its holder.
     pub claim: id::RecordId,
     /// The organisation that the key belongs to.
     pub organisation: String,
@@ -21,52 +21,52 @@
     pub content: fingerprint::ContentHash,
     /// Name of the entry VM that would send the call.
     pub holder: String,
-    /// How long the asker waits for a reply, in milliseconds.
+    /// Time that the requester waits for a reply, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What became of a claim.
+/// The reply to a [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimReply {
-    /// The claim holds its key: its holder may send the call before its deadline.
+    /// The claim holds its key: the holder may send the call before its deadline.
     Held,
-    /// The key's call ran; this was its answer.
+    /// The key's call ran; contains its answer.
     Stored(claims::StoredOutcome),
-    /// The key's call is under way.
+    /// The key's call is in progress.
     InProgress,
-    /// The key's call may have run; its outcome will not be known unless its holder reports late.
+    /// The key's call may have run. Its outcome stays unknown unless the holder still reports it.
     Unknown,
-    /// The key was used for a call with another content.
+    /// The key was used for a call with different content.
     OtherContent,
-    /// The claim holds nothing.
+    /// The claim does not hold its key.
     Refused(ClaimRefusal),
 }
 
-/// A claim that holds nothing, and why.
+/// The refusal of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ClaimRefusal {
-    /// Why.
+    /// Cause of the refusal.
     pub cause: RefusalCause,
-    /// Whether the claim may be on the log all the same: its holder, once it has decided never to
-    /// send, ends it as not run so that the key becomes free.
+    /// Whether the claim may nevertheless be on the log. Its holder then decides never to send the
+    /// call and settles the claim as not run, so that the key becomes free.
     pub may_be_on_log: bool,
 }
 
-/// Why a claim holds nothing.
+/// Cause of the refusal of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCause {
-    /// The key does not carry its own time.
+    /// The key does not contain a timestamp.
     KeyMalformed,
-    /// The key's own time is too old, or lies in the future.
+    /// The key's timestamp is too old or lies in the future.
     OutsideWindow,
     /// The claim was withdrawn before.
     Withdrawn,
-    /// This process remembers as many keys as it can.
+    /// This process holds the maximum number of keys.
     Full,
     /// The claim is not on the log.
     NotAppended(appender::NotAppended),
@@ -75,10 +75,10 @@
 }
 
 impl RefusalCause {
-    /// Whether a call with this key may have run *earlier*, as far as the refusal tells.
+    /// Returns whether a call with this key may have run *earlier*, as far as the refusal shows.
     ///
-    /// The refused try itself never runs. But a key that is refused for its age may have run
-    /// within its window, and cannot be asked about any more.
+    /// The refused attempt itself never runs. A key that is refused for its age, however, may have
+    /// run within its window, and its state is no longer available.
     #[must_use]
     pub const fn ran(self) -> outcome::RanState {
         match self {
@@ -88,25 +88,26 @@
     }
 }
 
-/// An end of a claim, possibly reported by another entry VM. Asking twice is harmless.
+/// A request to record the end of a claim, possibly from another entry VM. Sending it twice is
+/// harmless.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct SettleRequest {
-    /// Id of the entry, drawn by the holder.
+    /// Random id of the entry, chosen by the holder.
     pub entry: id::RecordId,
     /// The end of the claim.
     pub item: claims::SettleItem,
-    /// How long the asker waits for a reply, in milliseconds.
+    /// Time that the requester waits for a reply, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Whether a report is recorded.
+/// The reply to a request that only records something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordReply {
-    /// It is on the log, or too late to matter.
+    /// The report is on the log, or came too late to have an effect.
     Recorded,
-    /// It may not be on the log; report it again.
+    /// The report may not be on the log and must be sent again.
     NotRecorded,
 }
--- a/crates/ledger/src/claim_fold.rs
+++ b/crates/ledger/src/claim_fold.rs
@@ -1,7 +1,7 @@
-//! Which one call with a given key may run: a pure function of one stream's records.
+//! Determines which call may run for an idempotency key, as a pure function of one stream's records.
 //!
-//! The first claim of a key in the log's order holds the key, and nobody takes it over: a claim
-//! that never gets an outcome leaves its key unknown until the key is too old to be used at all.
+//! The first claim of a key in the log's order holds the key and is never taken over. If a claim
+//! gets no outcome, the outcome of its key stays unknown until the key is too old to be accepted.
 
 use std::{cmp, collections};
 
@@ -23,7 +23,7 @@
 enum KeyPhase {
     /// No claim holds the key.
     Free,
-    /// A claim holds the key and has not ended.
+    /// A claim holds the key and has not been settled.
     Held { claim: id::RecordId, until_ms: u64 },
     /// The call ran.
     Ran(claims::StoredOutcome),
@@ -32,28 +32,28 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct KeyState {
     phase: KeyPhase,
-    /// Content of the call that holds the key, or held it last.
+    /// Content of the call that holds the key or last held it.
     content: Option<fingerprint::ContentHash>,
-    /// Ids of claims that have had their verdict, or whose holders have said that they will never
-    /// send: a repetition of one, or its late first arrival, changes nothing.
-    spent: Vec<id::RecordId>,
+    /// Ids of claims that already have a verdict or were ended by their holders. A repetition, or
+    /// the delayed first arrival, of such a claim changes nothing.
+    processed_claims: Vec<id::RecordId>,
 }
 
-/// The claims of one partition as its records tell them.
+/// The claims of one partition after the records read so far.
 #[derive(Clone, Debug)]
 pub struct ClaimFold {
     limits: claims::ClaimLimits,
     keys: collections::HashMap<KeyHash, KeyState>,
-    /// Times on the log's clock after which no claim of a key is accepted any more.
+    /// Times on the log's clock after which no more claims of a key are accepted.
     expiries: collections::BinaryHeap<cmp::Reverse<(u64, [u8; 32])>>,
     kept_bytes: usize,
 }
 
-/// Ids that are remembered for one key at the most; a key with more refuses further claims.
-const MAX_SPENT: usize = 256;
+/// Maximum number of claim ids kept for one key; further claims of the key are refused.
+const MAX_PROCESSED_CLAIMS: usize = 256;
 
 impl ClaimFold {
-    /// A fold without any record.
+    /// Creates a fold that has read no record.
     #[must_use]
     pub fn new(limits: claims::ClaimLimits) -> Self {
         Self {
@@ -64,33 +64,33 @@
         }
     }
 
-    /// The limits that it decides by.
+    /// Returns the limits that the fold applies.
     #[must_use]
     pub const fn limits(&self) -> &claims::ClaimLimits {
         &self.limits
     }
 
-    /// Keys that are remembered.
+    /// Returns the number of keys that the fold holds.
     #[must_use]
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether the fold holds no key.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Bytes of the answers that are kept.
+    /// Returns the total size of the stored answers, in bytes.
     #[must_use]
     pub const fn kept_bytes(&self) -> usize {
         self.kept_bytes
     }
 
-    /// What is known of a key; `None` when no claim holds it as far as the fold has read.
+    /// Returns the state of a key, or `None` if no claim in the records read so far holds it.
     ///
-    /// The fold may lag behind the log, so `None` permits nothing, while a key that is held or has
+    /// The fold may lag behind the log, so `None` does not permit a call. A key that is held or has
     /// run stays so unless its holder proves that nothing ran.
     #[must_use]
     pub fn find(
@@ -100,10 +100,10 @@
         content: fingerprint::ContentHash,
     ) -> Option<claims::ClaimVerdict> {
         let state = self.keys.get(&KeyHash::of(organisation, key))?;
-        state.taken(content)
+        state.verdict_if_taken(content)
     }
 
-    /// What is known of a claim that was met before, by its key; `None` when it was not met.
+    /// Returns the verdict on a claim that was processed before, or `None` if it was not.
     #[must_use]
     pub fn find_claim(
         &self,
@@ -111,7 +111,7 @@
         item: &claims::ClaimItem,
     ) -> Option<claims::ClaimVerdict> {
         let state = self.keys.get(&KeyHash::of(&item.organisation, &item.key))?;
-        state.repeated(claim, item.content)
+        state.verdict_on_repeat(claim, item.content)
     }
 
     fn claim(
@@ -128,14 +128,14 @@
         }
         let until_ms = at_ms + item.hold_ms + item.run_ms;
         let state = self.key_state(KeyHash::of(&item.organisation, &item.key), key_ms);
-        if let Some(verdict) = state.repeated(claim, item.content) {
+        if let Some(verdict) = state.verdict_on_repeat(claim, item.content) {
             return verdict;
         }
-        if state.spent.len() >= MAX_SPENT {
+        if state.processed_claims.len() >= MAX_PROCESSED_CLAIMS {
             return claims::ClaimVerdict::Withdrawn;
         }
-        state.spent.push(claim);
-        if let Some(verdict) = state.taken(item.content) {
+        state.processed_claims.push(claim);
+        if let Some(verdict) = state.verdict_if_taken(item.content) {
             return verdict;
         }
         state.phase = KeyPhase::Held { claim, until_ms };
@@ -143,13 +143,14 @@
         claims::ClaimVerdict::Held
     }
 
-    /// The first end of a claim counts. An end of a claim that was not met, which the log took out
-    /// of order, makes sure that the claim does not hold the key when it arrives after all.
+    /// Applies the end of a claim; only the first end counts. The log may have received the end
+    /// before the claim itself: the fold then records the claim's id, so that the claim does not
+    /// take the key when it arrives.
     fn settle(&mut self, at_ms: u64, item: claims::SettleItem) -> claims::ClaimVerdict {
         let Some(key_ms) = claims::key_time_ms(&item.key) else {
             return claims::ClaimVerdict::OutsideWindow;
         };
-        if self.is_forgotten(key_ms, at_ms) {
+        if self.is_expired(key_ms, at_ms) {
             return claims::ClaimVerdict::OutsideWindow;
         }
         let max_kept = self.limits.max_kept_bytes;
@@ -159,17 +160,19 @@
             _ => None,
         };
         let Some(until_ms) = until_ms else {
-            if !state.spent.contains(&item.claim) && state.spent.len() < MAX_SPENT {
-                state.spent.push(item.claim);
+            if !state.processed_claims.contains(&item.claim)
+                && state.processed_claims.len() < MAX_PROCESSED_CLAIMS
+            {
+                state.processed_claims.push(item.claim);
             }
             return claims::ClaimVerdict::Settled;
         };
         match item.outcome {
             claims::SettledOutcome::Ran(outcome) => {
-                state.phase = KeyPhase::Ran(claims::bounded(outcome, max_kept));
+                state.phase = KeyPhase::Ran(claims::without_large_body(outcome, max_kept));
             }
             claims::SettledOutcome::NotRun if at_ms <= until_ms => state.phase = KeyPhase::Free,
-            // Callers may have been told that the outcome is unknown, and have acted on it.
+            // Callers may already have received "unknown" and acted on it.
             claims::SettledOutcome::NotRun => {}
         }
         let kept = state.kept_bytes();
@@ -186,21 +189,21 @@
             KeyState {
                 phase: KeyPhase::Free,
                 content: None,
-                spent: Vec::new(),
+                processed_claims: Vec::new(),
             }
         })
     }
 
-    const fn is_forgotten(&self, key_ms: u64, at_ms: u64) -> bool {
+    const fn is_expired(&self, key_ms: u64, at_ms: u64) -> bool {
         key_ms
             .saturating_add(self.limits.window_ms)
             .saturating_add(self.limits.margin_ms)
             < at_ms
     }
 
-    /// Forgets keys whose every further claim is outside the window, even when the log's clock
+    /// Removes keys for which every further claim is outside the window, even if the log's clock
     /// goes back by the margin.
-    fn forget(&mut self, at_ms: u64) {
+    fn expire(&mut self, at_ms: u64) {
         while let Some(cmp::Reverse((expiry_ms, hash))) = self.expiries.peek().copied() {
             if expiry_ms >= at_ms {
                 return;
@@ -215,33 +218,33 @@
 }
 
 impl KeyState {
-    /// A claim that was met before holds its key only as long as nothing has ended it; it never
-    /// takes a key that has become free since.
-    fn repeated(
+    /// Returns the verdict on a repeated claim. Such a claim holds its key only until the claim is
+    /// settled; it never takes a key that has become free since.
+    fn verdict_on_repeat(
         &self,
         claim: id::RecordId,
         content: fingerprint::ContentHash,
     ) -> Option<claims::ClaimVerdict> {
-        if !self.spent.contains(&claim) {
+        if !self.processed_claims.contains(&claim) {
             return None;
         }
         if matches!(self.phase, KeyPhase::Held { claim: holder, .. } if holder == claim) {
             return Some(claims::ClaimVerdict::Held);
         }
         Some(
-            self.taken(content)
+            self.verdict_if_taken(content)
                 .unwrap_or(claims::ClaimVerdict::Withdrawn),
         )
     }
 
-    fn taken(&self, content: fingerprint::ContentHash) -> Option<claims::ClaimVerdict> {
+    fn verdict_if_taken(&self, content: fingerprint::ContentHash) -> Option<claims::ClaimVerdict> {
         if self.phase != KeyPhase::Free && self.content != Some(content) {
             return Some(claims::ClaimVerdict::OtherContent);
         }
         match &self.phase {
             KeyPhase::Free => None,
             KeyPhase::Held { until_ms, .. } => {
-                Some(claims::ClaimVerdict::Taken(claims::KeyView::Open {
+                Some(claims::ClaimVerdict::Taken(claims::KeyView::Pending {
                     until_ms: *until_ms,
                 }))
             }
@@ -268,7 +271,7 @@
         place: record::RecordPlace,
         batch: record::BatchRecord<claims::ClaimEntry>,
     ) -> Vec<driver::EntryVerdict<claims::ClaimVerdict>> {
-        self.forget(place.at_ms);
+        self.expire(place.at_ms);
         let mut verdicts = Vec::with_capacity(batch.entries.len());
         for entry in batch.entries {
             let verdict = match entry.item {
@@ -284,13 +287,13 @@
         verdicts
     }
 
-    /// What was dropped unread is older than the retention, and so matters to no claim whose
-    /// holder may still act; see [`claims::ClaimLimits::needed_retention_ms`].
+    /// Records that were dropped unread are older than the retention and therefore irrelevant to
+    /// any claim whose holder may still act; see [`claims::ClaimLimits::needed_retention_ms`].
     fn restart(&mut self, _first: u64) {
         *self = Self::new(self.limits.clone());
     }
 
-    /// What is older matters as little as what retention has dropped.
+    /// Older records are as irrelevant as those dropped by retention.
     fn lookback_ms(&self) -> Option<u64> {
         Some(self.limits.needed_retention_ms() + self.limits.margin_ms)
     }
--- a/crates/ledger/src/claim_store.rs
+++ b/crates/ledger/src/claim_store.rs
@@ -1,4 +1,4 @@
-//! Claims of one partition, appended and read by this process.
+//! Appends and reads the claims of one partition.
 
 use base::id;
 use tokio::time;
@@ -9,15 +9,15 @@
 /// Settings of a [`ClaimStore`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// Time limits; equal in all processes.
+    /// Time limits, which must be equal in all processes.
     pub limits: claims::ClaimLimits,
-    /// Bounds of the group commit.
+    /// Limits of the group commit.
     pub append: appender::AppendLimits,
-    /// Keys remembered at the most.
+    /// Maximum number of keys held.
     pub max_keys: MaxKeys,
 }
 
-/// Keys remembered at the most by one store.
+/// Maximum number of keys that one store holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MaxKeys(pub usize);
 
@@ -27,14 +27,14 @@
     }
 }
 
-/// The claims of one partition. Its tasks end with it.
+/// The claims of one partition. Dropping the store stops its tasks.
 pub struct ClaimStore<C> {
     driver: driver::FoldDriver<C, claim_fold::ClaimFold>,
     settings: ClaimSettings,
 }
 
 impl<C: LogClient> ClaimStore<C> {
-    /// Starts to read the partition's stream; claims wait until it was read to its end.
+    /// Starts reading the partition's stream. Claims wait until the stream was read to its end.
     pub fn open(
         client: C,
         partition: partition::PartitionIndex,
@@ -60,23 +60,23 @@
             run_ms: self.settings.limits.run_ms,
         };
         let claim = request.claim;
-        let reply = match self.reply_early(claim, &item) {
+        let reply = match self.reply_without_append(claim, &item) {
             Some(reply) => reply,
             None => self.append(claim, &item, deadline).await,
         };
         if reply == claim_calls::ClaimReply::Unknown {
-            return self.prove_unknown(claim, &item, deadline).await;
+            return self.confirm_unknown(claim, &item, deadline).await;
         }
         reply
     }
 
-    /// Says "unknown" only after a look at the log that began when the holder's time was up.
+    /// Returns `Unknown` only after a read of the log that began after the holder's time had expired.
     ///
-    /// A reader that lags behind may not have met the holder's proof that nothing ran, which frees
-    /// the key: it would say "unknown", another VM would run the call, and a caller who has acted
-    /// on "unknown", say by paying in another way, would be charged. Proofs that come later than
-    /// this look free nothing.
-    async fn prove_unknown(
+    /// A lagging reader may not have read the holder's proof that nothing ran, which frees the key.
+    /// It would reply "unknown" while another VM runs the call, and a caller that acted on
+    /// "unknown", for instance by paying in another way, would be charged twice. Proofs that follow
+    /// on the log after this read do not free the key.
+    async fn confirm_unknown(
         &self,
         claim: id::RecordId,
         item: &claims::ClaimItem,
@@ -85,9 +85,9 @@
         if !self.driver.catch_up(deadline).await {
             return claim_calls::ClaimReply::InProgress;
         }
-        match self.reply_early(claim, item) {
+        match self.reply_without_append(claim, item) {
             Some(reply) => reply,
-            // The key has become free: whoever asks again may run it.
+            // The key has become free: the next request may run the call.
             None => claim_calls::ClaimReply::InProgress,
         }
     }
@@ -103,10 +103,10 @@
         let submitted = self.driver.submit(claim, &entry, seen, deadline);
         match submitted.await {
             Ok(verdict) => self.reply_of(verdict),
-            Err(driver::SubmitFault::NotAppended(cause)) => {
+            Err(driver::SubmitError::NotAppended(cause)) => {
                 refused(claim_calls::RefusalCause::NotAppended(cause), false)
             }
-            Err(driver::SubmitFault::Unsettled) => {
+            Err(driver::SubmitError::Unsettled) => {
                 refused(claim_calls::RefusalCause::Unsettled, true)
             }
         }
@@ -117,7 +117,7 @@
         let deadline = time::Instant::now() + time::Duration::from_millis(request.wait_ms);
         let mut item = request.item;
         if let claims::SettledOutcome::Ran(outcome) = item.outcome {
-            let outcome = claims::bounded(outcome, self.settings.limits.max_kept_bytes);
+            let outcome = claims::without_large_body(outcome, self.settings.limits.max_kept_bytes);
             item.outcome = claims::SettledOutcome::Ran(outcome);
         }
         let entry = claims::ClaimEntry::Settle(item);
@@ -129,15 +129,15 @@
         }
     }
 
-    /// Whether the partition was read to its end at least once.
+    /// Whether the partition's stream was read to its end at least once.
     #[must_use]
     pub fn is_loaded(&self) -> bool {
         self.driver.is_loaded()
     }
 
-    /// Answers what needs no record: a key that is taken as far as this process has read stays
-    /// taken, so this holds also while the log is down.
-    fn reply_early(
+    /// Replies to claims that need no append. A key that is taken according to the records read so
+    /// far stays taken, so this also works while the log is down.
+    fn reply_without_append(
         &self,
         claim: id::RecordId,
         item: &claims::ClaimItem,
@@ -149,25 +149,25 @@
         let known = self.driver.view(|state| {
             let fold = &state.fold;
             if let Some(verdict) = fold.find_claim(claim, item) {
-                return Some(EarlyView::Verdict(verdict));
+                return Some(LocalResult::Verdict(verdict));
             }
             if let Some(verdict) = fold.find(&item.organisation, &item.key, item.content) {
-                return Some(EarlyView::Verdict(verdict));
+                return Some(LocalResult::Verdict(verdict));
             }
-            // The reading is never ahead of the log's clock, but may be far behind it after a
-            // pause; so it shows that a key is too old, never that it lies in the future.
+            // The estimate is never ahead of the log's clock but may be far behind it after a pause.
+            // It can show that a key is too old, but not that a key lies in the future.
             let oldest_ms = key_ms.saturating_add(fold.limits().window_ms);
             let outside = state
                 .clock
                 .is_some_and(|clock| clock.now_ms(now) > oldest_ms);
             if outside {
-                return Some(EarlyView::Verdict(claims::ClaimVerdict::OutsideWindow));
+                return Some(LocalResult::Verdict(claims::ClaimVerdict::OutsideWindow));
             }
-            (fold.len() >= self.settings.max_keys.0).then_some(EarlyView::Full)
+            (fold.len() >= self.settings.max_keys.0).then_some(LocalResult::Full)
         });
-        known.map(|view| match view {
-            EarlyView::Verdict(verdict) => self.reply_of(verdict),
-            EarlyView::Full => refused(claim_calls::RefusalCause::Full, false),
+        known.map(|result| match result {
+            LocalResult::Verdict(verdict) => self.reply_of(verdict),
+            LocalResult::Full => refused(claim_calls::RefusalCause::Full, false),
         })
     }
 
@@ -177,8 +177,8 @@
             claims::ClaimVerdict::Taken(claims::KeyView::Stored(outcome)) => {
                 claim_calls::ClaimReply::Stored(outcome)
             }
-            claims::ClaimVerdict::Taken(claims::KeyView::Open { until_ms }) => {
-                self.reply_open(until_ms)
+            claims::ClaimVerdict::Taken(claims::KeyView::Pending { until_ms }) => {
+                self.reply_pending(until_ms)
             }
             claims::ClaimVerdict::OtherContent => claim_calls::ClaimReply::OtherContent,
             claims::ClaimVerdict::OutsideWindow => {
@@ -190,16 +190,17 @@
         }
     }
 
-    /// "Unknown" is said only when the holder can no longer send: its deadline counts from before
-    /// its append, so it has passed when the log's clock is `until_ms`. Without a reading of the
-    /// log's clock "in progress" is said, which promises less.
-    fn reply_open(&self, until_ms: u64) -> claim_calls::ClaimReply {
+    /// Replies to a claim of a key whose call has no outcome yet. The reply is `Unknown` only if the
+    /// holder can no longer send: the holder's deadline counts from before its append, so it has
+    /// passed when the log's clock reaches `until_ms`. Without an estimate of the log's clock the
+    /// reply is `InProgress`, which promises less.
+    fn reply_pending(&self, until_ms: u64) -> claim_calls::ClaimReply {
         let now = time::Instant::now();
-        let late_ms = until_ms + self.settings.limits.drift_ms;
+        let expired_ms = until_ms + self.settings.limits.drift_ms;
         let passed = self.driver.view(|state| {
             state
                 .clock
-                .is_some_and(|clock| clock.now_ms(now) >= late_ms)
+                .is_some_and(|clock| clock.now_ms(now) >= expired_ms)
         });
         if passed {
             claim_calls::ClaimReply::Unknown
@@ -209,7 +210,7 @@
     }
 }
 
-enum EarlyView {
+enum LocalResult {
     Verdict(claims::ClaimVerdict),
     Full,
 }
--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -1,29 +1,29 @@
-//! Idempotency claims: their time limits, and what the `calls-` streams say about them.
+//! Idempotency claims: their time limits and their entries on the `calls-` streams.
 
 use base::{fingerprint, id};
 use snafu::Snafu;
 
 use crate::record;
 
-/// Time limits of claims. All processes use the same ones.
+/// Time limits of claims. They must be equal in all processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClaimLimits {
-    /// A key whose own time is further back than this at the claim's record is refused.
+    /// Maximum age of a key's timestamp at the time of the claim's record.
     pub window_ms: u64,
-    /// Most by which a caller's clock is ahead of the log's, and most by which the log's clock
-    /// goes back.
+    /// Maximum lead of a caller's clock over the log's clock, and maximum step back of the log's
+    /// clock.
     pub margin_ms: u64,
-    /// Records younger than this are on the log, as its operators promise.
+    /// Retention of the log as guaranteed by its operators; younger records are still on the log.
     pub retention_ms: u64,
-    /// The holder of a claim sends its call within this time, or not at all.
+    /// Time within which the holder of a claim must send its call, or not send it at all.
     pub hold_ms: u64,
-    /// Once sent, a call has its outcome within this time, or none.
+    /// Time after sending within which a call must have its outcome.
     pub run_ms: u64,
-    /// Most by which the log's clock runs ahead of a holder's over the life of one claim.
+    /// Maximum drift of the log's clock ahead of a holder's clock during one claim.
     pub drift_ms: u64,
-    /// Bytes of an answer's body that are kept for a repeated call.
+    /// Maximum size of an answer's body that is stored for repeated calls, in bytes.
     pub max_kept_bytes: usize,
 }
 
@@ -41,38 +41,38 @@
     }
 }
 
-/// Time limits that contradict one another.
+/// An error for time limits that contradict one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum LimitsError {
-    /// A claim could be dropped from the log while its key is still accepted.
+    /// The log could drop a claim while its key is still accepted.
     #[snafu(display(
         "the log keeps records for {retention_ms} ms, but idempotency keys need {needed_ms} ms: \
          shorten idempotency_window_ms or have the log keep records longer"
     ))]
     RetentionShort {
-        /// Time for which the log keeps records.
+        /// Retention of the log.
         retention_ms: u64,
-        /// Time for which claims must stay readable.
+        /// Minimum retention for claims.
         needed_ms: u64,
     },
 }
 
 impl ClaimLimits {
-    /// Time for which a claim must stay readable.
+    /// Returns the time for which a claim must stay readable.
     ///
-    /// Two claims of one key are both accepted only when each key's own time lies within
-    /// `[at - window, at + margin]` of its record, so they are at most `window + margin` apart.
-    /// Another margin covers the log's clock, and the later one's holder may still act `hold`
-    /// after its record.
+    /// Two claims of one key are both accepted only if the key's timestamp lies within
+    /// `[at - window, at + margin]` of each claim's record, so the records are at most
+    /// `window + margin` apart. Another margin covers steps of the log's clock, and the holder of the
+    /// later claim may still act for `hold` after its record.
     #[must_use]
     pub const fn needed_retention_ms(&self) -> u64 {
         self.window_ms + 2 * self.margin_ms + self.hold_ms
     }
 
-    /// Checks that no claim is forgotten while it matters.
+    /// Checks that the log retains every claim for as long as it is relevant.
     ///
     /// # Errors
-    /// When the log keeps records for too short a time.
+    /// Returns an error if the retention of the log is too short.
     pub const fn check(&self) -> Result<(), LimitsError> {
         let needed_ms = self.needed_retention_ms();
         if self.retention_ms < needed_ms {
@@ -85,10 +85,10 @@
         Ok(())
     }
 
-    /// Whether a key of `key_ms` may be claimed by a record of `at_ms`.
+    /// Whether a key with timestamp `key_ms` may be claimed by a record with timestamp `at_ms`.
     ///
-    /// Without the lower bound a key would run again once retention has dropped its first claim;
-    /// without the upper one a key from the future would outlive that claim.
+    /// Without the limit on the age, a key could run again after retention dropped its first claim.
+    /// Without the limit on the future, a key's window could outlast the retention of that claim.
     #[must_use]
     pub const fn admits(&self, key_ms: u64, at_ms: u64) -> bool {
         at_ms <= key_ms.saturating_add(self.window_ms)
@@ -96,7 +96,7 @@
     }
 }
 
-/// The time that an idempotency key carries: `<unix milliseconds>-<any text>`.
+/// Returns the timestamp of an idempotency key of the form `<unix milliseconds>-<any text>`.
 #[must_use]
 pub fn key_time_ms(key: &str) -> Option<u64> {
     let (digits, text) = key.split_once('-')?;
@@ -106,37 +106,37 @@
     digits.parse().ok()
 }
 
-/// The answer to a call, as it is kept for a repeated call.
+/// The answer to a call, stored for repeated calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct StoredOutcome {
     /// HTTP status of the answer.
     pub status: u16,
-    /// Value of its `Content-Type` header.
+    /// Value of the `Content-Type` header.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content_type: Option<String>,
-    /// Its body; absent when it was larger than what is kept.
+    /// The body; `None` if it was too large to be stored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub body: Option<StoredBody>,
 }
 
-/// The body of a kept answer.
+/// The body of a stored answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct StoredBody(#[serde(with = "record::base64_bytes")] pub bytes::Bytes);
 
-/// How the holder's try ended.
+/// Outcome of the holder's attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SettledOutcome {
-    /// It ran and this was the answer.
+    /// The call ran; contains its answer.
     Ran(StoredOutcome),
-    /// It is proved that it did not run, and the holder will never send it: the key is free.
+    /// The call provably did not run and the holder will never send it; the key becomes free.
     NotRun,
 }
 
-/// What a record on a `calls-` stream says.
+/// An entry on a `calls-` stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
@@ -158,13 +158,13 @@
     pub organisation: String,
     /// The idempotency key as the caller sent it.
     pub key: String,
-    /// Hash of the call's content: a key that returns with another content is another call.
+    /// Hash of the call's content. The same key with different content is a different call.
     pub content: fingerprint::ContentHash,
     /// Name of the entry VM that would send the call.
     pub holder: String,
-    /// The holder sends within this time, counted from before its append.
+    /// Time within which the holder must send, counted from before its append.
     pub hold_ms: u64,
-    /// Once sent, the call has its outcome within this time.
+    /// Time after sending within which the call must have its outcome.
     pub run_ms: u64,
 }
 
@@ -178,42 +178,43 @@
     pub organisation: String,
     /// The key that was claimed.
     pub key: String,
-    /// How it ended.
+    /// Outcome of the holder's attempt.
     pub outcome: SettledOutcome,
 }
 
-/// What the fold decides about an entry.
+/// Decision of the fold on an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
     /// The claim holds its key.
     Held,
     /// Another claim holds the key.
     Taken(KeyView),
-    /// The key's own time is outside the window at the claim's record.
+    /// The key's timestamp is outside the window at the time of the claim's record.
     OutsideWindow,
-    /// The key was used for a call with another content.
+    /// The key was used for a call with different content.
     OtherContent,
-    /// The claim was withdrawn before, or its key has had too many claims; it holds nothing.
+    /// The claim does not hold its key, because it was withdrawn before or the key has too many
+    /// claims.
     Withdrawn,
-    /// An end of a claim was recorded, now or earlier.
+    /// The end of a claim was recorded, now or earlier.
     Settled,
 }
 
-/// A key as a caller that repeats it sees it.
+/// State of a key as reported to a repeated call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyView {
-    /// The call ran; this was its answer.
+    /// The call ran; contains its answer.
     Stored(StoredOutcome),
-    /// The call is under way, or, after `until_ms` on the log's clock, its outcome is unknown.
-    Open {
-        /// On the log's clock.
+    /// The call is in progress or, after `until_ms` on the log's clock, its outcome is unknown.
+    Pending {
+        /// Time on the log's clock after which the outcome is unknown.
         until_ms: u64,
     },
 }
 
-/// The outcome without a body that is larger than what is kept.
+/// Removes the outcome's body if it is larger than `max_kept_bytes`.
 #[must_use]
-pub fn bounded(mut outcome: StoredOutcome, max_kept_bytes: usize) -> StoredOutcome {
+pub fn without_large_body(mut outcome: StoredOutcome, max_kept_bytes: usize) -> StoredOutcome {
     if outcome
         .body
         .as_ref()
--- a/crates/ledger/src/client.rs
+++ b/crates/ledger/src/client.rs
@@ -1,57 +1,57 @@
-//! The face of the platform's append-only log as this project uses it.
+//! Client interface of the platform's append-only log.
 
 use snafu::Snafu;
 
-/// One record as it is read back.
+/// One record read from the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogRecord {
-    /// Position in the stream; offsets have no gaps.
+    /// Position in the stream; offsets are contiguous.
     pub offset: u64,
-    /// When the record was appended, by the log's own clock.
+    /// Time at which the record was appended, on the log's clock.
     pub at_ms: u64,
-    /// The bytes that were appended.
+    /// The appended bytes.
     pub body: bytes::Bytes,
 }
 
-/// Which records of a stream are asked for.
+/// A request to read records of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadQuery {
     /// Name of the stream.
     pub stream: String,
-    /// Offset of the first record wanted.
+    /// Offset of the first requested record.
     pub from: u64,
-    /// Records in the answer at the most.
+    /// Maximum number of records in the answer.
     pub max: u32,
-    /// How long the log waits for a record when there is none yet, in milliseconds.
+    /// Time that the log waits for a record if there is none yet, in milliseconds.
     pub wait_ms: u64,
 }
 
 /// The answer to a read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReadPage {
-    /// Lowest offset that the log still keeps.
+    /// Lowest offset that the log still retains.
     pub first: u64,
-    /// Offset that the next read starts at.
+    /// Offset at which the next read starts.
     pub next: u64,
-    /// Records in order of offset; empty when there is none from the offset asked for.
+    /// Records in order of offset; empty if there are none at or after the requested offset.
     pub records: Vec<LogRecord>,
 }
 
-/// Why an append has no offset to show.
+/// An error of an append.
 ///
-/// Only `Unknown` leaves it open whether the record is on the log.
+/// After `Unknown` the record may be on the log; all other errors mean that it is not.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum AppendError {
     /// The log is over its cap on appends; nothing was appended.
     #[snafu(display(
-        "stream {stream}: the log refuses appends over its cap; nothing was appended, append later"
+        "stream {stream}: the log refuses appends over its cap; nothing was appended, retry later"
     ))]
     OverCap {
         /// Name of the stream.
         stream: String,
     },
-    /// The log refuses this record whatever the moment; nothing was appended.
+    /// The log refuses this record regardless of its load; nothing was appended.
     #[snafu(display(
         "stream {stream}: the log refused the record with status {status}; check its size and the \
          stream's name"
@@ -62,63 +62,64 @@
         /// HTTP status of the answer.
         status: u16,
     },
-    /// The request did not leave; nothing was appended.
-    #[snafu(display("stream {stream}: the log cannot be reached ({cause}); append later"))]
+    /// The request was not sent; nothing was appended.
+    #[snafu(display("stream {stream}: the log cannot be reached ({cause}); retry later"))]
     Down {
         /// Name of the stream.
         stream: String,
-        /// What the connection reported.
+        /// Cause that the connection reported.
         cause: String,
     },
-    /// The answer was lost: the record may be on the log, or may yet come to be.
+    /// The answer was lost: the record may be on the log, or may still reach it.
     #[snafu(display(
-        "stream {stream}: the answer to an append was lost ({cause}); read the stream for the \
-         record's id before anything is concluded"
+        "stream {stream}: the answer to an append was lost ({cause}); search the stream for the \
+        record's id to learn the outcome"
     ))]
     Unknown {
         /// Name of the stream.
         stream: String,
-        /// What the connection reported.
+        /// Cause that the connection reported.
         cause: String,
     },
 }
 
 impl AppendError {
-    /// Whether the record may be on the log all the same.
+    /// Whether the record may nevertheless be on the log.
     #[must_use]
     pub const fn may_have_taken_effect(&self) -> bool {
         matches!(self, Self::Unknown { .. })
     }
 }
 
-/// Why a read has no page to show.
+/// An error of a read.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ReadError {
-    /// Retention has dropped the record asked for.
+    /// The requested record was dropped by retention.
     #[snafu(display(
-        "stream {stream}: records below offset {first} were dropped by retention; start again \
-         from a checkpoint at or after {first}"
+        "stream {stream}: records below offset {first} were dropped by retention; restart from \
+        a checkpoint at or after {first}"
     ))]
     Dropped {
         /// Name of the stream.
         stream: String,
-        /// Lowest offset that the log still keeps.
+        /// Lowest offset that the log still retains.
         first: u64,
     },
-    /// The log did not answer, or not with a page.
-    #[snafu(display("stream {stream}: the log cannot be read ({cause}); read again later"))]
+    /// The log did not answer with a valid page.
+    #[snafu(display("stream {stream}: the log cannot be read ({cause}); retry later"))]
     Fault {
         /// Name of the stream.
         stream: String,
-        /// What the connection reported.
+        /// Cause that the connection reported.
         cause: String,
     },
 }
 
-/// A connection to the platform's append-only log.
+/// A client of the platform's append-only log.
 ///
-/// An implementation bounds every call in time: a call that hangs would stop a whole stream.
+/// An implementation must limit the time of every call, because a hanging call would stop the
+/// processing of its stream.
 pub trait LogClient: Clone + Send + Sync + 'static {
     /// Appends one record and returns its offset.
     fn append(
@@ -127,6 +128,6 @@
         body: bytes::Bytes,
     ) -> impl Future<Output = Result<u64, AppendError>> + Send;
 
-    /// Reads records from an offset on.
+    /// Reads records starting at an offset.
     fn read(&self, query: &ReadQuery) -> impl Future<Output = Result<ReadPage, ReadError>> + Send;
 }
--- a/crates/ledger/src/driver.rs
+++ b/crates/ledger/src/driver.rs
@@ -1,4 +1,5 @@
-//! Runs a pure fold over one stream: reads, appends and hands each entry's verdict to its asker.
+//! Runs a pure fold over one stream: reads records, appends entries and returns each entry's verdict
+//! to its submitter.
 
 use std::{collections, sync};
 
@@ -10,51 +11,51 @@
 
 /// A pure function of the records of one stream.
 ///
-/// It reads no clock and draws nothing at random: two folds that start at the same offset and are
-/// given the same records are equal.
+/// A fold must not read a clock or use random numbers: two folds that start at the same offset and
+/// apply the same records must be equal.
 pub trait LogFold: Send + 'static {
-    /// What the entries say.
+    /// Type of the entries.
     type Entry: serde::Serialize + serde::de::DeserializeOwned + Send;
-    /// What the fold decides about one entry.
+    /// Type of the fold's decision on one entry.
     type Verdict: Send + 'static;
 
-    /// Takes one record. Returns a verdict for each entry that somebody may wait for. An entry
-    /// that was met before changes nothing; its verdict says how things stand now.
+    /// Applies one record and returns a verdict for each entry whose submitter may wait for one.
+    /// An entry that was applied before changes nothing; its verdict reflects the current state.
     fn apply(
         &mut self,
         place: record::RecordPlace,
         batch: record::BatchRecord<Self::Entry>,
     ) -> Vec<EntryVerdict<Self::Verdict>>;
 
-    /// Starts again without memory: records below `first` can no longer be read.
+    /// Resets the fold to an empty state, because records below `first` can no longer be read.
     fn restart(&mut self, first: u64);
 
-    /// How far before the end of the stream the fold begins to read; `None`: at the first record
-    /// kept.
+    /// Returns how far before the end of the stream the fold starts to read, or `None` to start at
+    /// the first retained record.
     fn lookback_ms(&self) -> Option<u64> {
         None
     }
 }
 
-/// What a fold decided about one entry.
+/// The decision of a fold on one entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryVerdict<V> {
-    /// The entry.
+    /// Id of the entry.
     pub id: id::RecordId,
     /// The decision.
     pub verdict: V,
 }
 
-/// Why an entry has no verdict.
+/// The reason why a submitted entry has no verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SubmitFault {
-    /// It is not on the log and never will be.
+pub enum SubmitError {
+    /// The entry is not on the log and never will be.
     NotAppended(appender::NotAppended),
-    /// It may be on the log, or may yet come to be.
+    /// The entry may be on the log, or may still reach it.
     Unsettled,
 }
 
-/// The log's clock as records showed it to this process.
+/// An estimate of the log's clock from the timestamps of records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogClock {
     at_ms: u64,
@@ -62,7 +63,8 @@
 }
 
 impl LogClock {
-    /// An estimate of the log's clock at `now`; late by the time that records take to arrive.
+    /// Returns the estimate of the log's clock at `now`. It lags by the time that records take to
+    /// arrive.
     #[must_use]
     pub fn now_ms(&self, now: time::Instant) -> u64 {
         let passed = now.saturating_duration_since(self.seen).as_millis();
@@ -71,39 +73,40 @@
     }
 }
 
-/// The state of a stream as this process has read it.
+/// The state of a stream after the records read so far.
 #[derive(Debug)]
 pub struct StreamState<F: LogFold> {
     /// The fold of all records read so far.
     pub fold: F,
-    /// Offset of the next record that the fold takes.
+    /// Offset of the next record to apply.
     pub position: u64,
-    /// The log's clock; absent until a record arrived after the stream had been read to its end.
+    /// The log's clock; `None` until a record arrives after the stream was read to its end.
     pub clock: Option<LogClock>,
     waiters: collections::BTreeMap<id::RecordId, tokio_sync::oneshot::Sender<F::Verdict>>,
 }
 
 impl<F: LogFold> StreamState<F> {
-    /// Records read late, after an outage, show an old time; the estimate does not go back to it.
-    fn note_time(&mut self, at_ms: u64, seen: time::Instant) {
+    /// Updates the estimate of the log's clock. Records that are read late, after an outage, have
+    /// old timestamps; the estimate never goes back.
+    fn update_clock(&mut self, at_ms: u64, seen: time::Instant) {
         let known_ms = self.clock.map_or(0, |clock| clock.now_ms(seen));
         let at_ms = at_ms.max(known_ms);
         self.clock = Some(LogClock { at_ms, seen });
     }
 }
 
-/// How well the stream can be read.
+/// Progress and health of reading the stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ReadState {
-    /// It was read up to its end at least once.
+    /// The stream was read up to its end at least once.
     loaded: bool,
-    /// The last reads failed.
+    /// The most recent reads failed.
     outage: bool,
 }
 
 struct SharedState<F: LogFold> {
     state: sync::Mutex<StreamState<F>>,
-    reading: signal::StateSignal<ReadState>,
+    read_state: signal::StateSignal<ReadState>,
 }
 
 impl<F: LogFold> SharedState<F> {
@@ -114,7 +117,7 @@
     }
 }
 
-/// Reader, fold and group commit of one stream. Its tasks end with it.
+/// Reader, fold and group commit of one stream. Dropping the driver stops its tasks.
 pub struct FoldDriver<C, F: LogFold> {
     client: C,
     stream: String,
@@ -133,7 +136,8 @@
 }
 
 impl<C: LogClient, F: LogFold> FoldDriver<C, F> {
-    /// Starts to read `stream` from offset 0, or from the first record that the log still keeps.
+    /// Starts reading `stream` from offset 0 or the first record that the log still retains, or from
+    /// where the fold's `lookback_ms` begins.
     pub fn start(
         client: C,
         stream: &str,
@@ -150,7 +154,7 @@
         };
         let shared = sync::Arc::new(SharedState {
             state: sync::Mutex::new(state),
-            reading: signal::StateSignal::new(ReadState::default()),
+            read_state: signal::StateSignal::new(ReadState::default()),
         });
         let reading = FollowTask {
             client: client.clone(),
@@ -171,49 +175,50 @@
         }
     }
 
-    /// Looks at the state of the stream.
-    pub fn view<T>(&self, look: impl FnOnce(&StreamState<F>) -> T) -> T {
-        look(&self.shared.lock())
+    /// Calls `inspect` with the state of the stream.
+    pub fn view<T>(&self, inspect: impl FnOnce(&StreamState<F>) -> T) -> T {
+        inspect(&self.shared.lock())
     }
 
     /// Whether the stream was read up to its end at least once.
     #[must_use]
     pub fn is_loaded(&self) -> bool {
-        self.shared.reading.get().loaded
+        self.shared.read_state.get().loaded
     }
 
-    /// Offset of the next record that the fold takes.
+    /// Returns the offset of the next record to apply.
     #[must_use]
     pub fn position(&self) -> u64 {
         self.shared.lock().position
     }
 
-    /// The position once the stream was read up to its end; `None` while the log cannot be read.
+    /// Returns the position once the stream was read up to its end, or `None` while the log cannot
+    /// be read.
     ///
-    /// An entry that is decided on an older position may be refused by processes that start to
-    /// read later, so that what one process accepted would be lost with it.
-    pub async fn fresh_position(&self, deadline: time::Instant) -> Option<u64> {
+    /// An entry that is based on an older position may be refused by processes that start reading
+    /// later; what one process accepted would then be lost when that process ends.
+    pub async fn loaded_position(&self, deadline: time::Instant) -> Option<u64> {
         let loaded = self.wait_loaded(deadline).await;
         loaded.then(|| self.position())
     }
 
-    /// Whether the last reads failed.
+    /// Whether the most recent reads failed.
     #[must_use]
     pub fn is_unreadable(&self) -> bool {
-        self.shared.reading.get().outage
+        self.shared.read_state.get().outage
     }
 
-    /// Waits until the stream was read up to its end; false when the log cannot be read, or
-    /// `deadline` came first.
+    /// Waits until the stream was read up to its end. Returns false if the log cannot be read or
+    /// `deadline` passes first.
     pub async fn wait_loaded(&self, deadline: time::Instant) -> bool {
         let ended = |state: &ReadState| state.loaded || state.outage;
-        let waiting = self.shared.reading.wait_for(ended);
+        let waiting = self.shared.read_state.wait_for(ended);
         let waited = time::timeout_at(deadline, waiting).await;
         waited.is_ok_and(|state| state.loaded && !state.outage)
     }
 
-    /// Waits until the fold holds everything that was on the log when this was called; false when
-    /// the log cannot be read or `deadline` came first.
+    /// Waits until the fold has applied every record that was on the log at the time of the call.
+    /// Returns false if the log cannot be read or `deadline` passes first.
     pub async fn catch_up(&self, deadline: time::Instant) -> bool {
         loop {
             if !self.wait_loaded(deadline).await {
@@ -228,38 +233,39 @@
             let reading = time::timeout_at(deadline, self.client.read(&query));
             match reading.await {
                 Ok(Ok(page)) if page.records.is_empty() => return true,
-                Ok(Ok(_)) => time::sleep(CATCH_UP_PAUSE).await,
+                Ok(Ok(_)) => time::sleep(CATCH_UP_INTERVAL).await,
                 _ => return false,
             }
         }
     }
 
-    /// Appends an entry and waits for the fold's verdict about it. `seen` is the position of the
-    /// state on which the entry was decided.
+    /// Appends an entry and waits for the fold's verdict on it. `seen` is the position of the state
+    /// on which the entry is based.
     ///
-    /// The verdict comes from the reader, never from the append's answer, so a lost answer costs
-    /// nothing but time.
+    /// The verdict comes from the reader, never from the answer to the append, so a lost answer only
+    /// causes a delay.
     ///
     /// # Errors
-    /// When there is no verdict by `deadline`, with what is known about the entry.
+    /// Returns an error if there is no verdict by `deadline`; it says whether the entry may be on
+    /// the log.
     pub async fn submit(
         &self,
         id: id::RecordId,
         entry: &F::Entry,
         seen: u64,
         deadline: time::Instant,
-    ) -> Result<F::Verdict, SubmitFault> {
-        // Without reads there is no verdict: refused now instead of when the time is up.
+    ) -> Result<F::Verdict, SubmitError> {
+        // Verdicts need reads: the entry is refused now instead of at the deadline.
         if !self.wait_loaded(deadline).await {
             let cause = if self.is_unreadable() {
                 appender::NotAppended::Down
             } else {
                 appender::NotAppended::NotLoaded
             };
-            return Err(SubmitFault::NotAppended(cause));
+            return Err(SubmitError::NotAppended(cause));
         }
         let encoded = record::EncodedEntry::new(id, seen, entry)
-            .map_err(|_| SubmitFault::NotAppended(appender::NotAppended::Refused))?;
+            .map_err(|_| SubmitError::NotAppended(appender::NotAppended::Refused))?;
         let (sender, verdict) = tokio_sync::oneshot::channel();
         self.shared.lock().waiters.insert(id, sender);
         let _guard = WaiterGuard {
@@ -274,28 +280,28 @@
         encoded: record::EncodedEntry,
         mut verdict: tokio_sync::oneshot::Receiver<F::Verdict>,
         deadline: time::Instant,
-    ) -> Result<F::Verdict, SubmitFault> {
+    ) -> Result<F::Verdict, SubmitError> {
         let appended = self
             .appender
             .push(encoded, deadline)
-            .map_err(SubmitFault::NotAppended)?;
+            .map_err(SubmitError::NotAppended)?;
         tokio::select! {
             biased;
-            found = &mut verdict => return found.map_err(|_| SubmitFault::Unsettled),
+            found = &mut verdict => return found.map_err(|_| SubmitError::Unsettled),
             answer = appended => {
-                if let Ok(appender::AppendAnswer::NotAppended(cause)) = answer {
-                    return Err(SubmitFault::NotAppended(cause));
+                if let Ok(appender::AppendOutcome::NotAppended(cause)) = answer {
+                    return Err(SubmitError::NotAppended(cause));
                 }
             }
         }
         match time::timeout_at(deadline, verdict).await {
             Ok(Ok(found)) => Ok(found),
-            _ => Err(SubmitFault::Unsettled),
+            _ => Err(SubmitError::Unsettled),
         }
     }
 }
 
-/// Takes the waiter out again when its asker is done, or was cancelled.
+/// Removes the waiter of an entry when its submitter returns or is cancelled.
 struct WaiterGuard<'a, F: LogFold> {
     shared: &'a SharedState<F>,
     id: id::RecordId,
@@ -307,7 +313,7 @@
     }
 }
 
-/// Reads the stream and feeds the fold.
+/// Reads the stream and applies its records to the fold.
 struct FollowTask<C, F: LogFold> {
     client: C,
     stream: String,
@@ -326,8 +332,8 @@
         let mut reader = reader.wait_ms(0);
         loop {
             let event = reader.next_event().await;
-            if self.shared.take_event(event, reader.failures()) {
-                reader = reader.wait_ms(LONG_POLL_MS);
+            if self.shared.handle_event(event, reader.failures()) {
+                reader = reader.wait_ms(LONG_POLL_TIMEOUT_MS);
             }
             self.mark.advance(reader.position());
         }
@@ -341,51 +347,51 @@
             match seek::find_start(&self.client, &self.stream, lookback_ms).await {
                 Ok(start) => return start,
                 Err(_) => {
-                    self.shared.note_outage(true);
-                    time::sleep(SEEK_PAUSE).await;
+                    self.shared.set_outage(true);
+                    time::sleep(SEEK_RETRY_INTERVAL).await;
                 }
             }
         }
     }
 }
 
-/// Pause between two tries to find where to begin.
-const SEEK_PAUSE: time::Duration = time::Duration::from_millis(200);
+/// Interval between two attempts to find the start position.
+const SEEK_RETRY_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
-/// Pause between two looks whether the reader has caught up.
-const CATCH_UP_PAUSE: time::Duration = time::Duration::from_millis(5);
+/// Interval between two checks whether the reader has caught up.
+const CATCH_UP_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
-/// How long one read waits at the log for the next record.
-const LONG_POLL_MS: u64 = 2_000;
+/// Time that one read waits at the log for the next record.
+const LONG_POLL_TIMEOUT_MS: u64 = 2_000;
 
-/// Failed reads in a row after which the log counts as not readable.
-const OUTAGE_FAILURES: u32 = 2;
+/// Number of consecutive failed reads after which the log counts as unreadable.
+const MIN_OUTAGE_FAILURES: u32 = 2;
 
 impl<F: LogFold> SharedState<F> {
-    fn note_outage(&self, outage: bool) {
-        let loaded = self.reading.get().loaded;
-        self.reading.replace(ReadState { loaded, outage });
+    fn set_outage(&self, outage: bool) {
+        let loaded = self.read_state.get().loaded;
+        self.read_state.replace(ReadState { loaded, outage });
     }
 
-    /// Takes what reading brought; true when the stream has just been read up to its end for the
+    /// Handles an event of the reader. Returns true if the stream was read up to its end for the
     /// first time.
-    fn take_event(&self, event: tail::TailEvent, failures: u32) -> bool {
+    fn handle_event(&self, event: tail::TailEvent, failures: u32) -> bool {
         match event {
             tail::TailEvent::Records(records) => {
-                self.note_outage(false);
+                self.set_outage(false);
                 for found in records {
-                    self.take(&found);
+                    self.apply_record(&found);
                 }
             }
-            tail::TailEvent::Quiet { .. } => {
+            tail::TailEvent::AtEnd { .. } => {
                 let current = ReadState {
                     loaded: true,
                     outage: false,
                 };
-                return !self.reading.replace(current).loaded;
+                return !self.read_state.replace(current).loaded;
             }
             tail::TailEvent::Gap { first } => self.restart(first),
-            tail::TailEvent::Outage { .. } => self.note_outage(failures >= OUTAGE_FAILURES),
+            tail::TailEvent::Outage { .. } => self.set_outage(failures >= MIN_OUTAGE_FAILURES),
         }
         false
     }
@@ -396,8 +402,8 @@
         state.position = first;
     }
 
-    fn take(&self, found: &client::LogRecord) {
-        let loaded = self.reading.get().loaded;
+    fn apply_record(&self, found: &client::LogRecord) {
+        let loaded = self.read_state.get().loaded;
         let place = record::RecordPlace {
             offset: found.offset,
             at_ms: found.at_ms,
@@ -405,7 +411,7 @@
         let mut state = self.lock();
         state.position = found.offset + 1;
         if loaded {
-            state.note_time(found.at_ms, time::Instant::now());
+            state.update_clock(found.at_ms, time::Instant::now());
         }
         let batch = match record::decode(&found.body) {
             Ok(batch) => batch,
--- a/crates/ledger/src/host.rs
+++ b/crates/ledger/src/host.rs
@@ -1,4 +1,4 @@
-//! The stores that one entry VM keeps, and what other entry VMs may ask of them.
+//! The stores of one entry VM and the requests that other entry VMs send to them.
 
 use std::{collections, sync};
 
@@ -8,67 +8,67 @@
 use crate::client::LogClient;
 use crate::{claim_calls, claim_store, job_calls, job_store, partition};
 
-/// What one entry VM asks of another. Every request may be sent again, also to a third: the ids
-/// inside make the repetition harmless.
+/// A request between entry VMs. Every request may be sent again, also to a third VM: the ids that it
+/// contains make a repetition harmless.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "ask", rename_all = "snake_case")]
 pub enum LedgerRequest {
-    /// A key is claimed.
+    /// Claims an idempotency key.
     Claim(claim_calls::ClaimRequest),
-    /// A claim has ended.
+    /// Records the end of a claim.
     Settle(claim_calls::SettleRequest),
-    /// Work is to be accepted.
+    /// Accepts a job.
     Accept(job_calls::AcceptRequest),
-    /// Work is wanted.
+    /// Takes a job.
     Take(PartitionTake),
-    /// A holder is still at its work.
+    /// Renews the claims on jobs.
     Renew(PartitionRenew),
-    /// Work is given back.
+    /// Releases a job.
     Release(ReleaseRequest),
-    /// Work is done.
+    /// Records the result of a job.
     Finish(job_calls::FinishRequest),
-    /// Work is asked about.
+    /// Fetches the state of a job.
     Fetch(FetchRequest),
 }
 
-/// Work is wanted from one partition.
+/// A request to take a job from one partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct PartitionTake {
     /// The partition.
     pub partition: partition::PartitionIndex,
-    /// Who wants it.
+    /// The request.
     pub request: job_calls::TakeRequest,
 }
 
-/// Signs of life for work of one partition.
+/// A request to renew claims on jobs of one partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct PartitionRenew {
     /// The partition.
     pub partition: partition::PartitionIndex,
-    /// The signs of life.
+    /// The renewals.
     pub request: job_calls::RenewRequest,
 }
 
-/// Work is given back.
+/// A request to release a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ReleaseRequest {
-    /// The work and its claim.
+    /// The job and its claim.
     pub renewal: job_calls::RenewEntry,
-    /// How long the asker waits for a reply, in milliseconds.
+    /// Time that the requester waits for a reply, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Work is asked about.
+/// A request for the state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct FetchRequest {
-    /// The work.
+    /// Id of the job.
     pub job: id::RequestId,
-    /// How long the asker waits for a reply, in milliseconds.
+    /// Time that the requester waits for a reply, in milliseconds.
     pub wait_ms: u64,
 }
 
@@ -77,24 +77,24 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "reply", content = "value", rename_all = "snake_case")]
 pub enum LedgerReply {
-    /// To a claim.
+    /// Reply to [`LedgerRequest::Claim`].
     Claim(claim_calls::ClaimReply),
-    /// To an end of a claim, or to work given back.
+    /// Reply to [`LedgerRequest::Settle`] and [`LedgerRequest::Release`].
     Recorded(claim_calls::RecordReply),
-    /// To work offered.
+    /// Reply to [`LedgerRequest::Accept`].
     Accept(job_calls::AcceptReply),
-    /// To a wish for work.
+    /// Reply to [`LedgerRequest::Take`].
     Take(job_calls::TakeReply),
-    /// To signs of life, in their order.
+    /// Reply to [`LedgerRequest::Renew`], in the order of its entries.
     Renew(Vec<job_calls::RenewState>),
-    /// To a result.
+    /// Reply to [`LedgerRequest::Finish`].
     Finish(job_calls::FinishReply),
-    /// To a question about work.
+    /// Reply to [`LedgerRequest::Fetch`].
     Fetch(job_calls::FetchReply),
 }
 
 impl LedgerRequest {
-    /// The stream that the request is about.
+    /// Returns the stream that the request concerns.
     #[must_use]
     pub fn stream(&self) -> String {
         match self {
@@ -117,7 +117,7 @@
 }
 
 impl LedgerReply {
-    /// Whether the replying VM could use the log, so that asking another one would not help.
+    /// Whether the replying VM could use the log, so that another VM would not reply differently.
     pub(crate) fn could_use_log(&self) -> bool {
         match self {
             Self::Claim(claim_calls::ClaimReply::Refused(refusal)) => !matches!(
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Whether the replying VM may have put on the log what was asked.
+    /// Whether the request may have taken effect on the log in spite of this reply.
     pub(crate) fn may_have_taken_effect(&self) -> bool {
         match self {
             Self::Claim(claim_calls::ClaimReply::Refused(refusal)) => refusal.may_be_on_log,
@@ -155,21 +155,21 @@
 /// Settings of all stores.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HostSettings {
-    /// For claims.
+    /// Settings of the claim stores.
     pub claims: claim_store::ClaimSettings,
-    /// For deferrable work.
+    /// Settings of the job stores.
     pub jobs: job_store::JobSettings,
 }
 
-/// A store and when it was last asked.
+/// A store and the time of its last use.
 struct StoreSlot<S> {
     store: sync::Arc<S>,
-    asked: time::Instant,
+    last_used: time::Instant,
 }
 
 type StoreSlots<S> = sync::Mutex<collections::BTreeMap<partition::PartitionIndex, StoreSlot<S>>>;
 
-/// The stores of one entry VM, opened when they are first asked.
+/// The stores of one entry VM, opened on first use.
 pub struct LedgerHost<C> {
     client: C,
     vm: String,
@@ -178,15 +178,16 @@
     jobs: StoreSlots<job_store::JobStore<C>>,
 }
 
-/// A store that this VM does not rank for is closed when it was not asked for this long.
-const IDLE_LIMIT: time::Duration = time::Duration::from_secs(60);
-/// Entry VMs that keep a partition read: the one that appends, and one that would take over.
-const READERS: usize = 2;
-/// Work of one partition that one call of [`LedgerHost::maintain`] carries.
-const MAX_CARRIES: usize = 64;
+/// Time without use after which a store is closed. Stores that this VM ranks for are used by every
+/// call of [`LedgerHost::maintain`] and stay open.
+const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(60);
+/// Number of entry VMs that keep reading a partition: the appender and one standby.
+const READERS_PER_PARTITION: usize = 2;
+/// Maximum number of jobs of one partition that one call of [`LedgerHost::maintain`] appends again.
+const MAX_CARRIED_JOBS: usize = 64;
 
 impl<C: LogClient> LedgerHost<C> {
-    /// A host without stores.
+    /// Creates a host without open stores.
     pub fn new(client: C, vm: impl Into<String>, settings: HostSettings) -> Self {
         Self {
             client,
@@ -197,19 +198,19 @@
         }
     }
 
-    /// Name of this entry VM.
+    /// Returns the name of this entry VM.
     #[must_use]
     pub fn vm(&self) -> &str {
         &self.vm
     }
 
-    /// The settings of its stores.
+    /// Returns the settings of the stores.
     #[must_use]
     pub const fn settings(&self) -> &HostSettings {
         &self.settings
     }
 
-    /// Does what is asked, through the store of the partition.
+    /// Executes the request on the store of its partition.
     pub async fn handle(&self, request: LedgerRequest) -> LedgerReply {
         match request {
             LedgerRequest::Claim(request) => {
@@ -222,7 +223,7 @@
                 LedgerReply::Recorded(self.claim_store(partition).settle(request).await)
             }
             LedgerRequest::Accept(request) => {
-                let store = self.store_of(request.job);
+                let store = self.job_store_of(request.job);
                 LedgerReply::Accept(store.accept(request).await)
             }
             LedgerRequest::Take(take) => {
@@ -234,23 +235,23 @@
                 LedgerReply::Renew(store.renew(renew.request).await)
             }
             LedgerRequest::Release(request) => {
-                let store = self.store_of(request.renewal.item.job);
+                let store = self.job_store_of(request.renewal.item.job);
                 let released = store.release(request.renewal, request.wait_ms).await;
                 LedgerReply::Recorded(released)
             }
             LedgerRequest::Finish(request) => {
-                let store = self.store_of(request.job);
+                let store = self.job_store_of(request.job);
                 LedgerReply::Finish(store.finish(request).await)
             }
             LedgerRequest::Fetch(request) => {
-                let store = self.store_of(request.job);
+                let store = self.job_store_of(request.job);
                 LedgerReply::Fetch(store.fetch(request.job, request.wait_ms).await)
             }
         }
     }
 
-    /// Opens the stores that this VM ranks for among `live`, closes idle ones that it does not
-    /// rank for, and carries work that retention would drop. To be called every few seconds.
+    /// Opens the stores that this VM ranks for among `live`, closes idle ones that it does not rank
+    /// for, and appends jobs again that retention would drop. Must be called every few seconds.
     pub async fn maintain<R: rand::Rng + ?Sized>(&self, live: &[String], rng: &mut R) {
         for index in 0..partition::CLAIM_PARTITIONS {
             let partition = partition::PartitionIndex(index);
@@ -264,7 +265,7 @@
             let stream = partition::job_stream(partition);
             match self.rank(&stream, live) {
                 Some(0) => {
-                    self.job_store(partition).carry(rng, MAX_CARRIES).await;
+                    self.job_store(partition).carry(rng, MAX_CARRIED_JOBS).await;
                 }
                 Some(_) => {
                     self.job_store(partition);
@@ -278,7 +279,7 @@
 
     fn rank(&self, stream: &str, live: &[String]) -> Option<usize> {
         let names = live.iter().map(String::as_str);
-        partition::appenders(stream, names, READERS)
+        partition::appenders(stream, names, READERS_PER_PARTITION)
             .iter()
             .position(|name| *name == self.vm)
     }
@@ -287,41 +288,41 @@
         &self,
         partition: partition::PartitionIndex,
     ) -> sync::Arc<claim_store::ClaimStore<C>> {
-        slot_store(&self.claims, partition, || {
+        get_or_open(&self.claims, partition, || {
             let settings = self.settings.claims.clone();
             claim_store::ClaimStore::open(self.client.clone(), partition, &self.vm, settings)
         })
     }
 
     fn job_store(&self, partition: partition::PartitionIndex) -> sync::Arc<job_store::JobStore<C>> {
-        slot_store(&self.jobs, partition, || {
+        get_or_open(&self.jobs, partition, || {
             let settings = self.settings.jobs.clone();
             job_store::JobStore::open(self.client.clone(), partition, &self.vm, settings)
         })
     }
 
-    fn store_of(&self, job: id::RequestId) -> sync::Arc<job_store::JobStore<C>> {
+    fn job_store_of(&self, job: id::RequestId) -> sync::Arc<job_store::JobStore<C>> {
         self.job_store(partition::of_request(job))
     }
 }
 
-fn slot_store<S>(
+fn get_or_open<S>(
     slots: &StoreSlots<S>,
     partition: partition::PartitionIndex,
     open: impl FnOnce() -> S,
 ) -> sync::Arc<S> {
     let mut slots = slots.lock().unwrap_or_else(sync::PoisonError::into_inner);
-    let asked = time::Instant::now();
+    let last_used = time::Instant::now();
     let slot = slots.entry(partition).or_insert_with(|| StoreSlot {
         store: sync::Arc::new(open()),
-        asked,
+        last_used,
     });
-    slot.asked = asked;
+    slot.last_used = last_used;
     sync::Arc::clone(&slot.store)
 }
 
 fn close_idle<S>(slots: &StoreSlots<S>) {
     let mut slots = slots.lock().unwrap_or_else(sync::PoisonError::into_inner);
     let now = time::Instant::now();
-    slots.retain(|_, slot| now.duration_since(slot.asked) < IDLE_LIMIT);
+    slots.retain(|_, slot| now.duration_since(slot.last_used) < IDLE_TIMEOUT);
 }
--- a/crates/ledger/src/http.rs
+++ b/crates/ledger/src/http.rs
@@ -1,4 +1,4 @@
-//! The log over HTTP, as docs/INTERFACES.md describes its face.
+//! HTTP client of the log, as specified in docs/INTERFACES.md.
 
 use base64::Engine as _;
 use base64::engine::general_purpose;
@@ -7,21 +7,21 @@
 use crate::client;
 use crate::client::LogClient;
 
-/// How an [`HttpLog`] reaches the log.
+/// Settings of an [`HttpLog`].
 #[derive(Clone, Debug, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct HttpSettings {
-    /// Where the log listens, for instance `http://10.0.0.9:7000`.
+    /// Base URL of the log, for instance `http://10.0.0.9:7000`.
     pub url: String,
-    /// An append without an answer after this is given up as unknown, in milliseconds.
+    /// Timeout of an append, after which its outcome is unknown, in milliseconds.
     pub append_timeout_ms: u64,
-    /// A read is given up when nothing comes for this long, in milliseconds; until the answer begins, its
-    /// own waiting time is added.
+    /// Time without received data after which a read fails, in milliseconds. Until the answer begins,
+    /// the waiting time that the read requests is added.
     pub read_timeout_ms: u64,
 }
 
 impl HttpSettings {
-    /// Settings for the log at `url` with the usual time limits.
+    /// Returns settings for the log at `url` with the default timeouts.
     pub fn at(url: impl Into<String>) -> Self {
         Self {
             url: url.into(),
@@ -63,15 +63,15 @@
 }
 
 impl HttpLog {
-    /// A client with connections of its own.
+    /// Creates a client with its own connection pool.
     #[must_use]
     pub fn new(settings: HttpSettings) -> Self {
-        Self::over(reqwest::Client::new(), settings)
+        Self::with_client(reqwest::Client::new(), settings)
     }
 
-    /// A client over connections that exist.
+    /// Creates a client that uses the connection pool of `http`.
     #[must_use]
-    pub const fn over(http: reqwest::Client, settings: HttpSettings) -> Self {
+    pub const fn with_client(http: reqwest::Client, settings: HttpSettings) -> Self {
         Self { http, settings }
     }
 
@@ -83,13 +83,13 @@
 
 impl LogClient for HttpLog {
     async fn append(&self, stream: &str, body: bytes::Bytes) -> Result<u64, client::AppendError> {
-        let limit = time::Duration::from_millis(self.settings.append_timeout_ms);
+        let timeout = time::Duration::from_millis(self.settings.append_timeout_ms);
         let request = self.http.post(self.records_url(stream)).body(body);
         let response = request
-            .timeout(limit)
+            .timeout(timeout)
             .send()
             .await
-            .map_err(|error| append_fault(stream, &error))?;
+            .map_err(|error| append_error(stream, &error))?;
         let status = response.status();
         if status.as_u16() == 429 {
             return client::OverCapSnafu { stream }.fail();
@@ -102,19 +102,19 @@
             .fail();
         }
         if !status.is_success() {
-            // A server error says nothing about whether the record was written before it.
+            // After a server error the record may or may not have been written.
             let cause = format!("status {status}");
             return client::UnknownSnafu { stream, cause }.fail();
         }
         let answer: AppendAnswer = response
             .json()
             .await
-            .map_err(|error| append_fault(stream, &error))?;
+            .map_err(|error| append_error(stream, &error))?;
         Ok(answer.offset)
     }
 
     async fn read(&self, query: &client::ReadQuery) -> Result<client::ReadPage, client::ReadError> {
-        let silence = time::Duration::from_millis(self.settings.read_timeout_ms);
+        let idle_timeout = time::Duration::from_millis(self.settings.read_timeout_ms);
         let wait = time::Duration::from_millis(query.wait_ms);
         let url = format!(
             "{}?from={}&max={}&wait_ms={}",
@@ -124,13 +124,13 @@
             query.wait_ms
         );
         let sending = self.http.get(url).send();
-        let sent = time::timeout(wait.saturating_add(silence), sending).await;
+        let sent = time::timeout(wait.saturating_add(idle_timeout), sending).await;
         let response = sent
-            .map_err(|_| silent_fault(query, silence))?
-            .map_err(|error| read_fault(query, error.to_string()))?;
+            .map_err(|_| idle_timeout_error(query, idle_timeout))?
+            .map_err(|error| read_error(query, error.to_string()))?;
         let status = response.status();
         if status.as_u16() == 410 {
-            let answer: DroppedAnswer = read_json(query, response, silence).await?;
+            let answer: DroppedAnswer = read_json(query, response, idle_timeout).await?;
             return client::DroppedSnafu {
                 stream: &query.stream,
                 first: answer.first,
@@ -138,39 +138,45 @@
             .fail();
         }
         if !status.is_success() {
-            return Err(read_fault(query, format!("status {status}")));
+            return Err(read_error(query, format!("status {status}")));
         }
-        let answer: PageAnswer = read_json(query, response, silence).await?;
+        let answer: PageAnswer = read_json(query, response, idle_timeout).await?;
         page_of(query, answer)
     }
 }
 
-/// Reads a body as long as it goes on coming: a page of large records takes its time over a slow link, and
-/// would never be read within a limit on the whole.
+/// Reads a body as long as data keeps arriving. A page of large records over a slow link would never
+/// be read within a timeout on the total time.
 async fn read_json<T: serde::de::DeserializeOwned>(
     query: &client::ReadQuery,
     mut response: reqwest::Response,
-    silence: time::Duration,
+    idle_timeout: time::Duration,
 ) -> Result<T, client::ReadError> {
     let mut body = bytes::BytesMut::new();
     loop {
-        let part = time::timeout(silence, response.chunk()).await;
+        let part = time::timeout(idle_timeout, response.chunk()).await;
         let part = part
-            .map_err(|_| silent_fault(query, silence))?
-            .map_err(|error| read_fault(query, error.to_string()))?;
+            .map_err(|_| idle_timeout_error(query, idle_timeout))?
+            .map_err(|error| read_error(query, error.to_string()))?;
         let Some(part) = part else { break };
         body.extend_from_slice(&part);
     }
-    serde_json::from_slice(&body).map_err(|error| read_fault(query, error.to_string()))
+    serde_json::from_slice(&body).map_err(|error| read_error(query, error.to_string()))
 }
 
-fn silent_fault(query: &client::ReadQuery, silence: time::Duration) -> client::ReadError {
-    read_fault(query, format!("nothing for {} ms", silence.as_millis()))
+fn idle_timeout_error(
+    query: &client::ReadQuery,
+    idle_timeout: time::Duration,
+) -> client::ReadError {
+    read_error(
+        query,
+        format!("no data for {} ms", idle_timeout.as_millis()),
+    )
 }
 
-/// Only a connection that was never made proves that nothing was appended; every later fault may
-/// hide an append that took effect.
-fn append_fault(stream: &str, error: &reqwest::Error) -> client::AppendError {
+/// Converts an error of an append. Only a failure to connect proves that nothing was appended; after
+/// any later error the append may have taken effect.
+fn append_error(stream: &str, error: &reqwest::Error) -> client::AppendError {
     let cause = error.to_string();
     if error.is_connect() {
         client::DownSnafu { stream, cause }.build()
@@ -179,7 +185,7 @@
     }
 }
 
-fn read_fault(query: &client::ReadQuery, cause: String) -> client::ReadError {
+fn read_error(query: &client::ReadQuery, cause: String) -> client::ReadError {
     client::FaultSnafu {
         stream: &query.stream,
         cause,
@@ -195,7 +201,7 @@
     for record in answer.records {
         let body = general_purpose::STANDARD
             .decode(&record.body)
-            .map_err(|error| read_fault(query, format!("offset {}: {error}", record.offset)))?;
+            .map_err(|error| read_error(query, format!("offset {}: {error}", record.offset)))?;
         records.push(client::LogRecord {
             offset: record.offset,
             at_ms: record.at_ms,
--- a/crates/ledger/src/job_calls.rs
+++ b/crates/ledger/src/job_calls.rs
@@ -1,178 +1,178 @@
-//! What entry VMs ask one another about deferrable work.
+//! Requests and replies about deferrable jobs between entry VMs.
 
 use base::id;
 
 use crate::{appender, jobs, record};
 
-/// Work that is to be accepted. Asking twice, also through two processes, is harmless.
+/// A request to accept a job. Sending it twice, also through two processes, is harmless.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct AcceptRequest {
-    /// Id of the entry, drawn by the asker.
+    /// Random id of the entry, chosen by the requester.
     pub entry: id::RecordId,
-    /// The request; its id tells the partition.
+    /// Id of the request, which determines the job's partition.
     pub job: id::RequestId,
-    /// The organisation that it belongs to.
+    /// The organisation that the job belongs to.
     pub organisation: String,
-    /// How long its result is kept, in milliseconds.
+    /// Time for which the result is kept, in milliseconds.
     pub kept_ms: u64,
-    /// What is to be done.
+    /// The request to execute.
     #[serde(with = "record::base64_bytes")]
     pub body: bytes::Bytes,
-    /// How long the asker waits for a reply, in milliseconds.
+    /// Time that the requester waits for a reply, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Whether work is accepted.
+/// The reply to an [`AcceptRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AcceptReply {
-    /// It is on the log and will be done.
+    /// The job is on the log and will be executed.
     Accepted,
-    /// It is not accepted, and will not be unless it is asked for again.
+    /// The job is not accepted, and will not be unless it is requested again.
     NotAccepted(AcceptRefusal),
-    /// It may be accepted; its id tells later.
+    /// The job may be accepted; a later fetch by its id shows whether it is.
     Unknown,
 }
 
-/// Why work is not accepted.
+/// The reason why a job is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AcceptRefusal {
-    /// The partition holds as many bytes as it may.
+    /// The partition holds the maximum number of bytes.
     Full,
-    /// The work is not on the log.
+    /// The job is not on the log.
     NotAppended(appender::NotAppended),
 }
 
-/// Somebody wants work.
+/// A request to take a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct TakeRequest {
-    /// Drawn by the asker; every request has another one. The claim's id follows from it and the
-    /// work: two processes that are both asked may find different work, and a verdict about the
-    /// one must not pass for a verdict about the other.
+    /// Random id, different for every request. The id of the claim is derived from it and the job:
+    /// two processes that both receive the request may choose different jobs, and a verdict on one
+    /// claim must not be mistaken for a verdict on the other.
     pub claim: id::RecordId,
-    /// Name of the entry VM that wants to do the work.
+    /// Name of the entry VM that requests the job.
     pub holder: String,
-    /// How long the asker waits for a reply, in milliseconds.
+    /// Time that the requester waits for a reply, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What there is to do.
+/// The reply to a [`TakeRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TakeReply {
-    /// This work.
+    /// The requester holds this job.
     Taken(JobGrant),
-    /// Nothing now.
+    /// No job is available now.
     Nothing,
     /// The log cannot be used now.
     Unavailable,
 }
 
-/// Work that a claim holds.
+/// A job held by a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct JobGrant {
-    /// The work.
+    /// Id of the job.
     pub job: id::RequestId,
-    /// The claim that holds it.
+    /// The claim that holds the job.
     pub claim: id::RecordId,
-    /// The organisation that it belongs to.
+    /// The organisation that the job belongs to.
     pub organisation: String,
-    /// What is to be done.
+    /// The request to execute.
     #[serde(with = "record::base64_bytes")]
     pub body: bytes::Bytes,
-    /// The holder renews within this time of asking, or stops.
+    /// Time, counted from its request, within which the holder must renew or stop.
     pub hold_ms: u64,
 }
 
-/// Signs of life of one holder for all its work in the partition.
+/// A request to renew the claims of one holder on all its jobs in the partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct RenewRequest {
-    /// One for each piece of work.
+    /// One renewal for each job.
     pub entries: Vec<RenewEntry>,
-    /// How long the asker waits for a reply, in milliseconds.
+    /// Time that the requester waits for a reply, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// A sign of life for one piece of work.
+/// A renewal of the claim on one job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct RenewEntry {
-    /// Id of the entry, drawn by the holder.
+    /// Random id of the entry, chosen by the holder.
     pub entry: id::RecordId,
-    /// The work and the claim that holds it.
+    /// The job and the claim that holds it.
     pub item: jobs::HolderItem,
 }
 
-/// What became of one sign of life.
+/// Outcome of one renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RenewState {
-    /// The work is held on, counted from before the request.
+    /// The claim is extended, counted from before the request.
     Renewed,
-    /// The claim is not the newest one: stop.
+    /// The claim is not the newest one; the holder must stop.
     Superseded,
-    /// Not known; the earlier time limit stands.
+    /// The outcome is unknown; the previous time limit remains in force.
     Unsettled,
 }
 
-/// A result. Asking twice is harmless.
+/// A request to record a result. Sending it twice is harmless.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct FinishRequest {
-    /// Id of the entry, drawn by the holder.
+    /// Random id of the entry, chosen by the holder.
     pub entry: id::RecordId,
-    /// The work.
+    /// Id of the job.
     pub job: id::RequestId,
-    /// The claim under which it was done.
+    /// The claim under which the job was executed.
     pub claim: id::RecordId,
-    /// The whole answer.
+    /// The complete answer.
     #[serde(with = "record::base64_bytes")]
     pub result: bytes::Bytes,
-    /// How long the asker waits for a reply, in milliseconds.
+    /// Time that the requester waits for a reply, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What became of a result.
+/// The reply to a [`FinishRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReply {
-    /// It is the one result of the work.
+    /// The result is stored as the only result of the job.
     Kept,
-    /// The claim is not the newest one: the result does not count.
+    /// The claim is not the newest one; the result is discarded.
     Superseded,
-    /// It may not be on the log; report it again.
+    /// The result may not be on the log and must be sent again.
     NotRecorded,
 }
 
-/// What is known of some work.
+/// The reply to a request for the state of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FetchReply {
-    /// It is accepted.
+    /// The job was accepted.
     Found(FoundJob),
-    /// It was never accepted, or its time is up.
+    /// The job was never accepted, or its result has expired.
     NotFound,
-    /// The log cannot be read now; the work may be accepted all the same.
+    /// The log cannot be read now; the job may have been accepted.
     Unavailable,
 }
 
-/// Some accepted work.
+/// An accepted job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct FoundJob {
-    /// The organisation that it belongs to; nobody else may learn more.
+    /// The organisation that the job belongs to; the state must not be shown to any other.
     pub organisation: String,
-    /// How far it is.
+    /// State of the job.
     pub view: jobs::JobView,
 }
--- a/crates/ledger/src/job_fold.rs
+++ b/crates/ledger/src/job_fold.rs
@@ -1,4 +1,4 @@
-//! The state of one partition's deferrable work: a pure function of its records.
+//! The state of one partition's deferrable jobs, as a pure function of its records.
 
 use std::{cmp, collections};
 
@@ -6,46 +6,46 @@
 
 use crate::{driver, job_memory, jobs, parts, record};
 
-/// Some work that is accepted and not forgotten.
+/// State of a job from its acceptance until its result expires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobState {
-    /// The organisation that it belongs to.
+    /// The organisation that the job belongs to.
     pub organisation: String,
-    /// When it was accepted, on the log's clock.
+    /// Time of acceptance on the log's clock.
     pub accepted_ms: u64,
-    /// How long its result is kept, in milliseconds.
+    /// Time for which the result is kept, in milliseconds.
     pub kept_ms: u64,
-    /// The request while it is unfinished, then the result.
+    /// The request while the job is unfinished, then the result.
     pub bytes: bytes::Bytes,
-    /// How far it has come.
+    /// Stage of the job.
     pub stage: jobs::JobStage,
-    /// The record that a reader needs to know this work: its acceptance, or the last one that
-    /// carried it.
+    /// The record from which a new reader learns of the job: its acceptance or the last record that
+    /// carried its state.
     pub anchor: record::RecordPlace,
-    /// Offset of the last entry that concerns it.
+    /// Offset of the last entry that concerns the job.
     last: u64,
-    /// Claims met since the anchor; a repeated one changes nothing. A claim whose writer had not
-    /// read the anchor does not count, so older ones need not be remembered.
-    spent: Vec<id::RecordId>,
+    /// Claims processed since the anchor; a repetition of one changes nothing. Claims whose writers
+    /// had not read the anchor are refused, so older ids need not be kept.
+    processed_claims: Vec<id::RecordId>,
 }
 
-/// The deferrable work of one partition.
+/// The deferrable jobs of one partition.
 #[derive(Clone, Debug)]
 pub struct JobFold {
     limits: jobs::JobLimits,
-    works: collections::HashMap<id::RequestId, JobState>,
-    /// Unfinished work by time of acceptance.
-    open: collections::BTreeSet<(u64, id::RequestId)>,
-    /// Finished work by the time at which it is forgotten.
+    jobs: collections::HashMap<id::RequestId, JobState>,
+    /// Unfinished jobs by time of acceptance.
+    unfinished: collections::BTreeSet<(u64, id::RequestId)>,
+    /// Finished jobs by the time at which their results expire.
     expiries: collections::BinaryHeap<cmp::Reverse<(u64, id::RequestId)>>,
     buffer: parts::PartBuffer,
-    memory: job_memory::JobMemory,
+    tombstones: job_memory::JobTombstones,
     held_bytes: usize,
-    /// Highest time that a record has shown.
+    /// Highest timestamp of the records read so far.
     now_ms: u64,
 }
 
-/// Where an entry stands, and how far its writer had read.
+/// Position of an entry on the log, and the position up to which its writer had read.
 #[derive(Clone, Copy, Debug)]
 struct EntryPlace {
     offset: u64,
@@ -55,48 +55,48 @@
 }
 
 impl JobFold {
-    /// A fold without any record.
+    /// Creates a fold that has read no record.
     #[must_use]
     pub fn new(limits: jobs::JobLimits) -> Self {
-        Self::since(limits, 0)
+        Self::starting_at(limits, 0)
     }
 
-    fn since(limits: jobs::JobLimits, first: u64) -> Self {
+    fn starting_at(limits: jobs::JobLimits, first: u64) -> Self {
         Self {
             limits,
-            works: collections::HashMap::new(),
-            open: collections::BTreeSet::new(),
+            jobs: collections::HashMap::new(),
+            unfinished: collections::BTreeSet::new(),
             expiries: collections::BinaryHeap::new(),
             buffer: parts::PartBuffer::default(),
-            memory: job_memory::JobMemory::since(first),
+            tombstones: job_memory::JobTombstones::starting_at(first),
             held_bytes: 0,
             now_ms: 0,
         }
     }
 
-    /// Some work.
+    /// Returns the state of a job.
     #[must_use]
     pub fn get(&self, job: id::RequestId) -> Option<&JobState> {
-        self.works.get(&job)
+        self.jobs.get(&job)
     }
 
-    /// Unfinished work, oldest first.
-    pub fn open(&self) -> impl Iterator<Item = (id::RequestId, &JobState)> {
-        self.open
+    /// Returns the unfinished jobs, oldest first.
+    pub fn unfinished(&self) -> impl Iterator<Item = (id::RequestId, &JobState)> {
+        self.unfinished
             .iter()
-            .filter_map(|(_, job)| self.works.get(job).map(|work| (*job, work)))
+            .filter_map(|(_, job)| self.jobs.get(job).map(|state| (*job, state)))
     }
 
-    /// Bytes of requests and results that are held.
+    /// Returns the total size of the held requests and results, in bytes.
     #[must_use]
     pub const fn held_bytes(&self) -> usize {
         self.held_bytes
     }
 
-    /// Whether a claim at `at_ms` on the log's clock could hold the work.
+    /// Whether a claim at `at_ms` on the log's clock could take the job.
     #[must_use]
-    pub fn is_free(&self, work: &JobState, at_ms: u64) -> bool {
-        match &work.stage {
+    pub fn is_free(&self, state: &JobState, at_ms: u64) -> bool {
+        match &state.stage {
             jobs::JobStage::Waiting => true,
             jobs::JobStage::Held(held) => {
                 at_ms >= held.alive_ms + held.hold_ms + self.limits.margin_ms
@@ -105,13 +105,14 @@
         }
     }
 
-    /// Work that must be appended again by `now_ms` on the log's clock, most pressing first.
+    /// Returns the jobs that must be appended again by `now_ms` on the log's clock, oldest anchor
+    /// first.
     #[must_use]
     pub fn carry_due(&self, now_ms: u64, max: usize) -> Vec<id::RequestId> {
         let mut due: Vec<(u64, id::RequestId)> = self
-            .works
+            .jobs
             .iter()
-            .map(|(job, work)| (work.anchor.at_ms, *job))
+            .map(|(job, state)| (state.anchor.at_ms, *job))
             .filter(|(at_ms, _)| at_ms + self.limits.carry_after_ms <= now_ms)
             .collect();
         due.sort_unstable();
@@ -120,16 +121,16 @@
     }
 
     fn accept(&mut self, place: EntryPlace, item: jobs::AcceptItem) -> jobs::JobVerdict {
-        if self.works.contains_key(&item.job) {
+        if self.jobs.contains_key(&item.job) {
             return jobs::JobVerdict::Accepted;
         }
-        if !self.memory.admits_new(item.job, place.seen) {
+        if !self.tombstones.admits_acceptance(item.job, place.seen) {
             return jobs::JobVerdict::Stale;
         }
         let Some(bytes) = self.buffer.join(place.id, &item.body) else {
             return jobs::JobVerdict::Incomplete;
         };
-        let work = JobState {
+        let state = JobState {
             organisation: item.organisation,
             accepted_ms: place.at_ms,
             kept_ms: item.kept_ms,
@@ -137,43 +138,44 @@
             stage: jobs::JobStage::Waiting,
             anchor: place.record(),
             last: place.offset,
-            spent: Vec::new(),
+            processed_claims: Vec::new(),
         };
-        self.insert(item.job, work);
+        self.insert(item.job, state);
         jobs::JobVerdict::Accepted
     }
 
-    /// The log's order decides between two claims; a later one counts only once the holder of the
-    /// earlier one must have stopped.
+    /// Applies a claim. Of two claims the first in the log's order holds the job; a later one takes
+    /// it only once the holder of the earlier one must have stopped.
     fn claim(&mut self, place: EntryPlace, item: jobs::JobClaimItem) -> jobs::JobVerdict {
-        let Some(mut work) = self.works.remove(&item.job) else {
-            self.memory.note_unread(place.at_ms, place.offset, item.job);
+        let Some(mut state) = self.jobs.remove(&item.job) else {
+            self.tombstones
+                .record_unread(place.at_ms, place.offset, item.job);
             return jobs::JobVerdict::NotTaken;
         };
-        let verdict = self.claim_work(place, &item, &mut work);
-        work.last = place.offset;
-        self.works.insert(item.job, work);
+        let verdict = self.claim_job(place, &item, &mut state);
+        state.last = place.offset;
+        self.jobs.insert(item.job, state);
         verdict
     }
 
-    fn claim_work(
+    fn claim_job(
         &self,
         place: EntryPlace,
         item: &jobs::JobClaimItem,
-        work: &mut JobState,
+        state: &mut JobState,
     ) -> jobs::JobVerdict {
-        let holds = matches!(&work.stage, jobs::JobStage::Held(held) if held.claim == place.id);
+        let holds = matches!(&state.stage, jobs::JobStage::Held(held) if held.claim == place.id);
         if holds {
             return jobs::JobVerdict::Taken;
         }
-        if place.seen <= work.anchor.offset || work.spent.contains(&place.id) {
+        if place.seen <= state.anchor.offset || state.processed_claims.contains(&place.id) {
             return jobs::JobVerdict::NotTaken;
         }
-        work.spent.push(place.id);
-        if !self.is_free(work, place.at_ms) {
+        state.processed_claims.push(place.id);
+        if !self.is_free(state, place.at_ms) {
             return jobs::JobVerdict::NotTaken;
         }
-        work.stage = jobs::JobStage::Held(jobs::HeldStage {
+        state.stage = jobs::JobStage::Held(jobs::HeldStage {
             claim: place.id,
             holder: item.holder.clone(),
             hold_ms: item.hold_ms,
@@ -182,45 +184,46 @@
         jobs::JobVerdict::Taken
     }
 
-    /// The work, if `claim` is the newest claim that counts and the work is unfinished.
+    /// Returns the job if it is unfinished and held by the claim of `item`.
     fn held_by(
         &mut self,
         place: EntryPlace,
         item: jobs::HolderItem,
     ) -> Option<(&mut JobState, jobs::HeldStage)> {
-        let Some(work) = self.works.get_mut(&item.job) else {
-            self.memory.note_unread(place.at_ms, place.offset, item.job);
+        let Some(state) = self.jobs.get_mut(&item.job) else {
+            self.tombstones
+                .record_unread(place.at_ms, place.offset, item.job);
             return None;
         };
-        work.last = place.offset;
-        let jobs::JobStage::Held(held) = &work.stage else {
+        state.last = place.offset;
+        let jobs::JobStage::Held(held) = &state.stage else {
             return None;
         };
         if held.claim != item.claim {
             return None;
         }
         let held = held.clone();
-        Some((work, held))
+        Some((state, held))
     }
 
     fn renew(&mut self, place: EntryPlace, item: jobs::HolderItem) -> jobs::JobVerdict {
-        let Some((work, mut held)) = self.held_by(place, item) else {
+        let Some((state, mut held)) = self.held_by(place, item) else {
             return jobs::JobVerdict::Superseded;
         };
         held.alive_ms = held.alive_ms.max(place.at_ms);
-        work.stage = jobs::JobStage::Held(held);
+        state.stage = jobs::JobStage::Held(held);
         jobs::JobVerdict::Renewed
     }
 
     fn release(&mut self, place: EntryPlace, item: jobs::HolderItem) -> jobs::JobVerdict {
-        if let Some((work, _)) = self.held_by(place, item) {
-            work.stage = jobs::JobStage::Waiting;
+        if let Some((state, _)) = self.held_by(place, item) {
+            state.stage = jobs::JobStage::Waiting;
         }
-        jobs::JobVerdict::Noted
+        jobs::JobVerdict::Applied
     }
 
-    /// Only a result under the newest claim counts: a holder that was superseded while it paused
-    /// would otherwise put a second answer beside, or in place of, its successor's.
+    /// Applies a result. Only a result under the newest claim is stored: a holder that was
+    /// superseded during a pause could otherwise add a second answer or replace its successor's.
     fn finish(&mut self, place: EntryPlace, item: &jobs::FinishItem) -> jobs::JobVerdict {
         let holder = jobs::HolderItem {
             job: item.job,
@@ -232,21 +235,21 @@
         let Some(bytes) = self.buffer.join(place.id, &item.result) else {
             return jobs::JobVerdict::Incomplete;
         };
-        let Some(mut work) = self.remove(item.job) else {
+        let Some(mut state) = self.remove(item.job) else {
             return jobs::JobVerdict::Superseded;
         };
-        work.bytes = bytes;
-        work.stage = jobs::JobStage::Finished(jobs::FinishedStage {
+        state.bytes = bytes;
+        state.stage = jobs::JobStage::Finished(jobs::FinishedStage {
             claim: item.claim,
             at_ms: place.at_ms,
             fetched_ms: None,
         });
-        self.insert(item.job, work);
+        self.insert(item.job, state);
         jobs::JobVerdict::Kept
     }
 
     fn finished_before(&self, holder: jobs::HolderItem) -> jobs::JobVerdict {
-        let stage = self.works.get(&holder.job).map(|work| &work.stage);
+        let stage = self.jobs.get(&holder.job).map(|state| &state.stage);
         match stage {
             Some(jobs::JobStage::Finished(done)) if done.claim == holder.claim => {
                 jobs::JobVerdict::Kept
@@ -256,38 +259,40 @@
     }
 
     fn fetched(&mut self, place: EntryPlace, job: id::RequestId) -> jobs::JobVerdict {
-        let Some(mut work) = self.remove(job) else {
-            self.memory.note_unread(place.at_ms, place.offset, job);
-            return jobs::JobVerdict::Noted;
+        let Some(mut state) = self.remove(job) else {
+            self.tombstones
+                .record_unread(place.at_ms, place.offset, job);
+            return jobs::JobVerdict::Applied;
         };
-        work.last = place.offset;
-        if let jobs::JobStage::Finished(done) = &mut work.stage {
+        state.last = place.offset;
+        if let jobs::JobStage::Finished(done) = &mut state.stage {
             done.fetched_ms = done.fetched_ms.or(Some(place.at_ms));
         }
-        self.insert(job, work);
-        jobs::JobVerdict::Noted
+        self.insert(job, state);
+        jobs::JobVerdict::Applied
     }
 
-    /// A carried state counts only when nothing happened to the work since its writer had read:
-    /// then it tells a reader that starts later just what the earlier records told the others.
+    /// Applies a carried state. It is valid only if no entry has changed the job since the position
+    /// up to which its writer had read: then a reader that starts later learns from it exactly what
+    /// the others learned from the earlier records.
     fn carry(&mut self, place: EntryPlace, item: jobs::CarryItem) -> jobs::JobVerdict {
-        if let Some(work) = self.works.get_mut(&item.job) {
-            if work.last >= place.seen {
+        if let Some(state) = self.jobs.get_mut(&item.job) {
+            if state.last >= place.seen {
                 return jobs::JobVerdict::Stale;
             }
-            work.anchor = place.record();
-            work.last = place.offset;
-            work.spent.clear();
-            return jobs::JobVerdict::Noted;
+            state.anchor = place.record();
+            state.last = place.offset;
+            state.processed_claims.clear();
+            return jobs::JobVerdict::Applied;
         }
-        if !self.memory.admits_carried(item.job, place.seen) {
+        if !self.tombstones.admits_carried(item.job, place.seen) {
             return jobs::JobVerdict::Stale;
         }
         let Some(bytes) = self.buffer.join(place.id, &item.bytes) else {
             return jobs::JobVerdict::Incomplete;
         };
-        self.memory.take_up(item.job);
-        let work = JobState {
+        self.tombstones.remove(item.job);
+        let state = JobState {
             organisation: item.organisation,
             accepted_ms: item.accepted_ms,
             kept_ms: item.kept_ms,
@@ -295,56 +300,56 @@
             stage: item.stage,
             anchor: place.record(),
             last: place.offset,
-            spent: Vec::new(),
+            processed_claims: Vec::new(),
         };
-        self.insert(item.job, work);
-        jobs::JobVerdict::Noted
+        self.insert(item.job, state);
+        jobs::JobVerdict::Applied
     }
 
-    fn insert(&mut self, job: id::RequestId, work: JobState) {
-        self.held_bytes += work.bytes.len();
-        match self.expiry_ms(&work) {
+    fn insert(&mut self, job: id::RequestId, state: JobState) {
+        self.held_bytes += state.bytes.len();
+        match self.expiry_ms(&state) {
             Some(expiry_ms) => self.expiries.push(cmp::Reverse((expiry_ms, job))),
             None => {
-                self.open.insert((work.accepted_ms, job));
+                self.unfinished.insert((state.accepted_ms, job));
             }
         }
-        self.works.insert(job, work);
+        self.jobs.insert(job, state);
     }
 
     fn remove(&mut self, job: id::RequestId) -> Option<JobState> {
-        let work = self.works.remove(&job)?;
-        self.held_bytes -= work.bytes.len();
-        self.open.remove(&(work.accepted_ms, job));
-        Some(work)
+        let state = self.jobs.remove(&job)?;
+        self.held_bytes -= state.bytes.len();
+        self.unfinished.remove(&(state.accepted_ms, job));
+        Some(state)
     }
 
-    fn expiry_ms(&self, work: &JobState) -> Option<u64> {
-        let jobs::JobStage::Finished(done) = &work.stage else {
+    fn expiry_ms(&self, state: &JobState) -> Option<u64> {
+        let jobs::JobStage::Finished(done) = &state.stage else {
             return None;
         };
-        let kept_ms = done.at_ms + work.kept_ms;
+        let kept_ms = done.at_ms + state.kept_ms;
         let fetched_ms = done
             .fetched_ms
             .map_or(u64::MAX, |at_ms| at_ms + self.limits.fetched_kept_ms);
         Some(kept_ms.min(fetched_ms))
     }
 
-    fn forget(&mut self, at_ms: u64) {
+    fn expire(&mut self, at_ms: u64) {
         self.now_ms = self.now_ms.max(at_ms);
         let oldest_ms = self.now_ms.saturating_sub(self.limits.memory_ms);
-        self.buffer.forget(oldest_ms);
-        self.memory.forget(oldest_ms);
+        self.buffer.expire(oldest_ms);
+        self.tombstones.expire(oldest_ms);
         while let Some(&cmp::Reverse((expiry_ms, job))) = self.expiries.peek() {
             if expiry_ms >= self.now_ms {
                 return;
             }
             self.expiries.pop();
-            let current = self.works.get(&job).and_then(|work| self.expiry_ms(work));
+            let current = self.jobs.get(&job).and_then(|state| self.expiry_ms(state));
             if current == Some(expiry_ms)
-                && let Some(work) = self.remove(job)
+                && let Some(state) = self.remove(job)
             {
-                self.memory.note_forgotten(self.now_ms, work.last, job);
+                self.tombstones.record_expired(self.now_ms, state.last, job);
             }
         }
     }
@@ -368,7 +373,7 @@
         place: record::RecordPlace,
         batch: record::BatchRecord<jobs::JobEntry>,
     ) -> Vec<driver::EntryVerdict<jobs::JobVerdict>> {
-        self.forget(place.at_ms);
+        self.expire(place.at_ms);
         let mut verdicts = Vec::with_capacity(batch.entries.len());
         for entry in batch.entries {
             let place = EntryPlace {
@@ -381,7 +386,7 @@
                 jobs::JobEntry::Accept(item) => self.accept(place, item),
                 jobs::JobEntry::Part(item) => {
                     self.buffer.put(place.at_ms, item);
-                    jobs::JobVerdict::Noted
+                    jobs::JobVerdict::Applied
                 }
                 jobs::JobEntry::Claim(item) => self.claim(place, item),
                 jobs::JobEntry::Renew(item) => self.renew(place, item),
@@ -397,9 +402,9 @@
         verdicts
     }
 
-    /// Others carried what is unfinished, and may have finished it, while this process did not
-    /// read; so nothing that it remembers may be trusted.
+    /// Discards all state: while this process did not read, other processes carried the unfinished
+    /// jobs and may have finished them.
     fn restart(&mut self, first: u64) {
-        *self = Self::since(self.limits.clone(), first);
+        *self = Self::starting_at(self.limits.clone(), first);
     }
 }
--- a/crates/ledger/src/job_memory.rs
+++ b/crates/ledger/src/job_memory.rs
@@ -1,103 +1,103 @@
-//! What a fold remembers of work that it does not hold.
+//! Tombstones for jobs that a fold does not hold.
 
 use std::collections;
 
 use base::id;
 
-/// Why some work is not held.
+/// The reason why a job is not held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AbsentWork {
-    /// It was done and its time is up.
-    Forgotten,
-    /// Entries speak of it, but its acceptance was not read.
+enum AbsenceReason {
+    /// The job was finished and its result has expired.
+    Expired,
+    /// Entries refer to the job, but its acceptance was not read.
     Unread,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct AbsentState {
-    work: AbsentWork,
-    /// Offset of the last entry that speaks of it.
+struct JobTombstone {
+    reason: AbsenceReason,
+    /// Offset of the last entry that refers to the job.
     last: u64,
 }
 
-/// Remembers work that is not held, from `JobMemory::horizon` on.
+/// Tombstones for jobs that the fold does not hold, complete from the offset `horizon` on.
 ///
-/// An acceptance or a carried state that was held up for long on its way would otherwise bring
-/// work back that was done meanwhile: it would run a second time, and its caller could read
-/// another answer than before. What is older than the horizon cannot be told, so entries whose
-/// writers had not read up to the horizon are refused.
+/// Without tombstones, an acceptance or a carried state that reaches the log with a long delay would
+/// bring back a job that was finished meanwhile: the job would run a second time, and its caller
+/// could read a different answer than before. Nothing is known about entries before the horizon, so
+/// entries whose writers had not read up to the horizon are refused.
 #[derive(Clone, Debug, Default)]
-pub struct JobMemory {
-    /// Every entry from this offset on that concerns work which is not held is remembered.
+pub struct JobTombstones {
+    /// Offset from which on every entry about a job that is not held has a tombstone.
     horizon: u64,
-    absent: collections::HashMap<id::RequestId, AbsentState>,
-    /// Time, offset and work of each remembered entry, oldest first.
-    marks: collections::VecDeque<(u64, u64, id::RequestId)>,
+    tombstones: collections::HashMap<id::RequestId, JobTombstone>,
+    /// Time, offset and job of each recorded entry, oldest first.
+    recorded: collections::VecDeque<(u64, u64, id::RequestId)>,
 }
 
-impl JobMemory {
-    /// A memory of what is read from `first` on.
+impl JobTombstones {
+    /// Creates an empty set for a fold that reads from `first` on.
     #[must_use]
-    pub fn since(first: u64) -> Self {
+    pub fn starting_at(first: u64) -> Self {
         Self {
             horizon: first,
             ..Self::default()
         }
     }
 
-    /// The work was done and its time was up at `at_ms`.
-    pub fn note_forgotten(&mut self, at_ms: u64, last: u64, job: id::RequestId) {
-        let work = AbsentWork::Forgotten;
-        self.absent.insert(job, AbsentState { work, last });
-        self.marks.push_back((at_ms, last, job));
+    /// Records that the job was finished and its result expired at `at_ms`.
+    pub fn record_expired(&mut self, at_ms: u64, last: u64, job: id::RequestId) {
+        let reason = AbsenceReason::Expired;
+        self.tombstones.insert(job, JobTombstone { reason, last });
+        self.recorded.push_back((at_ms, last, job));
     }
 
-    /// An entry at `offset` speaks of work that is not held.
-    pub fn note_unread(&mut self, at_ms: u64, offset: u64, job: id::RequestId) {
-        let unread = AbsentState {
-            work: AbsentWork::Unread,
+    /// Records that an entry at `offset` refers to a job that is not held.
+    pub fn record_unread(&mut self, at_ms: u64, offset: u64, job: id::RequestId) {
+        let unread = JobTombstone {
+            reason: AbsenceReason::Unread,
             last: offset,
         };
-        self.absent.entry(job).or_insert(unread).last = offset;
-        self.marks.push_back((at_ms, offset, job));
+        self.tombstones.entry(job).or_insert(unread).last = offset;
+        self.recorded.push_back((at_ms, offset, job));
     }
 
-    /// Whether work may be accepted by a writer that had read up to `seen`.
+    /// Whether the acceptance of a job by a writer that had read up to `seen` is valid.
     #[must_use]
-    pub fn admits_new(&self, job: id::RequestId, seen: u64) -> bool {
-        seen >= self.horizon && !self.absent.contains_key(&job)
+    pub fn admits_acceptance(&self, job: id::RequestId, seen: u64) -> bool {
+        seen >= self.horizon && !self.tombstones.contains_key(&job)
     }
 
-    /// Whether a state of work that is not held, as of `seen`, is still its state.
+    /// Whether the state that a job which is not held had at `seen` is still its state.
     #[must_use]
     pub fn admits_carried(&self, job: id::RequestId, seen: u64) -> bool {
         if seen < self.horizon {
             return false;
         }
-        self.absent
-            .get(&job)
-            .is_none_or(|state| state.work == AbsentWork::Unread && state.last < seen)
+        self.tombstones.get(&job).is_none_or(|tombstone| {
+            tombstone.reason == AbsenceReason::Unread && tombstone.last < seen
+        })
     }
 
-    /// The work is held from now on.
-    pub fn take_up(&mut self, job: id::RequestId) {
-        self.absent.remove(&job);
+    /// Removes the tombstone of a job that the fold holds from now on.
+    pub fn remove(&mut self, job: id::RequestId) {
+        self.tombstones.remove(&job);
     }
 
-    /// Forgets what was noted before `oldest_ms`.
-    pub fn forget(&mut self, oldest_ms: u64) {
-        while let Some(&(at_ms, offset, job)) = self.marks.front() {
+    /// Removes the tombstones recorded before `oldest_ms`.
+    pub fn expire(&mut self, oldest_ms: u64) {
+        while let Some(&(at_ms, offset, job)) = self.recorded.front() {
             if at_ms >= oldest_ms {
                 return;
             }
-            self.marks.pop_front();
+            self.recorded.pop_front();
             self.horizon = self.horizon.max(offset + 1);
             if self
-                .absent
+                .tombstones
                 .get(&job)
-                .is_some_and(|state| state.last <= offset)
+                .is_some_and(|tombstone| tombstone.last <= offset)
             {
-                self.absent.remove(&job);
+                self.tombstones.remove(&job);
             }
         }
     }
--- a/crates/ledger/src/job_store.rs
+++ b/crates/ledger/src/job_store.rs
@@ -1,4 +1,4 @@
-//! Deferrable work of one partition, appended and read by this process.
+//! Appends and reads the deferrable jobs of one partition.
 
 use std::{collections, sync};
 
@@ -12,36 +12,37 @@
 /// Settings of a [`JobStore`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobSettings {
-    /// Time limits and bounds; the times are equal in all processes.
+    /// Limits of jobs; the times must be equal in all processes.
     pub limits: jobs::JobLimits,
-    /// Bounds of the group commit.
+    /// Limits of the group commit.
     pub append: appender::AppendLimits,
 }
 
-/// The deferrable work of one partition. Its tasks end with it.
+/// The deferrable jobs of one partition. Dropping the store stops its tasks.
 pub struct JobStore<C> {
     driver: driver::FoldDriver<C, job_fold::JobFold>,
     settings: JobSettings,
-    /// Work that a claim of this process is under way for, so that its askers get different work.
+    /// Jobs that this process is currently claiming, so that concurrent requests get different jobs.
     reserved: sync::Mutex<collections::HashSet<id::RequestId>>,
 }
 
-/// Work as it was found, with the position of the state in which it was found.
-struct PickedJob<'a, C: LogClient> {
+/// A job that is being claimed, with the position of the state in which it was found.
+struct ReservedJob<'a, C: LogClient> {
     store: &'a JobStore<C>,
     seen: u64,
     grant: job_calls::JobGrant,
 }
 
-/// A cancelled request must not keep its work from all later ones.
-impl<C: LogClient> Drop for PickedJob<'_, C> {
+/// Ends the reservation, also when the request is cancelled; the job would otherwise be withheld
+/// from all later requests.
+impl<C: LogClient> Drop for ReservedJob<'_, C> {
     fn drop(&mut self) {
         self.store.reserved().remove(&self.grant.job);
     }
 }
 
 impl<C: LogClient> JobStore<C> {
-    /// Starts to read the partition's stream; everything waits until it was read to its end.
+    /// Starts reading the partition's stream. All operations wait until it was read to its end.
     pub fn open(
         client: C,
         partition: partition::PartitionIndex,
@@ -58,13 +59,13 @@
         }
     }
 
-    /// Whether the partition was read to its end at least once.
+    /// Whether the partition's stream was read to its end at least once.
     #[must_use]
     pub fn is_loaded(&self) -> bool {
         self.driver.is_loaded()
     }
 
-    /// Accepts work: the reply comes when the log has it.
+    /// Accepts a job. Replies once the job is on the log.
     pub async fn accept(&self, request: job_calls::AcceptRequest) -> job_calls::AcceptReply {
         let deadline = deadline_of(request.wait_ms);
         let size = request.body.len();
@@ -74,7 +75,7 @@
         if full {
             return job_calls::AcceptReply::NotAccepted(job_calls::AcceptRefusal::Full);
         }
-        let Some(seen) = self.driver.fresh_position(deadline).await else {
+        let Some(seen) = self.driver.loaded_position(deadline).await else {
             let cause = appender::NotAppended::NotLoaded;
             return job_calls::AcceptReply::NotAccepted(job_calls::AcceptRefusal::NotAppended(
                 cause,
@@ -96,39 +97,44 @@
             .await
         {
             Ok(jobs::JobVerdict::Accepted) => job_calls::AcceptReply::Accepted,
-            // "Stale" is this fold's word: one that has read for longer may have accepted it.
-            Ok(_) | Err(driver::SubmitFault::Unsettled) => job_calls::AcceptReply::Unknown,
+            // `Stale` is the verdict of this fold; a fold that has read for longer may have accepted.
+            Ok(_) | Err(driver::SubmitError::Unsettled) => job_calls::AcceptReply::Unknown,
             Err(fault) => not_accepted(fault),
         }
     }
 
-    /// Claims the oldest work that nobody does.
+    /// Claims the oldest job that nobody holds.
     pub async fn take_next(&self, request: job_calls::TakeRequest) -> job_calls::TakeReply {
         let deadline = deadline_of(request.wait_ms);
-        if self.driver.fresh_position(deadline).await.is_none() {
+        if self.driver.loaded_position(deadline).await.is_none() {
             return job_calls::TakeReply::Unavailable;
         }
-        let Some(picked) = self.pick(&request) else {
+        let Some(reserved_job) = self.reserve_next(&request) else {
             return job_calls::TakeReply::Nothing;
         };
-        let job = picked.grant.job;
+        let job = reserved_job.grant.job;
         let entry = jobs::JobEntry::Claim(jobs::JobClaimItem {
             job,
             holder: request.holder,
-            hold_ms: picked.grant.hold_ms,
+            hold_ms: reserved_job.grant.hold_ms,
         });
         let submitted = self
             .driver
-            .submit(picked.grant.claim, &entry, picked.seen, deadline)
+            .submit(
+                reserved_job.grant.claim,
+                &entry,
+                reserved_job.seen,
+                deadline,
+            )
             .await;
         match submitted {
-            Ok(jobs::JobVerdict::Taken) => job_calls::TakeReply::Taken(picked.grant.clone()),
+            Ok(jobs::JobVerdict::Taken) => job_calls::TakeReply::Taken(reserved_job.grant.clone()),
             Ok(_) => job_calls::TakeReply::Nothing,
             Err(_) => job_calls::TakeReply::Unavailable,
         }
     }
 
-    /// Reports that a holder is still at its work.
+    /// Renews the claims of a holder.
     pub async fn renew(&self, request: job_calls::RenewRequest) -> Vec<job_calls::RenewState> {
         let deadline = deadline_of(request.wait_ms);
         let renewals = request.entries.into_iter().map(|renewal| async move {
@@ -147,7 +153,7 @@
         future::join_all(renewals).await
     }
 
-    /// Gives work back.
+    /// Releases a job.
     pub async fn release(
         &self,
         renewal: job_calls::RenewEntry,
@@ -164,14 +170,14 @@
         }
     }
 
-    /// Records a result: the reply comes when the log has decided whether it counts.
+    /// Records a result. Replies once the fold has decided whether the result is stored.
     pub async fn finish(&self, request: job_calls::FinishRequest) -> job_calls::FinishReply {
         let deadline = deadline_of(request.wait_ms);
         let seen = self.driver.position();
-        let parted = self
+        let split_bytes = self
             .put_parts(request.entry, request.result, deadline)
             .await;
-        let Ok(result) = parted else {
+        let Ok(result) = split_bytes else {
             return job_calls::FinishReply::NotRecorded;
         };
         let entry = jobs::JobEntry::Finish(jobs::FinishItem {
@@ -190,8 +196,8 @@
         }
     }
 
-    /// What is known of some work. "Not found" is said only after a read that shows the log's end:
-    /// work that another process has just accepted would otherwise be denied to its caller.
+    /// Returns the state of a job. `NotFound` is returned only after a read up to the log's end:
+    /// otherwise the caller of a job that another process has just accepted would get `NotFound`.
     pub async fn fetch(&self, job: id::RequestId, wait_ms: u64) -> job_calls::FetchReply {
         let deadline = deadline_of(wait_ms);
         if let Some(view) = self.find(job) {
@@ -206,19 +212,19 @@
         )
     }
 
-    /// Records that a caller has the result, which then need not be kept for its whole time.
-    pub async fn note_fetched(&self, entry: id::RecordId, job: id::RequestId, wait_ms: u64) {
+    /// Records that the caller has received the result, which may then expire earlier.
+    pub async fn record_fetch(&self, entry: id::RecordId, job: id::RequestId, wait_ms: u64) {
         let item = jobs::JobEntry::Fetched(jobs::FetchedItem { job });
         let seen = self.driver.position();
         let submitted = self.driver.submit(entry, &item, seen, deadline_of(wait_ms));
-        // A lost note only keeps the result for longer.
+        // If the entry is lost, the result is only kept for longer.
         let _ = submitted.await;
     }
 
-    /// Appends again what retention would drop soon, at most `max` pieces of work; returns how
-    /// many were carried. To be called every few seconds by the entry VM that ranks first.
+    /// Appends the state of up to `max` jobs again that retention would drop soon, and returns their
+    /// number. Must be called every few seconds by the entry VM that ranks first.
     pub async fn carry<R: rand::Rng + ?Sized>(&self, rng: &mut R, max: usize) -> usize {
-        let due = self.carries_due(max);
+        let due = self.jobs_to_carry(max);
         let mut carried = 0;
         for (seen, item, bytes) in due {
             let entry = id::RecordId::draw(rng);
@@ -237,18 +243,19 @@
         mut item: jobs::CarryItem,
         bytes: bytes::Bytes,
     ) -> bool {
-        let deadline = deadline_of(CARRY_WAIT_MS);
+        let deadline = deadline_of(CARRY_TIMEOUT_MS);
         match self.put_parts(entry, bytes, deadline).await {
-            Ok(parted) => item.bytes = parted,
+            Ok(split_bytes) => item.bytes = split_bytes,
             Err(_) => return false,
         }
         let entry_item = jobs::JobEntry::Carry(item);
         let submitted = self.driver.submit(entry, &entry_item, seen, deadline);
-        matches!(submitted.await, Ok(jobs::JobVerdict::Noted))
+        matches!(submitted.await, Ok(jobs::JobVerdict::Applied))
     }
 
-    /// Without a reading of the log's clock the oldest work is carried, which gives one.
-    fn carries_due(&self, max: usize) -> Vec<(u64, jobs::CarryItem, bytes::Bytes)> {
+    /// Returns the jobs to carry. Without an estimate of the log's clock the oldest job is carried,
+    /// because its record provides an estimate.
+    fn jobs_to_carry(&self, max: usize) -> Vec<(u64, jobs::CarryItem, bytes::Bytes)> {
         let now = time::Instant::now();
         if self.driver.is_unreadable() {
             return Vec::new();
@@ -260,35 +267,40 @@
                 None => fold.carry_due(u64::MAX, 1),
             };
             due.into_iter()
-                .filter_map(|job| fold.get(job).map(|work| (job, work)))
-                .map(|(job, work)| (state.position, carry_item(job, work), work.bytes.clone()))
+                .filter_map(|job| fold.get(job).map(|job_state| (job, job_state)))
+                .map(|(job, job_state)| {
+                    (
+                        state.position,
+                        carry_item(job, job_state),
+                        job_state.bytes.clone(),
+                    )
+                })
                 .collect()
         })
     }
 
-    /// Without a reading of the log's clock held work is tried too: the log decides, and the try
-    /// gives a reading.
-    fn pick(&self, request: &job_calls::TakeRequest) -> Option<PickedJob<'_, C>> {
+    /// Reserves the oldest job that can be claimed. Without an estimate of the log's clock, held jobs
+    /// are candidates too: the fold decides on the claim, and its record provides an estimate.
+    fn reserve_next(&self, request: &job_calls::TakeRequest) -> Option<ReservedJob<'_, C>> {
         let now = time::Instant::now();
         let hold_ms = self.settings.limits.hold_ms;
         let mut reserved = self.reserved();
         let (seen, grant) = self.driver.view(|state| {
             let at_ms = state.clock.map_or(u64::MAX, |clock| clock.now_ms(now));
-            let (job, work) = state
-                .fold
-                .open()
-                .find(|(job, work)| state.fold.is_free(work, at_ms) && !reserved.contains(job))?;
+            let (job, job_state) = state.fold.unfinished().find(|(job, job_state)| {
+                state.fold.is_free(job_state, at_ms) && !reserved.contains(job)
+            })?;
             let grant = job_calls::JobGrant {
                 job,
                 claim: record::derived_id(request.claim, job.0),
-                organisation: work.organisation.clone(),
-                body: work.bytes.clone(),
+                organisation: job_state.organisation.clone(),
+                body: job_state.bytes.clone(),
                 hold_ms,
             };
             Some((state.position, grant))
         })?;
         reserved.insert(grant.job);
-        Some(PickedJob {
+        Some(ReservedJob {
             store: self,
             seen,
             grant,
@@ -297,15 +309,15 @@
 
     fn find(&self, job: id::RequestId) -> Option<job_calls::FoundJob> {
         self.driver.view(|state| {
-            let work = state.fold.get(job)?;
-            let view = match &work.stage {
+            let job_state = state.fold.get(job)?;
+            let view = match &job_state.stage {
                 jobs::JobStage::Waiting => jobs::JobView::Waiting,
                 jobs::JobStage::Held(_) => jobs::JobView::Running,
                 jobs::JobStage::Finished(_) => jobs::JobView::Finished(jobs::JobResult {
-                    bytes: work.bytes.clone(),
+                    bytes: job_state.bytes.clone(),
                 }),
             };
-            let organisation = work.organisation.clone();
+            let organisation = job_state.organisation.clone();
             Some(job_calls::FoundJob { organisation, view })
         })
     }
@@ -315,8 +327,8 @@
         owner: id::RecordId,
         bytes: bytes::Bytes,
         deadline: time::Instant,
-    ) -> Result<parts::PartedBytes, driver::SubmitFault> {
-        let (items, parted) = parts::split(owner, bytes, self.settings.limits.part_bytes);
+    ) -> Result<parts::SplitBytes, driver::SubmitError> {
+        let (items, split_bytes) = parts::split(owner, bytes, self.settings.limits.part_bytes);
         let puts = items.into_iter().map(|item| async move {
             let part = parts::part_id(&item);
             let entry = jobs::JobEntry::Part(item);
@@ -326,7 +338,7 @@
         for put in future::join_all(puts).await {
             put?;
         }
-        Ok(parted)
+        Ok(split_bytes)
     }
 
     fn reserved(&self) -> sync::MutexGuard<'_, collections::HashSet<id::RequestId>> {
@@ -336,33 +348,34 @@
     }
 }
 
-/// Time limit of one carried state.
-const CARRY_WAIT_MS: u64 = 5_000;
+/// Timeout for appending one carried state.
+const CARRY_TIMEOUT_MS: u64 = 5_000;
 
 fn deadline_of(wait_ms: u64) -> time::Instant {
     time::Instant::now() + time::Duration::from_millis(wait_ms)
 }
 
-/// A part that may be on the log does no harm: without its owner it is forgotten.
-const fn not_accepted(fault: driver::SubmitFault) -> job_calls::AcceptReply {
+/// Returns the refusal after a failed append. Parts that may be on the log are harmless: without
+/// their owner they expire.
+const fn not_accepted(fault: driver::SubmitError) -> job_calls::AcceptReply {
     let cause = match fault {
-        driver::SubmitFault::NotAppended(cause) => cause,
-        driver::SubmitFault::Unsettled => appender::NotAppended::TimedOut,
+        driver::SubmitError::NotAppended(cause) => cause,
+        driver::SubmitError::Unsettled => appender::NotAppended::TimedOut,
     };
     job_calls::AcceptReply::NotAccepted(job_calls::AcceptRefusal::NotAppended(cause))
 }
 
-fn carry_item(job: id::RequestId, work: &job_fold::JobState) -> jobs::CarryItem {
+fn carry_item(job: id::RequestId, job_state: &job_fold::JobState) -> jobs::CarryItem {
     jobs::CarryItem {
         job,
-        organisation: work.organisation.clone(),
-        accepted_ms: work.accepted_ms,
-        kept_ms: work.kept_ms,
-        bytes: parts::PartedBytes {
+        organisation: job_state.organisation.clone(),
+        accepted_ms: job_state.accepted_ms,
+        kept_ms: job_state.kept_ms,
+        bytes: parts::SplitBytes {
             parts: 0,
             hash: base::fingerprint::ContentHash::of(&[]),
             whole: bytes::Bytes::new(),
         },
-        stage: work.stage.clone(),
+        stage: job_state.stage.clone(),
     }
 }
--- a/crates/ledger/src/jobs.rs
+++ b/crates/ledger/src/jobs.rs
@@ -1,28 +1,28 @@
-//! What the `jobs-` streams say about work that may wait.
+//! Deferrable jobs: their limits and their entries on the `jobs-` streams.
 
 use base::id;
 
 use crate::{parts, record};
 
-/// Time limits and bounds of deferrable work. All processes use the same times.
+/// Limits of deferrable jobs. The times must be equal in all processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct JobLimits {
-    /// A holder that has not renewed for this long may be superseded.
+    /// Time without a renewal after which a holder may be superseded.
     pub hold_ms: u64,
-    /// Added to `hold_ms` before another claim counts: the log's clock against a holder's.
+    /// Added to `hold_ms` before another claim can take the job; covers the drift between the log's
+    /// clock and a holder's clock.
     pub margin_ms: u64,
-    /// Work that was appended longer ago than this is appended again, well before the log's
-    /// retention would drop it.
+    /// Time after which a job is appended again, well before the log's retention would drop it.
     pub carry_after_ms: u64,
-    /// A result is kept this long after it was fetched.
+    /// Time for which a result is kept after it was fetched.
     pub fetched_kept_ms: u64,
-    /// Ids of forgotten work, and parts without an owner, are remembered for this long.
+    /// Time for which ids of expired jobs and parts without an owner are kept.
     pub memory_ms: u64,
-    /// Bytes of one part.
+    /// Maximum size of one part, in bytes.
     pub part_bytes: usize,
-    /// Bytes of requests and results that one partition keeps at the most.
+    /// Maximum total size of requests and results in one partition, in bytes.
     pub max_held_bytes: usize,
 }
 
@@ -40,187 +40,187 @@
     }
 }
 
-/// What a record on a `jobs-` stream says.
+/// An entry on a `jobs-` stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum JobEntry {
-    /// Work is accepted.
+    /// Accepts a job.
     Accept(AcceptItem),
-    /// A part of the bytes of a later entry.
+    /// One part of the bytes of a later entry.
     Part(parts::PartItem),
-    /// Somebody wants to do the work. The entry's id is the claim's id.
+    /// Claims a job. The entry's id is the claim's id.
     Claim(JobClaimItem),
-    /// The holder is still at it.
+    /// Renews the claim on a job.
     Renew(HolderItem),
-    /// The holder gives the work back.
+    /// Releases a job.
     Release(HolderItem),
-    /// The work is done.
+    /// Records the result of a job.
     Finish(FinishItem),
-    /// The result was handed to its caller.
+    /// Records that the caller received the result.
     Fetched(FetchedItem),
-    /// The state of some work, appended again before retention drops it.
+    /// The state of a job, appended again before retention drops it.
     Carry(CarryItem),
     /// An entry of a later version.
     #[serde(other)]
     Other,
 }
 
-/// Work is accepted.
+/// The acceptance of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct AcceptItem {
-    /// The request.
+    /// Id of the request.
     pub job: id::RequestId,
-    /// The organisation that it belongs to.
+    /// The organisation that the job belongs to.
     pub organisation: String,
-    /// How long its result is kept, in milliseconds.
+    /// Time for which the result is kept, in milliseconds.
     pub kept_ms: u64,
-    /// What is to be done, in the form of whoever does it.
-    pub body: parts::PartedBytes,
+    /// The request to execute, in the executor's format.
+    pub body: parts::SplitBytes,
 }
 
-/// Somebody wants to do some work.
+/// A claim on a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct JobClaimItem {
-    /// The work.
+    /// Id of the job.
     pub job: id::RequestId,
-    /// Name of the entry VM that wants to do it.
+    /// Name of the entry VM that claims the job.
     pub holder: String,
-    /// It renews within this time, counted from before its append, or stops.
+    /// Time, counted from before its append, within which the holder must renew or stop.
     pub hold_ms: u64,
 }
 
-/// A holder speaks of its work.
+/// A job and the claim of its holder, for renewals and releases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct HolderItem {
-    /// The work.
+    /// Id of the job.
     pub job: id::RequestId,
     /// The holder's claim.
     pub claim: id::RecordId,
 }
 
-/// Some work is done.
+/// The result of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct FinishItem {
-    /// The work.
+    /// Id of the job.
     pub job: id::RequestId,
-    /// The claim under which it was done.
+    /// The claim under which the job was executed.
     pub claim: id::RecordId,
-    /// The answer, in the form of whoever did it.
-    pub result: parts::PartedBytes,
+    /// The answer, in the executor's format.
+    pub result: parts::SplitBytes,
 }
 
-/// A result was handed to its caller.
+/// Records that the caller of a job received its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct FetchedItem {
-    /// The work.
+    /// Id of the job.
     pub job: id::RequestId,
 }
 
-/// The state of some work as its writer had read it.
+/// The state of a job as read by the entry's writer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct CarryItem {
-    /// The work.
+    /// Id of the job.
     pub job: id::RequestId,
-    /// The organisation that it belongs to.
+    /// The organisation that the job belongs to.
     pub organisation: String,
-    /// When it was accepted, on the log's clock.
+    /// Time of acceptance on the log's clock.
     pub accepted_ms: u64,
-    /// How long its result is kept, in milliseconds.
+    /// Time for which the result is kept, in milliseconds.
     pub kept_ms: u64,
-    /// The request while it is unfinished, then the result.
-    pub bytes: parts::PartedBytes,
-    /// How far it has come.
+    /// The request while the job is unfinished, then the result.
+    pub bytes: parts::SplitBytes,
+    /// Stage of the job.
     pub stage: JobStage,
 }
 
-/// How far some work has come.
+/// Stage of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "stage", rename_all = "snake_case")]
 pub enum JobStage {
-    /// Nobody does it.
+    /// Nobody holds the job.
     Waiting,
-    /// Somebody does it.
+    /// A holder executes the job.
     Held(HeldStage),
-    /// It is done.
+    /// The job is finished.
     Finished(FinishedStage),
 }
 
-/// Somebody does some work.
+/// The holder of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct HeldStage {
-    /// The newest claim that counts.
+    /// The newest claim that took the job.
     pub claim: id::RecordId,
-    /// Name of the entry VM.
+    /// Name of the entry VM that holds the job.
     pub holder: String,
-    /// It renews within this time or stops.
+    /// Time within which the holder must renew or stop.
     pub hold_ms: u64,
-    /// Its last sign of life on the log's clock.
+    /// Time of the claim or the last renewal on the log's clock.
     pub alive_ms: u64,
 }
 
-/// Some work is done.
+/// The completion of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct FinishedStage {
-    /// The claim under which it was done.
+    /// The claim under which the job was executed.
     pub claim: id::RecordId,
-    /// When, on the log's clock.
+    /// Time of completion on the log's clock.
     pub at_ms: u64,
-    /// When the result was first handed out, on the log's clock.
+    /// Time at which the result was first fetched, on the log's clock.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fetched_ms: Option<u64>,
 }
 
-/// What the fold decides about an entry.
+/// Decision of the fold on an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobVerdict {
-    /// The work is accepted, now or earlier.
+    /// The job is accepted, now or earlier.
     Accepted,
-    /// The claim holds the work.
+    /// The claim holds the job.
     Taken,
-    /// The claim does not hold the work: somebody else does, or it is done or not known.
+    /// The claim does not hold the job: another one does, or the job is finished or not known.
     NotTaken,
-    /// The holder's sign of life counts.
+    /// The renewal took effect.
     Renewed,
-    /// The result counts, now or earlier.
+    /// The result is stored, now or earlier.
     Kept,
-    /// The claim is not the newest one: what its holder says counts no more.
+    /// The claim is not the newest one; entries of its holder have no effect.
     Superseded,
-    /// Parts of the bytes are missing; append them again, then the entry under a new id.
+    /// Parts of the bytes are missing; they must be appended again, then the entry under a new id.
     Incomplete,
-    /// The entry was written on an outdated view of the stream, and has no effect.
+    /// The entry was based on an outdated state of the stream and has no effect.
     Stale,
-    /// The entry is taken.
-    Noted,
+    /// The entry was applied.
+    Applied,
 }
 
-/// Some work as its caller sees it.
+/// State of a job as reported to its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum JobView {
-    /// It waits.
+    /// The job is waiting.
     Waiting,
-    /// It is being done.
+    /// The job is being executed.
     Running,
-    /// It is done; this is the whole answer.
+    /// The job is finished; contains the complete answer.
     Finished(JobResult),
 }
 
-/// The whole answer of some work.
+/// The complete answer of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct JobResult {
-    /// In the form of whoever did it.
+    /// The answer, in the executor's format.
     #[serde(with = "record::base64_bytes")]
     pub bytes: bytes::Bytes,
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,8 +1,8 @@
-//! Records on the platform log: client, group commit, idempotency claims and deferrable work.
+//! Records on the platform log: client, group commit, idempotency claims and deferrable jobs.
 //!
-//! The log's order is the only authority. Everything that decides is a pure fold over the records
-//! of one stream; the drivers around the folds append, read and wait, and may be replaced at any
-//! moment without loss.
+//! The order of records on the log is the only authority. Every decision is made by a pure fold over
+//! the records of one stream. The drivers around the folds append, read and wait, and can be
+//! replaced at any moment without loss.
 
 pub mod appender;
 pub mod claim_calls;
--- a/crates/ledger/src/memory.rs
+++ b/crates/ledger/src/memory.rs
@@ -1,4 +1,4 @@
-//! A log in memory with faults, for tests and benches: the face of the platform's log, no more.
+//! An in-memory log with fault injection, for tests and benches.
 
 use std::{collections, sync};
 
@@ -8,43 +8,43 @@
 use crate::client;
 use crate::client::LogClient;
 
-/// Faults and pace of a [`MemoryLog`]; they may be changed at any moment.
+/// Injected faults, latency and limits of a [`MemoryLog`]; they may be changed at any time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogFaults {
-    /// Nothing gets through, neither appends nor reads.
+    /// All appends and reads fail.
     pub down: bool,
-    /// Chance that an append takes effect and its answer is lost.
+    /// Probability that an append takes effect but its answer is lost.
     pub lose_answer: f64,
-    /// Chance that an append gets no answer and takes effect only `late_ms` afterwards.
+    /// Probability that an append gets no answer and takes effect up to `late_ms` later.
     pub late: f64,
-    /// Delay of a late append.
+    /// Maximum delay of a late append, in milliseconds.
     pub late_ms: u64,
-    /// Chance that an append gets no answer and never takes effect.
+    /// Probability that an append gets no answer and never takes effect.
     pub lose_request: f64,
-    /// Chance that a read fails.
+    /// Probability that a read fails.
     pub fail_read: f64,
-    /// Time from sending a request to its effect, and again from there to its answer.
+    /// Latency from sending a request to its effect, and again from its effect to its answer.
     pub one_way: time::Duration,
-    /// Appends a second that are taken, over all streams; absent: unlimited.
+    /// Cap on appends per second over all streams; `None` for no cap.
     pub appends_per_second: Option<u32>,
-    /// Records older than this are dropped; absent: all are kept.
+    /// Age after which records are dropped, in milliseconds; `None` to keep all records.
     pub retention_ms: Option<u64>,
 }
 
-/// What a [`MemoryLog`] has seen.
+/// Counters of a [`MemoryLog`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogCounts {
-    /// Appends that took effect.
+    /// Number of appends that took effect.
     pub appended: u64,
-    /// Appends refused over the cap.
+    /// Number of appends refused because of the cap.
     pub over_cap: u64,
-    /// Reads that were answered with a page.
+    /// Number of reads answered with a page.
     pub reads: u64,
-    /// Bytes of the records that were appended.
+    /// Total size of the appended records, in bytes.
     pub bytes: u64,
 }
 
-/// The log in memory; clones share it.
+/// An in-memory log; clones share its state.
 #[derive(Clone, Debug)]
 pub struct MemoryLog {
     shared: sync::Arc<SharedLog>,
@@ -54,8 +54,8 @@
 struct SharedLog {
     state: sync::Mutex<LogState>,
     appended: tokio_sync::Notify,
-    began: time::Instant,
-    /// The log's clock when it began.
+    started_at: time::Instant,
+    /// Start value of the log's clock.
     epoch_ms: u64,
 }
 
@@ -65,14 +65,14 @@
     faults: LogFaults,
     counts: LogCounts,
     rng: rand_chacha::ChaCha8Rng,
-    /// The second of the log's clock that `taken` counts.
+    /// The second of the log's clock to which `appends_in_second` refers.
     second: u64,
-    taken: u32,
+    appends_in_second: u32,
 }
 
 #[derive(Debug, Default)]
 struct StreamState {
-    /// Offset of the first record kept.
+    /// Offset of the first retained record.
     first: u64,
     records: collections::VecDeque<client::LogRecord>,
 }
@@ -82,7 +82,7 @@
         self.first + self.records.len() as u64
     }
 
-    fn expire(&mut self, oldest_ms: u64) {
+    fn drop_older(&mut self, oldest_ms: u64) {
         while self
             .records
             .front()
@@ -102,7 +102,8 @@
 }
 
 impl MemoryLog {
-    /// An empty log whose faults are drawn from `seed`, with its clock at `epoch_ms`.
+    /// Creates an empty log whose clock starts at `epoch_ms`. Faults are drawn from a random number
+    /// generator with the seed `seed`.
     #[must_use]
     pub fn new(seed: u64, epoch_ms: u64) -> Self {
         let state = LogState {
@@ -111,38 +112,38 @@
             counts: LogCounts::default(),
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             second: 0,
-            taken: 0,
+            appends_in_second: 0,
         };
         Self {
             shared: sync::Arc::new(SharedLog {
                 state: sync::Mutex::new(state),
                 appended: tokio_sync::Notify::new(),
-                began: time::Instant::now(),
+                started_at: time::Instant::now(),
                 epoch_ms,
             }),
         }
     }
 
-    /// Changes the faults.
+    /// Changes the injected faults.
     pub fn change_faults(&self, change: impl FnOnce(&mut LogFaults)) {
         change(&mut self.state().faults);
         self.shared.appended.notify_waiters();
     }
 
-    /// What the log has seen so far.
+    /// Returns the current counters.
     #[must_use]
     pub fn counts(&self) -> LogCounts {
         self.state().counts
     }
 
-    /// The log's clock.
+    /// Returns the time on the log's clock.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
-        let passed = self.shared.began.elapsed().as_millis();
+        let passed = self.shared.started_at.elapsed().as_millis();
         self.shared.epoch_ms + u64::try_from(passed).unwrap_or(u64::MAX)
     }
 
-    /// All records that a stream still keeps.
+    /// Returns all records that a stream still retains.
     #[must_use]
     pub fn records(&self, stream: &str) -> Vec<client::LogRecord> {
         let state = self.state();
@@ -186,17 +187,17 @@
         }
         if state.second != second {
             state.second = second;
-            state.taken = 0;
+            state.appends_in_second = 0;
         }
-        let over = state
+        let is_over_cap = state
             .faults
             .appends_per_second
-            .is_some_and(|cap| state.taken >= cap);
-        if over {
+            .is_some_and(|cap| state.appends_in_second >= cap);
+        if is_over_cap {
             state.counts.over_cap += 1;
             return client::OverCapSnafu { stream }.fail();
         }
-        state.taken += 1;
+        state.appends_in_second += 1;
         Ok(state.draw_fate())
     }
 
@@ -212,7 +213,7 @@
         let retention_ms = state.faults.retention_ms;
         let found = state.streams.entry(query.stream.clone()).or_default();
         if let Some(kept_ms) = retention_ms {
-            found.expire(now_ms.saturating_sub(kept_ms));
+            found.drop_older(now_ms.saturating_sub(kept_ms));
         }
         if query.from < found.first {
             return client::DroppedSnafu {
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -1,12 +1,12 @@
-//! Which stream of the log holds what.
+//! Maps keys and requests to partitions, and partitions to streams of the log.
 
 use base::{id, rendezvous};
 use xxhash_rust::xxh3;
 
-/// One of a fixed number of streams that share the records of one kind.
+/// Index of a partition: one of a fixed number of streams that share the records of one kind.
 ///
-/// The number of partitions is part of the log's layout: two processes with different numbers
-/// would look for the same key in different streams and both run it.
+/// The number of partitions is part of the log's layout: two processes with different numbers would
+/// look up the same key in different streams, and both would run its call.
 #[derive(
     Clone,
     Copy,
@@ -21,13 +21,13 @@
 )]
 pub struct PartitionIndex(pub u16);
 
-/// Partitions of the streams for idempotency claims.
+/// Number of partitions for idempotency claims.
 pub const CLAIM_PARTITIONS: u16 = 4;
 
-/// Partitions of the streams for deferrable work.
+/// Number of partitions for deferrable jobs.
 pub const JOB_PARTITIONS: u16 = 4;
 
-/// The partition of an organisation's idempotency key.
+/// Returns the partition of an organisation's idempotency key.
 #[must_use]
 pub fn of_key(organisation: &str, key: &str) -> PartitionIndex {
     let mut hasher = xxh3::Xxh3::new();
@@ -37,29 +37,30 @@
     PartitionIndex(remainder(hasher.digest(), CLAIM_PARTITIONS))
 }
 
-/// The partition of a request that may wait; its id alone tells it, so any entry VM finds it.
+/// Returns the partition of a deferrable request. It depends on the request's id alone, so any entry
+/// VM can determine it.
 #[must_use]
 pub fn of_request(request: id::RequestId) -> PartitionIndex {
     let digest = xxh3::xxh3_64(&request.0.to_le_bytes());
     PartitionIndex(remainder(digest, JOB_PARTITIONS))
 }
 
-/// The stream that holds a partition's claims.
+/// Returns the name of the stream that holds a partition's claims.
 #[must_use]
 pub fn claim_stream(partition: PartitionIndex) -> String {
     format!("calls-{}", partition.0)
 }
 
-/// The stream that holds a partition's deferrable work.
+/// Returns the name of the stream that holds a partition's deferrable jobs.
 #[must_use]
 pub fn job_stream(partition: PartitionIndex) -> String {
     format!("jobs-{}", partition.0)
 }
 
-/// The `count` live entry VMs through which a stream is appended, best first.
+/// Returns the `count` live entry VMs that should append to a stream, in order of rank.
 ///
-/// A hint that keeps appends few. Two entry VMs that disagree both append, which is harmless: the
-/// log's order decides.
+/// The ranking only serves to reduce the number of appends. If two entry VMs disagree on it, both
+/// append, which is harmless because the log's order decides.
 pub fn appenders<'a, I>(stream: &str, live: I, count: usize) -> Vec<&'a str>
 where
     I: IntoIterator<Item = &'a str>,
--- a/crates/ledger/src/parts.rs
+++ b/crates/ledger/src/parts.rs
@@ -1,4 +1,4 @@
-//! Bytes that are too large for one record, in parts.
+//! Splits bytes that are too large for one record into parts.
 
 use std::collections;
 
@@ -6,29 +6,29 @@
 
 use crate::record;
 
-/// One part of some bytes that a later entry refers to.
+/// One part of the bytes that a later entry refers to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct PartItem {
     /// Id of the entry that the bytes belong to.
     pub owner: id::RecordId,
-    /// Position among the parts, from 0.
+    /// Index of the part, starting at 0.
     pub index: u32,
-    /// The bytes.
+    /// Bytes of the part.
     #[serde(with = "record::base64_bytes")]
     pub data: bytes::Bytes,
 }
 
-/// Some bytes, either whole or as a reference to parts appended before.
+/// The bytes of an entry, either inline or as a reference to parts appended before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
-pub struct PartedBytes {
-    /// Number of parts; 0 when `whole` has the bytes.
+pub struct SplitBytes {
+    /// Number of parts; 0 if `whole` contains the bytes.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub parts: u32,
-    /// Hash of the bytes.
+    /// Hash of the complete bytes.
     pub hash: fingerprint::ContentHash,
-    /// The bytes when there are no parts.
+    /// The complete bytes if there are no parts.
     #[serde(with = "record::base64_bytes")]
     pub whole: bytes::Bytes,
 }
@@ -41,17 +41,17 @@
     *count == 0
 }
 
-/// Cuts `bytes` for the entry `owner` into parts of at most `part_bytes`. The parts are to be on
-/// the log before the entry is.
+/// Splits `bytes` of the entry `owner` into parts of at most `part_bytes`. The parts must be appended
+/// before the entry.
 #[must_use]
 pub fn split(
     owner: id::RecordId,
     bytes: bytes::Bytes,
     part_bytes: usize,
-) -> (Vec<PartItem>, PartedBytes) {
+) -> (Vec<PartItem>, SplitBytes) {
     let hash = fingerprint::ContentHash::of(&bytes);
     if bytes.len() <= part_bytes {
-        let whole = PartedBytes {
+        let whole = SplitBytes {
             parts: 0,
             hash,
             whole: bytes,
@@ -65,22 +65,22 @@
         let index = u32::try_from(items.len()).unwrap_or(u32::MAX);
         items.push(PartItem { owner, index, data });
     }
-    let parted = PartedBytes {
+    let split_bytes = SplitBytes {
         parts: u32::try_from(items.len()).unwrap_or(u32::MAX),
         hash,
         whole: bytes::Bytes::new(),
     };
-    (items, parted)
+    (items, split_bytes)
 }
 
-/// The id of a part's entry. It follows from the owner's, so that a part that is appended again,
-/// also by another process, is known again.
+/// Returns the id of a part's entry. It is derived from the owner's id, so that a part that is
+/// appended again, also by another process, is recognised.
 #[must_use]
 pub fn part_id(item: &PartItem) -> id::RecordId {
     record::derived_id(item.owner, u128::from(item.index))
 }
 
-/// Parts whose owner has not come yet.
+/// Parts whose owner has not been read yet.
 #[derive(Clone, Debug, Default)]
 pub struct PartBuffer {
     owners: collections::HashMap<id::RecordId, collections::BTreeMap<u32, bytes::Bytes>>,
@@ -89,7 +89,7 @@
 }
 
 impl PartBuffer {
-    /// Keeps a part.
+    /// Adds a part.
     pub fn put(&mut self, at_ms: u64, item: PartItem) {
         let parts = self.owners.entry(item.owner).or_default();
         if parts.is_empty() {
@@ -98,22 +98,22 @@
         parts.insert(item.index, item.data);
     }
 
-    /// The bytes of `owner`; `None` when a part is missing or the bytes are not those meant.
-    pub fn join(&mut self, owner: id::RecordId, parted: &PartedBytes) -> Option<bytes::Bytes> {
-        let bytes = if parted.parts == 0 {
-            parted.whole.clone()
+    /// Returns the bytes of `owner`, or `None` if a part is missing or the hash does not match.
+    pub fn join(&mut self, owner: id::RecordId, split_bytes: &SplitBytes) -> Option<bytes::Bytes> {
+        let bytes = if split_bytes.parts == 0 {
+            split_bytes.whole.clone()
         } else {
-            self.joined(owner, parted.parts)?
+            self.concatenate(owner, split_bytes.parts)?
         };
-        if fingerprint::ContentHash::of(&bytes) != parted.hash {
+        if fingerprint::ContentHash::of(&bytes) != split_bytes.hash {
             return None;
         }
         self.owners.remove(&owner);
         Some(bytes)
     }
 
-    /// Forgets parts from before `oldest_ms` whose owner never came.
-    pub fn forget(&mut self, oldest_ms: u64) {
+    /// Removes parts from before `oldest_ms` whose owner never arrived.
+    pub fn expire(&mut self, oldest_ms: u64) {
         while let Some(&(at_ms, owner)) = self.arrivals.front() {
             if at_ms >= oldest_ms {
                 return;
@@ -123,7 +123,7 @@
         }
     }
 
-    fn joined(&self, owner: id::RecordId, count: u32) -> Option<bytes::Bytes> {
+    fn concatenate(&self, owner: id::RecordId, count: u32) -> Option<bytes::Bytes> {
         let parts = self.owners.get(&owner)?;
         let mut bytes = bytes::BytesMut::new();
         for index in 0..count {
--- a/crates/ledger/src/permit.rs
+++ b/crates/ledger/src/permit.rs
@@ -1,102 +1,103 @@
-//! What the request plane holds in its hands: leave to send a call, and work to do.
+//! Permits of the request plane: to send a call and to execute a job.
 
 use base::{fingerprint, id, outcome};
 use tokio::time;
 
 use crate::{claim_calls, claims, job_calls};
 
-/// Leave to send one non-idempotent call, once.
+/// Permission to send one non-idempotent call once.
 ///
-/// It is not `Clone`: whoever holds it is the only one who may send, and ends it with
-/// [`crate::route::LedgerRouter::settle`]. When it is dropped instead, the key's outcome stays unknown.
+/// The permit is not `Clone`: only its owner may send the call, and must then pass the permit to
+/// [`crate::route::LedgerRouter::settle`]. If the permit is dropped instead, the outcome of its key
+/// stays unknown.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "a permit that is dropped leaves its key unknown"]
+#[must_use = "if the permit is dropped, the outcome of its key stays unknown"]
 pub struct SendPermit {
     pub(crate) claim: id::RecordId,
     pub(crate) organisation: String,
     pub(crate) key: String,
-    /// Counted from before the claim was asked for, so that it passes on this clock no later than
-    /// other processes conclude that it has.
+    /// Counted from before the claim was requested, so that it passes on this process's clock before
+    /// other processes conclude that it has passed.
     pub(crate) deadline: time::Instant,
 }
 
 impl SendPermit {
-    /// Whether the call may still leave. To be asked right before it is written to the server: a
-    /// process that was paused since the claim would otherwise send after its caller, or another
-    /// caller, was told that nothing more will happen.
+    /// Whether the call may still be sent. Must be checked right before the call is written to the
+    /// server: a process that was paused since the claim could otherwise send the call after its
+    /// caller, or another caller, was told that it will not run any more.
     #[must_use]
     pub fn may_send(&self, now: time::Instant) -> bool {
         now < self.deadline
     }
 
-    /// The instant from which the call must not leave any more.
+    /// Returns the instant from which on the call must not be sent.
     #[must_use]
     pub const fn deadline(&self) -> time::Instant {
         self.deadline
     }
 
-    /// The claim.
+    /// Returns the id of the claim.
     #[must_use]
     pub const fn claim(&self) -> id::RecordId {
         self.claim
     }
 }
 
-/// A call that wants to run at most once.
+/// A call that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimCall {
     /// The organisation that the key belongs to.
     pub organisation: String,
     /// The idempotency key as the caller sent it.
     pub key: String,
-    /// Hash of everything that makes the call this call: service, path, body.
+    /// Hash of everything that identifies the call: service, path and body.
     pub content: fingerprint::ContentHash,
 }
 
-/// What the caller of a non-idempotent call gets.
+/// The answer to the claim for a non-idempotent call.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ClaimAnswer {
     /// The call may be sent.
-    Fresh(SendPermit),
-    /// It ran before; this was its answer.
+    Granted(SendPermit),
+    /// The call ran before; contains its answer.
     Stored(claims::StoredOutcome),
-    /// It is under way elsewhere.
+    /// The call is in progress elsewhere.
     InProgress,
-    /// It may have run; nobody will run it again.
+    /// The call may have run, and will not run again.
     Unknown,
-    /// The key was used for another content; this call did not run.
+    /// The key was used for a call with different content; this call did not run.
     OtherContent,
-    /// This try did not run and will not.
+    /// This attempt did not run and never will.
     Refused(ClaimRefused),
 }
 
-/// A try that did not run and will not.
+/// The refusal of an attempt that did not run and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimRefused {
-    /// Why; absent when no entry VM could be asked.
+    /// Cause of the refusal; `None` if no entry VM could be reached.
     pub cause: Option<claim_calls::RefusalCause>,
-    /// What may be said of the key: `No` unless an earlier try may have run and can no longer be
-    /// asked about.
+    /// Whether an earlier attempt with the key may have run: `No` unless the state of the key is no
+    /// longer available.
     pub ran: outcome::RanState,
 }
 
-/// Work that this process does.
+/// A job that this process executes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobTicket {
-    /// The work and its claim.
+    /// The job and its claim.
     pub grant: job_calls::JobGrant,
-    /// Counted from before the claim, or the last renewal that counts, was asked for.
+    /// Counted from before the claim or the last successful renewal was requested.
     pub(crate) deadline: time::Instant,
 }
 
 impl JobTicket {
-    /// Whether the holder may go on; others may have taken over when it may not.
+    /// Whether the holder may continue; otherwise another VM may have taken over.
     #[must_use]
     pub fn may_continue(&self, now: time::Instant) -> bool {
         now < self.deadline
     }
 
-    /// The instant by which the holder must have renewed, or stops.
+    /// Returns the instant by which the holder must have renewed or must stop.
     #[must_use]
     pub const fn deadline(&self) -> time::Instant {
         self.deadline
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,14 +1,14 @@
-//! The form of this project's records: a batch of entries, each with an id of its own.
+//! Format of records: a batch of entries, each with its own id.
 
 use base::id;
 use sha2::Digest as _;
 use snafu::{ResultExt as _, Snafu};
 
-/// Several entries that were appended as one record.
+/// Several entries appended as one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct BatchRecord<E> {
-    /// Name of the entry VM that appended the batch; for people who read the log.
+    /// Name of the entry VM that appended the batch, for humans who read the log.
     pub writer: String,
     /// The entries, in order.
     pub entries: Vec<BatchEntry<E>>,
@@ -18,48 +18,48 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct BatchEntry<E> {
-    /// Drawn by the writer. An entry that is appended again keeps it, so that folds ignore the
-    /// repetition.
+    /// Random id chosen by the writer. An entry that is appended again keeps its id, so that folds
+    /// ignore the repetition.
     pub id: id::RecordId,
-    /// Offset up to which the writer had read the stream when it decided on the entry; the same
-    /// when the entry is appended again.
+    /// Offset up to which the writer had read the stream when it created the entry; unchanged when
+    /// the entry is appended again.
     ///
-    /// A fold may refuse what was decided on a prefix so old that the fold no longer remembers
+    /// A fold may refuse an entry that is based on a position so old that the fold no longer knows
     /// what followed it.
     pub seen: u64,
-    /// What the entry says.
+    /// Content of the entry.
     pub item: E,
 }
 
-/// Where the log put a record.
+/// Position and time of a record on the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordPlace {
     /// Offset of the record.
     pub offset: u64,
-    /// When the record was appended, by the log's own clock.
+    /// Time at which the record was appended, on the log's clock.
     pub at_ms: u64,
 }
 
-/// A record that is not a batch of the expected entries.
+/// An error of encoding or decoding a record.
 #[derive(Debug, Snafu)]
 pub enum RecordError {
-    /// The bytes are not the JSON of a batch.
+    /// The bytes are not a JSON batch of the expected entries.
     #[snafu(display(
-        "the record is not a batch of entries ({source}); look for another writer on this stream"
+        "the record is not a batch of entries ({source}); check for foreign writers on this stream"
     ))]
     Malformed {
-        /// What the parser reported.
+        /// Error of the parser.
         source: serde_json::Error,
     },
     /// The entry cannot be written as JSON.
     #[snafu(display("the entry cannot be written as JSON ({source}); report this as a defect"))]
     Unwritable {
-        /// What the serialiser reported.
+        /// Error of the serialiser.
         source: serde_json::Error,
     },
 }
 
-/// One entry in the form in which it waits to be joined to a batch.
+/// One entry, encoded and ready to be added to a batch.
 #[derive(Clone, Debug)]
 pub struct EncodedEntry {
     /// The entry's id.
@@ -68,10 +68,10 @@
 }
 
 impl EncodedEntry {
-    /// Encodes `item` under `id`, decided by a writer that had read up to `seen`.
+    /// Encodes `item` with the id `id`, for a writer that had read up to `seen`.
     ///
     /// # Errors
-    /// When `item` has no JSON form.
+    /// Returns an error if `item` cannot be written as JSON.
     pub fn new<E: serde::Serialize>(
         id: id::RecordId,
         seen: u64,
@@ -82,14 +82,14 @@
         Ok(Self { id, json })
     }
 
-    /// Bytes that the entry takes in a record.
+    /// Returns the size of the entry within a record, in bytes.
     #[must_use]
     pub const fn size(&self) -> usize {
         self.json.len() + 1
     }
 }
 
-/// Joins entries to the bytes of one record.
+/// Encodes entries as one record.
 #[must_use]
 pub fn encode<'a, I>(writer: &str, entries: I) -> bytes::Bytes
 where
@@ -108,15 +108,15 @@
     text.into()
 }
 
-/// Reads a batch.
+/// Decodes a batch.
 ///
 /// # Errors
-/// When the bytes are not the JSON of such a batch.
+/// Returns an error if the bytes are not a JSON batch of entries of type `E`.
 pub fn decode<E: serde::de::DeserializeOwned>(body: &[u8]) -> Result<BatchRecord<E>, RecordError> {
     serde_json::from_slice(body).context(MalformedSnafu)
 }
 
-/// An id that follows from another one and `salt`, the same in every process.
+/// Derives an id from another id and `salt`; the result is the same in every process.
 #[must_use]
 pub fn derived_id(origin: id::RecordId, salt: u128) -> id::RecordId {
     let mut hasher = sha2::Sha256::new();
@@ -128,7 +128,8 @@
     id::RecordId(u128::from_le_bytes(half))
 }
 
-/// The ids of a record's entries, whatever the entries say; none when it is not a batch.
+/// Returns the ids of a record's entries regardless of their type; empty if the record is not a
+/// batch.
 #[must_use]
 pub fn entry_ids(body: &[u8]) -> Vec<id::RecordId> {
     decode::<serde::de::IgnoredAny>(body)
@@ -136,15 +137,15 @@
         .unwrap_or_default()
 }
 
-/// Bytes as base64 text inside JSON, for `#[serde(with = "…")]`.
+/// Encodes bytes as base64 text in JSON, for `#[serde(with = "…")]`.
 pub mod base64_bytes {
     use base64::Engine as _;
     use base64::engine::general_purpose;
 
-    /// Writes the bytes.
+    /// Serialises the bytes.
     ///
     /// # Errors
-    /// When the serialiser fails.
+    /// Returns an error if the serialiser fails.
     pub fn serialize<S: serde::Serializer>(
         bytes: &bytes::Bytes,
         serializer: S,
@@ -152,10 +153,10 @@
         serializer.serialize_str(&general_purpose::STANDARD.encode(bytes))
     }
 
-    /// Reads the bytes.
+    /// Deserialises the bytes.
     ///
     /// # Errors
-    /// When the text is not base64.
+    /// Returns an error if the text is not base64.
     pub fn deserialize<'de, D: serde::Deserializer<'de>>(
         deserializer: D,
     ) -> Result<bytes::Bytes, D::Error> {
