--- a/crates/ledger/src/route.rs
+++ b/crates/ledger/src/route.rs
@@ -1,4 +1,4 @@
-//! Claims and deferrable work as the request plane uses them, on any entry VM.
+//! Routes claims and deferrable jobs of the request plane to the entry VMs of their partitions.
 
 use std::sync;
 
@@ -9,54 +9,54 @@
 use crate::client::LogClient;
 use crate::{appender, claim_calls, claims, host, job_calls, jobs, partition, permit};
 
-/// The way to the other entry VMs.
+/// Client interface to the other entry VMs.
 pub trait LedgerPeers: Clone + Send + Sync + 'static {
-    /// Names of the live entry VMs, this one included, as membership sees them now.
+    /// Returns the names of the live entry VMs, including this one, according to membership.
     fn live_vms(&self) -> Vec<String>;
 
-    /// Asks another entry VM and waits `limit` at the most.
+    /// Sends a request to another entry VM and waits at most `limit` for the reply.
     fn call(
         &self,
         vm: &str,
         request: &host::LedgerRequest,
         limit: time::Duration,
-    ) -> impl Future<Output = Result<host::LedgerReply, PeerFault>> + Send;
+    ) -> impl Future<Output = Result<host::LedgerReply, PeerError>> + Send;
 }
 
-/// Why another entry VM gave no reply.
+/// The reason why another entry VM gave no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeerFault {
-    /// The request did not reach it.
+pub enum PeerError {
+    /// The request did not reach the VM.
     NotDelivered,
-    /// It may have done what was asked.
+    /// The request may have taken effect.
     Lost,
 }
 
-/// Times of a [`LedgerRouter`].
+/// Settings of a [`LedgerRouter`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteSettings {
-    /// How long one entry VM is given for one request.
-    pub try_limit: time::Duration,
-    /// How long an end of a claim, or a result, is reported again until it is recorded.
-    pub report_limit: time::Duration,
-    /// Pause between two reports.
-    pub report_pause: time::Duration,
-    /// Claims that are ended as not run in the background at the most.
+    /// Timeout of one request to one entry VM.
+    pub attempt_timeout: time::Duration,
+    /// Time for which the report of a claim's end or of a result is retried until it is recorded.
+    pub report_timeout: time::Duration,
+    /// Interval between two attempts to report.
+    pub report_interval: time::Duration,
+    /// Maximum number of claims that are being withdrawn in the background.
     pub max_withdrawals: usize,
 }
 
 impl Default for RouteSettings {
     fn default() -> Self {
         Self {
-            try_limit: time::Duration::from_millis(1_500),
-            report_limit: time::Duration::from_secs(120),
-            report_pause: time::Duration::from_millis(500),
+            attempt_timeout: time::Duration::from_millis(1_500),
+            report_timeout: time::Duration::from_secs(120),
+            report_interval: time::Duration::from_millis(500),
             max_withdrawals: 1_024,
         }
     }
 }
 
-/// Claims and deferrable work, wherever their partitions are appended.
+/// Routes claims and deferrable jobs to the entry VMs that append to their partitions.
 pub struct LedgerRouter<C, P> {
     host: sync::Arc<host::LedgerHost<C>>,
     peers: P,
@@ -77,19 +77,19 @@
     }
 }
 
-/// What asking brought.
-struct AskResult {
+/// Result of sending a request to the entry VMs of its stream.
+struct RequestResult {
     reply: Option<host::LedgerReply>,
-    /// Whether some entry VM may have done what was asked without saying so.
+    /// Whether the request may have taken effect at an entry VM whose reply was lost.
     lost: bool,
 }
 
-/// Entry VMs that are asked in turn, before this one does it itself.
-const PEER_TRIES: usize = 2;
+/// Maximum number of ranked entry VMs to try before this VM executes the request itself.
+const MAX_PEER_ATTEMPTS: usize = 2;
 
 impl<C: LogClient, P: LedgerPeers> LedgerRouter<C, P> {
-    /// A router that draws its ids from `seed`, which no other process and no earlier life of
-    /// this one may have had.
+    /// Creates a router that generates its ids from `seed`. No other process and no earlier
+    /// incarnation of this one may have used the same seed.
     pub fn new(
         host: sync::Arc<host::LedgerHost<C>>,
         peers: P,
@@ -107,12 +107,12 @@
         }
     }
 
-    /// Claims a key for a call that this process would send.
+    /// Claims a key for a call that this process is about to send.
     pub async fn claim(&self, call: permit::ClaimCall) -> permit::ClaimAnswer {
         let limits = &self.host.settings().claims.limits;
         let deadline = time::Instant::now() + time::Duration::from_millis(limits.hold_ms);
         let permit = permit::SendPermit {
-            claim: self.draw(),
+            claim: self.new_id(),
             organisation: call.organisation.clone(),
             key: call.key.clone(),
             deadline,
@@ -123,29 +123,33 @@
             key: call.key,
             content: call.content,
             holder: self.host.vm().to_owned(),
-            wait_ms: self.try_ms(),
+            wait_ms: self.attempt_timeout_ms(),
         });
         let mut guard = WithdrawGuard {
             router: self,
             permit: Some(permit),
         };
-        let asked = self.ask(&request, Some(deadline)).await;
+        let result = self.send_request(&request, Some(deadline)).await;
         let Some(permit) = guard.permit.take() else {
             return refused(None);
         };
-        self.claim_answer(permit, asked)
+        self.claim_answer(permit, result)
     }
 
-    fn claim_answer(&self, permit: permit::SendPermit, asked: AskResult) -> permit::ClaimAnswer {
+    fn claim_answer(
+        &self,
+        permit: permit::SendPermit,
+        result: RequestResult,
+    ) -> permit::ClaimAnswer {
         let held = host::LedgerReply::Claim(claim_calls::ClaimReply::Held);
-        let is_held = asked.reply.as_ref() == Some(&held);
+        let is_held = result.reply.as_ref() == Some(&held);
         if is_held && permit.may_send(time::Instant::now()) {
-            return permit::ClaimAnswer::Fresh(permit);
+            return permit::ClaimAnswer::Granted(permit);
         }
-        if is_held || asked.lost {
+        if is_held || result.lost {
             self.withdraw(permit);
         }
-        let Some(host::LedgerReply::Claim(reply)) = asked.reply else {
+        let Some(host::LedgerReply::Claim(reply)) = result.reply else {
             return refused(None);
         };
         match reply {
@@ -158,30 +162,31 @@
         }
     }
 
-    /// Records how a permitted call ended, again and again until it is recorded or the time for
-    /// it is up. The caller's answer need not wait for this.
+    /// Records the outcome of a permitted call, with retries until it is recorded or
+    /// `report_timeout` has passed. The answer to the caller need not wait for this.
     ///
-    /// `NotRun` is for a call that is *proved* not to have run, or was never sent.
+    /// `NotRun` is only for a call that *provably* did not run or was never sent.
     pub async fn settle(
         &self,
         permit: permit::SendPermit,
         outcome: claims::SettledOutcome,
     ) -> claim_calls::RecordReply {
         let request = host::LedgerRequest::Settle(claim_calls::SettleRequest {
-            entry: self.draw(),
+            entry: self.new_id(),
             item: claims::SettleItem {
                 claim: permit.claim,
                 organisation: permit.organisation,
                 key: permit.key,
                 outcome,
             },
-            wait_ms: self.try_ms(),
+            wait_ms: self.attempt_timeout_ms(),
         });
-        self.report(&request).await
+        self.report_until_recorded(&request).await
     }
 
-    /// Ends a claim that this process has decided never to use, so that its key does not stay
-    /// unknown. Taking the permit by value makes sure that the call can no longer be sent.
+    /// Settles a claim that this process will never use as not run, so that the outcome of its key
+    /// does not stay unknown. Taking the permit by value ensures that the call can no longer be
+    /// sent.
     fn withdraw(&self, permit: permit::SendPermit) {
         let Ok(slot) = sync::Arc::clone(&self.withdrawals).try_acquire_owned() else {
             metrics::counter!("pollenchute_ledger_withdrawals_dropped_total").increment(1);
@@ -197,7 +202,7 @@
         });
     }
 
-    /// Accepts work that may wait.
+    /// Accepts a deferrable job.
     pub async fn accept(
         &self,
         job: id::RequestId,
@@ -206,24 +211,24 @@
         body: bytes::Bytes,
     ) -> job_calls::AcceptReply {
         let request = host::LedgerRequest::Accept(job_calls::AcceptRequest {
-            entry: self.draw(),
+            entry: self.new_id(),
             job,
             organisation: organisation.to_owned(),
             kept_ms,
             body,
-            wait_ms: self.try_ms(),
+            wait_ms: self.attempt_timeout_ms(),
         });
-        let asked = self.ask(&request, None).await;
-        match asked.reply {
+        let result = self.send_request(&request, None).await;
+        match result.reply {
             Some(host::LedgerReply::Accept(job_calls::AcceptReply::NotAccepted(refusal)))
-                if !asked.lost =>
+                if !result.lost =>
             {
                 job_calls::AcceptReply::NotAccepted(refusal)
             }
             Some(host::LedgerReply::Accept(job_calls::AcceptReply::Accepted)) => {
                 job_calls::AcceptReply::Accepted
             }
-            None if !asked.lost => {
+            None if !result.lost => {
                 let cause = appender::NotAppended::Down;
                 job_calls::AcceptReply::NotAccepted(job_calls::AcceptRefusal::NotAppended(cause))
             }
@@ -231,144 +236,148 @@
         }
     }
 
-    /// Takes work from a partition; `None` when there is none that can be taken now.
+    /// Takes a job from a partition; `None` if no job can be taken now.
     pub async fn take_next(
         &self,
         partition: partition::PartitionIndex,
     ) -> Option<permit::JobTicket> {
-        let asked_at = time::Instant::now();
+        let requested_at = time::Instant::now();
         let request = host::LedgerRequest::Take(host::PartitionTake {
             partition,
             request: job_calls::TakeRequest {
-                claim: self.draw(),
+                claim: self.new_id(),
                 holder: self.host.vm().to_owned(),
-                wait_ms: self.try_ms(),
+                wait_ms: self.attempt_timeout_ms(),
             },
         });
-        let asked = self.ask(&request, None).await;
-        let Some(host::LedgerReply::Take(job_calls::TakeReply::Taken(grant))) = asked.reply else {
+        let result = self.send_request(&request, None).await;
+        let Some(host::LedgerReply::Take(job_calls::TakeReply::Taken(grant))) = result.reply else {
             return None;
         };
-        let deadline = asked_at + time::Duration::from_millis(grant.hold_ms);
+        let deadline = requested_at + time::Duration::from_millis(grant.hold_ms);
         Some(permit::JobTicket { grant, deadline })
     }
 
-    /// Renews work; a ticket whose renewal is not confirmed keeps its deadline. `Superseded`
-    /// means that the work belongs to somebody else now: stop and throw away what was done.
+    /// Renews the claim on a job. If the renewal is not confirmed, the ticket keeps its deadline.
+    /// `Superseded` means that another VM holds the job now: the caller must stop and discard its
+    /// work.
     pub async fn renew(&self, ticket: &mut permit::JobTicket) -> job_calls::RenewState {
-        let asked_at = time::Instant::now();
+        let requested_at = time::Instant::now();
         let entry = job_calls::RenewEntry {
-            entry: self.draw(),
+            entry: self.new_id(),
             item: holder_item(ticket),
         };
         let request = host::LedgerRequest::Renew(host::PartitionRenew {
             partition: partition::of_request(ticket.grant.job),
             request: job_calls::RenewRequest {
                 entries: vec![entry],
-                wait_ms: self.try_ms(),
+                wait_ms: self.attempt_timeout_ms(),
             },
         });
-        let asked = self.ask(&request, Some(ticket.deadline)).await;
-        let state = match asked.reply {
+        let result = self.send_request(&request, Some(ticket.deadline)).await;
+        let state = match result.reply {
             Some(host::LedgerReply::Renew(states)) => states.first().copied(),
             _ => None,
         };
         let state = state.unwrap_or(job_calls::RenewState::Unsettled);
         if state == job_calls::RenewState::Renewed {
             let hold = time::Duration::from_millis(ticket.grant.hold_ms);
-            ticket.deadline = ticket.deadline.max(asked_at + hold);
+            ticket.deadline = ticket.deadline.max(requested_at + hold);
         }
         state
     }
 
-    /// Gives work back, for instance when this process leaves.
+    /// Releases a job, for instance when this process is leaving.
     pub async fn release(&self, ticket: permit::JobTicket) -> claim_calls::RecordReply {
         let request = host::LedgerRequest::Release(host::ReleaseRequest {
             renewal: job_calls::RenewEntry {
-                entry: self.draw(),
+                entry: self.new_id(),
                 item: holder_item(&ticket),
             },
-            wait_ms: self.try_ms(),
+            wait_ms: self.attempt_timeout_ms(),
         });
-        self.report(&request).await
+        self.report_until_recorded(&request).await
     }
 
-    /// Records a result, again and again until the log has decided or the time for it is up.
+    /// Records a result, with retries until the log has decided or `report_timeout` has passed.
     pub async fn finish(
         &self,
         ticket: &permit::JobTicket,
         result: bytes::Bytes,
     ) -> job_calls::FinishReply {
         let request = host::LedgerRequest::Finish(job_calls::FinishRequest {
-            entry: self.draw(),
+            entry: self.new_id(),
             job: ticket.grant.job,
             claim: ticket.grant.claim,
             result,
-            wait_ms: self.try_ms(),
+            wait_ms: self.attempt_timeout_ms(),
         });
-        let until = time::Instant::now() + self.settings.report_limit;
+        let until = time::Instant::now() + self.settings.report_timeout;
         loop {
-            match self.ask(&request, Some(until)).await.reply {
+            match self.send_request(&request, Some(until)).await.reply {
                 Some(host::LedgerReply::Finish(job_calls::FinishReply::NotRecorded)) | None => {}
                 Some(host::LedgerReply::Finish(reply)) => return reply,
                 Some(_) => return job_calls::FinishReply::NotRecorded,
             }
-            if time::Instant::now() + self.settings.report_pause >= until {
+            if time::Instant::now() + self.settings.report_interval >= until {
                 return job_calls::FinishReply::NotRecorded;
             }
-            time::sleep(self.settings.report_pause).await;
+            time::sleep(self.settings.report_interval).await;
         }
     }
 
-    /// Asks about work.
+    /// Fetches the state of a job.
     pub async fn fetch(&self, job: id::RequestId) -> job_calls::FetchReply {
         let request = host::LedgerRequest::Fetch(host::FetchRequest {
             job,
-            wait_ms: self.try_ms(),
+            wait_ms: self.attempt_timeout_ms(),
         });
-        match self.ask(&request, None).await.reply {
+        match self.send_request(&request, None).await.reply {
             Some(host::LedgerReply::Fetch(reply)) => reply,
             _ => job_calls::FetchReply::Unavailable,
         }
     }
 
-    async fn report(&self, request: &host::LedgerRequest) -> claim_calls::RecordReply {
-        let until = time::Instant::now() + self.settings.report_limit;
+    async fn report_until_recorded(
+        &self,
+        request: &host::LedgerRequest,
+    ) -> claim_calls::RecordReply {
+        let until = time::Instant::now() + self.settings.report_timeout;
         let recorded = host::LedgerReply::Recorded(claim_calls::RecordReply::Recorded);
         loop {
-            if self.ask(request, Some(until)).await.reply.as_ref() == Some(&recorded) {
+            if self.send_request(request, Some(until)).await.reply.as_ref() == Some(&recorded) {
                 return claim_calls::RecordReply::Recorded;
             }
-            if time::Instant::now() + self.settings.report_pause >= until {
+            if time::Instant::now() + self.settings.report_interval >= until {
                 return claim_calls::RecordReply::NotRecorded;
             }
-            time::sleep(self.settings.report_pause).await;
+            time::sleep(self.settings.report_interval).await;
         }
     }
 
-    /// Asks the entry VMs that rank for the request's stream in turn, and at last does it here,
-    /// until one replies that could use the log. The same request may then have been done twice,
-    /// which its ids make harmless.
-    async fn ask(
+    /// Sends the request in turn to the entry VMs that rank for its stream, and finally executes it
+    /// here, until a VM replies that could use the log. The request may then have been executed
+    /// twice, which its ids make harmless.
+    async fn send_request(
         &self,
         request: &host::LedgerRequest,
         deadline: Option<time::Instant>,
-    ) -> AskResult {
-        let mut result = AskResult {
+    ) -> RequestResult {
+        let mut result = RequestResult {
             reply: None,
             lost: false,
         };
         for vm in self.targets(request) {
             let now = time::Instant::now();
-            let left = deadline.map_or(self.settings.try_limit, |until| {
+            let left = deadline.map_or(self.settings.attempt_timeout, |until| {
                 self.settings
-                    .try_limit
+                    .attempt_timeout
                     .min(until.saturating_duration_since(now))
             });
             if left.is_zero() {
                 break;
             }
-            match self.ask_one(&vm, request, left).await {
+            match self.send_to(&vm, request, left).await {
                 Ok(reply) => {
                     let usable = reply.could_use_log();
                     result.lost |= reply.may_have_taken_effect();
@@ -377,31 +386,31 @@
                         break;
                     }
                 }
-                Err(PeerFault::NotDelivered) => {}
-                Err(PeerFault::Lost) => result.lost = true,
+                Err(PeerError::NotDelivered) => {}
+                Err(PeerError::Lost) => result.lost = true,
             }
         }
         result
     }
 
-    async fn ask_one(
+    async fn send_to(
         &self,
         vm: &str,
         request: &host::LedgerRequest,
         limit: time::Duration,
-    ) -> Result<host::LedgerReply, PeerFault> {
+    ) -> Result<host::LedgerReply, PeerError> {
         if vm != self.host.vm() {
             return self.peers.call(vm, request, limit).await;
         }
         time::timeout(limit, self.host.handle(request.clone()))
             .await
-            .map_err(|_| PeerFault::Lost)
+            .map_err(|_| PeerError::Lost)
     }
 
     fn targets(&self, request: &host::LedgerRequest) -> Vec<String> {
         let live = self.peers.live_vms();
         let names = live.iter().map(String::as_str);
-        let ranking = partition::appenders(&request.stream(), names, PEER_TRIES);
+        let ranking = partition::appenders(&request.stream(), names, MAX_PEER_ATTEMPTS);
         let mut targets: Vec<String> = ranking.into_iter().map(str::to_owned).collect();
         if !targets.iter().any(|name| name == self.host.vm()) {
             targets.push(self.host.vm().to_owned());
@@ -409,11 +418,11 @@
         targets
     }
 
-    fn try_ms(&self) -> u64 {
-        u64::try_from(self.settings.try_limit.as_millis()).unwrap_or(u64::MAX)
+    fn attempt_timeout_ms(&self) -> u64 {
+        u64::try_from(self.settings.attempt_timeout.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn draw(&self) -> id::RecordId {
+    fn new_id(&self) -> id::RecordId {
         let mut rng = self
             .rng
             .lock()
@@ -422,7 +431,7 @@
     }
 }
 
-/// Ends the claim of a caller that went away while it was asked for.
+/// Withdraws the claim if the caller disconnects while the claim is being requested.
 struct WithdrawGuard<'a, C: LogClient, P: LedgerPeers> {
     router: &'a LedgerRouter<C, P>,
     permit: Option<permit::SendPermit>,
--- a/crates/ledger/src/seek.rs
+++ b/crates/ledger/src/seek.rs
@@ -1,16 +1,16 @@
-//! Finds where to begin in a long stream, so that a new reader skips what no longer matters.
+//! Finds the start position in a long stream, so that a new reader skips irrelevant records.
 
 use crate::client;
 use crate::client::LogClient;
 
-/// The offset of a record from which on everything of the last `lookback_ms` before the stream's
-/// last record is read, in a logarithmic number of reads.
+/// Returns an offset such that a reader which starts there reads all records of the last
+/// `lookback_ms` before the stream's last record. Needs a logarithmic number of reads.
 ///
-/// The log's clock may go back by less than `lookback_ms` has to spare: then the search may end
-/// among the records of that moment.
+/// If the log's clock goes back, the search may end among the records around that step, so
+/// `lookback_ms` must include a margin for such steps.
 ///
 /// # Errors
-/// When the log cannot be read.
+/// Returns an error if the log cannot be read.
 pub async fn find_start<C: LogClient>(
     client: &C,
     stream: &str,
@@ -46,7 +46,8 @@
 }
 
 impl<C: LogClient> StreamProber<'_, C> {
-    /// The record at `offset`, or the first one kept when that was dropped; `None` past the end.
+    /// Returns the record at `offset`, or the first retained one if that was dropped; `None` past
+    /// the end.
     async fn probe(&self, offset: u64) -> Result<Option<ProbedRecord>, client::ReadError> {
         let mut from = offset;
         loop {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The last record, or one close before it: the stream may grow meanwhile.
+    /// Returns the last record, or one shortly before it if the stream grows during the search.
     async fn find_last(&self, first: ProbedRecord) -> Result<ProbedRecord, client::ReadError> {
         let mut last = first;
         let mut step = 1;
--- a/crates/ledger/src/signal.rs
+++ b/crates/ledger/src/signal.rs
@@ -1,14 +1,13 @@
-//! A state that tasks wait on, woken in the order in which they began to wait.
+//! A state that tasks can wait on; waiting tasks are woken in the order in which they began to wait.
 //!
-//! `tokio::sync::watch` wakes its waiters in an order that it draws at random. Which of two claims
-//! of one key comes first then differs from run to run, and a history that failed once can't be
-//! played again.
+//! `tokio::sync::watch` wakes its waiters in random order. The order of two claims of one key would
+//! then differ between runs, and a failed test history could not be reproduced from its seed.
 
 use std::sync;
 
 use tokio::sync as tokio_sync;
 
-/// A state and those who wait for it to change.
+/// A state and the tasks that wait for it to change.
 #[derive(Debug, Default)]
 pub struct StateSignal<T> {
     state: sync::Mutex<T>,
@@ -16,7 +15,7 @@
 }
 
 impl<T: Copy + PartialEq> StateSignal<T> {
-    /// Begins with `state`.
+    /// Creates a signal with the initial state `state`.
     pub fn new(state: T) -> Self {
         Self {
             state: sync::Mutex::new(state),
@@ -24,12 +23,12 @@
         }
     }
 
-    /// The state now.
+    /// Returns the current state.
     pub fn get(&self) -> T {
         *self.lock()
     }
 
-    /// Sets the state, and wakes whoever waits if that changes it. Gives what it was.
+    /// Sets the state, wakes the waiting tasks if the state changes, and returns the previous state.
     pub fn replace(&self, state: T) -> T {
         let before = std::mem::replace(&mut *self.lock(), state);
         if before != state {
@@ -38,12 +37,12 @@
         before
     }
 
-    /// Waits until the state is as wanted.
+    /// Waits until the state satisfies `wanted` and returns the state.
     pub async fn wait_for(&self, wanted: impl Fn(&T) -> bool) -> T {
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
-            // Registered before the look, so that a change between the two is not missed.
+            // Registered before the state is read, so that a change in between is not missed.
             changed.as_mut().enable();
             let state = self.get();
             if wanted(&state) {
--- a/crates/ledger/src/tail.rs
+++ b/crates/ledger/src/tail.rs
@@ -1,54 +1,54 @@
-//! Follows one stream in order through outages and retention.
+//! Reads one stream in order, across outages and records dropped by retention.
 
 use tokio::time;
 
 use crate::client;
 use crate::client::LogClient;
 
-/// Pause after the first failed read; it doubles with each further one.
-const FIRST_PAUSE: time::Duration = time::Duration::from_millis(50);
-/// Longest pause between two tries of a read.
-const LONGEST_PAUSE: time::Duration = time::Duration::from_millis(1_000);
-/// Records asked for in one read.
-const PAGE_RECORDS: u32 = 256;
+/// Delay after the first failed read; it doubles with each further failure.
+const MIN_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
+/// Maximum delay between two attempts of a read.
+const MAX_RETRY_DELAY: time::Duration = time::Duration::from_millis(1_000);
+/// Maximum number of records in one read.
+const MAX_PAGE_RECORDS: u32 = 256;
 
-/// What following a stream brought.
+/// An event of reading a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TailEvent {
-    /// Records in order, the first right after the last one before.
+    /// Records in order; the first one follows directly after the last record returned before.
     Records(Vec<client::LogRecord>),
-    /// There was nothing to read up to `next` when the log answered.
-    Quiet {
-        /// Offset that the next record will have at the least.
+    /// The reader is at the end of the stream as of the log's answer.
+    AtEnd {
+        /// Minimum offset of the next record.
         next: u64,
     },
-    /// Retention dropped records before they were read: whoever folds them starts again from a
-    /// checkpoint at or after `first`. Reading goes on at `first`.
+    /// Retention dropped records before they were read. Folds must restart from a checkpoint at or
+    /// after `first`; reading continues at `first`.
     Gap {
-        /// Lowest offset that the log still keeps.
+        /// Lowest offset that the log still retains.
         first: u64,
     },
-    /// The log cannot be read; the next call tries again after a growing pause.
+    /// The log cannot be read; the next call retries after an increasing delay.
     Outage {
-        /// What the connection reported.
+        /// Cause that the connection reported.
         cause: String,
     },
 }
 
-/// A reader of one stream; its position only grows.
+/// A reader of one stream; its position never decreases.
 #[derive(Clone, Debug)]
 pub struct TailReader<C> {
     client: C,
     stream: String,
-    /// Offset of the next record that is handed out.
+    /// Offset of the next record to return.
     position: u64,
     wait_ms: u64,
-    /// Failed reads since the last good one.
+    /// Number of failed reads since the last successful one.
     failures: u32,
 }
 
 impl<C: LogClient> TailReader<C> {
-    /// A reader that hands out the record at `from` first.
+    /// Creates a reader that starts at the record `from`.
     pub fn new(client: C, stream: impl Into<String>, from: u64) -> Self {
         Self {
             client,
@@ -59,56 +59,55 @@
         }
     }
 
-    /// The same reader with another time that one read waits at the log for a record.
+    /// Sets the time that one read waits at the log for a record.
     #[must_use]
     pub const fn wait_ms(mut self, wait_ms: u64) -> Self {
         self.wait_ms = wait_ms;
         self
     }
 
-    /// Offset of the next record that is handed out.
+    /// Returns the offset of the next record to return.
     #[must_use]
     pub const fn position(&self) -> u64 {
         self.position
     }
 
-    /// Failed reads since the last good one.
+    /// Returns the number of failed reads since the last successful one.
     #[must_use]
     pub const fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Waits for the next event. Dropping the future loses nothing.
+    /// Waits for the next event. Dropping the future loses no records.
     pub async fn next_event(&mut self) -> TailEvent {
         if self.failures > 0 {
-            time::sleep(self.pause()).await;
+            time::sleep(self.retry_delay()).await;
         }
-        // The first read after a failure does not wait for a record: its answer tells at once that
-        // the log is back, which others wait for.
+        // The first read after a failure does not wait for a record: its answer shows at once that
+        // the log is available again, which other tasks wait for.
         let wait_ms = if self.failures == 0 { self.wait_ms } else { 0 };
         let query = client::ReadQuery {
             stream: self.stream.clone(),
             from: self.position,
-            max: PAGE_RECORDS,
+            max: MAX_PAGE_RECORDS,
             wait_ms,
         };
         match self.client.read(&query).await {
             Ok(page) => {
                 self.failures = 0;
-                self.take_page(page)
+                self.accept_page(page)
             }
             Err(client::ReadError::Dropped { first, .. }) => {
                 self.failures = 0;
                 self.skip_to(first)
             }
-            Err(client::ReadError::Fault { cause, .. }) => self.note_outage(cause),
+            Err(client::ReadError::Fault { cause, .. }) => self.record_outage(cause),
         }
     }
 
-    /// Hands out only what follows without a hole. A page that starts later, or goes backwards,
-    /// would let a fold miss a record unnoticed, which shows as two processes that decide
-    /// differently.
-    fn take_page(&mut self, page: client::ReadPage) -> TailEvent {
+    /// Returns only records that follow without a gap. A page that starts later or goes backwards
+    /// could make a fold miss a record unnoticed, so that two processes would decide differently.
+    fn accept_page(&mut self, page: client::ReadPage) -> TailEvent {
         if page.first > self.position {
             return self.skip_to(page.first);
         }
@@ -124,18 +123,20 @@
             records.push(record);
         }
         if records.is_empty() {
-            return TailEvent::Quiet {
+            return TailEvent::AtEnd {
                 next: self.position,
             };
         }
         TailEvent::Records(records)
     }
 
-    /// A `410` without progress would otherwise be asked for without a pause, for ever.
+    /// Continues at the first retained record. A `410` answer that does not move the position forward
+    /// counts as a failed read; the reader would otherwise repeat that read forever without a delay.
     fn skip_to(&mut self, first: u64) -> TailEvent {
         if first <= self.position {
-            let cause = format!("the log reports {first} as dropped, which it is not");
-            return self.note_outage(cause);
+            let cause =
+                format!("the log reports records below {first} as dropped, but none are missing");
+            return self.record_outage(cause);
         }
         metrics::counter!("pollenchute_ledger_gaps_total").increment(1);
         log::warn!(stream = self.stream.as_str(), position = self.position, first = first; "records were dropped before they were read");
@@ -143,7 +144,7 @@
         TailEvent::Gap { first }
     }
 
-    fn note_outage(&mut self, cause: String) -> TailEvent {
+    fn record_outage(&mut self, cause: String) -> TailEvent {
         if self.failures == 0 {
             log::warn!(stream = self.stream.as_str(), cause = cause.as_str(); "log cannot be read");
         }
@@ -152,8 +153,8 @@
         TailEvent::Outage { cause }
     }
 
-    fn pause(&self) -> time::Duration {
+    fn retry_delay(&self) -> time::Duration {
         let doublings = self.failures.saturating_sub(1).min(8);
-        (FIRST_PAUSE * 2_u32.pow(doublings)).min(LONGEST_PAUSE)
+        (MIN_RETRY_DELAY * 2_u32.pow(doublings)).min(MAX_RETRY_DELAY)
     }
 }
--- a/crates/ledger/tests/claim_driver.rs
+++ b/crates/ledger/tests/claim_driver.rs
@@ -47,7 +47,7 @@
         let world = router_world();
         let router = &world.vms[0].router;
         let first = router.claim(call("1000000-a")).await;
-        let permit::ClaimAnswer::Fresh(permit) = first else {
+        let permit::ClaimAnswer::Granted(permit) = first else {
             panic!("{first:?}");
         };
         router.settle(permit, ran()).await;
@@ -67,7 +67,10 @@
         world.heal();
         time::sleep(time::Duration::from_secs(2)).await;
         let again = router.claim(call("1000000-b")).await;
-        assert!(matches!(again, permit::ClaimAnswer::Fresh(_)), "{again:?}");
+        assert!(
+            matches!(again, permit::ClaimAnswer::Granted(_)),
+            "{again:?}"
+        );
     });
 }
 
@@ -81,7 +84,7 @@
         world.log.change_faults(|faults| faults.lose_answer = 1.0);
         let answer = world.vms[0].router.claim(call("1000000-a")).await;
         assert!(
-            matches!(answer, permit::ClaimAnswer::Fresh(_)),
+            matches!(answer, permit::ClaimAnswer::Granted(_)),
             "{answer:?}"
         );
         time::sleep(time::Duration::from_secs(5)).await;
@@ -103,7 +106,7 @@
         world.heal();
         let answer = asked.await.expect("an answer");
         assert!(
-            matches!(answer, permit::ClaimAnswer::Fresh(_)),
+            matches!(answer, permit::ClaimAnswer::Granted(_)),
             "{answer:?}"
         );
     });
@@ -125,7 +128,7 @@
         for answer in asked {
             let answer = answer.await.expect("an answer");
             assert!(
-                matches!(answer, permit::ClaimAnswer::Fresh(_)),
+                matches!(answer, permit::ClaimAnswer::Granted(_)),
                 "{answer:?}"
             );
         }
@@ -186,6 +189,9 @@
         asked.abort();
         time::sleep(time::Duration::from_secs(1)).await;
         let again = world.vms[0].router.claim(call("1000000-a")).await;
-        assert!(matches!(again, permit::ClaimAnswer::Fresh(_)), "{again:?}");
+        assert!(
+            matches!(again, permit::ClaimAnswer::Granted(_)),
+            "{again:?}"
+        );
     });
 }
--- a/crates/ledger/tests/claim_fold.rs
+++ b/crates/ledger/tests/claim_fold.rs
@@ -115,7 +115,7 @@
     let next = put(&mut fold, 1_002_100, 3, claim(KEY, "a"));
     assert!(matches!(
         next,
-        claims::ClaimVerdict::Taken(claims::KeyView::Open { .. })
+        claims::ClaimVerdict::Taken(claims::KeyView::Pending { .. })
     ));
 }
 
--- a/crates/ledger/tests/claims_fuzz.rs
+++ b/crates/ledger/tests/claims_fuzz.rs
@@ -105,7 +105,7 @@
     limits.check().expect("limits agree");
     let append = appender::AppendLimits {
         max_batch_entries: 3,
-        settle_reads: 2,
+        max_lookups: 2,
         ..appender::AppendLimits::default()
     };
     host::HostSettings {
@@ -120,9 +120,9 @@
 
 fn route_settings() -> route::RouteSettings {
     route::RouteSettings {
-        try_limit: time::Duration::from_millis(400),
-        report_limit: time::Duration::from_secs(8),
-        report_pause: time::Duration::from_millis(200),
+        attempt_timeout: time::Duration::from_millis(400),
+        report_timeout: time::Duration::from_secs(8),
+        report_interval: time::Duration::from_millis(200),
         max_withdrawals: 64,
     }
 }
@@ -161,7 +161,7 @@
         answer = router.claim(asked.clone()).await;
     }
     let told = match answer {
-        permit::ClaimAnswer::Fresh(permit) => send(&router, &witness, permit, &call).await,
+        permit::ClaimAnswer::Granted(permit) => send(&router, &witness, permit, &call).await,
         permit::ClaimAnswer::Stored(outcome) => {
             let body = outcome.body.expect("a small body is kept");
             let text = String::from_utf8(body.0.to_vec()).expect("text");
--- a/crates/ledger/tests/jobs_fuzz.rs
+++ b/crates/ledger/tests/jobs_fuzz.rs
@@ -92,7 +92,7 @@
         },
         append: appender::AppendLimits {
             max_batch_entries: 4,
-            settle_reads: 2,
+            max_lookups: 2,
             ..appender::AppendLimits::default()
         },
     };
@@ -101,9 +101,9 @@
 
 fn route_settings() -> route::RouteSettings {
     route::RouteSettings {
-        try_limit: time::Duration::from_millis(400),
-        report_limit: time::Duration::from_secs(6),
-        report_pause: time::Duration::from_millis(200),
+        attempt_timeout: time::Duration::from_millis(400),
+        report_timeout: time::Duration::from_secs(6),
+        report_interval: time::Duration::from_millis(200),
         max_withdrawals: 64,
     }
 }
--- a/crates/ledger/tests/world/mod.rs
+++ b/crates/ledger/tests/world/mod.rs
@@ -72,30 +72,30 @@
         vm: &str,
         request: &host::LedgerRequest,
         limit: time::Duration,
-    ) -> Result<host::LedgerReply, route::PeerFault> {
+    ) -> Result<host::LedgerReply, route::PeerError> {
         let (host, fate) = {
             let mut state = self.network.lock();
             let fate = state.fates.pop_front().unwrap_or(0);
             (state.hosts.get(vm).cloned(), fate)
         };
-        let host = host.ok_or(route::PeerFault::NotDelivered)?;
+        let host = host.ok_or(route::PeerError::NotDelivered)?;
         match fate {
             200.. => {
                 time::sleep(limit).await;
-                Err(route::PeerFault::Lost)
+                Err(route::PeerError::Lost)
             }
             // The answer is lost, while the other VM goes on for as long as it takes.
             150..200 => {
                 let request = request.clone();
                 tokio::spawn(async move { host.handle(request).await });
                 time::sleep(limit).await;
-                Err(route::PeerFault::Lost)
+                Err(route::PeerError::Lost)
             }
             _ => {
                 time::sleep(time::Duration::from_millis(u64::from(fate) / 8)).await;
                 time::timeout(limit, host.handle(request.clone()))
                     .await
-                    .map_err(|_| route::PeerFault::Lost)
+                    .map_err(|_| route::PeerError::Lost)
             }
         }
     }
