--- a/crates/ledger/src/appender.rs
+++ b/crates/ledger/src/appender.rs
@@ -25,8 +25,9 @@
     pub max_queue: usize,
     /// Time after which an entry that the log refused is no longer retried.
     pub retry_timeout: time::Duration,
-    /// Interval between two lookups of an append whose answer was lost.
-    pub lookup_interval: time::Duration,
+    /// Interval between two lookups of an append whose answer was lost, and delay before a refused
+    /// batch is appended again.
+    pub retry_interval: time::Duration,
     /// Number of lookups without a result after which such entries are appended again.
     pub max_lookups: u32,
 }
@@ -39,7 +40,7 @@
             min_interval: time::Duration::from_millis(25),
             max_queue: 4_096,
             retry_timeout: time::Duration::from_millis(300),
-            lookup_interval: time::Duration::from_millis(50),
+            retry_interval: time::Duration::from_millis(50),
             max_lookups: 4,
         }
     }
@@ -316,7 +317,7 @@
             queued.complete(AppendOutcome::NotAppended(cause));
         }
         if !self.batch.is_empty() {
-            time::sleep(self.limits.lookup_interval).await;
+            time::sleep(self.limits.retry_interval).await;
         }
     }
 
@@ -345,7 +346,7 @@
                 self.resend().await;
                 continue;
             }
-            time::sleep(self.limits.lookup_interval).await;
+            time::sleep(self.limits.retry_interval).await;
         }
     }
 
--- a/crates/ledger/src/job_store.rs
+++ b/crates/ledger/src/job_store.rs
@@ -99,7 +99,7 @@
             Ok(jobs::JobVerdict::Accepted) => job_calls::AcceptReply::Accepted,
             // `Stale` is the verdict of this fold; a fold that has read for longer may have accepted.
             Ok(_) | Err(driver::SubmitError::Unsettled) => job_calls::AcceptReply::Unknown,
-            Err(fault) => not_accepted(fault),
+            Err(error) => not_accepted(error),
         }
     }
 
@@ -357,8 +357,8 @@
 
 /// Returns the refusal after a failed append. Parts that may be on the log are harmless: without
 /// their owner they expire.
-const fn not_accepted(fault: driver::SubmitError) -> job_calls::AcceptReply {
-    let cause = match fault {
+const fn not_accepted(error: driver::SubmitError) -> job_calls::AcceptReply {
+    let cause = match error {
         driver::SubmitError::NotAppended(cause) => cause,
         driver::SubmitError::Unsettled => appender::NotAppended::TimedOut,
     };
