--- a/crates/ledger/src/job_fold.rs
+++ b/crates/ledger/src/job_fold.rs
@@ -4,7 +4,7 @@
 
 use base::id;
 
-use crate::{driver, job_memory, jobs, parts, record};
+use crate::{driver, job_tombstones, jobs, parts, record};
 
 /// State of a job from its acceptance until its result expires.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     /// Finished jobs by the time at which their results expire.
     expiries: collections::BinaryHeap<cmp::Reverse<(u64, id::RequestId)>>,
     buffer: parts::PartBuffer,
-    tombstones: job_memory::JobTombstones,
+    tombstones: job_tombstones::JobTombstones,
     held_bytes: usize,
     /// Highest timestamp of the records read so far.
     now_ms: u64,
@@ -68,7 +68,7 @@
             unfinished: collections::BTreeSet::new(),
             expiries: collections::BinaryHeap::new(),
             buffer: parts::PartBuffer::default(),
-            tombstones: job_memory::JobTombstones::starting_at(first),
+            tombstones: job_tombstones::JobTombstones::starting_at(first),
             held_bytes: 0,
             now_ms: 0,
         }
