--- a/crates/ledger/tests/claim_driver.rs
+++ b/crates/ledger/tests/claim_driver.rs
@@ -1,6 +1,6 @@
 //! Single failures of claims through the group commit.
 
-mod world;
+mod cluster;
 
 use std::sync;
 
@@ -8,9 +8,9 @@
 use ledger::{appender, claim_calls, claims, host, memory, permit, route};
 use tokio::time;
 
-fn router_world() -> world::World {
+fn router_world() -> cluster::World {
     let settings = host::HostSettings::default();
-    let world = world::World::new(1, 1, settings, route::RouteSettings::default());
+    let world = cluster::World::new(1, 1, settings, route::RouteSettings::default());
     world.heal();
     world
 }
@@ -43,7 +43,7 @@
     // Symptom: a caller waits for its whole time, or is told "unknown" of what never left.
     // Sequence: the log goes down; a call comes; the log comes back; the call comes again.
     // Cause: an entry that waits for a log which cannot answer.
-    world::run_paused(async {
+    cluster::run_paused(async {
         let world = router_world();
         let router = &world.vms[0].router;
         let first = router.claim(call("1000000-a")).await;
@@ -79,7 +79,7 @@
     // Symptom: the log holds most entries twice when its answers are lost.
     // Sequence: a claim is appended, the answer is lost.
     // Cause: an appender that takes a lost answer for a failed append.
-    world::run_paused(async {
+    cluster::run_paused(async {
         let world = router_world();
         world.log.change_faults(|faults| faults.lose_answer = 1.0);
         let answer = world.vms[0].router.claim(call("1000000-a")).await;
@@ -97,7 +97,7 @@
     // Symptom: a claim is refused although the log works again.
     // Sequence: the request is lost on its way, which looks like a lost answer.
     // Cause: an appender that waits for ever for what never arrived.
-    world::run_paused(async {
+    cluster::run_paused(async {
         let world = router_world();
         world.log.change_faults(|faults| faults.lose_request = 1.0);
         let router = world.vms[0].router.clone();
@@ -117,7 +117,7 @@
     // Symptom: the log refuses appends over its cap in an ordinary rush.
     // Sequence: 400 calls within a moment.
     // Cause: one append a call.
-    world::run_paused(async {
+    cluster::run_paused(async {
         let world = router_world();
         let mut asked = Vec::new();
         for index in 0..400 {
@@ -142,13 +142,13 @@
     // Symptom: under overload every call waits for its whole time and then fails.
     // Sequence: more calls than the log can take wait.
     // Cause: a queue without an end.
-    world::run_paused(async {
+    cluster::run_paused(async {
         let mut settings = host::HostSettings::default();
         settings.claims.append = appender::AppendLimits {
             max_queue: 2,
             ..appender::AppendLimits::default()
         };
-        let world = world::World::new(1, 1, settings, route::RouteSettings::default());
+        let world = cluster::World::new(1, 1, settings, route::RouteSettings::default());
         world.heal();
         let host = sync::Arc::clone(&world.vms[0].host);
         let mut asked = Vec::new();
@@ -181,7 +181,7 @@
     // Symptom: a key stays unknown although nothing was ever sent.
     // Sequence: a caller hangs up while its claim is under way; it sends the call again.
     // Cause: a claim that nobody ends.
-    world::run_paused(async {
+    cluster::run_paused(async {
         let world = router_world();
         let router = world.vms[0].router.clone();
         let asked = tokio::spawn(async move { router.claim(call("1000000-a")).await });
--- a/crates/ledger/tests/claims_fuzz.rs
+++ b/crates/ledger/tests/claims_fuzz.rs
@@ -1,6 +1,6 @@
 //! Stateful fuzz of idempotency claims against an oracle that knows nothing of the code's insides.
 
-mod world;
+mod cluster;
 
 use std::{collections, sync};
 
@@ -146,7 +146,7 @@
     fate: TryFate,
 }
 
-async fn call(router: world::TestRouter, witness: Witness, call: TryCall) {
+async fn call(router: cluster::TestRouter, witness: Witness, call: TryCall) {
     let asked = permit::ClaimCall {
         organisation: ORGANISATION.to_owned(),
         key: call.key.clone(),
@@ -187,7 +187,7 @@
 }
 
 async fn send(
-    router: &world::TestRouter,
+    router: &cluster::TestRouter,
     witness: &Witness,
     permit: permit::SendPermit,
     call: &TryCall,
@@ -221,7 +221,7 @@
 }
 
 fn settle(
-    router: &world::TestRouter,
+    router: &cluster::TestRouter,
     permit: permit::SendPermit,
     outcome: claims::SettledOutcome,
     fate: TryFate,
@@ -234,7 +234,7 @@
 
 /// Plays a history; gives what the world saw, in order.
 async fn history(u: &mut Unstructured<'_>, number: u64) -> arbitrary::Result<String> {
-    let mut world = world::World::new(number, 3, settings(), route_settings());
+    let mut world = cluster::World::new(number, 3, settings(), route_settings());
     world.heal();
     let witness = Witness::default();
     let mut keys: Vec<String> = Vec::new();
@@ -267,7 +267,7 @@
 
 fn draw_key(
     u: &mut Unstructured<'_>,
-    world: &world::World,
+    world: &cluster::World,
     keys: &mut Vec<String>,
 ) -> arbitrary::Result<String> {
     if !keys.is_empty() && u.ratio(3, 4)? {
@@ -295,7 +295,7 @@
 }
 
 /// Once everything works again every call ends, old keys stay settled, and a new key runs.
-async fn finish(world: &world::World, witness: &Witness) {
+async fn finish(world: &cluster::World, witness: &Witness) {
     world.heal();
     time::sleep(time::Duration::from_secs(10)).await;
     for (index, vm) in world.vms.iter().enumerate() {
@@ -325,8 +325,8 @@
     // Sequence: claims, outages of the log, lost and late answers, replaced and paused entry VMs,
     // two appenders, retention, repeated keys, in any order.
     // Cause: none known; this is the search for one.
-    world::check_histories(1_500, 2_048, |u, number| {
-        world::run_paused(history(u, number)).map(drop)
+    cluster::check_histories(1_500, 2_048, |u, number| {
+        cluster::run_paused(history(u, number)).map(drop)
     });
 }
 
@@ -339,7 +339,7 @@
     // Sequence: the same draws, played twice.
     // Cause: something random that no seed decides: the order of branches of a `select!`, the order
     // of a hash map, drawn identifiers.
-    world::check_repeatable(HISTORIES_TWICE, 2_048, |u, number| {
-        world::run_paused(history(u, number))
+    cluster::check_repeatable(HISTORIES_TWICE, 2_048, |u, number| {
+        cluster::run_paused(history(u, number))
     });
 }
--- a/crates/ledger/tests/jobs_fuzz.rs
+++ b/crates/ledger/tests/jobs_fuzz.rs
@@ -1,6 +1,6 @@
 //! Stateful fuzz of deferrable work against an oracle that knows nothing of the code's insides.
 
-mod world;
+mod cluster;
 
 use std::{collections, sync};
 
@@ -127,7 +127,7 @@
     gives_back: false,
 };
 
-async fn accept(router: world::TestRouter, witness: Witness, job: id::RequestId, kept_ms: u64) {
+async fn accept(router: cluster::TestRouter, witness: Witness, job: id::RequestId, kept_ms: u64) {
     let body = bytes::Bytes::from(format!("the long request {job}"));
     let reply = router.accept(job, ORGANISATION, kept_ms, body).await;
     witness.note(job, |seen| {
@@ -141,7 +141,7 @@
 }
 
 async fn work(
-    router: world::TestRouter,
+    router: cluster::TestRouter,
     witness: Witness,
     part: partition::PartitionIndex,
     fate: HolderFate,
@@ -200,7 +200,7 @@
     index
 }
 
-async fn fetch(router: world::TestRouter, witness: Witness, job: id::RequestId) {
+async fn fetch(router: cluster::TestRouter, witness: Witness, job: id::RequestId) {
     let accepted = witness.jobs().get(&job).is_some_and(|seen| seen.accepted);
     let reply = router.fetch(job).await;
     match reply {
@@ -222,7 +222,7 @@
 }
 
 /// Each VM looks after its partitions every second, as its daemon would.
-fn maintain(vm: &world::TestVm, network: &world::Network, number: u64) -> task::AbortHandle {
+fn maintain(vm: &cluster::TestVm, network: &cluster::Network, number: u64) -> task::AbortHandle {
     let host = sync::Arc::downgrade(&vm.host);
     let network = network.clone();
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(number);
@@ -239,7 +239,7 @@
 
 /// Plays a history; gives what the world saw of each piece of work.
 async fn history(u: &mut Unstructured<'_>, number: u64) -> arbitrary::Result<String> {
-    let world = world::World::new(number, 3, settings(), route_settings());
+    let world = cluster::World::new(number, 3, settings(), route_settings());
     world.heal();
     let witness = Witness::default();
     let rng = rand_chacha::ChaCha8Rng::seed_from_u64(number);
@@ -281,7 +281,7 @@
 }
 
 struct HistoryPlayer {
-    world: world::World,
+    world: cluster::World,
     witness: Witness,
     rng: rand_chacha::ChaCha8Rng,
     ids: Vec<id::RequestId>,
@@ -348,7 +348,7 @@
 }
 
 /// Once everything works again all accepted work gets done and can be fetched from any VM.
-async fn finish(world: &world::World, witness: &Witness) {
+async fn finish(world: &cluster::World, witness: &Witness) {
     world.heal();
     time::sleep(time::Duration::from_secs(10)).await;
     for index in 0..partition::JOB_PARTITIONS {
@@ -376,8 +376,8 @@
     // Sequence: acceptances, claims, renewals, results in parts, outages of the log, lost and late
     // answers, replaced and paused entry VMs, two appenders, retention, in any order.
     // Cause: none known; this is the search for one.
-    world::check_histories(800, 2_048, |u, number| {
-        world::run_paused(history(u, number)).map(drop)
+    cluster::check_histories(800, 2_048, |u, number| {
+        cluster::run_paused(history(u, number)).map(drop)
     });
 }
 
@@ -389,7 +389,7 @@
     // Symptom: one run of this file fails, the next passes, and nothing has changed.
     // Sequence: the same draws, played twice.
     // Cause: waiters woken in an order that no seed decides.
-    world::check_repeatable(HISTORIES_TWICE, 2_048, |u, number| {
-        world::run_paused(history(u, number))
+    cluster::check_repeatable(HISTORIES_TWICE, 2_048, |u, number| {
+        cluster::run_paused(history(u, number))
     });
 }
--- a/crates/ledger/tests/seek.rs
+++ b/crates/ledger/tests/seek.rs
@@ -1,6 +1,6 @@
 //! Finding where to begin in a stream.
 
-mod world;
+mod cluster;
 
 use ledger::client::LogClient as _;
 use ledger::{memory, seek};
@@ -13,7 +13,7 @@
     // Cause: a search that is off by one, or that takes a dropped record for the end.
     for length in 0..70_u64 {
         for dropped in [0, length.min(1), length / 2, length] {
-            world::run_paused(check(length, dropped));
+            cluster::run_paused(check(length, dropped));
         }
     }
 }
