--- a/crates/lease/tests/http_engines.rs
+++ b/crates/lease/tests/http_engines.rs
@@ -1,4 +1,5 @@
-//! Engines over real sockets: reading and order share one connection, and faults have their types.
+//! The HTTP client for engines over real sockets: a state request and its order share one
+//! connection, and each error has its own type.
 
 use lease::engine::{EngineClient as _, EngineConnection as _};
 use lease::{engine, http};
@@ -14,21 +15,21 @@
     )
 }
 
-/// Takes one connection only and answers its requests in turn, then closes it.
+/// Accepts a single connection, answers its requests in turn, then closes it.
 async fn serve(listener: net::TcpListener, answers: Vec<String>) -> String {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     drop(listener);
-    let mut seen = String::new();
+    let mut received = String::new();
     for answer in answers {
         let mut buffer = vec![0; 4_096];
         let count = stream.read(&mut buffer).await.expect("a request");
-        seen.push_str(&String::from_utf8_lossy(&buffer[..count]));
+        received.push_str(&String::from_utf8_lossy(&buffer[..count]));
         stream
             .write_all(answer.as_bytes())
             .await
             .expect("an answer");
     }
-    seen
+    received
 }
 
 fn body() -> engine::OrderBody {
@@ -50,38 +51,38 @@
     let listener = net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let answers = vec![answer("200 OK", STATE), answer(status, STATE)];
-    let serving = tokio::spawn(serve(listener, answers));
+    let server = tokio::spawn(serve(listener, answers));
     let client = http::HttpEngines::new(time::Duration::from_secs(30));
     let mut connection = client.open(address).await.expect("open");
     let state = connection.state().await.expect("state");
     assert_eq!(state.fencing, Some(41));
     let ordered = connection.order(&body()).await;
-    (ordered, serving.await.expect("served"))
+    (ordered, server.await.expect("served"))
 }
 
-/// Symptom: an old order lands although its time limit is over.
-/// Sequence: the state is read, the connection ends, the order leaves over another one.
-/// Cause: the engine counts the limit from when it saw the second connection.
+/// Guards against an order that is sent over another connection than its state request: the first
+/// connection ends after the state was read, and the engine counts the order's time limit from when
+/// it accepted the second one. An old order could then take effect after its time limit.
 #[tokio::test]
-async fn an_order_follows_its_reading_on_one_connection_or_fails() {
-    let (ordered, seen) = order_answered("200 OK").await;
+async fn an_order_uses_the_connection_of_its_state_request_or_fails() {
+    let (ordered, received) = order_answered("200 OK").await;
     assert!(ordered.is_ok(), "{ordered:?}");
     assert!(
-        seen.starts_with("GET /v1/state ") && seen.contains("POST /v1/orders "),
-        "{seen}"
+        received.starts_with("GET /v1/state ") && received.contains("POST /v1/orders "),
+        "{received}"
     );
     assert!(
-        seen.contains(r#""fencing":7"#) && seen.contains(r#""within_ms":900"#),
-        "{seen}"
+        received.contains(r#""fencing":7"#) && received.contains(r#""within_ms":900"#),
+        "{received}"
     );
 
     let listener = net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let serving = tokio::spawn(serve(listener, vec![answer("200 OK", STATE)]));
+    let server = tokio::spawn(serve(listener, vec![answer("200 OK", STATE)]));
     let client = http::HttpEngines::new(time::Duration::from_secs(30));
     let mut connection = client.open(address).await.expect("open");
     connection.state().await.expect("state");
-    serving.await.expect("served");
+    server.await.expect("served");
     let again = net::TcpListener::bind(address)
         .await
         .expect("the port again");
@@ -90,13 +91,13 @@
         matches!(ordered, Err(engine::EngineError::NoAnswer { .. })),
         "{ordered:?}"
     );
-    // A second connection would wait here by now: its order was answered, or has failed.
+    // The order has completed, so a second connection would be in the accept queue by now.
     let again = again.into_std().expect("a listener that does not block");
     assert!(again.accept().is_err(), "a second connection was opened");
 }
 
 #[tokio::test]
-async fn refusals_have_their_types() {
+async fn each_refusal_has_its_own_error() {
     let (old, _) = order_answered("409 Conflict").await;
     assert_eq!(old, Err(engine::EngineError::OldFencing));
     let (late, _) = order_answered("410 Gone").await;
--- a/crates/lease/tests/lease_fold.rs
+++ b/crates/lease/tests/lease_fold.rs
@@ -1,4 +1,4 @@
-//! The fold of leases by itself: numbers, lapsing, and starting amid the stream.
+//! The fold of leases: fencing numbers, expiry, and starting in the middle of the stream.
 
 use std::collections;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Applies one record; the number under which its asker then holds the lease.
+/// Applies one record and returns the fencing number if the writer then holds the lease.
 fn apply(fold: &mut fold::LeaseFold, offset: u64, at_ms: u64, item: fold::HoldItem) -> Option<u64> {
     let entry = record::BatchEntry {
         id: id::RecordId(u128::from(offset)),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn renewals_keep_the_number_and_takings_raise_it() {
+fn renewals_keep_the_fencing_number_and_new_holders_raise_it() {
     let mut fold = fold::LeaseFold::default();
     assert_eq!(apply(&mut fold, 3, 0, item(1, None)), Some(3));
     assert_eq!(apply(&mut fold, 4, 9_000, item(1, Some(3))), Some(3));
@@ -62,34 +62,33 @@
     assert_eq!(
         apply(&mut fold, 8, 19_003, item(2, None)),
         Some(6),
-        "a record that came twice"
+        "a record that was appended twice"
     );
 }
 
-/// Symptom: two VMs hold one lease in the eyes of different readers.
-/// Sequence: a reader starts where retention has dropped the record that took the lease; another
-/// VM asks for the lease before its holder's next renewal comes up.
-/// Cause: the reader takes what it has not read of for free.
+/// Guards against a reader that treats a lease as free because it has not read of it: retention has
+/// dropped the record that took the lease, and another VM requests the lease before the holder's
+/// next renewal. Different readers would then see different holders.
 #[test]
-fn a_fold_that_starts_amid_the_stream_grants_nothing_at_first() {
-    let mut whole = fold::LeaseFold::default();
+fn a_fold_that_starts_mid_stream_grants_nothing_at_first() {
+    let mut complete = fold::LeaseFold::default();
     let mut late = fold::LeaseFold::default();
     late.restart(10);
     assert!(late.is_warming());
-    assert_eq!(apply(&mut whole, 3, 0, item(1, None)), Some(3));
-    assert_eq!(apply(&mut whole, 9, 5_000, item(1, Some(3))), Some(3));
-    for fold in [&mut whole, &mut late] {
+    assert_eq!(apply(&mut complete, 3, 0, item(1, None)), Some(3));
+    assert_eq!(apply(&mut complete, 9, 5_000, item(1, Some(3))), Some(3));
+    for fold in [&mut complete, &mut late] {
         assert_eq!(apply(fold, 10, 6_000, item(2, None)), None);
         assert_eq!(apply(fold, 11, 8_000, item(1, Some(3))), Some(3));
         assert_eq!(apply(fold, 12, 9_000, item(2, None)), None);
     }
     for (offset, at_ms) in (13..30).zip((10_000..).step_by(5_000)) {
-        for fold in [&mut whole, &mut late] {
+        for fold in [&mut complete, &mut late] {
             assert_eq!(apply(fold, offset, at_ms, item(1, Some(3))), Some(3));
         }
     }
     assert!(!late.is_warming());
-    for fold in [&mut whole, &mut late] {
+    for fold in [&mut complete, &mut late] {
         assert_eq!(apply(fold, 40, 200_000, item(2, None)), Some(40));
         assert_eq!(apply(fold, 41, 201_000, item(1, Some(3))), None);
     }
--- a/crates/lease/tests/lease_fuzz.rs
+++ b/crates/lease/tests/lease_fuzz.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzz of fold, holder and driver's order of calls against an oracle: histories of three
-//! VMs, one of which is replaced, over a log with faults, on the paused clock.
+//! Stateful fuzz test of the fold and the holder against an oracle, with the driver's order of
+//! calls: histories of three VMs, which may be replaced, over a log with faults, on a paused clock.
 
 use std::collections;
 
@@ -22,102 +22,105 @@
     holders_per_region: 2,
 };
 
-/// One record on its way to the log, or on it.
+/// A record that is in flight to the log or on it.
 #[derive(Clone, Debug)]
-struct Ask {
+struct PendingRecord {
     id: id::RecordId,
     item: fold::HoldItem,
-    asked: time::Instant,
+    requested_at: time::Instant,
 }
 
 #[derive(Debug)]
 struct Process {
     holder: holder::LeaseHolder,
     fold: fold::LeaseFold,
-    /// Offset of the next record that it reads.
+    /// Offset of the next record to read.
     position: usize,
-    ask: Option<Ask>,
+    pending: Option<PendingRecord>,
     orders: Vec<(String, u64, time::Instant)>,
 }
 
 #[derive(Default)]
 struct Oracle {
-    /// Newest order by server: number and giver.
+    /// Newest order by server: its fencing number and its sender.
     newest: collections::BTreeMap<String, (u64, fold::HolderId)>,
-    landed: u64,
+    effective: u64,
     takeovers: u64,
 }
 
 impl Oracle {
-    fn land(&mut self, server: &str, fencing: u64, giver: &fold::HolderId) {
+    fn take_effect(&mut self, server: &str, fencing: u64, sender: &fold::HolderId) {
         if let Some((newest, last)) = self.newest.get(server) {
-            assert!(fencing >= *newest, "an old order landed on {server}");
-            assert!(fencing > *newest || last == giver, "one number, two givers");
+            assert!(fencing >= *newest, "an old order took effect on {server}");
+            assert!(
+                fencing > *newest || last == sender,
+                "two senders used one fencing number"
+            );
             self.takeovers += u64::from(fencing > *newest);
         }
-        self.landed += 1;
+        self.effective += 1;
         self.newest
-            .insert(server.to_owned(), (fencing, giver.clone()));
+            .insert(server.to_owned(), (fencing, sender.clone()));
     }
 }
 
-struct World {
+struct TestCluster {
     processes: Vec<Process>,
-    /// Appends in flight or given up, which may take effect, also twice.
-    flying: Vec<Ask>,
-    log: Vec<(u64, Ask)>,
-    began: time::Instant,
+    /// Appends in flight or abandoned, which may still take effect, also twice.
+    in_flight: Vec<PendingRecord>,
+    log: Vec<(u64, PendingRecord)>,
+    started_at: time::Instant,
     skew_ms: u64,
-    lives: u128,
-    asks: u128,
+    incarnations: u128,
+    record_count: u128,
     oracle: Oracle,
 }
 
-fn fresh(vm: usize, life: u128) -> Process {
+fn new_process(vm: usize, incarnation: u128) -> Process {
     let id = fold::HolderId {
         vm: format!("vm-{vm}"),
-        incarnation: id::Incarnation(life),
+        incarnation: id::Incarnation(incarnation),
     };
     Process {
         holder: holder::LeaseHolder::new(id, LIMITS),
         fold: fold::LeaseFold::default(),
         position: 0,
-        ask: None,
+        pending: None,
         orders: Vec::new(),
     }
 }
 
-impl World {
+impl TestCluster {
     fn log_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64 + self.skew_ms
+        self.started_at.elapsed().as_millis() as u64 + self.skew_ms
     }
 
     fn act(&mut self, input: &mut Unstructured<'_>) -> arbitrary::Result<()> {
         let who = input.choose_index(self.processes.len())?;
         match input.int_in_range(0..=15)? {
             0..=4 => {
-                // A whole round without a fault.
+                // A complete round without faults.
                 self.read(who);
-                self.ask(who, input)?;
-                self.log_newest();
+                self.request(who, input)?;
+                self.append_newest();
                 self.read(who);
             }
-            5 => self.ask(who, input)?,
-            6 => self.take_effect(input)?,
+            5 => self.request(who, input)?,
+            6 => self.append_any(input)?,
             7 => self.read(who),
             8..=10 => self.send(who, input)?,
-            11..=13 => self.land(who, input)?,
+            11..=13 => self.take_effect(who, input)?,
             14 if input.ratio(1, 8)? => {
-                self.lives += 1;
-                self.processes[who] = fresh(who, self.lives);
+                self.incarnations += 1;
+                self.processes[who] = new_process(who, self.incarnations);
             }
             14 if input.ratio(1, 4)? => self.skew_ms += input.int_in_range(0..=600)?,
-            _ => self.processes[who].ask = None,
+            _ => self.processes[who].pending = None,
         }
         Ok(())
     }
 
-    fn ask(&mut self, who: usize, input: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+    fn request(&mut self, who: usize, input: &mut Unstructured<'_>) -> arbitrary::Result<()> {
         let mut assigned = collections::BTreeSet::new();
         for server in SERVERS {
             if input.ratio(15, 16)? {
@@ -128,53 +131,53 @@
         let process = &mut self.processes[who];
         process.holder.observe(&process.fold);
         let planned = process.holder.plan(&assigned, &process.fold, Some(log_ms));
-        if let (None, Some(item)) = (&process.ask, planned) {
+        if let (None, Some(item)) = (&process.pending, planned) {
             process.holder.begin_request(&item);
-            self.asks += 1;
-            let ask = Ask {
-                id: id::RecordId(self.asks),
+            self.record_count += 1;
+            let pending = PendingRecord {
+                id: id::RecordId(self.record_count),
                 item,
-                asked: time::Instant::now(),
+                requested_at: time::Instant::now(),
             };
-            process.ask = Some(ask.clone());
-            self.flying.push(ask);
+            process.pending = Some(pending.clone());
+            self.in_flight.push(pending);
         }
         Ok(())
     }
 
-    fn take_effect(&mut self, input: &mut Unstructured<'_>) -> arbitrary::Result<()> {
-        if self.flying.is_empty() {
+    fn append_any(&mut self, input: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+        if self.in_flight.is_empty() {
             return Ok(());
         }
-        let index = input.choose_index(self.flying.len())?;
-        let twice = input.ratio(1, 8)?;
-        let ask = if twice {
-            self.flying[index].clone()
+        let index = input.choose_index(self.in_flight.len())?;
+        let is_duplicated = input.ratio(1, 8)?;
+        let pending = if is_duplicated {
+            self.in_flight[index].clone()
         } else {
-            self.flying.remove(index)
+            self.in_flight.remove(index)
         };
-        self.log.push((self.log_ms(), ask));
+        self.log.push((self.log_ms(), pending));
         Ok(())
     }
 
-    fn log_newest(&mut self) {
-        if let Some(ask) = self.flying.pop() {
-            self.log.push((self.log_ms(), ask));
+    fn append_newest(&mut self) {
+        if let Some(pending) = self.in_flight.pop() {
+            self.log.push((self.log_ms(), pending));
         }
     }
 
-    /// Reads to the end of the log and settles what the process waits for.
+    /// Reads to the end of the log and applies the verdict that the process waits for.
     fn read(&mut self, who: usize) {
         let process = &mut self.processes[who];
-        while let Some((at_ms, ask)) = self.log.get(process.position) {
+        while let Some((at_ms, pending)) = self.log.get(process.position) {
             let place = record::RecordPlace {
                 offset: process.position as u64,
                 at_ms: *at_ms,
             };
             let entry = record::BatchEntry {
-                id: ask.id,
+                id: pending.id,
                 seen: 0,
-                item: fold::LeaseEntry::Hold(ask.item.clone()),
+                item: fold::LeaseEntry::Hold(pending.item.clone()),
             };
             let batch = record::BatchRecord {
                 writer: String::new(),
@@ -182,12 +185,12 @@
             };
             process.position += 1;
             for decided in process.fold.apply(place, batch) {
-                if let Some(own) = process.ask.take_if(|own| own.id == decided.id) {
+                if let Some(own) = process.pending.take_if(|own| own.id == decided.id) {
                     let now = time::Instant::now();
                     let verdict = &decided.verdict;
                     process
                         .holder
-                        .apply_verdict(&own.item, verdict, own.asked, now);
+                        .apply_verdict(&own.item, verdict, own.requested_at, now);
                 }
             }
         }
@@ -207,7 +210,7 @@
         Ok(())
     }
 
-    fn land(&mut self, who: usize, input: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+    fn take_effect(&mut self, who: usize, input: &mut Unstructured<'_>) -> arbitrary::Result<()> {
         let process = &mut self.processes[who];
         if process.orders.is_empty() {
             return Ok(());
@@ -215,25 +218,25 @@
         let index = input.choose_index(process.orders.len())?;
         let (server, fencing, seen) = process.orders.swap_remove(index);
         if seen.elapsed().as_millis() <= u128::from(LIMITS.order_ms) {
-            let giver = process.holder.id().clone();
-            self.oracle.land(&server, fencing, &giver);
+            let sender = process.holder.id().clone();
+            self.oracle.take_effect(&server, fencing, &sender);
         }
         Ok(())
     }
 }
 
-async fn run(seed: u64, hurried: bool) -> Oracle {
+async fn run(seed: u64, clock_jumps: bool) -> Oracle {
     let mut bytes = vec![0; 8_192];
     rand_chacha::ChaCha8Rng::seed_from_u64(seed).fill_bytes(&mut bytes);
     let mut input = Unstructured::new(&bytes);
-    let mut world = World {
-        processes: (0..3).map(|vm| fresh(vm, vm as u128)).collect(),
-        flying: Vec::new(),
+    let mut cluster = TestCluster {
+        processes: (0..3).map(|vm| new_process(vm, vm as u128)).collect(),
+        in_flight: Vec::new(),
         log: Vec::new(),
-        began: time::Instant::now(),
+        started_at: time::Instant::now(),
         skew_ms: 0,
-        lives: 3,
-        asks: 0,
+        incarnations: 3,
+        record_count: 0,
         oracle: Oracle::default(),
     };
     for _ in 0..ACTIONS {
@@ -243,46 +246,52 @@
             _ => input.int_in_range(100..=1_200).unwrap_or(100),
         };
         time::advance(time::Duration::from_millis(pause_ms)).await;
-        if hurried && input.ratio(1, 16).unwrap_or(false) {
-            // The log's clock jumps: a lease changes hands with much of its time left.
-            world.skew_ms += input.int_in_range(0..=1_200).unwrap_or(0);
+        if clock_jumps && input.ratio(1, 16).unwrap_or(false) {
+            // The log's clock jumps forward: a lease changes hands long before it lapses by the
+            // holder's clock.
+            cluster.skew_ms += input.int_in_range(0..=1_200).unwrap_or(0);
         }
-        if world.act(&mut input).is_err() {
+        if cluster.act(&mut input).is_err() {
             break;
         }
     }
-    check_folds(&mut world);
-    world.oracle
+    check_folds(&mut cluster);
+    cluster.oracle
 }
 
-/// Equal prefixes make equal folds, whenever they were read.
-fn check_folds(world: &mut World) {
-    for who in 0..world.processes.len() {
-        world.read(who);
+/// Checks that folds that have read the same records are equal.
+fn check_folds(cluster: &mut TestCluster) {
+    for who in 0..cluster.processes.len() {
+        cluster.read(who);
     }
-    let first = &world.processes[0].fold;
-    assert!(world.processes.iter().all(|process| process.fold == *first));
+    let first = &cluster.processes[0].fold;
+    assert!(
+        cluster
+            .processes
+            .iter()
+            .all(|process| process.fold == *first)
+    );
 }
 
-/// Symptom: an engine that ignores fencing numbers obeys two VMs in turn.
-/// Sequence: any of pauses, lost and doubled appends, a hurried log, replaced VMs.
-/// Cause: a deadline, a wait or a number that does not follow from the log's order.
+/// Guards against deadlines, waits and fencing numbers that do not follow from the log's order: an
+/// engine that ignores fencing numbers would accept the orders of two VMs in turn. Histories
+/// contain pauses, lost and repeated appends, jumps of the log's clock and replaced VMs.
 #[tokio::test(start_paused = true)]
-async fn old_orders_never_land_after_new_ones() {
-    let mut landed = 0;
+async fn old_orders_never_take_effect_after_new_ones() {
+    let mut effective = 0;
     let mut takeovers = 0;
-    for (seed, hurried) in (0..HISTORIES).flat_map(|seed| [(seed, false), (seed, true)]) {
-        println!("seed {seed}, hurried {hurried}");
-        let oracle = run(seed, hurried).await;
-        landed += oracle.landed;
+    for (seed, clock_jumps) in (0..HISTORIES).flat_map(|seed| [(seed, false), (seed, true)]) {
+        println!("seed {seed}, clock_jumps {clock_jumps}");
+        let oracle = run(seed, clock_jumps).await;
+        effective += oracle.effective;
         takeovers += oracle.takeovers;
     }
     println!(
-        "{} histories, {landed} landings, {takeovers} takeovers",
+        "{} histories, {effective} orders in effect, {takeovers} takeovers",
         2 * HISTORIES
     );
     assert!(
         takeovers > 50,
-        "only {takeovers} takeovers: the histories are too tame"
+        "only {takeovers} takeovers: the histories do not test enough changes of holder"
     );
 }
--- a/crates/lease/tests/orders.rs
+++ b/crates/lease/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders, driver and placement over small fakes.
+//! Orders, driver and placement with small fakes of engine and log.
 
 use std::{net, sync};
 
@@ -33,11 +33,12 @@
     }
 }
 
-/// An engine whose readings take a while; it notes the numbers of the orders that reach it.
+/// An engine with slow answers to state requests. It records the fencing numbers of the orders that
+/// it receives.
 #[derive(Clone)]
 struct SlowEngine {
-    reading: time::Duration,
-    seen: sync::Arc<sync::Mutex<Vec<Option<u64>>>>,
+    state_delay: time::Duration,
+    received: sync::Arc<sync::Mutex<Vec<Option<u64>>>>,
 }
 
 impl EngineClient for SlowEngine {
@@ -50,7 +51,7 @@
 
 impl EngineConnection for SlowEngine {
     async fn state(&mut self) -> Result<engine::EngineState, engine::EngineError> {
-        time::sleep(self.reading).await;
+        time::sleep(self.state_delay).await;
         Ok(state("1", false))
     }
 
@@ -58,7 +59,7 @@
         &mut self,
         body: &engine::OrderBody,
     ) -> Result<engine::EngineState, engine::EngineError> {
-        self.seen.lock().expect("seen").push(body.fencing);
+        self.received.lock().expect("received").push(body.fencing);
         Ok(state("1", true))
     }
 }
@@ -84,10 +85,10 @@
     driver
 }
 
-async fn give(permit: &holder::OrderPermit, reading_ms: u64) -> (order::OrderOutcome, usize) {
+async fn send(permit: &holder::OrderPermit, state_delay_ms: u64) -> (order::OrderOutcome, usize) {
     let client = SlowEngine {
-        reading: time::Duration::from_millis(reading_ms),
-        seen: sync::Arc::default(),
+        state_delay: time::Duration::from_millis(state_delay_ms),
+        received: sync::Arc::default(),
     };
     let address = net::SocketAddr::from(([127, 0, 0, 1], 9));
     let order = order::UnfencedOrder {
@@ -96,20 +97,20 @@
         want: want("2"),
     };
     let outcome = order.send(&client, address).await;
-    let sent = client.seen.lock().expect("seen").len();
+    let sent = client.received.lock().expect("received").len();
     (outcome, sent)
 }
 
-/// Symptom: an order leaves after the lease's end, or before earlier orders are over.
-/// Sequence: take the lease, give an order at once, later, and over a slow reading.
-/// Cause: the permit was checked before the reading, or not at all.
+/// Guards against a permit that is checked before the state request or not at all: an order would
+/// be sent after the lease has lapsed, or while orders of an earlier holder may be pending. Sends
+/// an order right after the lease is taken, one later, and one after a slow state request.
 #[tokio::test(start_paused = true)]
-async fn orders_leave_only_within_their_time() {
+async fn orders_are_sent_only_while_the_lease_allows() {
     let log = memory::MemoryLog::new(1, 1_000_000);
     let driver = start(&log, "vm-1", &["vm-1"]);
     time::sleep(time::Duration::from_secs(1)).await;
     let permit = driver.permit("engine-1").expect("held");
-    let (early, sent) = give(&permit, 0).await;
+    let (early, sent) = send(&permit, 0).await;
     assert!(matches!(
         early,
         order::OrderOutcome::NotSent(holder::PermitError::PendingOrders { .. })
@@ -117,10 +118,10 @@
     assert_eq!(sent, 0);
     time::sleep(time::Duration::from_secs(12)).await;
     let permit = driver.permit("engine-1").expect("held");
-    let (given, sent) = give(&permit, 10).await;
-    assert!(matches!(given, order::OrderOutcome::Accepted(_)));
+    let (accepted, sent) = send(&permit, 10).await;
+    assert!(matches!(accepted, order::OrderOutcome::Accepted(_)));
     assert_eq!(sent, 1);
-    let (late, sent) = give(&permit, 10_000).await;
+    let (late, sent) = send(&permit, 10_000).await;
     assert_eq!(
         late,
         order::OrderOutcome::NotSent(holder::PermitError::Lapsed)
@@ -128,11 +129,10 @@
     assert_eq!(sent, 0);
 }
 
-/// Symptom: nobody gives orders to an engine after its holder's death.
-/// Sequence: one VM holds the lease and ends; another is told that it is alone.
-/// Cause: the lease does not change hands, or keeps its number.
+/// Guards against a lease that does not change hands, or keeps its fencing number, after its holder
+/// ended and another VM is the only live one: nobody could send orders to the engine.
 #[tokio::test(start_paused = true)]
-async fn a_dead_holder_is_followed_with_a_higher_number() {
+async fn a_successor_gets_a_higher_fencing_number() {
     let log = memory::MemoryLog::new(2, 1_000_000);
     let first = start(&log, "vm-1", &["vm-1"]);
     time::sleep(time::Duration::from_secs(20)).await;
@@ -168,11 +168,10 @@
     }
 }
 
-/// Symptom: a rollout takes a model below its least number of engines.
-/// Sequence: three engines with an old version, two needed, orders and loads in turn.
-/// Cause: an engine that loads is counted as serving.
+/// Guards against a loading engine that counts as serving: a rollout over three engines, of which
+/// two are needed, would leave the model with fewer engines than its minimum.
 #[test]
-fn a_rollout_keeps_the_least_number_of_engines() {
+fn a_rollout_keeps_the_minimum_number_of_engines() {
     let mut versions = ["1", "1", "1"];
     for _ in 0..3 {
         let plan = placement::reconcile(&[model(2)], &engines(&versions));
@@ -184,7 +183,10 @@
         assert_eq!(plan.orders[0].server, format!("engine-{chosen}"));
         versions[chosen] = "loading";
         let plan = placement::reconcile(&[model(2)], &engines(&versions));
-        assert!(plan.orders.is_empty(), "two engines at once: {plan:?}");
+        assert!(
+            plan.orders.is_empty(),
+            "two engines would change at once: {plan:?}"
+        );
         versions[chosen] = "2";
     }
     let plan = placement::reconcile(&[model(2)], &engines(&versions));
@@ -193,7 +195,7 @@
 }
 
 #[test]
-fn a_rollout_that_cannot_go_on_names_what_blocks_it() {
+fn a_blocked_rollout_reports_its_cause() {
     let plan = placement::reconcile(&[model(2)], &engines(&["1", "1"]));
     assert!(plan.orders.is_empty());
     let blocked = plan.status[0].blocked.as_deref().expect("blocked");
@@ -211,12 +213,12 @@
             .expect("blocked")
             .contains("70 ms")
     );
-    let mut elsewhere = model(1);
-    elsewhere.held = false;
-    let plan = placement::reconcile(&[elsewhere], &engines(&["1", "1"]));
+    let mut placed_elsewhere = model(1);
+    placed_elsewhere.held = false;
+    let plan = placement::reconcile(&[placed_elsewhere], &engines(&["1", "1"]));
     assert!(
         plan.orders.is_empty(),
-        "two VMs would count the same engines"
+        "without the lease on the model two VMs would count the same engines"
     );
     assert!(
         plan.status[0]
@@ -227,11 +229,11 @@
     );
 }
 
-/// Symptom: a model falls below its least number of engines while another one is placed.
-/// Sequence: one of its three engines loads a new version; a second model asks for an engine.
-/// Cause: the engine that loads is counted as serving.
+/// Guards against a loading engine that counts as serving: one of a model's three engines loads a
+/// new version while a second model needs an engine. The first model would be left with fewer
+/// engines than its minimum.
 #[test]
-fn an_engine_that_loads_is_not_to_be_spared() {
+fn a_loading_engine_does_not_count_as_serving() {
     let mut views = engines(&["loading", "1", "1"]);
     for view in &mut views {
         view.models.push("prose".to_owned());
@@ -241,6 +243,6 @@
     let plan = placement::reconcile(&[model(2), prose], &views);
     assert!(
         plan.orders.is_empty(),
-        "verse is left with one engine: {plan:?}"
+        "verse would be left with one engine: {plan:?}"
     );
 }
--- a/crates/lease/tests/two_holders.rs
+++ b/crates/lease/tests/two_holders.rs
@@ -1,13 +1,16 @@
-//! Exhaustive enumeration of two holders and one server, with the real fold, holder and checks.
+//! Exhaustive enumeration of the states of two holders and one server, with the real fold, holder
+//! and checks.
 //!
-//! One state is everything that the future depends on. From each state every action of every
-//! party is taken: a holder asks, is paused (takes no action), gives up on an answer, reads a
-//! verdict late, releases; the log takes an append at once, late or never; an order leaves and
-//! lands at once, late or never; time passes. Clocks run at different rates within the bound.
+//! A state contains everything that later steps depend on. From each state, every action of every
+//! party is taken: a holder requests a lease, pauses (takes no action), gives up on an answer,
+//! reads a verdict late or releases; the log executes an append at once, late or never; an order is
+//! sent and takes effect at once, late or never; time passes. Clocks run at different rates within
+//! the drift limit.
 //!
-//! An order in the model is put in flight at the moment of its check, and its connection is seen
-//! by the server at that moment: a pause between check and sending, and a delay in the network,
-//! are both the time until it lands. An earlier sight of the connection lets less through.
+//! In the model an order is in flight from the moment of its check, and the server accepts its
+//! connection at that moment. A pause between check and sending and a delay in the network are
+//! both part of the time until the order arrives. If the server accepted the connection earlier,
+//! it would refuse more orders.
 
 use std::{collections, iter};
 
@@ -18,8 +21,8 @@
 use tokio::time;
 
 const SERVER: &str = "engine-1";
-/// Time that passed before the first step.
-const LONG_MS: u64 = 100;
+/// Time that passes before the first step.
+const START_MS: u64 = 100;
 const LIMITS: limits::LeaseLimits = limits::LeaseLimits {
     hold_ms: 30,
     renew_ms: 10,
@@ -33,7 +36,7 @@
 struct ClockRates {
     holders: [u64; 2],
     server: u64,
-    /// Any rate: nothing may rest on the log's clock.
+    /// May be any rate: the guarantees must not depend on the log's clock.
     log: u64,
 }
 
@@ -44,18 +47,20 @@
 }
 
 impl ServerRule {
-    /// Records that a process asks for at the most. The first holder takes, and renews, releases
-    /// or takes back. The second takes over, and must renew to outlast its own waiting.
-    const fn asks(self, who: usize) -> u8 {
+    /// Maximum number of records that a process requests. The first holder takes the lease, then
+    /// renews, releases or takes it again. The second takes the lease over and must renew it to
+    /// still hold it after its wait for earlier orders.
+    const fn requests(self, who: usize) -> u8 {
         match (self, who) {
             (Self::ChecksFencing, 1) => 1,
             _ => 2,
         }
     }
 
-    /// Steps of true time. Where it must wait, the second holder's first order comes at step 5 at
-    /// the earliest and at step 7 when the first had renewed; else at once, or at step 1 or 4.
-    const fn horizon(self) -> u8 {
+    /// Number of steps of true time. If the second holder must wait, its first order is sent at
+    /// step 5 at the earliest, or at step 7 if the first holder has renewed; otherwise at once or
+    /// at step 1 or 4.
+    const fn max_steps(self) -> u8 {
         match self {
             Self::ChecksFencing => 5,
             Self::IgnoresFencing => 8,
@@ -66,34 +71,34 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Append {
     item: fold::HoldItem,
-    asked: time::Instant,
-    /// Absent: it has not taken effect.
+    requested_at: time::Instant,
+    /// `None` until the append takes effect.
     verdict: Option<fold::LeaseVerdict>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
     holder: holder::LeaseHolder,
-    asks: u8,
+    requests: u8,
     waiting: Option<Append>,
-    /// An append given up by the process that may still take effect.
-    stray: Option<fold::HoldItem>,
-    order: Option<FlyingOrder>,
+    /// An append that the process has abandoned and that may still take effect.
+    abandoned: Option<fold::HoldItem>,
+    order: Option<InFlightOrder>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct FlyingOrder {
+struct InFlightOrder {
     fencing: u64,
-    seen_step: u8,
+    accepted_step: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct ModelState {
     step: u8,
     offset: u64,
     fold: fold::LeaseFold,
     processes: [Process; 2],
-    /// The newest order in effect: its number and its giver.
+    /// The newest order in effect: its fencing number and its sender.
     in_effect: Option<(u64, usize)>,
 }
 
@@ -101,53 +106,54 @@
     rates: ClockRates,
     rule: ServerRule,
     origin: time::Instant,
-    /// Orders of a newer holder that came into effect after an older holder's.
+    /// Number of orders of a newer holder that took effect after those of an older holder.
     takeovers: u64,
-    landed: u64,
+    effective: u64,
     refused: u64,
 }
 
 impl Model {
-    fn now(&self, world: &World, who: usize) -> time::Instant {
-        let passed_ms = LONG_MS + u64::from(world.step) * self.rates.holders[who];
+    fn now(&self, state: &ModelState, who: usize) -> time::Instant {
+        let passed_ms = START_MS + u64::from(state.step) * self.rates.holders[who];
         self.origin + time::Duration::from_millis(passed_ms)
     }
 
-    fn log_ms(&self, world: &World) -> u64 {
-        LONG_MS + u64::from(world.step) * self.rates.log
+    fn log_ms(&self, state: &ModelState) -> u64 {
+        START_MS + u64::from(state.step) * self.rates.log
     }
 
-    fn successors(&mut self, world: &World) -> Vec<World> {
+    fn successors(&mut self, state: &ModelState) -> Vec<ModelState> {
         let mut found = Vec::new();
         for who in 0..2 {
-            self.process_actions(world, who, &mut found);
-            self.log_actions(world, who, &mut found);
-            self.server_actions(world, who, &mut found);
+            self.process_actions(state, who, &mut found);
+            self.log_actions(state, who, &mut found);
+            self.server_actions(state, who, &mut found);
         }
-        if world.step < self.rule.horizon() {
-            let mut next = world.clone();
+        if state.step < self.rule.max_steps() {
+            let mut next = state.clone();
             next.step += 1;
             found.push(next);
         }
         found
     }
 
-    /// Takes out what no future depends on, so that equal futures are one state.
-    fn settle(&mut self, world: &mut World) {
+    /// Removes data that no later step depends on, so that equivalent states are equal.
+    fn normalise(&mut self, state: &mut ModelState) {
         for who in 0..2 {
-            let now = self.now(world, who);
-            let process = &mut world.processes[who];
-            let spent = process.asks == self.rule.asks(who) && process.waiting.is_none();
-            if spent && process.holder.permit(SERVER, now).is_err() {
+            let now = self.now(state, who);
+            let process = &mut state.processes[who];
+            let is_exhausted =
+                process.requests == self.rule.requests(who) && process.waiting.is_none();
+            if is_exhausted && process.holder.permit(SERVER, now).is_err() {
                 process.holder = new_holder(who);
             }
             let Some(order) = &mut process.order else {
                 continue;
             };
             match self.rule {
-                ServerRule::ChecksFencing => order.seen_step = 0,
+                ServerRule::ChecksFencing => order.accepted_step = 0,
                 ServerRule::IgnoresFencing => {
-                    let age_ms = u64::from(world.step - order.seen_step) * self.rates.server;
+                    let age_ms = u64::from(state.step - order.accepted_step) * self.rates.server;
                     if age_ms > LIMITS.order_ms {
                         self.refused += 1;
                         process.order = None;
@@ -157,33 +163,34 @@
         }
     }
 
-    /// Whether an order may still land.
-    fn is_open(&self, world: &World) -> bool {
+    /// Whether an order may still take effect.
+    fn can_take_effect(&self, state: &ModelState) -> bool {
         (0..2).any(|who| {
-            let process = &world.processes[who];
+            let process = &state.processes[who];
             let idle = process.holder == new_holder(who);
-            let spent = process.asks == self.rule.asks(who) && process.waiting.is_none();
-            !(idle && spent && process.order.is_none())
+            let is_exhausted =
+                process.requests == self.rule.requests(who) && process.waiting.is_none();
+            !(idle && is_exhausted && process.order.is_none())
         })
     }
 
-    fn process_actions(&self, world: &World, who: usize, found: &mut Vec<World>) {
-        let process = &world.processes[who];
-        let now = self.now(world, who);
-        if process.waiting.is_none() && process.asks < self.rule.asks(who) {
+    fn process_actions(&self, state: &ModelState, who: usize, found: &mut Vec<ModelState>) {
+        let process = &state.processes[who];
+        let now = self.now(state, who);
+        if process.waiting.is_none() && process.requests < self.rule.requests(who) {
             let wanted = collections::BTreeSet::from([SERVER.to_owned()]);
-            // Only the first holder leaves of its own accord; the second may, with nobody after it.
+            // Only the first holder releases its lease; a release by the second has no successor.
             let leaving = (who == 0).then(collections::BTreeSet::new);
             for assigned in iter::once(wanted).chain(leaving) {
-                let log_ms = Some(self.log_ms(world));
-                if let Some(item) = process.holder.plan(&assigned, &world.fold, log_ms) {
-                    let mut next = world.clone();
+                let log_ms = Some(self.log_ms(state));
+                if let Some(item) = process.holder.plan(&assigned, &state.fold, log_ms) {
+                    let mut next = state.clone();
                     let process = &mut next.processes[who];
                     process.holder.begin_request(&item);
-                    process.asks += 1;
+                    process.requests += 1;
                     process.waiting = Some(Append {
                         item,
-                        asked: now,
+                        requested_at: now,
                         verdict: None,
                     });
                     found.push(next);
@@ -191,22 +198,22 @@
             }
         }
         if let Some(append) = &process.waiting {
-            let mut next = world.clone();
+            let mut next = state.clone();
             let process = &mut next.processes[who];
             process.waiting = None;
             if let Some(verdict) = &append.verdict {
                 process
                     .holder
-                    .apply_verdict(&append.item, verdict, append.asked, now);
+                    .apply_verdict(&append.item, verdict, append.requested_at, now);
                 found.push(next.clone());
-            } else if who == 0 && process.stray.is_none() {
-                // Both holders meet pauses and late answers; the first also lost requests.
-                process.stray = Some(append.item.clone());
+            } else if who == 0 && process.abandoned.is_none() {
+                // Both holders have pauses and late answers; only the first also has lost requests.
+                process.abandoned = Some(append.item.clone());
                 found.push(next.clone());
             }
             if append.verdict.is_some() {
                 // The process gives up before it has read the verdict.
-                next.processes[who].holder = world.processes[who].holder.clone();
+                next.processes[who].holder = state.processes[who].holder.clone();
                 found.push(next);
             }
         }
@@ -216,47 +223,47 @@
                 ServerRule::IgnoresFencing => permit.check_unfenced(now),
             };
             if checked.is_ok() {
-                let mut next = world.clone();
-                next.processes[who].order = Some(FlyingOrder {
+                let mut next = state.clone();
+                next.processes[who].order = Some(InFlightOrder {
                     fencing: permit.fencing(),
-                    seen_step: world.step,
+                    accepted_step: state.step,
                 });
                 found.push(next);
             }
         }
     }
 
-    fn log_actions(&self, world: &World, who: usize, found: &mut Vec<World>) {
-        let process = &world.processes[who];
+    fn log_actions(&self, state: &ModelState, who: usize, found: &mut Vec<ModelState>) {
+        let process = &state.processes[who];
         if let Some(append) = &process.waiting
             && append.verdict.is_none()
         {
-            let mut next = world.clone();
+            let mut next = state.clone();
             let verdict = self.append(&mut next, &append.item);
             if let Some(append) = &mut next.processes[who].waiting {
                 append.verdict = Some(verdict);
             }
             found.push(next);
         }
-        if let Some(item) = &process.stray {
-            let mut next = world.clone();
-            next.processes[who].stray = None;
+        if let Some(item) = &process.abandoned {
+            let mut next = state.clone();
+            next.processes[who].abandoned = None;
             self.append(&mut next, item);
             found.push(next);
         }
     }
 
-    fn append(&self, world: &mut World, item: &fold::HoldItem) -> fold::LeaseVerdict {
-        let at_ms = self.log_ms(world);
-        Self::append_at(world, item, at_ms)
+    fn append(&self, state: &mut ModelState, item: &fold::HoldItem) -> fold::LeaseVerdict {
+        let at_ms = self.log_ms(state);
+        Self::append_at(state, item, at_ms)
     }
 
-    fn append_at(world: &mut World, item: &fold::HoldItem, at_ms: u64) -> fold::LeaseVerdict {
+    fn append_at(state: &mut ModelState, item: &fold::HoldItem, at_ms: u64) -> fold::LeaseVerdict {
         let place = record::RecordPlace {
-            offset: world.offset,
+            offset: state.offset,
             at_ms,
         };
-        world.offset += 1;
+        state.offset += 1;
         let entry = record::BatchEntry {
             id: id::RecordId(u128::from(place.offset)),
             seen: 0,
@@ -266,45 +273,45 @@
             writer: item.holder.vm.clone(),
             entries: vec![entry],
         };
-        let mut verdicts = world.fold.apply(place, batch);
+        let mut verdicts = state.fold.apply(place, batch);
         verdicts.remove(0).verdict
     }
 
-    fn server_actions(&mut self, world: &World, who: usize, found: &mut Vec<World>) {
-        let Some(order) = world.processes[who].order else {
+    fn server_actions(&mut self, state: &ModelState, who: usize, found: &mut Vec<ModelState>) {
+        let Some(order) = state.processes[who].order else {
             return;
         };
-        let mut next = world.clone();
+        let mut next = state.clone();
         next.processes[who].order = None;
-        let newest = world.in_effect.map(|(fencing, _)| fencing);
+        let newest = state.in_effect.map(|(fencing, _)| fencing);
         let old = newest.is_some_and(|newest| newest > order.fencing);
         match self.rule {
-            // Such a server is not even trusted to refuse late orders.
+            // The model assumes that such a server does not refuse late orders.
             ServerRule::ChecksFencing if old => {
                 self.refused += 1;
                 next.processes[who].holder.mark_lost(SERVER, order.fencing);
             }
-            ServerRule::ChecksFencing => self.land(&mut next, who, order),
-            // One that is too late by now was taken out.
-            ServerRule::IgnoresFencing => self.land(&mut next, who, order),
+            ServerRule::ChecksFencing => self.take_effect(&mut next, who, order),
+            // Orders past their time limit were already removed.
+            ServerRule::IgnoresFencing => self.take_effect(&mut next, who, order),
         }
         found.push(next);
     }
 
-    fn land(&mut self, world: &mut World, who: usize, order: FlyingOrder) {
-        if let Some((newest, giver)) = world.in_effect {
+    fn take_effect(&mut self, state: &mut ModelState, who: usize, order: InFlightOrder) {
+        if let Some((newest, sender)) = state.in_effect {
             assert!(
                 order.fencing >= newest,
-                "an old holder's order landed after a new holder's first: {self:?} {world:#?}"
+                "an old holder's order took effect after a new holder's: {self:?} {state:#?}"
             );
             assert!(
-                order.fencing > newest || giver == who,
-                "two holders gave orders under one number: {self:?} {world:#?}"
+                order.fencing > newest || sender == who,
+                "two holders sent orders under one fencing number: {self:?} {state:#?}"
             );
             self.takeovers += u64::from(order.fencing > newest);
         }
-        self.landed += 1;
-        world.in_effect = Some((order.fencing, who));
+        self.effective += 1;
+        state.in_effect = Some((order.fencing, who));
     }
 }
 
@@ -322,17 +329,17 @@
     holder::LeaseHolder::new(id, LIMITS)
 }
 
-/// The first process has held the lease for long, its time is over, and it has just asked to renew
-/// it; so the second may take it at once, or later.
-fn first_world(model: &Model) -> World {
+/// Returns the initial state: the first process held the lease, which has lapsed, and has just
+/// requested a renewal. The second process may therefore take the lease at once or later.
+fn initial_state(model: &Model) -> ModelState {
     let process = |who| Process {
         holder: new_holder(who),
-        asks: 0,
+        requests: 0,
         waiting: None,
-        stray: None,
+        abandoned: None,
         order: None,
     };
-    let mut world = World {
+    let mut state = ModelState {
         step: 0,
         offset: 0,
         fold: fold::LeaseFold::default(),
@@ -341,20 +348,20 @@
     };
     let long_ago = model.origin;
     let mut holder = new_holder(0);
-    let taking = planned(&holder, &world.fold);
-    let verdict = Model::append_at(&mut world, &taking, 0);
-    holder.apply_verdict(&taking, &verdict, long_ago, long_ago);
-    let item = planned(&holder, &world.fold);
-    let asked = model.now(&world, 0);
-    let first = &mut world.processes[0];
+    let first_item = planned(&holder, &state.fold);
+    let verdict = Model::append_at(&mut state, &first_item, 0);
+    holder.apply_verdict(&first_item, &verdict, long_ago, long_ago);
+    let item = planned(&holder, &state.fold);
+    let requested_at = model.now(&state, 0);
+    let first = &mut state.processes[0];
     first.holder = holder;
-    first.asks = 1;
+    first.requests = 1;
     first.waiting = Some(Append {
         item,
-        asked,
+        requested_at,
         verdict: None,
     });
-    world
+    state
 }
 
 fn planned(holder: &holder::LeaseHolder, leases: &fold::LeaseFold) -> fold::HoldItem {
@@ -364,31 +371,31 @@
         .expect("a free lease or an own one")
 }
 
-/// Visits every state. States of one step lead only to one another and to the next step, so only
-/// one step's are remembered at a time.
+/// Visits every state. States of one step lead only to states of the same and the next step, so only
+/// the states of one step are kept at a time.
 fn enumerate(rule: ServerRule, rates: ClockRates) -> (usize, u64) {
     let mut model = Model {
         rates,
         rule,
         origin: time::Instant::now(),
         takeovers: 0,
-        landed: 0,
+        effective: 0,
         refused: 0,
     };
     let mut states = 0;
     let mut closed = 0_u64;
-    let mut step = collections::HashSet::from([first_world(&model)]);
+    let mut step = collections::HashSet::from([initial_state(&model)]);
     while !step.is_empty() {
         let mut next_step = collections::HashSet::new();
-        let mut open: Vec<World> = step.iter().cloned().collect();
-        while let Some(world) = open.pop() {
-            for mut next in model.successors(&world) {
-                model.settle(&mut next);
-                if !model.is_open(&next) {
+        let mut open: Vec<ModelState> = step.iter().cloned().collect();
+        while let Some(state) = open.pop() {
+            for mut next in model.successors(&state) {
+                model.normalise(&mut next);
+                if !model.can_take_effect(&next) {
                     closed += 1;
                     continue;
                 }
-                if next.step > world.step {
+                if next.step > state.step {
                     next_step.insert(next);
                 } else if step.insert(next.clone()) {
                     open.push(next);
@@ -399,24 +406,24 @@
         step = next_step;
     }
     println!(
-        "{model:?}: {states} states, {closed} ends, {} landings, {} refusals, {} takeovers",
-        model.landed, model.refused, model.takeovers
+        "{model:?}: {states} states, {closed} ends, {} orders in effect, {} refusals, {} takeovers",
+        model.effective, model.refused, model.takeovers
     );
     assert!(
         model.takeovers > 0,
-        "no successor ever gave an order: {model:?}"
+        "no successor ever sent an order: {model:?}"
     );
     (states, model.refused)
 }
 
-/// Both ways round, with the log's clock five times too fast: then a lease changes hands while
-/// its holder has most of its time left.
-const HURRIED: [([u64; 2], u64); 3] = [([10, 10], 10), ([9, 11], 9), ([11, 9], 9)];
+/// Clock rates of the two holders, in both orders, and of the server. The log's clock runs five times
+/// too fast, so that a lease changes hands while its holder still has most of its time left.
+const CLOCK_RATES: [([u64; 2], u64); 3] = [([10, 10], 10), ([9, 11], 9), ([11, 9], 9)];
 
 fn enumerate_all(rule: ServerRule) {
     let mut states = 0;
     let mut refusals = 0;
-    for (holders, server) in HURRIED {
+    for (holders, server) in CLOCK_RATES {
         let rates = ClockRates {
             holders,
             server,
@@ -429,23 +436,23 @@
     println!("{rule:?}: {states} states in all");
     assert!(
         refusals > 0,
-        "no order was ever refused, so the model is too tame"
+        "no order was ever refused, so the model does not cover outdated orders"
     );
 }
 
-/// Symptom: an engine follows a VM that lost the lease on it.
-/// Sequence: the holder is paused past its lease, another VM takes over, the old order arrives.
-/// Cause: the order carries no proof of its age, or two holders share one number.
+/// Guards against orders without a fencing number, or two holders with the same number: the holder
+/// is paused until its lease has lapsed, another VM takes over, and the old order arrives. The
+/// engine would accept orders of a VM that lost the lease.
 #[test]
-fn servers_that_check_numbers_obey_one_holder() {
+fn servers_that_check_fencing_obey_one_holder() {
     enumerate_all(ServerRule::ChecksFencing);
 }
 
-/// Symptom: an engine that ignores fencing numbers is turned back to an old version.
-/// Sequence: the holder checks its lease, is paused, a successor gives its first order, the old
-/// order lands.
-/// Cause: the successor did not wait out the old lease, or the deadline was counted too late.
+/// Guards against a successor that does not wait until the old lease is over, and against deadlines
+/// that are counted from too late: the holder checks its lease and is paused, a successor sends its
+/// first order, and then the old order arrives. An engine that ignores fencing numbers would be
+/// returned to an old version.
 #[test]
-fn servers_that_ignore_numbers_obey_one_holder() {
+fn servers_that_ignore_fencing_obey_one_holder() {
     enumerate_all(ServerRule::IgnoresFencing);
 }
