--- a/crates/ledger/benches/claims.rs
+++ b/crates/ledger/benches/claims.rs
@@ -1,7 +1,8 @@
-//! Added latency of an idempotency claim and appends that it costs, at 410 entry VMs.
+//! Latency that an idempotency claim adds to a call, and the appends that it needs, with 410 entry
+//! VMs.
 //!
-//! Everything runs on the paused clock: latencies are those of the modelled log and network, and
-//! the same in every run; processor time is this machine's.
+//! Everything runs on a paused clock: latencies are those of the modelled log and network and the
+//! same in every run. Processor times are measured on the machine that runs the bench.
 
 use std::{collections, sync};
 
@@ -12,16 +13,16 @@
 use rand::{RngExt as _, SeedableRng as _};
 use tokio::{runtime, task, time};
 
-const VMS: usize = 410;
-/// Appends a second that the log takes.
-const CAP: u32 = 300;
-/// One way between an entry VM and the log.
-const LOG_ONE_WAY: time::Duration = time::Duration::from_millis(2);
-/// One way between two entry VMs.
-const PEER_ONE_WAY: time::Duration = time::Duration::from_millis(1);
-/// Time that a call takes at its service.
-const SERVICE: time::Duration = time::Duration::from_millis(20);
-const RATES: [u64; 3] = [1, 50, 300];
+const VM_COUNT: usize = 410;
+/// Cap on appends per second of the log.
+const MAX_APPENDS_PER_SECOND: u32 = 300;
+/// One-way latency between an entry VM and the log.
+const LOG_ONE_WAY_LATENCY: time::Duration = time::Duration::from_millis(2);
+/// One-way latency between two entry VMs.
+const PEER_ONE_WAY_LATENCY: time::Duration = time::Duration::from_millis(1);
+/// Time that the service needs for a call.
+const SERVICE_TIME: time::Duration = time::Duration::from_millis(20);
+const CALL_RATES: [u64; 3] = [1, 50, 300];
 
 type HostMap = collections::BTreeMap<String, sync::Arc<host::LedgerHost<memory::MemoryLog>>>;
 
@@ -43,51 +44,53 @@
         limit: time::Duration,
     ) -> Result<host::LedgerReply, route::PeerError> {
         let host = self.hosts.get(vm).ok_or(route::PeerError::NotDelivered)?;
-        time::sleep(PEER_ONE_WAY).await;
+        time::sleep(PEER_ONE_WAY_LATENCY).await;
         let reply = time::timeout(limit, host.handle(request.clone())).await;
-        time::sleep(PEER_ONE_WAY).await;
+        time::sleep(PEER_ONE_WAY_LATENCY).await;
         reply.map_err(|_| route::PeerError::Lost)
     }
 }
 
-/// How claims reach the log.
+/// Strategy by which claims reach the log.
 #[derive(Clone, Copy, PartialEq)]
-enum ClaimWay {
-    /// One append a claim and one an outcome, by the VM that took the call.
+enum AppendStrategy {
+    /// One append for each claim and each outcome, by the VM that received the call.
     Each,
-    /// Group commit by the VM that took the call.
+    /// Group commit by the VM that received the call.
     Own,
     /// Group commit by the VM that ranks first for the key's partition.
     Ranked,
 }
 
-struct WayReport {
-    waits_ms: Vec<f64>,
+struct StrategyReport {
+    latencies_ms: Vec<f64>,
     refused: usize,
     appends: f64,
     bytes: f64,
     cpu_us: f64,
 }
 
-impl WayReport {
+impl StrategyReport {
     fn percentile_ms(&self, share: f64) -> f64 {
-        let last = self.waits_ms.len().saturating_sub(1);
+        let last = self.latencies_ms.len().saturating_sub(1);
         let index = (last as f64 * share).round() as usize;
-        self.waits_ms.get(index).copied().unwrap_or(f64::NAN)
+        self.latencies_ms.get(index).copied().unwrap_or(f64::NAN)
     }
 }
 
 fn main() {
-    println!("claims at {VMS} entry VMs; log: {CAP} appends/s, round trip 4 ms; peers: 2 ms");
+    println!(
+        "claims at {VM_COUNT} entry VMs; log: {MAX_APPENDS_PER_SECOND} appends/s, round trip 4 ms; peers: 2 ms"
+    );
     println!("way     calls/s  p50 ms  p99 ms  refused  appends/s  KB/s  processor us/call");
-    for rate in RATES {
-        for (way, name) in [
-            (ClaimWay::Each, "each"),
-            (ClaimWay::Own, "own"),
-            (ClaimWay::Ranked, "ranked"),
+    for rate in CALL_RATES {
+        for (strategy, name) in [
+            (AppendStrategy::Each, "each"),
+            (AppendStrategy::Own, "own"),
+            (AppendStrategy::Ranked, "ranked"),
         ] {
-            let report = run(way, rate);
-            let calls = report.waits_ms.len() + report.refused;
+            let report = run(strategy, rate);
+            let calls = report.latencies_ms.len() + report.refused;
             println!(
                 "{name:7} {rate:7}  {:6.1}  {:6.1}  {:6.1}%  {:9.1}  {:4.0}  {:8.0}",
                 report.percentile_ms(0.5),
@@ -102,7 +105,7 @@
     recovery();
 }
 
-fn paused() -> runtime::Runtime {
+fn paused_runtime() -> runtime::Runtime {
     runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -113,28 +116,32 @@
 fn log() -> memory::MemoryLog {
     let log = memory::MemoryLog::new(1, 1_000_000);
     log.change_faults(|faults| {
-        faults.one_way = LOG_ONE_WAY;
-        faults.appends_per_second = Some(CAP);
+        faults.one_way = LOG_ONE_WAY_LATENCY;
+        faults.appends_per_second = Some(MAX_APPENDS_PER_SECOND);
     });
     log
 }
 
-fn run(way: ClaimWay, rate: u64) -> WayReport {
-    // Where every VM reads every partition the model itself becomes slow: a shorter time will do.
-    let seconds = if way == ClaimWay::Own { 4 } else { 20 };
-    let begun = std::time::Instant::now();
-    let mut report = paused().block_on(play(way, rate, seconds));
+fn run(strategy: AppendStrategy, rate: u64) -> StrategyReport {
+    // If every VM reads every partition the simulation itself becomes slow, so it runs for less time.
+    let seconds = if strategy == AppendStrategy::Own {
+        4
+    } else {
+        20
+    };
+    let started_at = std::time::Instant::now();
+    let mut report = paused_runtime().block_on(simulate(strategy, rate, seconds));
     let calls = (rate * seconds) as f64;
-    report.cpu_us = begun.elapsed().as_micros() as f64 / calls;
-    report.waits_ms.sort_by(f64::total_cmp);
+    report.cpu_us = started_at.elapsed().as_micros() as f64 / calls;
+    report.latencies_ms.sort_by(f64::total_cmp);
     report
 }
 
 fn routers(
     log: &memory::MemoryLog,
-    way: ClaimWay,
+    strategy: AppendStrategy,
 ) -> Vec<route::LedgerRouter<memory::MemoryLog, BenchPeers>> {
-    let names: Vec<String> = (0..VMS).map(|index| format!("vm-{index}")).collect();
+    let names: Vec<String> = (0..VM_COUNT).map(|index| format!("vm-{index}")).collect();
     let hosts: HostMap = names
         .iter()
         .map(|name| {
@@ -144,14 +151,14 @@
         })
         .collect();
     let hosts = sync::Arc::new(hosts);
-    let everybody = sync::Arc::new(names.clone());
+    let all_names = sync::Arc::new(names.clone());
     names
         .iter()
         .enumerate()
         .map(|(index, name)| {
-            let live = match way {
-                ClaimWay::Own => sync::Arc::new(vec![name.clone()]),
-                _ => sync::Arc::clone(&everybody),
+            let live = match strategy {
+                AppendStrategy::Own => sync::Arc::new(vec![name.clone()]),
+                _ => sync::Arc::clone(&all_names),
             };
             let peers = BenchPeers {
                 hosts: sync::Arc::clone(&hosts),
@@ -165,28 +172,28 @@
         .collect()
 }
 
-async fn play(way: ClaimWay, rate: u64, seconds: u64) -> WayReport {
+async fn simulate(strategy: AppendStrategy, rate: u64, seconds: u64) -> StrategyReport {
     let log = log();
-    let routers = routers(&log, way);
+    let routers = routers(&log, strategy);
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(rate);
     let mut calls: Vec<task::JoinHandle<Option<time::Duration>>> = Vec::new();
-    let begun = time::Instant::now();
+    let started_at = time::Instant::now();
     let mut at_s = 0.0;
     loop {
         at_s -= (1.0 - rng.random::<f64>()).ln() / rate as f64;
         if at_s > seconds as f64 {
             break;
         }
-        time::sleep_until(begun + time::Duration::from_secs_f64(at_s)).await;
+        time::sleep_until(started_at + time::Duration::from_secs_f64(at_s)).await;
         let key = format!("{}-call-{}", log.now_ms(), calls.len());
-        let vm = rng.random_range(0..VMS);
-        calls.push(match way {
-            ClaimWay::Each => tokio::spawn(append_each(log.clone(), key)),
+        let vm = rng.random_range(0..VM_COUNT);
+        calls.push(match strategy {
+            AppendStrategy::Each => tokio::spawn(append_each(log.clone(), key)),
             _ => tokio::spawn(claim_call(routers[vm].clone(), key)),
         });
     }
-    let mut report = WayReport {
-        waits_ms: Vec::new(),
+    let mut report = StrategyReport {
+        latencies_ms: Vec::new(),
         refused: 0,
         appends: 0.0,
         bytes: 0.0,
@@ -194,7 +201,7 @@
     };
     for call in calls {
         match call.await.expect("a call") {
-            Some(wait) => report.waits_ms.push(wait.as_secs_f64() * 1e3),
+            Some(wait) => report.latencies_ms.push(wait.as_secs_f64() * 1e3),
             None => report.refused += 1,
         }
     }
@@ -215,7 +222,7 @@
     router: route::LedgerRouter<memory::MemoryLog, BenchPeers>,
     key: String,
 ) -> Option<time::Duration> {
-    let begun = time::Instant::now();
+    let started_at = time::Instant::now();
     let call = permit::ClaimCall {
         organisation: String::from("depot-3"),
         content: fingerprint::ContentHash::of(key.as_bytes()),
@@ -224,15 +231,15 @@
     let permit::ClaimAnswer::Granted(permit) = router.claim(call).await else {
         return None;
     };
-    let wait = begun.elapsed();
-    time::sleep(SERVICE).await;
+    let wait = started_at.elapsed();
+    time::sleep(SERVICE_TIME).await;
     tokio::spawn(async move { router.settle(permit, outcome()).await });
     Some(wait)
 }
 
-/// The plainest way: the claim's append, then a read of what stands before it.
+/// The simplest strategy: appends the claim, then reads the records before it.
 async fn append_each(log: memory::MemoryLog, key: String) -> Option<time::Duration> {
-    let begun = time::Instant::now();
+    let started_at = time::Instant::now();
     let stream = partition::claim_stream(partition::of_key("depot-3", &key));
     let entry = record::EncodedEntry::new(id::RecordId(1), 0, &key).expect("an entry");
     let body = record::encode("vm-0", [&entry]);
@@ -244,35 +251,35 @@
         wait_ms: 0,
     };
     log.read(&query).await.ok()?;
-    let wait = begun.elapsed();
-    time::sleep(SERVICE).await;
+    let wait = started_at.elapsed();
+    time::sleep(SERVICE_TIME).await;
     tokio::spawn(async move { log.append(&stream, body).await });
     Some(wait)
 }
 
-/// Time until an entry VM that becomes the appender gives its first answer.
+/// Measures the time until an entry VM that becomes the appender gives its first answer.
 fn recovery() {
     println!("new appender behind a full window: records read, virtual ms, processor ms");
     for records in [1_000_u64, 24_000] {
-        let begun = std::time::Instant::now();
-        let virtual_ms = paused().block_on(async {
+        let started_at = std::time::Instant::now();
+        let virtual_ms = paused_runtime().block_on(async {
             let log = log();
             log.change_faults(|faults| faults.appends_per_second = None);
             fill(&log, records).await;
-            let router = routers(&log, ClaimWay::Own).remove(0);
+            let router = routers(&log, AppendStrategy::Own).remove(0);
             let key = key_of_partition(&log);
-            let begun = time::Instant::now();
+            let started_at = time::Instant::now();
             claim_call(router, key).await;
-            begun.elapsed().as_millis() - SERVICE.as_millis()
+            started_at.elapsed().as_millis() - SERVICE_TIME.as_millis()
         });
         println!(
             "{records:7} {virtual_ms:6} {:6}",
-            begun.elapsed().as_millis()
+            started_at.elapsed().as_millis()
         );
     }
 }
 
-/// A key of partition 0.
+/// Returns a key of partition 0.
 fn key_of_partition(log: &memory::MemoryLog) -> String {
     (0..)
         .map(|number| format!("{}-late-{number}", log.now_ms()))
@@ -280,7 +287,7 @@
         .expect("some key")
 }
 
-/// Records of 15 claims each, as a busy partition has them.
+/// Appends records of 15 claims each, as in a partition under load.
 async fn fill(log: &memory::MemoryLog, records: u64) {
     let mut number = 0;
     for _ in 0..records {
