--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -250,7 +250,7 @@
                 }
             }
             Err(client::ReadError::Dropped { first, .. }) => event::FollowEvent::Dropped { first },
-            Err(client::ReadError::Fault { .. }) => event::FollowEvent::ReadFault,
+            Err(client::ReadError::Failed { .. }) => event::FollowEvent::ReadFault,
         }
     }
 
--- a/crates/lease/src/driver.rs
+++ b/crates/lease/src/driver.rs
@@ -9,7 +9,8 @@
 
 use crate::{choice, fold, holder, limits};
 
-/// Hints about live VMs and servers that the daemon passes to the driver; they may be late or wrong.
+/// Hints about live VMs and servers that the daemon passes to the driver; they may be late or
+/// wrong.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseHints {
     /// Entry VMs that are live and not leaving.
@@ -144,7 +145,8 @@
         let known = hints.borrow_and_update().clone();
         let found = restarts(&shared);
         if found != known_restarts {
-            // The leases of this incarnation may have changed hands in the records that were dropped unread.
+            // The leases of this incarnation may have changed hands in the records that were
+            // dropped unread.
             known_restarts = found;
             *shared.lock() = holder::LeaseHolder::new(new_holder_id(&vm), shared.limits);
             log::warn!(restarts = found; "records were dropped unread; taking leases under a new incarnation");
--- a/crates/lease/src/fold.rs
+++ b/crates/lease/src/fold.rs
@@ -88,8 +88,9 @@
     pub wait_ms: u64,
     /// Like `wait_ms`, but including the current holder.
     max_wait_ms: u64,
-    /// The lease was requested while the fold was warming, so other folds may have refused it. It is
-    /// granted to nobody, and blocks other requests until it lapses or a renewal confirms its number.
+    /// The lease was requested while the fold was warming, so other folds may have refused it. It
+    /// is granted to nobody, and blocks other requests until it lapses or a renewal confirms its
+    /// number.
     tentative: bool,
 }
 
@@ -182,7 +183,8 @@
         }
     }
 
-    /// Renews a lease that the writer still holds, even a lapsed one as long as nobody else took it.
+    /// Renews a lease that the writer still holds, even a lapsed one as long as nobody else took
+    /// it.
     fn renew(
         &mut self,
         place: record::RecordPlace,
@@ -226,7 +228,8 @@
         if let Some(lease) = self.leases.get_mut(subject) {
             let own = lease.holder.as_ref() == Some(&item.holder);
             if own || (warming && lease.tentative) {
-                // The answer to the record that took the lease was lost, or a record was appended twice.
+                // The answer to the record that took the lease was lost, or a record was appended
+                // twice.
                 let held = lease.extend(place.at_ms, item);
                 return (own && !lease.tentative).then_some(held);
             }
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -18,7 +18,8 @@
     fencing: u64,
     /// Deadline after which no order is sent.
     until: time::Instant,
-    /// When the orders of earlier holders have expired, also at servers that ignore fencing numbers.
+    /// When the orders of earlier holders have expired, also at servers that ignore fencing
+    /// numbers.
     earlier_orders_end: time::Instant,
 }
 
@@ -81,7 +82,8 @@
     }
 
     /// Checks whether an order may be sent at `now` to a server that ignores fencing numbers. The
-    /// order must expire before the lease does, and the orders of earlier holders must have expired.
+    /// order must expire before the lease does, and the orders of earlier holders must have
+    /// expired.
     ///
     /// # Errors
     /// Returns an error if the order may not be sent.
@@ -193,16 +195,16 @@
                     lease.until = cmp::max(lease.until, until);
                 }
                 _ => {
-                    let lease = self.taken(held, until, read_at);
+                    let lease = self.new_lease(held, until, read_at);
                     self.leases.insert(subject.clone(), lease);
                 }
             }
         }
     }
 
-    /// Creates the entry of a lease that was just taken. An unknown earlier holder is assumed to have
-    /// used the same limits as this process.
-    fn taken(
+    /// Creates the entry of a lease that was just taken. An unknown earlier holder is assumed to
+    /// have used the same limits as this process.
+    fn new_lease(
         &self,
         held: &fold::HeldLease,
         until: time::Instant,
--- a/crates/lease/src/order.rs
+++ b/crates/lease/src/order.rs
@@ -132,8 +132,8 @@
     }
 }
 
-/// Returns the outcome if the server's state alone determines it. Servers report the highest fencing
-/// number that they received even if they do not check fencing numbers.
+/// Returns the outcome if the server's state alone determines it. Servers report the highest
+/// fencing number that they received even if they do not check fencing numbers.
 fn outcome_from_state(
     permit: &holder::OrderPermit,
     want: &engine::WantedState,
--- a/crates/lease/src/placement.rs
+++ b/crates/lease/src/placement.rs
@@ -206,8 +206,8 @@
     status
 }
 
-/// Returns the engine to change next for `model`, `Ok(None)` if no change is needed, or an error text
-/// that says what blocks the change.
+/// Returns the engine to change next for `model`, `Ok(None)` if no change is needed, or an error
+/// text that says what blocks the change.
 fn next_change<'a>(
     model: &WantedModel,
     models: &[WantedModel],
--- a/crates/lease/tests/two_holders.rs
+++ b/crates/lease/tests/two_holders.rs
@@ -371,8 +371,8 @@
         .expect("a free lease or an own one")
 }
 
-/// Visits every state. States of one step lead only to states of the same and the next step, so only
-/// the states of one step are kept at a time.
+/// Visits every state. States of one step lead only to states of the same and the next step, so
+/// only the states of one step are kept at a time.
 fn enumerate(rule: ServerRule, rates: ClockRates) -> (usize, u64) {
     let mut model = Model {
         rates,
@@ -416,8 +416,8 @@
     (states, model.refused)
 }
 
-/// Clock rates of the two holders, in both orders, and of the server. The log's clock runs five times
-/// too fast, so that a lease changes hands while its holder still has most of its time left.
+/// Clock rates of the two holders, in both orders, and of the server. The log's clock runs five
+/// times too fast, so that a lease changes hands while its holder still has most of its time left.
 const CLOCK_RATES: [([u64; 2], u64); 3] = [([10, 10], 10), ([9, 11], 9), ([11, 9], 9)];
 
 fn enumerate_all(rule: ServerRule) {
--- a/crates/ledger/benches/claims.rs
+++ b/crates/ledger/benches/claims.rs
@@ -123,7 +123,8 @@
 }
 
 fn run(strategy: AppendStrategy, rate: u64) -> StrategyReport {
-    // If every VM reads every partition the simulation itself becomes slow, so it runs for less time.
+    // If every VM reads every partition the simulation itself becomes slow, so it runs for less
+    // time.
     let seconds = if strategy == AppendStrategy::Own {
         4
     } else {
--- a/crates/ledger/src/appender.rs
+++ b/crates/ledger/src/appender.rs
@@ -200,7 +200,8 @@
     ) -> AppendOutcome {
         match self.push(entry, deadline) {
             Err(cause) => AppendOutcome::NotAppended(cause),
-            // The reply channel is dropped only if the loop's task was aborted, possibly during an append.
+            // The reply channel is dropped only if the loop's task was aborted, possibly during an
+            // append.
             Ok(receiver) => receiver.await.unwrap_or(AppendOutcome::Unsettled),
         }
     }
@@ -323,11 +324,11 @@
 
     /// Determines the outcome of an append whose answer was lost.
     ///
-    /// Appending again at once would put most entries on the log twice; giving up would leave claims
-    /// unresolved that did take effect. The stream is therefore searched for the entries' ids first.
-    /// A search without a result proves nothing, because the append may still be in flight. After
-    /// several such searches the entries are appended again *with the same ids*; folds ignore ids
-    /// that they have already processed.
+    /// Appending again at once would put most entries on the log twice; giving up would leave
+    /// claims unresolved that did take effect. The stream is therefore searched for the entries'
+    /// ids first. A search without a result proves nothing, because the append may still be in
+    /// flight. After several such searches the entries are appended again *with the same ids*;
+    /// folds ignore ids that they have already processed.
     async fn resolve(&mut self, from: u64) {
         metrics::counter!("pollenchute_ledger_lost_answers_total").increment(1);
         let mut failed_lookups = 0;
--- a/crates/ledger/src/claim_fold.rs
+++ b/crates/ledger/src/claim_fold.rs
@@ -1,4 +1,5 @@
-//! Determines which call may run for an idempotency key, as a pure function of one stream's records.
+//! Determines which call may run for an idempotency key, as a pure function of one stream's
+//! records.
 //!
 //! The first claim of a key in the log's order holds the key and is never taken over. If a claim
 //! gets no outcome, the outcome of its key stays unknown until the key is too old to be accepted.
--- a/crates/ledger/src/claim_store.rs
+++ b/crates/ledger/src/claim_store.rs
@@ -70,7 +70,8 @@
         reply
     }
 
-    /// Returns `Unknown` only after a read of the log that began after the holder's time had expired.
+    /// Returns `Unknown` only after a read of the log that began after the holder's time had
+    /// expired.
     ///
     /// A lagging reader may not have read the holder's proof that nothing ran, which frees the key.
     /// It would reply "unknown" while another VM runs the call, and a caller that acted on
@@ -154,8 +155,8 @@
             if let Some(verdict) = fold.find(&item.organisation, &item.key, item.content) {
                 return Some(LocalResult::Verdict(verdict));
             }
-            // The estimate is never ahead of the log's clock but may be far behind it after a pause.
-            // It can show that a key is too old, but not that a key lies in the future.
+            // The estimate is never ahead of the log's clock but may be far behind it after a
+            // pause. It can show that a key is too old, but not that a key lies in the future.
             let oldest_ms = key_ms.saturating_add(fold.limits().window_ms);
             let outside = state
                 .clock
@@ -190,10 +191,10 @@
         }
     }
 
-    /// Replies to a claim of a key whose call has no outcome yet. The reply is `Unknown` only if the
-    /// holder can no longer send: the holder's deadline counts from before its append, so it has
-    /// passed when the log's clock reaches `until_ms`. Without an estimate of the log's clock the
-    /// reply is `InProgress`, which promises less.
+    /// Replies to a claim of a key whose call has no outcome yet. The reply is `Unknown` only if
+    /// the holder can no longer send: the holder's deadline counts from before its append, so it
+    /// has passed when the log's clock reaches `until_ms`. Without an estimate of the log's clock
+    /// the reply is `InProgress`, which promises less.
     fn reply_pending(&self, until_ms: u64) -> claim_calls::ClaimReply {
         let now = time::Instant::now();
         let expired_ms = until_ms + self.settings.limits.drift_ms;
--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -60,10 +60,10 @@
 impl ClaimLimits {
     /// Returns the time for which a claim must stay readable.
     ///
-    /// Two claims of one key are both accepted only if the key's timestamp lies within
-    /// `[at - window, at + margin]` of each claim's record, so the records are at most
-    /// `window + margin` apart. Another margin covers steps of the log's clock, and the holder of the
-    /// later claim may still act for `hold` after its record.
+    /// Two claims of one key are both accepted only if the key's timestamp lies within `[at -
+    /// window, at + margin]` of each claim's record, so the records are at most `window + margin`
+    /// apart. Another margin covers steps of the log's clock, and the holder of the later claim may
+    /// still act for `hold` after its record.
     #[must_use]
     pub const fn needed_retention_ms(&self) -> u64 {
         self.window_ms + 2 * self.margin_ms + self.hold_ms
--- a/crates/ledger/src/client.rs
+++ b/crates/ledger/src/client.rs
@@ -108,7 +108,7 @@
     },
     /// The log did not answer with a valid page.
     #[snafu(display("stream {stream}: the log cannot be read ({cause}); retry later"))]
-    Fault {
+    Failed {
         /// Name of the stream.
         stream: String,
         /// Cause that the connection reported.
--- a/crates/ledger/src/driver.rs
+++ b/crates/ledger/src/driver.rs
@@ -1,5 +1,5 @@
-//! Runs a pure fold over one stream: reads records, appends entries and returns each entry's verdict
-//! to its submitter.
+//! Runs a pure fold over one stream: reads records, appends entries and returns each entry's
+//! verdict to its submitter.
 
 use std::{collections, sync};
 
@@ -136,8 +136,8 @@
 }
 
 impl<C: LogClient, F: LogFold> FoldDriver<C, F> {
-    /// Starts reading `stream` from offset 0 or the first record that the log still retains, or from
-    /// where the fold's `lookback_ms` begins.
+    /// Starts reading `stream` from offset 0 or the first record that the log still retains, or
+    /// from where the fold's `lookback_ms` begins.
     pub fn start(
         client: C,
         stream: &str,
@@ -242,8 +242,8 @@
     /// Appends an entry and waits for the fold's verdict on it. `seen` is the position of the state
     /// on which the entry is based.
     ///
-    /// The verdict comes from the reader, never from the answer to the append, so a lost answer only
-    /// causes a delay.
+    /// The verdict comes from the reader, never from the answer to the append, so a lost answer
+    /// only causes a delay.
     ///
     /// # Errors
     /// Returns an error if there is no verdict by `deadline`; it says whether the entry may be on
--- a/crates/ledger/src/host.rs
+++ b/crates/ledger/src/host.rs
@@ -8,8 +8,8 @@
 use crate::client::LogClient;
 use crate::{claim_calls, claim_store, job_calls, job_store, partition};
 
-/// A request between entry VMs. Every request may be sent again, also to a third VM: the ids that it
-/// contains make a repetition harmless.
+/// A request between entry VMs. Every request may be sent again, also to a third VM: the ids that
+/// it contains make a repetition harmless.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "ask", rename_all = "snake_case")]
--- a/crates/ledger/src/http.rs
+++ b/crates/ledger/src/http.rs
@@ -15,8 +15,8 @@
     pub url: String,
     /// Timeout of an append, after which its outcome is unknown, in milliseconds.
     pub append_timeout_ms: u64,
-    /// Time without received data after which a read fails, in milliseconds. Until the answer begins,
-    /// the waiting time that the read requests is added.
+    /// Time without received data after which a read fails, in milliseconds. Until the answer
+    /// begins, the waiting time that the read requests is added.
     pub read_timeout_ms: u64,
 }
 
@@ -145,8 +145,8 @@
     }
 }
 
-/// Reads a body as long as data keeps arriving. A page of large records over a slow link would never
-/// be read within a timeout on the total time.
+/// Reads a body as long as data keeps arriving. A page of large records over a slow link would
+/// never be read within a timeout on the total time.
 async fn read_json<T: serde::de::DeserializeOwned>(
     query: &client::ReadQuery,
     mut response: reqwest::Response,
@@ -174,8 +174,8 @@
     )
 }
 
-/// Converts an error of an append. Only a failure to connect proves that nothing was appended; after
-/// any later error the append may have taken effect.
+/// Converts an error of an append. Only a failure to connect proves that nothing was appended;
+/// after any later error the append may have taken effect.
 fn append_error(stream: &str, error: &reqwest::Error) -> client::AppendError {
     let cause = error.to_string();
     if error.is_connect() {
@@ -186,7 +186,7 @@
 }
 
 fn read_error(query: &client::ReadQuery, cause: String) -> client::ReadError {
-    client::FaultSnafu {
+    client::FailedSnafu {
         stream: &query.stream,
         cause,
     }
--- a/crates/ledger/src/job_store.rs
+++ b/crates/ledger/src/job_store.rs
@@ -22,7 +22,8 @@
 pub struct JobStore<C> {
     driver: driver::FoldDriver<C, job_fold::JobFold>,
     settings: JobSettings,
-    /// Jobs that this process is currently claiming, so that concurrent requests get different jobs.
+    /// Jobs that this process is currently claiming, so that concurrent requests get different
+    /// jobs.
     reserved: sync::Mutex<collections::HashSet<id::RequestId>>,
 }
 
@@ -97,7 +98,8 @@
             .await
         {
             Ok(jobs::JobVerdict::Accepted) => job_calls::AcceptReply::Accepted,
-            // `Stale` is the verdict of this fold; a fold that has read for longer may have accepted.
+            // `Stale` is the verdict of this fold; a fold that has read for longer may have
+            // accepted.
             Ok(_) | Err(driver::SubmitError::Unsettled) => job_calls::AcceptReply::Unknown,
             Err(error) => not_accepted(error),
         }
@@ -221,8 +223,8 @@
         let _ = submitted.await;
     }
 
-    /// Appends the state of up to `max` jobs again that retention would drop soon, and returns their
-    /// number. Must be called every few seconds by the entry VM that ranks first.
+    /// Appends the state of up to `max` jobs again that retention would drop soon, and returns
+    /// their number. Must be called every few seconds by the entry VM that ranks first.
     pub async fn carry<R: rand::Rng + ?Sized>(&self, rng: &mut R, max: usize) -> usize {
         let due = self.jobs_to_carry(max);
         let mut carried = 0;
@@ -279,8 +281,8 @@
         })
     }
 
-    /// Reserves the oldest job that can be claimed. Without an estimate of the log's clock, held jobs
-    /// are candidates too: the fold decides on the claim, and its record provides an estimate.
+    /// Reserves the oldest job that can be claimed. Without an estimate of the log's clock, held
+    /// jobs are candidates too: the fold decides on the claim, and its record provides an estimate.
     fn reserve_next(&self, request: &job_calls::TakeRequest) -> Option<ReservedJob<'_, C>> {
         let now = time::Instant::now();
         let hold_ms = self.settings.limits.hold_ms;
--- a/crates/ledger/src/job_tombstones.rs
+++ b/crates/ledger/src/job_tombstones.rs
@@ -22,10 +22,10 @@
 
 /// Tombstones for jobs that the fold does not hold, complete from the offset `horizon` on.
 ///
-/// Without tombstones, an acceptance or a carried state that reaches the log with a long delay would
-/// bring back a job that was finished meanwhile: the job would run a second time, and its caller
-/// could read a different answer than before. Nothing is known about entries before the horizon, so
-/// entries whose writers had not read up to the horizon are refused.
+/// Without tombstones, an acceptance or a carried state that reaches the log with a long delay
+/// would bring back a job that was finished meanwhile: the job would run a second time, and its
+/// caller could read a different answer than before. Nothing is known about entries before the
+/// horizon, so entries whose writers had not read up to the horizon are refused.
 #[derive(Clone, Debug, Default)]
 pub struct JobTombstones {
     /// Offset from which on every entry about a job that is not held has a tombstone.
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,7 +1,7 @@
 //! Records on the platform log: client, group commit, idempotency claims and deferrable jobs.
 //!
-//! The order of records on the log is the only authority. Every decision is made by a pure fold over
-//! the records of one stream. The drivers around the folds append, read and wait, and can be
+//! The order of records on the log is the only authority. Every decision is made by a pure fold
+//! over the records of one stream. The drivers around the folds append, read and wait, and can be
 //! replaced at any moment without loss.
 
 pub mod appender;
--- a/crates/ledger/src/memory.rs
+++ b/crates/ledger/src/memory.rs
@@ -208,7 +208,7 @@
         if state.faults.down || state.draw(chance) {
             let cause = "no connection";
             let stream = &query.stream;
-            return client::FaultSnafu { stream, cause }.fail();
+            return client::FailedSnafu { stream, cause }.fail();
         }
         let retention_ms = state.faults.retention_ms;
         let found = state.streams.entry(query.stream.clone()).or_default();
--- a/crates/ledger/src/partition.rs
+++ b/crates/ledger/src/partition.rs
@@ -37,8 +37,8 @@
     PartitionIndex(remainder(hasher.digest(), CLAIM_PARTITIONS))
 }
 
-/// Returns the partition of a deferrable request. It depends on the request's id alone, so any entry
-/// VM can determine it.
+/// Returns the partition of a deferrable request. It depends on the request's id alone, so any
+/// entry VM can determine it.
 #[must_use]
 pub fn of_request(request: id::RequestId) -> PartitionIndex {
     let digest = xxh3::xxh3_64(&request.0.to_le_bytes());
--- a/crates/ledger/src/parts.rs
+++ b/crates/ledger/src/parts.rs
@@ -41,8 +41,8 @@
     *count == 0
 }
 
-/// Splits `bytes` of the entry `owner` into parts of at most `part_bytes`. The parts must be appended
-/// before the entry.
+/// Splits `bytes` of the entry `owner` into parts of at most `part_bytes`. The parts must be
+/// appended before the entry.
 #[must_use]
 pub fn split(
     owner: id::RecordId,
--- a/crates/ledger/src/permit.rs
+++ b/crates/ledger/src/permit.rs
@@ -16,8 +16,8 @@
     pub(crate) claim: id::RecordId,
     pub(crate) organisation: String,
     pub(crate) key: String,
-    /// Counted from before the claim was requested, so that it passes on this process's clock before
-    /// other processes conclude that it has passed.
+    /// Counted from before the claim was requested, so that it passes on this process's clock no
+    /// later than other processes conclude that it has passed.
     pub(crate) deadline: time::Instant,
 }
 
--- a/crates/ledger/src/signal.rs
+++ b/crates/ledger/src/signal.rs
@@ -1,4 +1,5 @@
-//! A state that tasks can wait on; waiting tasks are woken in the order in which they began to wait.
+//! A state that tasks can wait on; waiting tasks are woken in the order in which they began to
+//! wait.
 //!
 //! `tokio::sync::watch` wakes its waiters in random order. The order of two claims of one key would
 //! then differ between runs, and a failed test history could not be reproduced from its seed.
@@ -28,7 +29,8 @@
         *self.lock()
     }
 
-    /// Sets the state, wakes the waiting tasks if the state changes, and returns the previous state.
+    /// Sets the state, wakes the waiting tasks if the state changes, and returns the previous
+    /// state.
     pub fn replace(&self, state: T) -> T {
         let before = std::mem::replace(&mut *self.lock(), state);
         if before != state {
--- a/crates/ledger/src/tail.rs
+++ b/crates/ledger/src/tail.rs
@@ -101,7 +101,7 @@
                 self.failures = 0;
                 self.skip_to(first)
             }
-            Err(client::ReadError::Fault { cause, .. }) => self.record_outage(cause),
+            Err(client::ReadError::Failed { cause, .. }) => self.record_outage(cause),
         }
     }
 
@@ -130,8 +130,9 @@
         TailEvent::Records(records)
     }
 
-    /// Continues at the first retained record. A `410` answer that does not move the position forward
-    /// counts as a failed read; the reader would otherwise repeat that read forever without a delay.
+    /// Continues at the first retained record. A `410` answer that does not move the position
+    /// forward counts as a failed read; the reader would otherwise repeat that read forever without
+    /// a delay.
     fn skip_to(&mut self, first: u64) -> TailEvent {
         if first <= self.position {
             let cause =
--- a/crates/ledger/tests/http_log.rs
+++ b/crates/ledger/tests/http_log.rs
@@ -92,8 +92,8 @@
         .await
         .expect_err("no connection");
     assert!(matches!(down, client::AppendError::Down { .. }), "{down}");
-    let fault = log.read(&query(0)).await.expect_err("no connection");
-    assert!(matches!(fault, client::ReadError::Fault { .. }), "{fault}");
+    let error = log.read(&query(0)).await.expect_err("no connection");
+    assert!(matches!(error, client::ReadError::Failed { .. }), "{error}");
 }
 
 /// Answers any request with a page of one record of `bytes` bytes, spread evenly over `duration`.
