--- a/crates/ledger/src/client.rs
+++ b/crates/ledger/src/client.rs
@@ -73,7 +73,7 @@
     /// The answer was lost: the record may be on the log, or may still reach it.
     #[snafu(display(
         "stream {stream}: the answer to an append was lost ({cause}); search the stream for the \
-        record's id to learn the outcome"
+         record's id to learn the outcome"
     ))]
     Unknown {
         /// Name of the stream.
@@ -98,7 +98,7 @@
     /// The requested record was dropped by retention.
     #[snafu(display(
         "stream {stream}: records below offset {first} were dropped by retention; restart from \
-        a checkpoint at or after {first}"
+         a checkpoint at or after {first}"
     ))]
     Dropped {
         /// Name of the stream.
