--- a/crates/conf/benches/configuration.rs
+++ b/crates/conf/benches/configuration.rs
@@ -86,8 +86,8 @@
 }
 
 fn measure_catch_up(table: &TimeTable, state: &state::ConfigState, tail: &[Vec<u8>]) {
-    let records = checkpoint::records(state, part::PART_BYTES);
-    let write = median(|| drop(checkpoint::records(state, part::PART_BYTES)));
+    let records = checkpoint::records(state, part::MAX_PART_BYTES);
+    let write = median(|| drop(checkpoint::records(state, part::MAX_PART_BYTES)));
     table.show("write a checkpoint", write);
     table.show("read a checkpoint", median(|| drop(found(&records))));
     let given = transfer::StateTransfer::new(state, keeper::LogCover::default());
@@ -199,7 +199,7 @@
     );
     println!(
         "| records of a checkpoint | {} |",
-        text.len().div_ceil(part::PART_BYTES)
+        text.len().div_ceil(part::MAX_PART_BYTES)
     );
     println!("| change of one organisation | {} |", tail[0].len());
     println!(
--- a/crates/conf/src/checkpoint.rs
+++ b/crates/conf/src/checkpoint.rs
@@ -1,45 +1,48 @@
-//! Checkpoints: the whole state in the log, before retention drops the changes that made it.
+//! Checkpoints: the complete state, written to the log before retention drops the changes that
+//! produced it.
 
 use base::{fingerprint, id};
 use snafu::OptionExt as _;
 
 use crate::{check, offer, part, state};
 
-/// Why a text is not a state that can be taken over.
+/// Why an encoded state cannot be used.
 #[derive(Debug, snafu::Snafu)]
 pub enum CheckpointError {
-    /// The text was changed on its way.
+    /// The text does not match its hash.
+    #[snafu(display("the state does not match its hash; discarding it and using another one"))]
+    WrongHash,
+    /// The text cannot be parsed as a state of this version.
     #[snafu(display(
-        "the state does not match its hash; it is left alone and another one is fetched"
+        "the state cannot be parsed ({reason}); run the same version on all entry VMs"
     ))]
-    WrongHash,
-    /// The text is not a state of this version.
-    #[snafu(display("the state cannot be read ({reason}); run the same version on all entry VMs"))]
     Unreadable {
-        /// What the parser says.
+        /// Message of the parser.
         reason: String,
     },
-    /// The configuration in it is not one that a reader of the log could have accepted.
-    #[snafu(display("the state holds an invalid configuration ({reason}); fetch another one"))]
+    /// The state contains a configuration that no reader of the log would have accepted.
+    #[snafu(display(
+        "the state contains an invalid configuration ({reason}); fetch it from another entry VM"
+    ))]
     Invalid {
-        /// The faults.
+        /// The faults of the configuration.
         reason: String,
     },
-    /// The text holds another state than was offered.
-    #[snafu(display("the state is not the one that was offered; ask again"))]
+    /// The state differs from the one that was offered.
+    #[snafu(display("the state is not the one that was offered; request it again"))]
     OtherState,
 }
 
-/// A whole state as text, as it travels between entry VMs and into the log.
+/// Encodes a complete state as text, for transfer between entry VMs and for the log.
 #[must_use]
 pub fn encode(state: &state::ConfigState) -> String {
     serde_json::to_string(state).unwrap_or_default()
 }
 
-/// The state that `text` holds.
+/// Decodes and verifies a state.
 ///
 /// # Errors
-/// The text does not match `hash`, or is not a valid state, or not that of `offer`.
+/// Fails if the text does not match `hash`, is not a valid state or does not match `offer`.
 pub fn decode(
     text: &str,
     hash: fingerprint::ContentHash,
@@ -61,10 +64,10 @@
     Ok(state)
 }
 
-/// The records of a checkpoint of `state`, with at most `part_bytes` of it each.
+/// Encodes a checkpoint of `state` as log records with at most `part_bytes` of text each.
 ///
-/// Their id is that of the content: two VMs that write the same state write the same parts, so a
-/// part of one completes those of the other, and a repeated part is harmless.
+/// The id is derived from the content: VMs that write the same state write identical parts, so
+/// parts from different VMs complete one another and a repeated part is harmless.
 #[must_use]
 pub fn records(state: &state::ConfigState, part_bytes: usize) -> Vec<Vec<u8>> {
     let text = encode(state);
@@ -80,26 +83,26 @@
     )
 }
 
-/// A whole, valid checkpoint in the log.
+/// A complete, valid checkpoint in the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FoundCheckpoint {
-    /// The state that it holds.
+    /// State stored in the checkpoint.
     pub state: state::ConfigState,
-    /// Offset of its part that came first.
+    /// Offset of the first part that was read.
     pub first_part: u64,
 }
 
-/// Collects the parts of checkpoints from the log.
+/// Reassembles checkpoints from their parts in the log.
 #[derive(Clone, Debug, Default)]
 pub struct CheckpointSearch {
     parts: part::PartTable,
 }
 
 impl CheckpointSearch {
-    /// Looks at the record at `offset`; gives the checkpoint that it completes.
+    /// Processes the record at `offset` and returns the checkpoint that it completes.
     ///
     /// # Errors
-    /// The record is damaged, or completes something that is no valid checkpoint.
+    /// Fails if the record is damaged or completes an invalid checkpoint.
     pub fn add(
         &mut self,
         offset: u64,
@@ -114,8 +117,8 @@
         match self.parts.add(offset, &header, text) {
             part::PartOutcome::Waiting => Ok(None),
             part::PartOutcome::Refused(_) => Err(CheckpointError::WrongHash),
-            part::PartOutcome::Whole { text, first_offset } => {
-                // A state cannot hold records that lie after its own checkpoint.
+            part::PartOutcome::Complete { text, first_offset } => {
+                // A state cannot include records that follow its own checkpoint.
                 (offer.offset <= offset)
                     .then_some(())
                     .context(OtherStateSnafu)?;
--- a/crates/conf/src/event.rs
+++ b/crates/conf/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a follower, and what it wants done.
+//! Events that a follower processes and actions that it requests.
 
 use std::time::Duration;
 
@@ -6,134 +6,135 @@
 
 use crate::{offer, state, transfer};
 
-/// One record of the log.
+/// A record of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TailRecord {
-    /// Its offset.
+    /// Offset in the log.
     pub offset: u64,
-    /// When it was appended, by the log's clock.
+    /// When the record was appended, by the log's clock.
     pub at_ms: u64,
-    /// Its content.
+    /// Content.
     pub body: Vec<u8>,
 }
 
-/// What happened.
+/// Input of a follower.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowEvent {
-    /// Time passed; at least every 250 ms.
+    /// Timer tick; sent at least every 250 ms.
     Tick,
-    /// The read was answered.
+    /// The read succeeded.
     Page {
-        /// Oldest record that the log has.
+        /// Offset of the oldest record in the log.
         first: u64,
-        /// Offset that the next append gets.
+        /// Offset of the next append.
         next: u64,
-        /// Records from the offset that was asked for.
+        /// Records from the requested offset on.
         records: Vec<TailRecord>,
     },
-    /// The log no longer has the record that was asked for.
+    /// The log no longer has the requested record.
     Dropped {
-        /// Oldest record that it has.
+        /// Offset of the oldest record in the log.
         first: u64,
     },
     /// The read failed.
     ReadFault,
-    /// Another entry VM told its state.
+    /// Another entry VM announced its state.
     Offer {
-        /// That VM.
+        /// Name of the other VM.
         peer: String,
-        /// What it has.
+        /// Description of its state.
         offer: offer::StateOffer,
     },
-    /// Another entry VM is gone.
+    /// Another entry VM is no longer present, or no longer offers a state.
     PeerGone {
-        /// That VM.
+        /// Name of the other VM.
         peer: String,
     },
-    /// Another entry VM handed over its state.
+    /// A state was fetched from another entry VM.
     State {
-        /// That VM.
+        /// Name of the other VM.
         peer: String,
-        /// What it gave.
+        /// The state that it sent.
         transfer: Box<transfer::StateTransfer>,
     },
-    /// Another entry VM did not hand over its state.
+    /// Fetching a state from another entry VM failed.
     FetchFault {
-        /// That VM.
+        /// Name of the other VM.
         peer: String,
     },
-    /// The record lies in the log.
+    /// The append succeeded.
     Appended,
-    /// The append failed, or its answer was lost.
+    /// The append failed, or its response was lost.
     AppendFault,
 }
 
-/// What the daemon shall do.
+/// Action that the daemon must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowAction {
-    /// Read the log; answered by `Page`, `Dropped` or `ReadFault`. One at a time.
+    /// Read the log; completed by `Page`, `Dropped` or `ReadFault`. At most one at a time.
     Read {
-        /// First offset.
+        /// First offset to read.
         from: u64,
-        /// Records at the most.
+        /// Maximum number of records.
         max: u32,
         /// How long to wait for a record.
         wait: Duration,
     },
-    /// Fetch the state of another entry VM; answered by `State` or `FetchFault`. One at a time.
+    /// Fetch the state of another entry VM; completed by `State` or `FetchFault`. At most one at
+    /// a time.
     Fetch {
-        /// That VM.
+        /// Name of the other VM.
         peer: String,
     },
-    /// Append to the log; answered by `Appended` or `AppendFault`. One at a time.
+    /// Append to the log; completed by `Appended` or `AppendFault`. At most one at a time.
     Append {
-        /// The record.
+        /// Record to append.
         record: Vec<u8>,
     },
-    /// The log has decided a change; whoever published it is waiting for this.
+    /// A change was decided; notify the publisher that waits for the verdict.
     Decided {
-        /// The change.
+        /// Id of the change.
         id: id::RecordId,
-        /// Offset of the record that decided it.
+        /// Offset of the record that decided the change.
         offset: u64,
-        /// What became of it.
+        /// Verdict on the change.
         verdict: state::ApplyVerdict,
     },
-    /// Another state is in force on this VM: index it and hand it to the request path.
+    /// A new revision is in force on this VM: index it and pass it to the request path.
     InForce(offer::StateOffer),
-    /// Something that an operator should know of.
+    /// Report a condition to operators.
     Report(FollowReport),
 }
 
-/// Something that an operator should know of.
+/// Condition that operators should know about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FollowReport {
-    /// A checkpoint in the log, or a state that another VM gave, cannot be used.
+    /// A checkpoint in the log or a state from another VM cannot be used.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         reason: String,
     },
-    /// Another VM, or a checkpoint, tells a history that is not that of this VM.
+    /// The history of another VM or of a checkpoint contradicts that of this VM.
     Contradiction {
-        /// Who tells it.
+        /// Name of the other VM, or the checkpoint.
         source: String,
     },
-    /// The log ends before the state that this VM has: it lost records that were accepted.
+    /// The log ends before the offset of this VM's state, so it has lost accepted records.
     LogLost {
-        /// Offset that the next append gets.
+        /// Offset of the next append.
         next: u64,
     },
 }
 
-/// Whether this VM may serve.
+/// Whether this VM may serve requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadyState {
-    /// It has an accepted configuration.
+    /// The VM has a configuration in force.
     Ready,
-    /// It has no state: neither the log nor another VM has given one.
+    /// The VM has received no state from the log or another VM.
     NoState,
-    /// It is reading the log and has not come to its end.
+    /// The VM is reading the log and has not reached its end yet.
     CatchingUp,
-    /// Nobody has published a configuration.
+    /// No configuration has been published yet.
     NothingPublished,
 }
--- a/crates/conf/src/follow.rs
+++ b/crates/conf/src/follow.rs
@@ -1,7 +1,7 @@
-//! Keeps one entry VM's configuration up to date: from the log, from its checkpoints, from other
-//! entry VMs.
+//! Keeps one entry VM's configuration up to date from the log, its checkpoints and other entry VMs.
 //!
-//! A controller without I/O: the daemon hands in what happened and performs what comes out.
+//! The follower is a state machine without I/O: the daemon passes in events and performs the
+//! actions that it returns.
 
 use std::collections;
 
@@ -17,35 +17,35 @@
     search, state, transfer,
 };
 
-/// The follower of one entry VM.
+/// Configuration follower of one entry VM.
 #[derive(Clone, Debug)]
 pub struct ConfigFollower {
     vm: String,
     settings: FollowSettings,
     state: Option<state::ConfigState>,
-    /// Whether the state once was the newest that the log or another VM could give; before that
-    /// it may be any old prefix, and serving by it would bring back what was changed since.
-    is_proved: bool,
+    /// Whether the state has ever been the newest available from the log or another VM. Until then
+    /// it may be an arbitrarily old prefix, and serving from it would revert later changes.
+    was_current: bool,
     search: search::LogSearch,
     keeper: CheckpointKeeper,
     peers: PeerTable,
     is_reading: bool,
     read_after: Option<time::Instant>,
-    /// Whether the newest read was answered.
+    /// Whether the latest read succeeded.
     is_log_live: bool,
     is_log_lost: bool,
 }
 
 impl ConfigFollower {
-    /// The follower of a fresh VM, which has nothing.
+    /// Creates the follower of a fresh VM, which has no state.
     #[must_use]
     pub fn new(vm: impl Into<String>, settings: FollowSettings) -> Self {
         Self {
             vm: vm.into(),
             settings,
             state: None,
-            is_proved: false,
-            search: search::LogSearch::new(settings.look_back),
+            was_current: false,
+            search: search::LogSearch::new(settings.lookback_records),
             keeper: CheckpointKeeper::new(settings.keeper),
             peers: PeerTable::default(),
             is_reading: false,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes in what happened and says what to do.
+    /// Processes an event and returns the actions to perform.
     pub fn handle(&mut self, event: FollowEvent, clock: ClockReading) -> Vec<FollowAction> {
         let mut actions = Vec::new();
         let before = self.in_force();
@@ -67,15 +67,15 @@
                 records,
             } => {
                 self.on_page(first, next, &records, &mut actions);
-                self.turn_page(clock);
+                self.continue_search(clock);
             }
             FollowEvent::Dropped { first } => self.on_dropped(first),
             FollowEvent::ReadFault => self.on_read_fault(clock),
             FollowEvent::Offer { peer, offer } => self.on_offer(peer, offer, &mut actions),
-            FollowEvent::PeerGone { peer } => self.peers.forget(&peer),
+            FollowEvent::PeerGone { peer } => self.peers.remove(&peer),
             FollowEvent::State { peer, transfer } => self.on_state(&peer, &transfer, &mut actions),
-            FollowEvent::FetchFault { peer } => self.peers.forget(&peer),
-            FollowEvent::Appended => self.keeper.appended(clock),
+            FollowEvent::FetchFault { peer } => self.peers.remove(&peer),
+            FollowEvent::Appended => self.keeper.append_succeeded(clock),
             FollowEvent::AppendFault => self.keeper.append_failed(clock),
         }
         let after = self.in_force();
@@ -95,8 +95,8 @@
     ) {
         self.is_reading = false;
         self.is_log_live = true;
-        self.keeper.see_first(first);
-        self.search.see_bounds(first, next);
+        self.keeper.observe_first(first);
+        self.search.observe_bounds(first, next);
         if self.state.is_none() && first == 0 && !self.search.is_searching() {
             self.state = Some(state::ConfigState::new());
         }
@@ -111,18 +111,19 @@
             actions.push(FollowAction::Report(FollowReport::LogLost { next }));
         }
         self.is_log_lost = is_lost;
-        self.is_proved |= !self.search.is_searching() && state.offset() >= next;
+        self.was_current |= !self.search.is_searching() && state.offset() >= next;
     }
 
-    /// Goes on with a search after a page.
-    fn turn_page(&mut self, clock: ClockReading) {
-        match self.search.turn_page() {
-            search::TurnOutcome::OnePass => {}
-            search::TurnOutcome::NextPass => self.keeper.restart_search(),
-            search::TurnOutcome::NothingFound => {
-                // What a pass missed, for it began between parts, the next one finds.
+    /// Continues a checkpoint search after a page.
+    fn continue_search(&mut self, clock: ClockReading) {
+        match self.search.finish_page() {
+            search::PageOutcome::SamePass => {}
+            search::PageOutcome::NextPass => self.keeper.restart_search(),
+            search::PageOutcome::NothingFound => {
+                // A pass that started between the parts of a checkpoint misses it; the next pass
+                // may find it.
                 self.keeper.restart_search();
-                self.read_after = Some(clock.now + self.settings.search_again);
+                self.read_after = Some(clock.now + self.settings.search_retry_after);
             }
         }
     }
@@ -131,9 +132,9 @@
         let own = self.state.as_ref();
         let seen = self
             .keeper
-            .see(record.offset, record.at_ms, &record.body, own);
+            .observe(record.offset, record.at_ms, &record.body, own);
         if self.search.is_searching() {
-            if self.search.pass(record.offset) {
+            if self.search.advance(record.offset) {
                 self.on_found(seen, actions);
             }
             return;
@@ -144,7 +145,7 @@
         let Some(state) = &mut self.state else {
             return;
         };
-        let (id, verdict) = state.apply_named(record.offset, &record.body);
+        let (id, verdict) = state.apply_with_id(record.offset, &record.body);
         match (id, verdict) {
             (
                 _,
@@ -166,15 +167,16 @@
         }
     }
 
-    /// A search looked at a record; takes the checkpoint over that it completed.
+    /// Adopts the checkpoint that a record completed during a search.
     fn on_found(
         &mut self,
         seen: Result<Option<checkpoint::FoundCheckpoint>, checkpoint::CheckpointError>,
         actions: &mut Vec<FollowAction>,
     ) {
         match seen {
-            // Also one from which the log cannot be read on: the search goes on then, and until
-            // it ends nothing of a fresh VM is in force.
+            // A checkpoint is adopted even if the log no longer holds the records that follow it.
+            // The search then continues, and a fresh VM has no configuration in force until the
+            // search ends.
             Ok(Some(found)) => {
                 self.adopt(found.state, "a checkpoint", actions);
             }
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Takes over a state that is newer than the own one.
+    /// Replaces the own state with `other` if that is newer; returns whether it did.
     fn adopt(
         &mut self,
         other: state::ConfigState,
@@ -199,7 +201,7 @@
         };
         match outcome {
             Ok(()) => {
-                self.search.settle(self.offset());
+                self.search.finish(self.offset());
                 self.read_after = None;
             }
             Err(state::AdoptRefusal::Older) => {}
@@ -214,7 +216,7 @@
     fn on_dropped(&mut self, first: u64) {
         self.is_reading = false;
         self.is_log_live = true;
-        self.keeper.see_first(first);
+        self.keeper.observe_first(first);
         self.search.start(first);
         self.keeper.restart_search();
     }
@@ -235,8 +237,8 @@
             .state
             .as_ref()
             .is_some_and(|state| state.is_contradicted_by(&offer));
-        let is_news = self.peers.note(&peer, offer);
-        if is_contradictory && is_news {
+        let is_changed = self.peers.update(&peer, offer);
+        if is_contradictory && is_changed {
             actions.push(FollowAction::Report(FollowReport::Contradiction {
                 source: peer,
             }));
@@ -249,19 +251,20 @@
         transfer: &transfer::StateTransfer,
         actions: &mut Vec<FollowAction>,
     ) {
-        self.peers.fetched();
+        self.peers.finish_fetch();
         match transfer.state() {
             Ok(state) => {
                 if self.adopt(state, peer, actions) {
-                    self.is_proved = true;
-                    self.keeper.take_cover(transfer.cover);
+                    self.was_current = true;
+                    self.keeper.set_cover(transfer.cover);
                 } else {
-                    // It gave less than it offered; asking again at once would bring the same.
-                    self.peers.forget(peer);
+                    // The peer sent an older state than it offered; an immediate retry would
+                    // return the same one.
+                    self.peers.remove(peer);
                 }
             }
             Err(error) => {
-                self.peers.forget(peer);
+                self.peers.remove(peer);
                 actions.push(refused(&error));
             }
         }
@@ -269,10 +272,10 @@
 
     fn next_actions(&mut self, clock: ClockReading, actions: &mut Vec<FollowAction>) {
         let own = self.state.as_ref();
-        let is_stranded = self.search.is_searching();
+        let is_log_truncated = self.search.is_searching();
         if let Some(peer) = self
             .peers
-            .next_fetch(own, is_stranded, &self.settings, clock)
+            .next_fetch(own, is_log_truncated, &self.settings, clock)
         {
             actions.push(FollowAction::Fetch { peer });
         }
@@ -280,11 +283,11 @@
         let Some(state) = self
             .state
             .as_ref()
-            .filter(|_| self.is_proved && self.is_log_live)
+            .filter(|_| self.was_current && self.is_log_live)
         else {
             return;
         };
-        // A state from which the log cannot be read on is of no use to a fresh VM either.
+        // A checkpoint of a state whose next record the log has dropped would not help a fresh VM.
         if self.search.is_searching() {
             return;
         }
@@ -310,38 +313,39 @@
         self.state.as_ref().map_or(0, state::ConfigState::offset)
     }
 
-    /// What this VM tells the others; nothing while its state may be any old prefix of the log.
+    /// The offer that this VM announces to others; `None` while its state may be an old prefix of
+    /// the log.
     #[must_use]
     pub fn in_force(&self) -> Option<offer::StateOffer> {
-        let state = self.state.as_ref().filter(|_| self.is_proved)?;
+        let state = self.state.as_ref().filter(|_| self.was_current)?;
         (state.revision() > 0).then(|| state.offer())
     }
 
-    /// Whether this VM may serve.
+    /// Whether this VM may serve requests.
     #[must_use]
     pub fn ready(&self) -> ReadyState {
         match &self.state {
             None => ReadyState::NoState,
-            Some(_) if !self.is_proved => ReadyState::CatchingUp,
+            Some(_) if !self.was_current => ReadyState::CatchingUp,
             Some(state) if state.revision() == 0 => ReadyState::NothingPublished,
             Some(_) => ReadyState::Ready,
         }
     }
 
-    /// The state, also before it may serve.
+    /// The current state, even if this VM may not serve from it yet.
     #[must_use]
     pub const fn state(&self) -> Option<&state::ConfigState> {
         self.state.as_ref()
     }
 
-    /// The state as it is handed to another VM.
+    /// The state in force, packed for transfer to another VM.
     #[must_use]
     pub fn transfer(&self) -> Option<transfer::StateTransfer> {
         let state = self.state.as_ref().filter(|_| self.in_force().is_some())?;
         Some(transfer::StateTransfer::new(state, self.keeper.cover()))
     }
 
-    /// Which VM has which state in force, as far as this one knows; itself included.
+    /// The latest known state in force on each VM, including this one.
     #[must_use]
     pub fn in_force_by_vm(&self) -> collections::BTreeMap<String, offer::StateOffer> {
         let mut known = self.peers.offers().clone();
--- a/crates/conf/src/history.rs
+++ b/crates/conf/src/history.rs
@@ -1,4 +1,4 @@
-//! Changes that were decided, as far back as readers remember them.
+//! Bounded history of decided changes.
 
 use std::collections;
 
@@ -6,41 +6,43 @@
 
 use crate::{change, offer, state};
 
-/// Accepted changes that are remembered.
-pub const ACCEPTED_ENTRIES: usize = 256;
-/// Refused changes that are remembered.
-pub const REFUSED_ENTRIES: usize = 64;
-/// Paths that are remembered of one change; more are cut to their common beginnings.
-const ENTRY_PATHS: usize = 32;
-/// Characters that are remembered of an author's name and comment each.
-const ENTRY_TEXT: usize = 256;
-/// Bytes of a way back that are remembered; a larger change cannot be rolled back by number.
-const REVERSE_BYTES: usize = 16 * 1024;
-
-/// Who changed what.
+/// Maximum number of accepted changes in the history.
+pub const MAX_ACCEPTED_ENTRIES: usize = 256;
+/// Maximum number of refused changes in the history.
+pub const MAX_REFUSED_ENTRIES: usize = 64;
+/// Maximum number of paths kept per change; if there are more, they are shortened to common
+/// prefixes.
+const MAX_ENTRY_PATHS: usize = 32;
+/// Maximum number of characters kept of the author and of the comment.
+const MAX_ENTRY_TEXT_CHARS: usize = 256;
+/// Maximum size of a stored reverse patch; a change with a larger one cannot be rolled back by
+/// revision number.
+const MAX_REVERSE_BYTES: usize = 16 * 1024;
+
+/// Summary of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ChangeSummary {
-    /// Offset of its record.
+    /// Offset of the record that decided the change.
     pub offset: u64,
-    /// The change.
+    /// Id of the change.
     pub id: id::RecordId,
-    /// Who made it.
+    /// Operator who published the change.
     pub author: String,
-    /// Why.
+    /// The author's comment.
     pub comment: String,
-    /// The revision that it was made against.
+    /// Revision that the change is based on.
     pub base_revision: u64,
-    /// What it touches, as names from the root down; a change of very many places is remembered
-    /// by the beginnings of their paths.
+    /// Paths that the change sets or removes, each as field names from the root. If there are too
+    /// many, they are shortened to common prefixes.
     pub paths: Vec<Vec<String>>,
 }
 
 impl ChangeSummary {
-    /// The summary of a change that lies at `offset`.
+    /// Summarizes the change that was decided at `offset`.
     #[must_use]
     pub fn new(offset: u64, change: &change::ConfigChange) -> Self {
-        let cut = |text: &str| text.chars().take(ENTRY_TEXT).collect();
+        let cut = |text: &str| text.chars().take(MAX_ENTRY_TEXT_CHARS).collect();
         Self {
             offset,
             id: change.id,
@@ -52,10 +54,10 @@
     }
 }
 
-/// At most [`ENTRY_PATHS`] paths that cover all of `paths`.
+/// Reduces `paths` to at most [`MAX_ENTRY_PATHS`] prefixes that cover all of them.
 fn bounded_paths(mut paths: Vec<Vec<String>>) -> Vec<Vec<String>> {
     let mut depth = paths.iter().map(Vec::len).max().unwrap_or_default();
-    while paths.len() > ENTRY_PATHS && depth > 0 {
+    while paths.len() > MAX_ENTRY_PATHS && depth > 0 {
         depth -= 1;
         for path in &mut paths {
             path.truncate(depth);
@@ -70,13 +72,13 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct AcceptedEntry {
-    /// Who changed what.
+    /// Summary of the change.
     pub summary: ChangeSummary,
-    /// The revision that it made.
+    /// Revision that the change produced.
     pub revision: u64,
-    /// The chain up to it.
+    /// Hash chain up to and including this change.
     pub chain: offer::ChainHash,
-    /// Merge patch that leads back; absent when it is too large to be remembered.
+    /// Merge patch that reverts the change; `None` if it is too large to store.
     pub reverse: Option<serde_json::Value>,
 }
 
@@ -84,19 +86,19 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct RefusedEntry {
-    /// Who wanted to change what.
+    /// Summary of the change.
     pub summary: ChangeSummary,
-    /// Why it was refused.
+    /// Reason for the refusal.
     pub verdict: state::ApplyVerdict,
 }
 
-/// What readers remember of earlier changes; equal on all at equal offset.
+/// History of decided changes; identical on every reader at the same offset.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ChangeHistory {
-    /// Oldest first; at most [`ACCEPTED_ENTRIES`], with consecutive revisions.
+    /// Oldest first; at most [`MAX_ACCEPTED_ENTRIES`], with consecutive revisions.
     accepted: collections::VecDeque<AcceptedEntry>,
-    /// Oldest first; at most [`REFUSED_ENTRIES`].
+    /// Oldest first; at most [`MAX_REFUSED_ENTRIES`].
     refused: collections::VecDeque<RefusedEntry>,
 }
 
@@ -111,7 +113,7 @@
         self.refused.iter()
     }
 
-    /// What became of a change, as far as it is remembered.
+    /// The verdict on a change; `None` if it is not in the history.
     #[must_use]
     pub fn verdict_of(&self, id: id::RecordId) -> Option<state::ApplyVerdict> {
         let accepted = self
@@ -132,7 +134,7 @@
             .or_else(|| refused().map(|entry| entry.verdict.clone()))
     }
 
-    /// The chain up to `revision`, as far as it is remembered.
+    /// The hash chain up to `revision`; `None` if the revision is not in the history.
     #[must_use]
     pub fn chain_at(&self, revision: u64) -> Option<offer::ChainHash> {
         let first = self.accepted.front()?.revision;
@@ -140,10 +142,10 @@
         self.accepted.get(index).map(|entry| entry.chain)
     }
 
-    /// Merge patches that lead back to `revision`, in the order in which they apply; nothing when
-    /// it lies further back than is remembered.
+    /// Merge patches that revert to `revision`, in the order in which they apply; `None` if the
+    /// history does not reach back that far or lacks one of the patches.
     #[must_use]
-    pub fn way_back(&self, revision: u64) -> Option<Vec<&serde_json::Value>> {
+    pub fn reverse_patches(&self, revision: u64) -> Option<Vec<&serde_json::Value>> {
         let current = self.accepted.back()?.revision;
         let count = usize::try_from(current.checked_sub(revision)?).ok()?;
         if count > self.accepted.len() {
@@ -155,18 +157,18 @@
 
     pub(crate) fn add_accepted(&mut self, mut entry: AcceptedEntry) {
         let reverse_bytes = entry.reverse.as_ref().map(|value| value.to_string().len());
-        if reverse_bytes.is_some_and(|bytes| bytes > REVERSE_BYTES) {
+        if reverse_bytes.is_some_and(|bytes| bytes > MAX_REVERSE_BYTES) {
             entry.reverse = None;
         }
         self.accepted.push_back(entry);
-        if self.accepted.len() > ACCEPTED_ENTRIES {
+        if self.accepted.len() > MAX_ACCEPTED_ENTRIES {
             self.accepted.pop_front();
         }
     }
 
     pub(crate) fn add_refused(&mut self, entry: RefusedEntry) {
         self.refused.push_back(entry);
-        if self.refused.len() > REFUSED_ENTRIES {
+        if self.refused.len() > MAX_REFUSED_ENTRIES {
             self.refused.pop_front();
         }
     }
--- a/crates/conf/src/keeper.rs
+++ b/crates/conf/src/keeper.rs
@@ -1,4 +1,4 @@
-//! Keeps a usable checkpoint in the log: decides when one is due, and which VM appends it.
+//! Keeps a usable checkpoint in the log: decides when one is due and which VM appends it.
 
 use std::{collections, mem};
 
@@ -7,65 +7,66 @@
 
 use crate::{checkpoint, pace::KeeperSettings, part, state};
 
-/// Two readings of time at one moment.
+/// Monotonic and wall-clock time read at the same moment.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// The monotonic clock of this process; all waiting is measured on it.
+    /// Monotonic clock of this process, used for all timeouts.
     pub now: time::Instant,
-    /// The clock of the day in milliseconds; a hint for the age of records that were written
-    /// before this process started, nothing safe rests on it.
+    /// Wall clock in Unix milliseconds. It only estimates the age of records written before this
+    /// process started; no safety property depends on it.
     pub unix_ms: u64,
 }
 
-/// VMs of a worse rank than this do not wait longer.
-const GREATEST_RANK: u32 = 30;
+/// Ranks are capped at this value, which bounds how long a VM waits before it appends.
+const MAX_RANK: u32 = 30;
 
-/// A whole checkpoint that lies in the log.
+/// A complete checkpoint in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct SeenCheckpoint {
-    /// Offset from which its reader goes on reading.
+    /// Offset of the first record that the checkpoint does not include.
     pub offset: u64,
-    /// Offset of its first part.
+    /// Offset of the checkpoint's first part.
     pub first_part: u64,
-    /// When its last part was appended, by the log's clock.
+    /// When the checkpoint's last part was appended, by the log's clock.
     pub at_ms: u64,
 }
 
-/// From what a fresh VM could start, as one VM knows it.
+/// What one VM knows of the records that a fresh VM could start from.
 ///
-/// It travels with the state: a VM that took its state from another one has not read the older
-/// part of the log, and would append a checkpoint that nobody needs.
+/// It is sent along with the state, because a VM that received its state from another one has not
+/// read the older part of the log and would otherwise append an unnecessary checkpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct LogCover {
-    /// The newest whole checkpoint.
+    /// The newest complete checkpoint.
     pub newest: Option<SeenCheckpoint>,
-    /// When record 0 was appended, while it was seen.
+    /// When record 0 was appended, if it was read.
     pub start_ms: Option<u64>,
-    /// Records after the newest checkpoint that are not parts of checkpoints.
+    /// Number of records after the newest checkpoint that are not parts, neither of checkpoints nor
+    /// of large changes.
     pub records_since: u64,
 }
 
-/// The keeper of one VM.
+/// Checkpoint keeper of one VM.
 #[derive(Clone, Debug)]
 pub struct CheckpointKeeper {
     settings: KeeperSettings,
     search: checkpoint::CheckpointSearch,
     cover: LogCover,
-    /// Oldest record that the log still has.
+    /// Offset of the oldest record that the log still has.
     log_first: u64,
     due_since: Option<time::Instant>,
-    /// Whether a part of a newer checkpoint came since the last decision.
-    is_under_way: bool,
-    /// Records of the checkpoint that is being appended, next first.
+    /// Whether a part of a newer checkpoint was read since the last decision.
+    has_newer_parts: bool,
+    /// Remaining records of the checkpoint that is being appended, in order.
     queue: collections::VecDeque<Vec<u8>>,
     is_appending: bool,
-    quiet_until: Option<time::Instant>,
+    paused_until: Option<time::Instant>,
 }
 
 impl CheckpointKeeper {
-    /// A keeper that has seen nothing.
+    /// Creates a keeper that has read no records.
     #[must_use]
     pub fn new(settings: KeeperSettings) -> Self {
         Self {
@@ -74,20 +75,20 @@
             cover: LogCover::default(),
             log_first: 0,
             due_since: None,
-            is_under_way: false,
+            has_newer_parts: false,
             queue: collections::VecDeque::new(),
             is_appending: false,
-            quiet_until: None,
+            paused_until: None,
         }
     }
 
-    /// Takes note of a record; gives the checkpoint that it completes. `own` is the state of this
-    /// VM: a checkpoint that tells another history counts as none.
+    /// Processes a record and returns the checkpoint that it completes. `own` is the state of this
+    /// VM; a checkpoint that contradicts it is not counted as usable.
     ///
     /// # Errors
-    /// The record is damaged, or completes something that is no valid checkpoint; then it counts
-    /// as none.
-    pub fn see(
+    /// Fails if the record is damaged or completes an invalid checkpoint; such a checkpoint is not
+    /// counted as usable.
+    pub fn observe(
         &mut self,
         offset: u64,
         at_ms: u64,
@@ -100,7 +101,7 @@
         let part = part::parse(record).map(|(header, _)| header.of);
         self.cover.records_since += u64::from(part.is_none());
         if let Some(part::PartKind::Checkpoint(offer)) = part {
-            self.is_under_way |= self.is_newer(offer.offset);
+            self.has_newer_parts |= self.is_newer(offer.offset);
         }
         let Some(found) = self.search.add(offset, record)? else {
             return Ok(None);
@@ -111,12 +112,12 @@
             first_part: found.first_part,
             at_ms,
         };
-        let is_other_history = own.is_some_and(|own| own.is_contradicted_by(&offer));
+        let is_other_log = own.is_some_and(|own| own.is_contradicted_by(&offer));
         let is_older = self
             .cover
             .newest
             .is_some_and(|newest| newest.offset > seen.offset);
-        if !is_other_history && !is_older {
+        if !is_other_log && !is_older {
             self.cover.newest = Some(seen);
             self.cover.records_since = 0;
             self.queue.clear();
@@ -130,54 +131,54 @@
             .is_none_or(|newest| newest.offset <= offset)
     }
 
-    /// Forgets the parts that were collected, for a new pass through the log.
+    /// Discards the collected parts before a new pass over the log.
     pub fn restart_search(&mut self) {
         self.search = checkpoint::CheckpointSearch::default();
     }
 
-    /// From what a fresh VM could start, as far as this one knows.
+    /// What this VM knows of the records that a fresh VM could start from.
     #[must_use]
     pub const fn cover(&self) -> LogCover {
         self.cover
     }
 
-    /// Takes over what another VM knows of the log before the state that it gave.
-    pub const fn take_cover(&mut self, cover: LogCover) {
+    /// Sets the coverage received from another VM along with its state.
+    pub const fn set_cover(&mut self, cover: LogCover) {
         self.cover = cover;
     }
 
-    /// Takes note of the oldest record that the log still has.
-    pub fn see_first(&mut self, first: u64) {
+    /// Records the offset of the oldest record that the log still has.
+    pub fn observe_first(&mut self, first: u64) {
         self.log_first = self.log_first.max(first);
     }
 
-    /// The next record to append, when it is this VM's turn; one at a time.
+    /// The next checkpoint record to append if it is this VM's turn; one append at a time.
     pub fn next_record(
         &mut self,
         vm: &str,
         state: &state::ConfigState,
         clock: ClockReading,
     ) -> Option<Vec<u8>> {
-        let is_quiet = self.quiet_until.is_some_and(|until| clock.now < until);
-        if self.is_appending || is_quiet {
+        let is_paused = self.paused_until.is_some_and(|until| clock.now < until);
+        if self.is_appending || is_paused {
             return None;
         }
         if self.queue.is_empty() {
-            self.fill_queue(vm, state, clock);
+            self.queue_if_due(vm, state, clock);
         }
         let record = self.queue.front().cloned();
         self.is_appending = record.is_some();
         record
     }
 
-    fn fill_queue(&mut self, vm: &str, state: &state::ConfigState, clock: ClockReading) {
+    fn queue_if_due(&mut self, vm: &str, state: &state::ConfigState, clock: ClockReading) {
         if !self.is_due(state, clock) {
             self.due_since = None;
             return;
         }
-        // While another VM appends, beginning as well would only crowd the log: with hundreds of
-        // VMs none of many half-written checkpoints would ever be whole.
-        if mem::take(&mut self.is_under_way) {
+        // Wait while another VM appends: if hundreds of VMs appended checkpoints concurrently, none
+        // of the many partial checkpoints would ever be completed.
+        if mem::take(&mut self.has_newer_parts) {
             self.due_since = Some(clock.now);
         }
         let due_since = *self.due_since.get_or_insert(clock.now);
@@ -188,49 +189,50 @@
         }
     }
 
-    /// Whether a fresh VM could soon not start from the log.
+    /// Whether a new checkpoint is needed so that a fresh VM can still start from the log.
     fn is_due(&self, state: &state::ConfigState, clock: ClockReading) -> bool {
         if state.revision() == 0 || self.cover.records_since >= self.settings.records {
             return state.revision() > 0;
         }
         let Some(newest) = self.cover.newest else {
-            // All records from the first are there, until the oldest is nearly lost.
+            // Without a checkpoint a fresh VM can replay the log from record 0 until retention is
+            // about to drop that record.
             let start_ms = self.cover.start_ms.filter(|_| self.log_first == 0);
             return start_ms.is_none_or(|at_ms| self.is_old(at_ms, clock));
         };
-        let is_lost = self.log_first > newest.offset.min(newest.first_part);
-        is_lost || self.is_old(newest.at_ms, clock)
+        let is_truncated = self.log_first > newest.offset.min(newest.first_part);
+        is_truncated || self.is_old(newest.at_ms, clock)
     }
 
     fn is_old(&self, at_ms: u64, clock: ClockReading) -> bool {
         u128::from(clock.unix_ms.saturating_sub(at_ms)) >= self.settings.age.as_millis()
     }
 
-    /// The record that was to be appended lies in the log.
-    pub fn appended(&mut self, clock: ClockReading) {
+    /// Handles a successful append.
+    pub fn append_succeeded(&mut self, clock: ClockReading) {
         self.is_appending = false;
         self.queue.pop_front();
         if self.queue.is_empty() {
-            self.quiet_until = Some(clock.now + self.settings.retry_after);
+            self.paused_until = Some(clock.now + self.settings.retry_after);
         }
     }
 
-    /// The append failed, or its answer was lost: then the record may lie in the log all the same,
-    /// and appending it again does no harm, for equal parts count once.
+    /// Handles a failed append or a lost response. In the latter case the record may be in the log;
+    /// appending it again is harmless because identical parts are counted once.
     pub fn append_failed(&mut self, clock: ClockReading) {
         self.is_appending = false;
-        self.quiet_until = Some(clock.now + self.settings.retry_after);
+        self.paused_until = Some(clock.now + self.settings.retry_after);
     }
 }
 
-/// Place of this VM among all for the checkpoint that is due; without it hundreds of VMs would
-/// append the same at once.
+/// Rendezvous-hash rank of this VM for the checkpoint that is due. Ranks stagger the VMs; otherwise
+/// hundreds of them would append the same checkpoint at once.
 fn rank(vm: &str, state: &state::ConfigState) -> u32 {
     let subject = format!("checkpoint-{}", state.revision());
     let own = (rendezvous::score(&subject, vm), vm);
     let vms = state.configuration().inventory.entry_vms.keys();
     let better = vms.filter(|other| (rendezvous::score(&subject, other), other.as_str()) > own);
     u32::try_from(better.count())
-        .unwrap_or(GREATEST_RANK)
-        .min(GREATEST_RANK)
+        .unwrap_or(MAX_RANK)
+        .min(MAX_RANK)
 }
--- a/crates/conf/src/offer.rs
+++ b/crates/conf/src/offer.rs
@@ -1,32 +1,32 @@
-//! What an entry VM says of the state that it has, and which of two states is the newer.
+//! Offers by which entry VMs announce their states, and the order of two states.
 
 use base::fingerprint;
 
-/// A state, told in a few bytes.
+/// Compact description of a state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateOffer {
-    /// Its revision.
+    /// Revision of the state.
     pub revision: u64,
-    /// Offset of the first log record that is not part of it.
+    /// Offset of the first log record that the state does not include.
     pub offset: u64,
-    /// Hash of the chain of changes that led to it; equal at equal offset on every VM.
+    /// Hash chain over the accepted changes; equal on every VM at the same offset.
     pub hash: ChainHash,
 }
 
 impl StateOffer {
-    /// Whether a state of this offer may replace one of `own`.
+    /// Whether the offered state may replace the state described by `own`.
     ///
-    /// Only a longer prefix of the log replaces a shorter one, and revisions never fall with
-    /// it. A VM that was cut off for long comes back with a lower offset, and its state is
-    /// nobody's choice.
+    /// Only a longer prefix of the log replaces a shorter one, and the revision must not decrease.
+    /// A VM that returns after a long network partition has a lower offset, so no other VM adopts
+    /// its outdated state.
     #[must_use]
     pub const fn replaces(&self, own: &Self) -> bool {
         self.offset > own.offset && self.revision >= own.revision
     }
 
-    /// Whether the two states cannot be prefixes of one log.
+    /// Whether the two states cannot result from prefixes of the same log.
     #[must_use]
     pub fn contradicts(&self, other: &Self) -> bool {
         let same_revision = self.revision == other.revision;
@@ -38,7 +38,7 @@
     }
 }
 
-/// Hash over every accepted change from the first to one revision.
+/// Hash chain over all accepted changes up to a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ChainHash(pub fingerprint::ContentHash);
@@ -50,14 +50,14 @@
 }
 
 impl ChainHash {
-    /// The hash after one more accepted change.
+    /// Extends the chain by one accepted change.
     #[must_use]
     pub fn then(&self, change: &[u8]) -> Self {
         Self(fingerprint::ContentHash::of_parts(&[&self.0.0, change]))
     }
 }
 
-/// The best of several offers: the highest offset, the first of equals.
+/// Selects the offer with the highest offset; the first one wins a tie.
 pub fn best<'a, I>(offers: I) -> Option<(&'a str, StateOffer)>
 where
     I: IntoIterator<Item = (&'a str, StateOffer)>,
--- a/crates/conf/src/pace.rs
+++ b/crates/conf/src/pace.rs
@@ -1,27 +1,28 @@
-//! How the follower and its keeper of checkpoints pace themselves.
+//! Timing and batch settings of the configuration follower and its checkpoint keeper.
 
 use std::time::Duration;
 
 use crate::part;
 
-/// How the follower paces itself.
+/// Settings of the configuration follower.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FollowSettings {
-    /// Records of one read.
+    /// Maximum number of records per read.
     pub page_records: u32,
-    /// How long a read at the end of the log waits for a record.
+    /// How long a read at the end of the log waits for a new record.
     pub read_wait: Duration,
-    /// Pause after a read or a fetch that failed.
+    /// Delay before the next read after a failed one.
     pub retry_after: Duration,
-    /// How long a VM without a state listens to offers before it takes the best of them.
-    pub settle: Duration,
-    /// How long a VM may be behind another one before it fetches, whatever its log says.
-    pub patience: Duration,
-    /// Pause after a search that found no usable checkpoint in the whole log.
-    pub search_again: Duration,
-    /// Records before the end of the log in which a checkpoint is looked for first.
-    pub look_back: u64,
-    /// Checkpoints.
+    /// How long a VM without a state collects offers before it fetches the best one.
+    pub offer_wait: Duration,
+    /// How long a VM may be behind another one without progress on the log before it fetches that
+    /// VM's state.
+    pub behind_timeout: Duration,
+    /// Delay before the next search after one that found no usable checkpoint in the log.
+    pub search_retry_after: Duration,
+    /// Number of records before the end of the log that the first search pass covers.
+    pub lookback_records: u64,
+    /// Settings of the checkpoint keeper.
     pub keeper: KeeperSettings,
 }
 
@@ -31,28 +32,28 @@
             page_records: 64,
             read_wait: Duration::from_secs(5),
             retry_after: Duration::from_millis(500),
-            settle: Duration::from_secs(1),
-            patience: Duration::from_secs(1),
-            search_again: Duration::from_secs(5),
-            look_back: 256,
+            offer_wait: Duration::from_secs(1),
+            behind_timeout: Duration::from_secs(1),
+            search_retry_after: Duration::from_secs(5),
+            lookback_records: 256,
             keeper: KeeperSettings::default(),
         }
     }
 }
 
-/// When a checkpoint is due.
+/// Settings that decide when a checkpoint is due and how it is written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeeperSettings {
-    /// Records after the newest checkpoint that make another one due; bounds the time of a
-    /// catch-up.
+    /// Number of records after the newest checkpoint that makes another one due; bounds the
+    /// catch-up time.
     pub records: u64,
     /// Age of the newest checkpoint that makes another one due; a third of the log's retention.
     pub age: Duration,
-    /// The VM of rank N, counted from 1, waits N times this long for another one to append.
+    /// The VM of rank N, counted from 1, waits N times this long for another VM to append.
     pub rank_step: Duration,
-    /// Pause after an append that failed, and least time between two checkpoints of one VM.
+    /// Delay after a failed append, and minimum interval between two checkpoints of one VM.
     pub retry_after: Duration,
-    /// Bytes of a checkpoint in one record; equal on all VMs, so that their parts fit together.
+    /// Bytes of checkpoint text per record; equal on all VMs, so that their parts are identical.
     pub part_bytes: usize,
 }
 
@@ -63,7 +64,7 @@
             age: Duration::from_secs(4 * 3_600),
             rank_step: Duration::from_secs(2),
             retry_after: Duration::from_secs(1),
-            part_bytes: part::PART_BYTES,
+            part_bytes: part::MAX_PART_BYTES,
         }
     }
 }
--- a/crates/conf/src/part.rs
+++ b/crates/conf/src/part.rs
@@ -1,4 +1,4 @@
-//! Records of the log that are parts of something larger: a change or a checkpoint.
+//! Splits changes and checkpoints that exceed one log record into parts, and reassembles them.
 
 use std::collections;
 
@@ -6,62 +6,64 @@
 
 use crate::offer;
 
-/// Bytes of one record, at the most; the log takes records of any size, but one that holds up all
-/// others for long is no use.
-pub const RECORD_BYTES: usize = 256 * 1024;
-/// Bytes of text in one part; the rest of a record is its header.
-pub const PART_BYTES: usize = RECORD_BYTES - 1024;
-/// A character must fit into a part.
-const LEAST_PART_BYTES: usize = 4;
-/// Parts of one whole, at the most.
-const PART_COUNT: u32 = 256;
-/// Wholes that are collected at once, at the most.
-const PENDING_WHOLES: usize = 4;
-/// A whole whose parts lie further apart than this many records is given up.
-const PART_SPAN: u64 = 4_096;
-
-/// What the parts make together.
+/// Maximum size of one record. The log accepts records of any size, but a very large record would
+/// delay the records behind it.
+pub const MAX_RECORD_BYTES: usize = 256 * 1024;
+/// Maximum size of the text in one part; the rest of the record holds the header.
+pub const MAX_PART_BYTES: usize = MAX_RECORD_BYTES - 1024;
+/// Minimum size of a part, so that any UTF-8 character fits into one.
+const MIN_PART_BYTES: usize = 4;
+/// Maximum number of parts of one text.
+const MAX_PART_COUNT: u32 = 256;
+/// Maximum number of texts that are reassembled concurrently.
+const MAX_PENDING_TEXTS: usize = 4;
+/// Maximum distance, in records, between the first and any other part of a text; a text that
+/// exceeds it is discarded.
+const MAX_PART_DISTANCE: u64 = 4_096;
+
+/// Content that the parts add up to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum PartKind {
     /// A change.
     Change,
-    /// A checkpoint of the state that this offer tells.
+    /// A checkpoint of the state described by this offer.
     Checkpoint(offer::StateOffer),
 }
 
-/// Which part of what a record is.
+/// Header of a record that holds a part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PartHeader {
-    /// What the parts make together.
+    /// Content that the parts add up to.
     pub of: PartKind,
-    /// The same in all parts of one whole; of a checkpoint, equal for equal content.
+    /// Id shared by all parts of one text. For a checkpoint it is derived from the content.
     pub id: id::RecordId,
-    /// Counted from 0, less than `count`.
+    /// Index of this part, from 0 to `count - 1`.
     pub index: u32,
-    /// Parts of the whole.
+    /// Number of parts of the text.
     pub count: u32,
-    /// Hash of the whole text.
+    /// Hash of the complete text.
     pub hash: fingerprint::ContentHash,
-    /// Hash of this part's text. A damaged part is known by it at once and spoils no others.
+    /// Hash of this part's text. It detects a damaged part on arrival, so that the part does not
+    /// invalidate the others.
     pub piece: fingerprint::ContentHash,
 }
 
-/// The first line of a record that is a part.
+/// First line of a record that holds a part.
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 struct PartLine {
     part: PartHeader,
 }
 
-/// Splits `text` into records with at most `part_bytes` of it each.
+/// Splits `text` into records with at most `part_bytes` of text each.
 #[must_use]
 pub fn split(of: PartKind, id: id::RecordId, text: &str, part_bytes: usize) -> Vec<Vec<u8>> {
     let hash = fingerprint::ContentHash::of(text.as_bytes());
-    let pieces = pieces(text, part_bytes.clamp(LEAST_PART_BYTES, PART_BYTES));
+    let pieces = pieces(text, part_bytes.clamp(MIN_PART_BYTES, MAX_PART_BYTES));
     let count = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
     let record = |(index, piece): (u32, &str)| {
         let piece_hash = fingerprint::ContentHash::of(piece.as_bytes());
@@ -97,7 +99,7 @@
     pieces
 }
 
-/// The header and text of a record that is a part; nothing for any other record.
+/// Parses a record that holds a part into header and text; `None` for any other record.
 #[must_use]
 pub fn parse(record: &[u8]) -> Option<(PartHeader, &str)> {
     if !record.starts_with(b"{\"part\":") {
@@ -109,98 +111,101 @@
     Some((line.part, text))
 }
 
-/// What a part did to the collection.
+/// Outcome of adding a part to a [`PartTable`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PartOutcome {
-    /// Others are missing still.
+    /// Other parts are still missing.
     Waiting,
-    /// It was the last one.
-    Whole {
-        /// All parts together.
+    /// The part completed its text.
+    Complete {
+        /// The reassembled text.
         text: String,
-        /// Offset of the part that came first.
+        /// Offset of the first part that was read.
         first_offset: u64,
     },
-    /// It cannot belong to any whole, or the whole is not what its hash says.
+    /// The part is invalid, or the reassembled text does not match its hash.
     Refused(String),
 }
 
-/// Parts of one whole.
+/// A partially received text.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
-struct PendingWhole {
-    /// Offset of the part that came first.
+struct PendingText {
+    /// Offset of the first part that was read.
     first_offset: u64,
-    /// Offset of the part that came last.
+    /// Offset of the latest part that was read.
     last_offset: u64,
     count: u32,
     hash: fingerprint::ContentHash,
     parts: collections::BTreeMap<u32, String>,
 }
 
-/// Parts of which others are missing; a pure function of the records that came.
+/// Texts whose parts have not all been read; a pure function of the records read so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct PartTable {
-    /// At most [`PENDING_WHOLES`].
-    wholes: collections::BTreeMap<id::RecordId, PendingWhole>,
+    /// At most [`MAX_PENDING_TEXTS`].
+    wholes: collections::BTreeMap<id::RecordId, PendingText>,
 }
 
 impl PartTable {
     /// Adds the part that lies at `offset`.
     pub fn add(&mut self, offset: u64, header: &PartHeader, text: &str) -> PartOutcome {
-        if header.index >= header.count || header.count > PART_COUNT || text.len() > PART_BYTES {
-            return PartOutcome::Refused("a part with impossible numbers".to_owned());
+        if header.index >= header.count
+            || header.count > MAX_PART_COUNT
+            || text.len() > MAX_PART_BYTES
+        {
+            return PartOutcome::Refused(
+                "part index, part count or part size out of range".to_owned(),
+            );
         }
         if fingerprint::ContentHash::of(text.as_bytes()) != header.piece {
-            return PartOutcome::Refused("a part that does not match its hash".to_owned());
+            return PartOutcome::Refused("part does not match its hash".to_owned());
         }
         self.wholes
-            .retain(|_, whole| offset.saturating_sub(whole.first_offset) <= PART_SPAN);
-        let whole = self
-            .wholes
-            .entry(header.id)
-            .or_insert_with(|| PendingWhole {
-                first_offset: offset,
-                last_offset: offset,
-                count: header.count,
-                hash: header.hash,
-                parts: collections::BTreeMap::new(),
-            });
-        if whole.count != header.count || whole.hash != header.hash {
-            return PartOutcome::Refused("a part of another text under the same id".to_owned());
+            .retain(|_, pending| offset.saturating_sub(pending.first_offset) <= MAX_PART_DISTANCE);
+        let pending = self.wholes.entry(header.id).or_insert_with(|| PendingText {
+            first_offset: offset,
+            last_offset: offset,
+            count: header.count,
+            hash: header.hash,
+            parts: collections::BTreeMap::new(),
+        });
+        if pending.count != header.count || pending.hash != header.hash {
+            return PartOutcome::Refused("part of a different text with the same id".to_owned());
         }
-        whole.parts.insert(header.index, text.to_owned());
-        whole.last_offset = offset;
-        if whole.parts.len() < header.count as usize {
-            self.drop_stalest();
+        pending.parts.insert(header.index, text.to_owned());
+        pending.last_offset = offset;
+        if pending.parts.len() < header.count as usize {
+            self.evict_stalest();
             return PartOutcome::Waiting;
         }
         self.finish(header)
     }
 
     fn finish(&mut self, header: &PartHeader) -> PartOutcome {
-        let Some(whole) = self.wholes.remove(&header.id) else {
+        let Some(pending) = self.wholes.remove(&header.id) else {
             return PartOutcome::Waiting;
         };
-        let first_offset = whole.first_offset;
-        let text: String = whole.parts.into_values().collect();
+        let first_offset = pending.first_offset;
+        let text: String = pending.parts.into_values().collect();
         if fingerprint::ContentHash::of(text.as_bytes()) != header.hash {
-            return PartOutcome::Refused("the parts do not make the text of their hash".to_owned());
+            return PartOutcome::Refused("reassembled text does not match its hash".to_owned());
         }
-        PartOutcome::Whole { text, first_offset }
+        PartOutcome::Complete { text, first_offset }
     }
 
-    /// Parts whose writer died stay for good otherwise, and memory fills with them. The one that
-    /// has waited longest for a part goes: of those under way, none is lost to a newcomer.
-    fn drop_stalest(&mut self) {
-        if self.wholes.len() <= PENDING_WHOLES {
+    /// Evicts the text that has gone longest without a new part once the table is full. Otherwise
+    /// the parts of writers that died would accumulate in memory. Texts that still receive parts
+    /// are not evicted in favour of a new one.
+    fn evict_stalest(&mut self) {
+        if self.wholes.len() <= MAX_PENDING_TEXTS {
             return;
         }
         let stalest = self
             .wholes
             .iter()
-            .min_by_key(|(id, whole)| (whole.last_offset, **id));
+            .min_by_key(|(id, pending)| (pending.last_offset, **id));
         if let Some(id) = stalest.map(|(id, _)| *id) {
             self.wholes.remove(&id);
         }
--- a/crates/conf/src/peers.rs
+++ b/crates/conf/src/peers.rs
@@ -1,4 +1,4 @@
-//! What other entry VMs offer, and when a state is fetched from one of them.
+//! State offers of other entry VMs, and the decision when to fetch a state from one of them.
 
 use std::collections;
 
@@ -6,65 +6,66 @@
 
 use crate::{keeper::ClockReading, offer, pace::FollowSettings, state};
 
-/// Offers of the other entry VMs.
+/// Latest state offers of the other entry VMs.
 #[derive(Clone, Debug, Default)]
 pub struct PeerTable {
     offers: collections::BTreeMap<String, offer::StateOffer>,
-    /// The VM that was asked for its state.
+    /// VM that a state is being fetched from.
     fetching: Option<String>,
-    /// Since when an offer is better than the own state of this offset.
+    /// Since when a useful offer has existed, and the own offset at that time.
     behind_since: Option<(time::Instant, u64)>,
 }
 
 impl PeerTable {
-    /// The newest offer of each VM.
+    /// The latest offer of each VM.
     #[must_use]
     pub const fn offers(&self) -> &collections::BTreeMap<String, offer::StateOffer> {
         &self.offers
     }
 
-    /// Takes note of an offer; false when the VM told the same before.
-    pub fn note(&mut self, peer: &str, offer: offer::StateOffer) -> bool {
+    /// Stores an offer and returns whether it differs from the VM's previous one.
+    pub fn update(&mut self, peer: &str, offer: offer::StateOffer) -> bool {
         self.offers.insert(peer.to_owned(), offer) != Some(offer)
     }
 
-    /// The VM is gone, or does not give what it offered.
-    pub fn forget(&mut self, peer: &str) {
+    /// Removes a VM that has departed or did not deliver the state that it offered.
+    pub fn remove(&mut self, peer: &str) {
         self.offers.remove(peer);
         if self.fetching.as_deref() == Some(peer) {
             self.fetching = None;
         }
     }
 
-    /// The fetch under way has ended.
-    pub fn fetched(&mut self) {
+    /// Ends the fetch in progress.
+    pub fn finish_fetch(&mut self) {
         self.fetching = None;
     }
 
-    /// The VM to fetch a state from, when the log does not give it soon; one at a time.
+    /// The VM to fetch a state from if reading the log does not catch up in time; one fetch at a
+    /// time.
     ///
-    /// `is_stranded` tells that the log cannot be read on from the own state.
+    /// `is_log_truncated` states that the log no longer holds the records that follow the own state.
     pub fn next_fetch(
         &mut self,
         own: Option<&state::ConfigState>,
-        is_stranded: bool,
+        is_log_truncated: bool,
         settings: &FollowSettings,
         clock: ClockReading,
     ) -> Option<String> {
-        let Some(peer) = self.best(own, is_stranded) else {
+        let Some(peer) = self.best(own, is_log_truncated) else {
             self.behind_since = None;
             return None;
         };
         let offset = own.map_or(0, state::ConfigState::offset);
         let (since, _) = match self.behind_since {
             Some(behind) if behind.1 == offset => behind,
-            // It gets on, if slowly: waiting begins anew.
+            // Reading the log makes progress, so the timeout starts again.
             _ => *self.behind_since.insert((clock.now, offset)),
         };
         let wait = if own.is_none() {
-            settings.settle
+            settings.offer_wait
         } else {
-            settings.patience
+            settings.behind_timeout
         };
         if self.fetching.is_some() || clock.now < since + wait {
             return None;
@@ -73,11 +74,11 @@
         Some(peer)
     }
 
-    /// The VM with the best state that is of use.
+    /// The VM with the best useful state.
     ///
-    /// The same revision at a higher offset is of use only to a VM that is stranded, because the
-    /// log has dropped what follows.
-    fn best(&self, own: Option<&state::ConfigState>, is_stranded: bool) -> Option<String> {
+    /// The same revision at a higher offset is useful only if the log has dropped the records that
+    /// follow the own state.
+    fn best(&self, own: Option<&state::ConfigState>, is_log_truncated: bool) -> Option<String> {
         let offers = self
             .offers
             .iter()
@@ -86,7 +87,7 @@
             None => offer.revision > 0,
             Some(state) => {
                 offer.replaces(&state.offer())
-                    && (is_stranded || offer.revision > state.revision())
+                    && (is_log_truncated || offer.revision > state.revision())
                     && !state.is_contradicted_by(offer)
             }
         });
--- a/crates/conf/src/search.rs
+++ b/crates/conf/src/search.rs
@@ -1,88 +1,93 @@
-//! Looks for a usable checkpoint in a log whose beginning is gone.
+//! Searches for a usable checkpoint in a log whose oldest records have been dropped.
 //!
-//! Checkpoints are written often, so the newest one lies near the end: the search begins a little
-//! before the end and goes further back only when it finds nothing there.
+//! Checkpoints are written often, so the newest one is near the end. The search starts shortly
+//! before the end and goes further back only if it finds nothing there.
 
-/// Where a search stands.
+/// Phase of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SearchPhase {
     /// No search is needed.
     Idle,
-    /// The end of the log is not known yet; one read at its beginning tells it.
+    /// The end of the log is not known yet; a read of its first records returns it.
     Probing,
-    /// Reading on from `position`.
+    /// Reading records from `position` on.
     Reading {
-        /// Where this reading began.
+        /// Offset at which this pass started.
         from: u64,
-        /// Offset of the next record.
+        /// Offset of the next record to read.
         position: u64,
     },
 }
 
-/// A search through the log of one VM.
+/// Checkpoint search of one VM.
 #[derive(Clone, Debug)]
 pub struct LogSearch {
-    look_back: u64,
-    /// Records before the end in which the reading under way looks.
-    span: u64,
+    lookback_records: u64,
+    /// Number of records before the end of the log that the current pass covers.
+    window_records: u64,
     phase: SearchPhase,
-    /// Oldest record that the log has.
+    /// Offset of the oldest record in the log.
     first: u64,
-    /// Offset that the next append gets.
+    /// Offset of the next append.
     next: u64,
 }
 
 impl LogSearch {
-    /// No search yet; the first one looks at the newest `look_back` records.
+    /// Creates an idle search whose first pass covers the newest `lookback_records` records.
     #[must_use]
-    pub const fn new(look_back: u64) -> Self {
+    pub const fn new(lookback_records: u64) -> Self {
         Self {
-            look_back,
-            span: look_back,
+            lookback_records,
+            window_records: lookback_records,
             phase: SearchPhase::Idle,
             first: 0,
             next: 0,
         }
     }
 
-    /// Whether records are looked at for checkpoints only, and not applied.
+    /// Whether a search is in progress; records are then only scanned for checkpoints, not applied.
     #[must_use]
     pub fn is_searching(&self) -> bool {
         self.phase != SearchPhase::Idle
     }
 
-    /// The log begins at `first` and the record that was wanted is gone.
+    /// Starts a search after the log dropped the next record to apply; the log now begins at
+    /// `first`.
     pub const fn start(&mut self, first: u64) {
         self.first = first;
-        self.span = self.look_back;
+        self.window_records = self.lookback_records;
         self.phase = SearchPhase::Probing;
     }
 
-    /// Ends the search when a state was taken over from whose offset the log can be read on.
-    pub const fn settle(&mut self, offset: u64) {
+    /// Ends the search after a state at `offset` was adopted, if the log still has the records that
+    /// follow it.
+    pub const fn finish(&mut self, offset: u64) {
         if offset >= self.first {
             self.phase = SearchPhase::Idle;
         }
     }
 
-    /// What an answer of the log tells of its bounds.
-    pub fn see_bounds(&mut self, first: u64, next: u64) {
+    /// Records the bounds of the log, as returned by a read.
+    pub fn observe_bounds(&mut self, first: u64, next: u64) {
         self.first = self.first.max(first);
         self.next = self.next.max(next);
         if self.phase == SearchPhase::Probing {
-            self.begin();
+            self.start_pass();
         }
     }
 
-    fn begin(&mut self) {
-        let from = self.next.saturating_sub(self.span).max(self.first);
+    fn start_pass(&mut self) {
+        let from = self
+            .next
+            .saturating_sub(self.window_records)
+            .max(self.first);
         self.phase = SearchPhase::Reading {
             from,
             position: from,
         };
     }
 
-    /// Where to read next; nothing when no search is under way.
+    /// Offset of the next read; `None` if no search is in progress.
     #[must_use]
     pub const fn position(&self) -> Option<u64> {
         match self.phase {
@@ -92,8 +97,8 @@
         }
     }
 
-    /// Goes past the record at `offset`; false when it is not the one that was to come.
-    pub const fn pass(&mut self, offset: u64) -> bool {
+    /// Advances past the record at `offset`; returns false if that is not the expected record.
+    pub const fn advance(&mut self, offset: u64) -> bool {
         match &mut self.phase {
             SearchPhase::Reading { position, .. } if *position == offset => {
                 *position += 1;
@@ -103,36 +108,37 @@
         }
     }
 
-    /// A page was looked at: at the end of the log, goes further back or begins again.
-    pub fn turn_page(&mut self) -> TurnOutcome {
+    /// Handles the end of a page. At the end of the log, starts a pass that reaches further back,
+    /// or starts again if the pass covered the complete log.
+    pub fn finish_page(&mut self) -> PageOutcome {
         let SearchPhase::Reading { from, position } = self.phase else {
-            return TurnOutcome::OnePass;
+            return PageOutcome::SamePass;
         };
         if position < self.next {
-            return TurnOutcome::OnePass;
+            return PageOutcome::SamePass;
         }
-        let is_whole = from <= self.first;
-        self.span = if is_whole {
-            self.look_back
+        let is_complete = from <= self.first;
+        self.window_records = if is_complete {
+            self.lookback_records
         } else {
-            self.span.saturating_mul(4)
+            self.window_records.saturating_mul(4)
         };
-        self.begin();
-        if is_whole {
-            TurnOutcome::NothingFound
+        self.start_pass();
+        if is_complete {
+            PageOutcome::NothingFound
         } else {
-            TurnOutcome::NextPass
+            PageOutcome::NextPass
         }
     }
 }
 
-/// How a search goes on after a page.
+/// How a search continues after a page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TurnOutcome {
-    /// With the next page.
-    OnePass,
-    /// With a pass that begins further back.
+pub enum PageOutcome {
+    /// The search continues with the next page of the same pass.
+    SamePass,
+    /// The search continues with a pass that starts further back.
     NextPass,
-    /// The whole log was looked at and nothing found; it begins again.
+    /// The complete log holds no usable checkpoint; the search starts again.
     NothingFound,
 }
--- a/crates/conf/src/snapshot.rs
+++ b/crates/conf/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! One revision as the request path reads it: immutable, indexed, shared behind an `Arc`.
+//! Immutable, indexed snapshot of one revision for the request path, shared through an `Arc`.
 
 use std::{collections, sync};
 
@@ -11,56 +11,56 @@
     path, rules,
 };
 
-/// One organisation of a snapshot.
+/// An organisation in a snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrganisationView {
-    /// Its name in the inventory.
+    /// Name in the inventory.
     pub name: String,
-    /// Its home region.
+    /// Home region.
     pub region: String,
-    /// Its own rule, or the default one.
+    /// The organisation's own rule, or the default rule.
     pub rule: rules::OrganisationRule,
 }
 
-/// One backend server of a snapshot.
+/// A backend server in a snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerView {
-    /// Its name in the inventory.
+    /// Name in the inventory.
     pub name: String,
-    /// The region of its failure domain.
+    /// Region of the failure domain.
     pub region: String,
-    /// Its entry in the inventory.
+    /// Entry in the inventory.
     pub entry: inventory::ServerEntry,
 }
 
-/// One entry VM of a snapshot.
+/// An entry VM in a snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VmView {
-    /// Its name in the inventory.
+    /// Name in the inventory.
     pub name: String,
-    /// The region of its failure domain.
+    /// Region of the failure domain.
     pub region: String,
-    /// Its entry in the inventory.
+    /// Entry in the inventory.
     pub entry: inventory::VmEntry,
 }
 
-/// What a request asks for.
+/// Target of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestTarget<'a> {
-    /// A generation by this model.
+    /// Generation by the named model.
     Model(&'a str),
-    /// A call of this plain service.
+    /// Call of the named plain service.
     Service(&'a str),
 }
 
-/// One revision, indexed for requests.
+/// One revision of the configuration, indexed for lookups by the request path.
 ///
-/// Keys stay valid from one snapshot to the next of the same process for as long as the name is
-/// in the inventory; a key of something that was removed resolves to nothing.
+/// Within a process, a key stays valid across snapshots for as long as its name is in the
+/// inventory; the key of a removed entry resolves to `None`.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigSnapshot {
     revision: u64,
-    /// Offset of the first log record that is not part of it.
+    /// Offset of the first log record that the snapshot does not include.
     offset: u64,
     configuration: sync::Arc<document::Configuration>,
     organisations: NamedArena<id::OrganisationKey, OrganisationView>,
@@ -75,9 +75,9 @@
 }
 
 impl ConfigSnapshot {
-    /// The snapshot that follows `self`, of a checked configuration.
+    /// Builds the successor of this snapshot from a valid configuration.
     ///
-    /// `offset` is that of the first log record that is not part of it.
+    /// `offset` is the offset of the first log record that the configuration does not include.
     #[must_use]
     pub fn next(
         &self,
@@ -115,7 +115,7 @@
         self.revision
     }
 
-    /// Offset of the first log record that is not part of it.
+    /// Offset of the first log record that the snapshot does not include.
     #[must_use]
     pub const fn offset(&self) -> u64 {
         self.offset
@@ -133,33 +133,33 @@
         &self.configuration.rules
     }
 
-    /// The whole configuration.
+    /// The complete configuration.
     #[must_use]
     pub const fn configuration(&self) -> &sync::Arc<document::Configuration> {
         &self.configuration
     }
 
-    /// The organisation whose API key this is.
+    /// The organisation that owns an API key.
     #[must_use]
     pub fn organisation_by_api_key(&self, api_key: &str) -> Option<id::OrganisationKey> {
         let hash = fingerprint::ContentHash::of(api_key.as_bytes());
         self.api_keys.get(&hash).copied()
     }
 
-    /// The operator whose key this is.
+    /// The operator that owns a key.
     #[must_use]
     pub fn operator_by_key(&self, operator_key: &str) -> Option<&str> {
         let hash = fingerprint::ContentHash::of(operator_key.as_bytes());
         self.operator_keys.get(&hash).map(String::as_str)
     }
 
-    /// The key of the organisation with this name.
+    /// The key of an organisation, by name.
     #[must_use]
     pub fn organisation_key(&self, name: &str) -> Option<id::OrganisationKey> {
         self.organisations.keys.get(name).copied()
     }
 
-    /// One organisation; absent once it was removed.
+    /// The organisation with this key; `None` once it has been removed.
     #[must_use]
     pub fn organisation(&self, key: id::OrganisationKey) -> Option<&OrganisationView> {
         self.organisations.entries.get(key)
@@ -170,13 +170,13 @@
         self.organisations.entries.iter()
     }
 
-    /// The key of the backend server with this name.
+    /// The key of a backend server, by name.
     #[must_use]
     pub fn server_key(&self, name: &str) -> Option<id::ServerKey> {
         self.servers.keys.get(name).copied()
     }
 
-    /// One backend server; absent once it was removed.
+    /// The backend server with this key; `None` once it has been removed.
     #[must_use]
     pub fn server(&self, key: id::ServerKey) -> Option<&ServerView> {
         self.servers.entries.get(key)
@@ -187,13 +187,13 @@
         self.servers.entries.iter()
     }
 
-    /// The key of the entry VM with this name.
+    /// The key of an entry VM, by name.
     #[must_use]
     pub fn vm_key(&self, name: &str) -> Option<id::VmKey> {
         self.vms.keys.get(name).copied()
     }
 
-    /// One entry VM; absent once it was removed.
+    /// The entry VM with this key; `None` once it has been removed.
     #[must_use]
     pub fn vm(&self, key: id::VmKey) -> Option<&VmView> {
         self.vms.entries.get(key)
@@ -204,19 +204,19 @@
         self.vms.entries.iter()
     }
 
-    /// Model engines that may serve this model, by name.
+    /// Model engines that may serve a model, ordered by server name.
     #[must_use]
     pub fn servers_of_model(&self, model: &str) -> &[id::ServerKey] {
         self.model_servers.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Servers of this plain service, by name.
+    /// Servers of a plain service, ordered by server name.
     #[must_use]
     pub fn servers_of_service(&self, service: &str) -> &[id::ServerKey] {
         self.service_servers.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// The class of a request by the rules: the first rule that matches, else normal.
+    /// The traffic class of a request: that of the first matching rule, or normal if none matches.
     #[must_use]
     pub fn class_of(
         &self,
@@ -230,7 +230,8 @@
             .map_or(class::TrafficClass::Normal, |matcher| matcher.class)
     }
 
-    /// Whether calls of this path are not idempotent: they need a key and run at most once.
+    /// Whether calls of this path are not idempotent; such calls require an idempotency key and run
+    /// at most once.
     #[must_use]
     pub fn is_non_idempotent(&self, service: &str, path: &str) -> bool {
         let Some(entry) = self.inventory().services.get(service) else {
@@ -243,11 +244,12 @@
             .any(|prefix| path.starts_with(&path::plain_path(prefix)))
     }
 
-    /// The entry VMs that callers of an organisation are told, best first.
+    /// The entry VMs listed to callers of an organisation, in order of preference.
     ///
-    /// The first place falls evenly on all usable VMs of the home region (rendezvous hash); the
-    /// next ones are the best of failure domains not yet named, so that the loss of one domain
-    /// leaves others. Only when the home region has none are VMs of other regions named.
+    /// Rendezvous hashing distributes the first position evenly over the usable VMs of the home
+    /// region. The following positions go to failure domains that are not in the list yet, so that
+    /// callers can still reach a VM when one domain fails. VMs of other regions are listed only if
+    /// the home region has no usable VM.
     #[must_use]
     pub fn entries_of<F>(&self, organisation: id::OrganisationKey, usable: F) -> Vec<id::VmKey>
     where
@@ -268,7 +270,8 @@
         self.spread(&view.name, candidates)
     }
 
-    /// Ranks `candidates` for `subject`, one of each failure domain before a second of any.
+    /// Ranks `candidates` for `subject`, taking one VM of each failure domain before a second one
+    /// of any domain.
     fn spread(&self, subject: &str, candidates: Vec<id::VmKey>) -> Vec<id::VmKey> {
         let mut ranking: Vec<(u64, &VmView, id::VmKey)> = candidates
             .into_iter()
--- a/crates/conf/src/state.rs
+++ b/crates/conf/src/state.rs
@@ -1,4 +1,4 @@
-//! The configuration as a pure function of the log's prefix.
+//! The replicated configuration state: a pure function of a prefix of the log.
 
 use std::sync;
 
@@ -10,101 +10,101 @@
     offer, part, snapshot,
 };
 
-/// Accepted changes that a conflict names, at the most.
-const CONFLICT_ENTRIES: usize = 16;
-/// Faults that a verdict names, at the most.
-const VERDICT_FAULTS: usize = 32;
+/// Maximum number of accepted changes listed in a conflict report.
+const MAX_CONFLICT_ENTRIES: usize = 16;
+/// Maximum number of faults listed in a verdict.
+const MAX_VERDICT_FAULTS: usize = 32;
 
-/// An accepted change that a refused one did not know of.
+/// An accepted change that is newer than the base revision of a refused one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ConflictEntry {
-    /// The revision that it made.
+    /// Revision that the change produced.
     pub revision: u64,
-    /// Who made it.
+    /// Operator who published the change.
     pub author: String,
-    /// Why.
+    /// The author's comment.
     pub comment: String,
-    /// What it touched, as names from the root down.
+    /// Paths that the change set or removed, each as field names from the root.
     pub paths: Vec<Vec<String>>,
 }
 
-/// Why a change against another revision was refused.
+/// Details of a change that was refused because its base revision was not current.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ConflictReport {
-    /// The revision in force where the change lies in the log.
+    /// Revision in force at the change's offset in the log.
     pub revision: u64,
-    /// The newest accepted changes since the base, oldest first.
+    /// The newest changes accepted since the base revision, oldest first.
     pub since: Vec<ConflictEntry>,
-    /// Whether `since` names every change since the base.
+    /// Whether `since` contains every change accepted since the base revision.
     pub is_complete: bool,
-    /// Paths of the refused change that one of `since` touched too. Empty, with a complete list,
-    /// when the same change can be published again on the new revision.
+    /// Paths of the refused change that overlap a change accepted since its base. If this is empty
+    /// and `since` is complete, the change can be published again against the current revision.
     pub overlapping: Vec<Vec<String>>,
 }
 
-/// What became of one record; the same for every reader.
+/// Outcome of applying one record; identical for every reader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 #[non_exhaustive]
 pub enum ApplyVerdict {
-    /// The change is in force as this revision.
+    /// The change was accepted and produced a new revision.
     Accepted {
         /// The new revision.
         revision: u64,
     },
-    /// The same change was already decided at an earlier record; this one has no effect.
+    /// The same change was already decided at an earlier record; this record has no effect.
     Duplicate,
-    /// Another change won.
+    /// The change's base revision was not the current one.
     Conflict(ConflictReport),
     /// The change would make the configuration invalid.
     Invalid(fault::FaultList),
-    /// A part of a larger change; others are missing still.
+    /// A part of a larger change whose other parts have not all been read yet.
     Part,
-    /// A part of a checkpoint; it changes no state that has come this far.
+    /// A part of a checkpoint; it does not change a state that has reached this offset.
     Checkpoint {
-        /// Whether it tells another history than this state has: one of the two was not made
-        /// from this log.
+        /// Whether the checkpoint's history differs from this state's, which means that one of the
+        /// two was not produced from this log.
         is_contradictory: bool,
     },
-    /// The record is not one that this version understands; it has no effect.
+    /// This version cannot parse the record; the record has no effect.
     Malformed {
-        /// What is wrong with it.
+        /// Why the record cannot be parsed.
         reason: String,
     },
-    /// The record was already applied; the state stays as it is.
+    /// The record was already applied; the state is unchanged.
     Stale,
-    /// Records before this one are missing; the state stays as it is.
+    /// Records before this one are missing; the state is unchanged.
     Gap {
-        /// The offset that must come next.
+        /// Offset of the record that must be applied next.
         expected: u64,
     },
 }
 
-/// Why a state of another entry VM was not adopted.
+/// Why a state from another entry VM or a checkpoint was not adopted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptRefusal {
-    /// It is not newer.
+    /// The other state is not newer.
     Older,
-    /// It tells another history: one of the two was not made from this log.
+    /// The two histories differ, which means that one of the states was not produced from this log.
     Contradictory,
 }
 
-/// The state after some prefix of the log.
+/// The configuration state after a prefix of the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigState {
     revision: u64,
-    /// Offset of the first record that is not part of it.
+    /// Offset of the first record that has not been applied.
     offset: u64,
     chain: offer::ChainHash,
     #[serde(with = "shared")]
     configuration: sync::Arc<document::Configuration>,
     history: ChangeHistory,
-    /// Parts of changes of which others lie further on in the log.
+    /// Parts of changes whose remaining parts have not been read yet.
     pending: part::PartTable,
 }
 
@@ -115,14 +115,16 @@
         Self::default()
     }
 
-    /// A state made from files, for when the log dropped all that made the configuration and no
-    /// VM has it any more. It goes into the log as a checkpoint; every history begins anew with it.
+    /// Builds a state from files, for disaster recovery when the log no longer has the records that
+    /// made the configuration and no VM holds it. The state is appended to the log as a checkpoint
+    /// and starts a new history.
     ///
-    /// `revision` must be higher than any before, and `offset` the one that the next append gets:
-    /// else a VM that comes back with the lost state would take it for an older one.
+    /// `revision` must be higher than every earlier one, and `offset` must be the offset of the
+    /// next append. Otherwise a VM that returns with the lost state would treat the restored one
+    /// as older.
     ///
     /// # Errors
-    /// All faults of the configuration.
+    /// Returns all faults of the configuration.
     pub fn restored(
         configuration: document::Configuration,
         revision: u64,
@@ -139,13 +141,14 @@
         })
     }
 
-    /// Applies the record at `offset`; the state changes only as the verdict says.
+    /// Applies the record at `offset` and returns the verdict; the state changes only as the
+    /// verdict states.
     pub fn apply(&mut self, offset: u64, record: &[u8]) -> ApplyVerdict {
-        self.apply_named(offset, record).1
+        self.apply_with_id(offset, record).1
     }
 
-    /// Like [`Self::apply`], with the id of the change that the verdict is about.
-    pub fn apply_named(
+    /// Like [`Self::apply`], and also returns the id of the change that the verdict applies to.
+    pub fn apply_with_id(
         &mut self,
         offset: u64,
         record: &[u8],
@@ -183,7 +186,7 @@
         }
         match self.pending.add(offset, header, text) {
             part::PartOutcome::Waiting => (Some(header.id), ApplyVerdict::Part),
-            part::PartOutcome::Whole { text, .. } => self.decide(offset, text.as_bytes()),
+            part::PartOutcome::Complete { text, .. } => self.decide(offset, text.as_bytes()),
             part::PartOutcome::Refused(reason) => {
                 (Some(header.id), ApplyVerdict::Malformed { reason })
             }
@@ -207,7 +210,7 @@
             let verdict = ApplyVerdict::Conflict(self.conflict(&summary));
             return (id, self.refuse(summary, verdict));
         }
-        // Copies the configuration only when a snapshot still shares it.
+        // Clones the configuration only if a snapshot still shares the `Arc`.
         match sync::Arc::make_mut(&mut self.configuration).patch(&change.patch) {
             Ok(reverse) => {
                 self.accept(summary, reverse, text);
@@ -219,7 +222,7 @@
                 )
             }
             Err(mut faults) => {
-                faults.faults.truncate(VERDICT_FAULTS);
+                faults.faults.truncate(MAX_VERDICT_FAULTS);
                 (id, self.refuse(summary, ApplyVerdict::Invalid(faults)))
             }
         }
@@ -257,7 +260,7 @@
                 .flat_map(|entry| &entry.summary.paths)
                 .any(|other| change::paths_overlap(path, other))
         };
-        let named = &newer[newer.len().saturating_sub(CONFLICT_ENTRIES)..];
+        let named = &newer[newer.len().saturating_sub(MAX_CONFLICT_ENTRIES)..];
         let since = named.iter().map(|entry| ConflictEntry {
             revision: entry.revision,
             author: entry.summary.author.clone(),
@@ -273,15 +276,16 @@
         }
     }
 
-    /// Takes the place of this state by a newer one that another entry VM or a checkpoint gave.
+    /// Replaces this state with a newer one from another entry VM or a checkpoint.
     ///
     /// # Errors
-    /// The other state is not newer, or was made from another log; this one stays as it is.
+    /// Fails if the other state is not newer or was produced from another log; this state is then
+    /// unchanged.
     pub fn adopt(&mut self, other: Self) -> Result<(), AdoptRefusal> {
         let (own, offer) = (self.offer(), other.offer());
         let known = other.history.chain_at(self.revision);
-        let is_other_history = self.revision > 0 && known.is_some_and(|chain| chain != self.chain);
-        if is_other_history || own.contradicts(&offer) {
+        let is_other_log = self.revision > 0 && known.is_some_and(|chain| chain != self.chain);
+        if is_other_log || own.contradicts(&offer) {
             return Err(AdoptRefusal::Contradictory);
         }
         if !offer.replaces(&own) {
@@ -291,14 +295,15 @@
         Ok(())
     }
 
-    /// Whether a state of this offer was made from another log, as far as this state remembers.
+    /// Whether the offered state was produced from another log, as far as the retained history
+    /// shows.
     #[must_use]
     pub fn is_contradicted_by(&self, offer: &offer::StateOffer) -> bool {
         let known = self.history.chain_at(offer.revision);
         self.offer().contradicts(offer) || known.is_some_and(|chain| chain != offer.hash)
     }
 
-    /// What this state says of itself.
+    /// The revision, offset and chain hash of this state, as announced to other VMs.
     #[must_use]
     pub const fn offer(&self) -> offer::StateOffer {
         offer::StateOffer {
@@ -314,7 +319,7 @@
         self.revision
     }
 
-    /// Offset of the first record that is not part of it.
+    /// Offset of the first record that has not been applied.
     #[must_use]
     pub const fn offset(&self) -> u64 {
         self.offset
@@ -326,26 +331,26 @@
         &self.configuration
     }
 
-    /// Changes that were decided, as far back as they are remembered.
+    /// The retained history of decided changes.
     #[must_use]
     pub const fn history(&self) -> &ChangeHistory {
         &self.history
     }
 
-    /// The configuration of an earlier revision, as far back as it is remembered.
+    /// The configuration of an earlier revision; `None` if the retained history does not reach it.
     #[must_use]
     pub fn configuration_at(&self, revision: u64) -> Option<document::Configuration> {
         if revision == self.revision {
             return Some(document::Configuration::clone(&self.configuration));
         }
         let mut value = serde_json::to_value(&*self.configuration).ok()?;
-        for reverse in self.history.way_back(revision)? {
+        for reverse in self.history.reverse_patches(revision)? {
             json_patch::merge(&mut value, reverse);
         }
         serde_json::from_value(value).ok()
     }
 
-    /// The indexed snapshot of this state; keys of `previous` stay valid in it.
+    /// Builds the indexed snapshot of this state; keys of `previous` stay valid in it.
     #[must_use]
     pub fn snapshot(&self, previous: &snapshot::ConfigSnapshot) -> snapshot::ConfigSnapshot {
         previous.next(
@@ -356,7 +361,7 @@
     }
 }
 
-/// Serializes what stands behind an `Arc` as itself.
+/// Serializes the value inside an `Arc` as if it were stored directly.
 mod shared {
     use std::sync;
 
--- a/crates/conf/src/transfer.rs
+++ b/crates/conf/src/transfer.rs
@@ -1,25 +1,25 @@
-//! A whole state on its way from one entry VM to another.
+//! Transfer of a complete state from one entry VM to another.
 
 use base::fingerprint;
 
 use crate::{checkpoint, keeper, offer, state};
 
-/// A state as one entry VM hands it to another.
+/// A complete state as sent from one entry VM to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct StateTransfer {
-    /// Which state it is.
+    /// Revision, offset and chain hash of the state.
     pub offer: offer::StateOffer,
     /// Hash of `text`.
     pub hash: fingerprint::ContentHash,
-    /// The state, as in a checkpoint.
+    /// The state, encoded as in a checkpoint.
     pub text: String,
-    /// What the giver knows of the log before this state.
+    /// What the sender knows of the checkpoints and records before this state.
     pub cover: keeper::LogCover,
 }
 
 impl StateTransfer {
-    /// A transfer of `state`.
+    /// Encodes `state` for transfer.
     #[must_use]
     pub fn new(state: &state::ConfigState, cover: keeper::LogCover) -> Self {
         let text = checkpoint::encode(state);
@@ -31,10 +31,10 @@
         }
     }
 
-    /// The state that it holds.
+    /// Decodes and verifies the state.
     ///
     /// # Errors
-    /// It was changed on its way, or is not a valid state, or not the one that was offered.
+    /// Fails if the text does not match its hash, is not a valid state or differs from the offer.
     pub fn state(&self) -> Result<state::ConfigState, checkpoint::CheckpointError> {
         checkpoint::decode(&self.text, self.hash, &self.offer)
     }
--- a/crates/conf/tests/enumeration.rs
+++ b/crates/conf/tests/enumeration.rs
@@ -89,7 +89,7 @@
         match entry {
             Entry::Checkpoint { offset } => {
                 let state = self.state(&prefix[..offset as usize]);
-                checkpoint::records(&state, part::PART_BYTES).remove(0)
+                checkpoint::records(&state, part::MAX_PART_BYTES).remove(0)
             }
             Entry::Change {
                 operator,
--- a/crates/conf/tests/follow/world.rs
+++ b/crates/conf/tests/follow/world.rs
@@ -157,7 +157,7 @@
     pub fn pace() -> pace::FollowSettings {
         pace::FollowSettings {
             page_records: 40,
-            look_back: 16,
+            lookback_records: 16,
             keeper: pace::KeeperSettings {
                 records: 24,
                 age: Duration::from_millis(RETENTION_MS / 3),
