--- a/crates/conf/src/event.rs
+++ b/crates/conf/src/event.rs
@@ -37,7 +37,7 @@
         first: u64,
     },
     /// The read failed.
-    ReadFault,
+    ReadFailed,
     /// Another entry VM announced its state.
     Offer {
         /// Name of the other VM.
@@ -46,7 +46,7 @@
         offer: offer::StateOffer,
     },
     /// Another entry VM is no longer present, or no longer offers a state.
-    PeerGone {
+    PeerDeparted {
         /// Name of the other VM.
         peer: String,
     },
@@ -58,20 +58,20 @@
         transfer: Box<transfer::StateTransfer>,
     },
     /// Fetching a state from another entry VM failed.
-    FetchFault {
+    FetchFailed {
         /// Name of the other VM.
         peer: String,
     },
     /// The append succeeded.
     Appended,
     /// The append failed, or its response was lost.
-    AppendFault,
+    AppendFailed,
 }
 
 /// Action that the daemon must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowAction {
-    /// Read the log; completed by `Page`, `Dropped` or `ReadFault`. At most one at a time.
+    /// Read the log; completed by `Page`, `Dropped` or `ReadFailed`. At most one at a time.
     Read {
         /// First offset to read.
         from: u64,
@@ -80,13 +80,13 @@
         /// How long to wait for a record.
         wait: Duration,
     },
-    /// Fetch the state of another entry VM; completed by `State` or `FetchFault`. At most one at
+    /// Fetch the state of another entry VM; completed by `State` or `FetchFailed`. At most one at
     /// a time.
     Fetch {
         /// Name of the other VM.
         peer: String,
     },
-    /// Append to the log; completed by `Appended` or `AppendFault`. At most one at a time.
+    /// Append to the log; completed by `Appended` or `AppendFailed`. At most one at a time.
     Append {
         /// Record to append.
         record: Vec<u8>,
--- a/crates/conf/src/follow.rs
+++ b/crates/conf/src/follow.rs
@@ -70,13 +70,13 @@
                 self.continue_search(clock);
             }
             FollowEvent::Dropped { first } => self.on_dropped(first),
-            FollowEvent::ReadFault => self.on_read_fault(clock),
+            FollowEvent::ReadFailed => self.on_read_fault(clock),
             FollowEvent::Offer { peer, offer } => self.on_offer(peer, offer, &mut actions),
-            FollowEvent::PeerGone { peer } => self.peers.remove(&peer),
+            FollowEvent::PeerDeparted { peer } => self.peers.remove(&peer),
             FollowEvent::State { peer, transfer } => self.on_state(&peer, &transfer, &mut actions),
-            FollowEvent::FetchFault { peer } => self.peers.remove(&peer),
+            FollowEvent::FetchFailed { peer } => self.peers.remove(&peer),
             FollowEvent::Appended => self.keeper.append_succeeded(clock),
-            FollowEvent::AppendFault => self.keeper.append_failed(clock),
+            FollowEvent::AppendFailed => self.keeper.append_failed(clock),
         }
         let after = self.in_force();
         if let Some(offer) = after.filter(|_| after.map(revision) != before.map(revision)) {
--- a/crates/conf/tests/follow/world.rs
+++ b/crates/conf/tests/follow/world.rs
@@ -304,7 +304,7 @@
         if let Some(offer) = self.vms[peer].follower.in_force() {
             self.give(vm, FollowEvent::Offer { peer: name, offer });
         } else {
-            self.give(vm, FollowEvent::PeerGone { peer: name });
+            self.give(vm, FollowEvent::PeerDeparted { peer: name });
         }
     }
 
@@ -324,7 +324,7 @@
     fn perform(&mut self, vm: usize, action: FollowAction) -> Option<FollowEvent> {
         let is_reached = self.is_log_up && !self.vms[vm].is_cut;
         Some(match action {
-            FollowAction::Read { .. } if !is_reached => FollowEvent::ReadFault,
+            FollowAction::Read { .. } if !is_reached => FollowEvent::ReadFailed,
             FollowAction::Read { from, .. } if from < self.first => {
                 FollowEvent::Dropped { first: self.first }
             }
@@ -349,14 +349,14 @@
             }
             FollowAction::Append { record } => {
                 if !is_reached {
-                    return Some(FollowEvent::AppendFault);
+                    return Some(FollowEvent::AppendFailed);
                 }
                 if self.chance(10) {
                     self.echoes.push(record.clone());
                 }
                 self.append(record);
                 if self.loses_answers && self.chance(50) {
-                    FollowEvent::AppendFault
+                    FollowEvent::AppendFailed
                 } else {
                     FollowEvent::Appended
                 }
@@ -371,7 +371,7 @@
         let transfer = giver.and_then(|giver| giver.follower.transfer());
         let is_lost = self.vms[vm].is_cut || self.chance(10);
         match transfer.filter(|_| !is_lost) {
-            None => FollowEvent::FetchFault { peer },
+            None => FollowEvent::FetchFailed { peer },
             Some(mut transfer) => {
                 if self.chance(5) {
                     transfer.text.push(' ');
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -89,7 +89,7 @@
                         };
                         event::FollowEvent::Offer { peer, offer }
                     }
-                    _ => event::FollowEvent::PeerGone { peer },
+                    _ => event::FollowEvent::PeerDeparted { peer },
                 }
             })
             .collect()
@@ -143,7 +143,7 @@
                 "log".to_owned()
             }
             event::FollowEvent::State { peer, .. } => format!("peer {peer}"),
-            event::FollowEvent::ReadFault => {
+            event::FollowEvent::ReadFailed => {
                 if self.book.note_outage() {
                     log::warn!(stream = configure::STREAM; "log does not answer");
                     let stream = configure::STREAM.to_owned();
@@ -250,14 +250,14 @@
                 }
             }
             Err(client::ReadError::Dropped { first, .. }) => event::FollowEvent::Dropped { first },
-            Err(client::ReadError::Fault { .. }) => event::FollowEvent::ReadFault,
+            Err(client::ReadError::Fault { .. }) => event::FollowEvent::ReadFailed,
         }
     }
 
     async fn append(&self, record: Vec<u8>) -> event::FollowEvent {
         match self.log.append(configure::STREAM, record.into()).await {
             Ok(_) => event::FollowEvent::Appended,
-            Err(_) => event::FollowEvent::AppendFault,
+            Err(_) => event::FollowEvent::AppendFailed,
         }
     }
 
@@ -269,7 +269,7 @@
             },
             None => {
                 metrics::counter!("pollenchute_entry_state_fetches_failed_total").increment(1);
-                event::FollowEvent::FetchFault { peer }
+                event::FollowEvent::FetchFailed { peer }
             }
         }
     }
