--- a/crates/conf/src/arena.rs
+++ b/crates/conf/src/arena.rs
@@ -1,12 +1,12 @@
-//! Arena of named things whose keys outlive one revision.
+//! Arena of named entries whose keys stay valid across revisions.
 
 use std::{collections, mem};
 
-/// Arena of one kind of thing, with the key of each name.
+/// Arena of entries of one kind, with a lookup from name to key.
 #[derive(Clone, Debug)]
 pub(crate) struct NamedArena<K: slotmap::Key, V> {
     pub entries: slotmap::SlotMap<K, V>,
-    /// One name for each entry of the arena.
+    /// Key of each entry, by name.
     pub keys: collections::HashMap<String, K>,
 }
 
@@ -20,13 +20,13 @@
 }
 
 impl<K: slotmap::Key, V: Clone> NamedArena<K, V> {
-    /// The arena of the next revision: a name that stays keeps its key, and the key of a name
-    /// that went is never given to another.
+    /// Builds the arena of the next revision. A name that is still present keeps its key, and the
+    /// key of a removed name is never reused for another one.
     pub fn next<I: Iterator<Item = (String, V)>>(&self, named: I) -> Self {
         let mut arena = self.clone();
-        let mut gone = mem::take(&mut arena.keys);
+        let mut removed = mem::take(&mut arena.keys);
         for (name, value) in named {
-            let key = match gone.remove(&name) {
+            let key = match removed.remove(&name) {
                 Some(key) => {
                     arena.entries[key] = value;
                     key
@@ -35,7 +35,7 @@
             };
             arena.keys.insert(name, key);
         }
-        for key in gone.into_values() {
+        for key in removed.into_values() {
             arena.entries.remove(key);
         }
         arena
--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -1,29 +1,29 @@
-//! Checks the meaning of a whole configuration: references, addresses, numbers, contradictions.
+//! Semantic validation of a configuration: references, addresses, numbers, contradictions.
 //!
-//! Files and changes read from the log go through the same check, so what an operator's check
-//! accepts is what every reader of the log accepts.
+//! Files and changes read from the log go through the same validation, so a configuration that
+//! passes an operator's check is accepted by every reader of the log.
 
 use std::collections;
 
 use crate::{document, fault, inventory};
 
-/// Changed organisations whose keys are compared with all others one by one; with more, building
-/// a table of all keys is cheaper.
-const SCANNED_ORGANISATIONS: usize = 8;
+/// Maximum number of changed organisations whose keys are compared with all others by a linear
+/// scan; with more, building a table of all keys is cheaper.
+const MAX_SCANNED_ORGANISATIONS: usize = 8;
 
-/// Part of the document that a fault's finding rests on.
+/// Section of the document that a semantic fault depends on.
 ///
-/// While that part itself has faults of structure, the finding may be a mere consequence of them
-/// and is left out of the report.
+/// If that section has structural faults itself, the semantic fault may only be a consequence of
+/// them and is omitted from the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FaultBasis {
-    /// Path of the part.
+    /// Path of the section.
     pub section: [&'static str; 2],
-    /// Whether the values below matter, or only the names in the section itself.
+    /// Whether the fault depends on the values in the section, or only on the names there.
     pub is_deep: bool,
 }
 
-/// A fault together with what its finding rests on.
+/// A semantic fault and the section that it depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct BasedFault {
     pub fault: fault::ConfigFault,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Whether a repaired value at `path` makes the finding doubtful.
-    pub fn is_shaken_by(&self, path: &[String]) -> bool {
+    /// Whether a repaired value at `path` makes the fault unreliable.
+    pub fn is_invalidated_by(&self, path: &[String]) -> bool {
         let shared = path
             .iter()
             .zip(self.section)
@@ -57,11 +57,11 @@
     }
 }
 
-/// Failure domains stand in the entries of the regions.
+/// Failure domains, which are listed in the entries of the regions.
 pub(crate) const DOMAINS: FaultBasis = FaultBasis::values("regions");
 /// Names of regions.
 pub(crate) const REGIONS: FaultBasis = FaultBasis::names("regions");
-/// What the engines may serve.
+/// Models that the engines may serve.
 pub(crate) const ENGINES: FaultBasis = FaultBasis::values("backend_servers");
 /// Names of models.
 pub(crate) const MODELS: FaultBasis = FaultBasis::names("models");
@@ -70,37 +70,38 @@
 /// Names of organisations.
 pub(crate) const ORGANISATIONS: FaultBasis = FaultBasis::names("organisations");
 
-/// Checks the whole of `configuration`.
+/// Validates the complete configuration.
 ///
 /// # Errors
-/// The list of faults, when there is any.
+/// Returns all faults of the configuration.
 pub fn check(configuration: &document::Configuration) -> Result<(), fault::FaultList> {
-    listed(find(configuration))
+    into_result(find(configuration))
 }
 
-/// Checks `configuration`, which `patch` made from a valid one.
+/// Validates `configuration`, the result of applying `patch` to a valid configuration.
 ///
-/// Where the patch allows it, only the organisations that it names are checked again; the verdict
-/// is that of the whole check.
+/// If the patch allows it, only the organisations that it names are validated again; the result is
+/// the same as that of a complete validation.
 ///
 /// # Errors
-/// The list of faults, when there is any.
+/// Returns all faults of the configuration.
 pub fn check_after(
     configuration: &document::Configuration,
     patch: &serde_json::Value,
 ) -> Result<(), fault::FaultList> {
-    listed(find_in(configuration, touched_organisations(patch)))
+    into_result(find_in(configuration, touched_organisations(patch)))
 }
 
-/// Names of the organisations that a patch may make wrong.
+/// Names of the organisations that a patch may make invalid.
 struct TouchedOrganisations<'a> {
-    /// In the inventory.
+    /// Organisations that the patch touches in the inventory.
     inventory: Vec<&'a str>,
-    /// In the rules: those named there, and those of the inventory, which rules refer to.
+    /// Organisations that the patch touches in the rules or in the inventory, because rules refer
+    /// to the inventory.
     rules: Vec<&'a str>,
 }
 
-/// The organisations that a patch may make wrong; nothing when it may be all.
+/// The organisations that a patch may make invalid; `None` if it may affect all of them.
 fn touched_organisations(patch: &serde_json::Value) -> Option<TouchedOrganisations<'_>> {
     let part = |name: &str| patch.get(name);
     let touches = |name| part("inventory").is_some_and(|inventory| inventory.get(name).is_some());
@@ -110,12 +111,12 @@
     let inventory = organisation_names(part("inventory"))?;
     let mut rules = organisation_names(part("rules"))?;
     rules.extend(&inventory);
-    let is_few = inventory.len() <= SCANNED_ORGANISATIONS;
+    let is_few = inventory.len() <= MAX_SCANNED_ORGANISATIONS;
     is_few.then_some(TouchedOrganisations { inventory, rules })
 }
 
-/// Organisations that a patch of the inventory or of the rules names; nothing when it replaces
-/// them all.
+/// The organisations named in a patch of the inventory or of the rules; `None` if the patch
+/// replaces all of them.
 fn organisation_names(part: Option<&serde_json::Value>) -> Option<Vec<&str>> {
     let Some(part) = part else {
         return Some(Vec::new());
@@ -132,7 +133,7 @@
     )
 }
 
-fn listed(found: Vec<BasedFault>) -> Result<(), fault::FaultList> {
+fn into_result(found: Vec<BasedFault>) -> Result<(), fault::FaultList> {
     if found.is_empty() {
         return Ok(());
     }
@@ -148,7 +149,7 @@
     configuration: &document::Configuration,
     touched: Option<TouchedOrganisations<'_>>,
 ) -> Vec<BasedFault> {
-    let mut checker = MeaningCheck::new(&configuration.inventory);
+    let mut checker = SemanticCheck::new(&configuration.inventory);
     checker.check_inventory(touched.as_ref().map(|names| &names.inventory[..]));
     checker.check_rules(
         &configuration.rules,
@@ -157,15 +158,15 @@
     checker.faults
 }
 
-/// The check at work.
-pub(crate) struct MeaningCheck<'a> {
+/// State of one semantic validation.
+pub(crate) struct SemanticCheck<'a> {
     pub inventory: &'a inventory::Inventory,
     /// Region of each failure domain.
     pub domains: collections::HashMap<&'a str, &'a str>,
     faults: Vec<BasedFault>,
 }
 
-impl<'a> MeaningCheck<'a> {
+impl<'a> SemanticCheck<'a> {
     fn new(inventory: &'a inventory::Inventory) -> Self {
         let domains = inventory.regions.iter().flat_map(|(region, entry)| {
             let names = entry.failure_domains.iter();
@@ -178,13 +179,13 @@
         }
     }
 
-    /// Adds a fault that rests on nothing but the value at `path`.
+    /// Adds a fault that depends only on the value at `path`.
     pub fn fault(&mut self, path: &[&str], message: impl Into<String>, remedy: impl Into<String>) {
         let fault = fault::ConfigFault::at(path, message, remedy);
         self.faults.push(BasedFault { fault, basis: None });
     }
 
-    /// Adds a fault whose finding rests on `basis`.
+    /// Adds a fault that also depends on the section `basis`.
     pub fn fault_on(
         &mut self,
         basis: FaultBasis,
@@ -199,13 +200,13 @@
         });
     }
 
-    /// Adds a fault when a number is zero.
-    pub fn positive(&mut self, path: &[&str], number: f64) {
+    /// Adds a fault if a number is not greater than zero.
+    pub fn require_positive(&mut self, path: &[&str], number: f64) {
         if number <= 0.0 {
             self.fault(
                 path,
-                format!("{number} is not above zero"),
-                "write a greater number",
+                format!("{number} is not greater than zero"),
+                "write a positive number",
             );
         }
     }
--- a/crates/conf/src/document.rs
+++ b/crates/conf/src/document.rs
@@ -1,4 +1,4 @@
-//! The whole configuration: inventory and rules together.
+//! The complete configuration, made of inventory and rules.
 
 use std::{collections, mem};
 
@@ -14,9 +14,9 @@
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
-    /// What exists.
+    /// Regions, entry VMs, backend servers, models, services and organisations.
     pub inventory: inventory::Inventory,
-    /// What is wanted of the traffic.
+    /// Traffic rules.
     pub rules: rules::RuleSet,
 }
 
@@ -29,10 +29,10 @@
     }
 }
 
-/// Reads the two files of a configuration.
+/// Parses and validates the two files of a configuration.
 ///
 /// # Errors
-/// All faults of both files, each with its place and its remedy; then nothing of them takes
+/// Returns all faults of both files, each with its location and remedy; neither file then takes
 /// effect.
 pub fn parse(
     inventory: SourceText<'_>,
@@ -53,11 +53,12 @@
         inventory: inventory.repaired.clone().unwrap_or_default(),
         rules: rules.repaired.clone().unwrap_or_default(),
     };
-    let is_shaken = |path: &[String], basis: Option<check::FaultBasis>| {
+    let is_unreliable = |path: &[String], basis: Option<check::FaultBasis>| {
         let in_file = |parsed_repairs: &[Vec<String>], root: &str| {
             parsed_repairs.iter().any(|repaired| {
                 let repaired = rooted(root, repaired);
-                path.starts_with(&repaired) || basis.is_some_and(|it| it.is_shaken_by(&repaired))
+                path.starts_with(&repaired)
+                    || basis.is_some_and(|it| it.is_invalidated_by(&repaired))
             })
         };
         in_file(&inventory.repaired_paths, "inventory") || in_file(&rules.repaired_paths, "rules")
@@ -65,13 +66,14 @@
     let is_readable = inventory.repaired.is_some();
     for based in check::find(&configuration) {
         let is_rules = based.fault.path.first().is_some_and(|root| root == "rules");
-        if is_shaken(&based.fault.path, based.basis) || (!is_readable && based.basis.is_some()) {
+        if is_unreliable(&based.fault.path, based.basis) || (!is_readable && based.basis.is_some())
+        {
             continue;
         }
         faults.push(if is_rules {
-            rules.placed(based.fault, &["rules"])
+            rules.with_place(based.fault, &["rules"])
         } else {
-            inventory.placed(based.fault, &["inventory"])
+            inventory.with_place(based.fault, &["inventory"])
         });
     }
     if faults.is_empty() {
@@ -92,48 +94,48 @@
 }
 
 impl Configuration {
-    /// This configuration with a JSON merge patch (RFC 7396) applied, when the outcome is valid.
+    /// Returns a copy of this configuration with a JSON merge patch (RFC 7396) applied.
     ///
     /// # Errors
-    /// All faults that the outcome would have.
+    /// Returns all faults of the patched configuration if it is invalid.
     pub fn patched(&self, patch: &serde_json::Value) -> Result<Self, fault::FaultList> {
         let mut next = self.clone();
         next.patch(patch)?;
         Ok(next)
     }
 
-    /// Applies a JSON merge patch (RFC 7396) when the outcome is valid, else changes nothing.
-    /// Gives the merge patch that leads back.
+    /// Applies a JSON merge patch (RFC 7396) and returns the merge patch that reverts it.
     ///
-    /// Only the entries that the patch names go through JSON, and of the organisations only these
-    /// are checked again: a small change of a large configuration costs little. It relies on the
-    /// configuration being valid before.
+    /// Only the entries that the patch names are converted to JSON and back, and only the
+    /// organisations that it names are validated again, which keeps a small change of a large
+    /// configuration cheap. The configuration must be valid beforehand.
     ///
     /// # Errors
-    /// All faults that the outcome would have.
+    /// Returns all faults of the patched configuration if it is invalid; the configuration is then
+    /// unchanged.
     pub fn patch(
         &mut self,
         patch: &serde_json::Value,
     ) -> Result<serde_json::Value, fault::FaultList> {
-        let before = self.take_named(patch);
+        let before = self.take_patched(patch);
         match before.merged(patch) {
             Ok((after, reverse)) => {
-                self.put_back(after.clone());
+                self.restore(after.clone());
                 let checked = check::check_after(self, patch);
                 if checked.is_err() {
                     self.remove_all(&after);
-                    self.put_back(before);
+                    self.restore(before);
                 }
                 checked.map(|()| reverse)
             }
             Err(error) => {
-                self.put_back(before);
-                Err(malformed(&error))
+                self.restore(before);
+                Err(malformed_patch(&error))
             }
         }
     }
 
-    /// This configuration with a patch applied, and the patch that leads back.
+    /// Returns a patched copy of this configuration and the reverse patch, without validation.
     fn merged(
         &self,
         patch: &serde_json::Value,
@@ -146,8 +148,9 @@
         Ok((merged, change::merge_patch(&after, &before)))
     }
 
-    /// Moves out all that `patch` may touch: the entries that it names, and what is not a map.
-    fn take_named(&mut self, patch: &serde_json::Value) -> Self {
+    /// Moves out everything that `patch` may touch: the entries that it names, and all fields that
+    /// are not maps of entries.
+    fn take_patched(&mut self, patch: &serde_json::Value) -> Self {
         let inventory = patch.get("inventory");
         let part = |name: &str| inventory.map(|inventory| inventory.get(name));
         let from = &mut self.inventory;
@@ -181,7 +184,7 @@
         remove(&mut self.rules.organisations, &named.rules.organisations);
     }
 
-    fn put_back(&mut self, excerpt: Self) {
+    fn restore(&mut self, excerpt: Self) {
         let inventory = excerpt.inventory;
         self.inventory.regions.extend(inventory.regions);
         self.inventory.entry_vms.extend(inventory.entry_vms);
@@ -199,7 +202,7 @@
     }
 }
 
-/// Removes from `map` the entries that `named` has.
+/// Removes from `map` the entries whose names are in `named`.
 fn remove<V>(map: &mut EntryMap<V>, named: &EntryMap<V>) {
     for name in named.keys() {
         map.remove(name);
@@ -208,8 +211,8 @@
 
 type EntryMap<V> = collections::BTreeMap<String, V>;
 
-/// Moves out of `map` what a patch of it may touch: the entries that it names, everything when
-/// the patch of the map or of what is around it is no object and so replaces all.
+/// Moves out of `map` the entries that a patch may touch: those that it names, or all entries if
+/// the patch replaces the map because it is not an object.
 fn take<V>(map: &mut EntryMap<V>, patch: Option<Option<&serde_json::Value>>) -> EntryMap<V> {
     match patch {
         None | Some(None) => EntryMap::new(),
@@ -221,7 +224,7 @@
     }
 }
 
-fn malformed(error: &serde_json::Error) -> fault::FaultList {
+fn malformed_patch(error: &serde_json::Error) -> fault::FaultList {
     let remedy = "correct the change and publish it again";
     fault::FaultList {
         faults: vec![fault::ConfigFault::at(&[], error.to_string(), remedy)],
--- a/crates/conf/src/fault.rs
+++ b/crates/conf/src/fault.rs
@@ -1,39 +1,39 @@
-//! Faults of a file or of a change, each with its place and its remedy.
+//! Faults of a file or of a change, each with its location and remedy.
 
 use std::fmt;
 
-/// One fault.
+/// A fault of a configuration or settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ConfigFault {
-    /// Names from the root of the document down to the value that is wrong.
+    /// Path of the invalid value, as field names from the root of the document.
     pub path: Vec<String>,
-    /// Line in the file, counted from 1; absent when the document did not come from a file.
+    /// Location in the file; `None` if the document was not read from a file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub place: Option<FaultPlace>,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
-    /// What to do about it.
+    /// Instruction for correcting it.
     pub remedy: String,
 }
 
-/// Where in a file a fault is.
+/// Location of a fault in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct FaultPlace {
-    /// The file as the operator named it.
+    /// File name as given by the operator.
     pub file: String,
-    /// Counted from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// Counted from 1, in characters.
+    /// Column in characters, from 1.
     pub column: usize,
 }
 
-/// All faults of one document; never empty when returned as an error.
+/// All faults of a document; never empty if returned as an error.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct FaultList {
-    /// The faults, in the order of their places.
+    /// The faults, ordered by location.
     pub faults: Vec<ConfigFault>,
 }
 
@@ -68,7 +68,7 @@
 impl std::error::Error for FaultList {}
 
 impl ConfigFault {
-    /// A fault at a path, without a place in a file.
+    /// Creates a fault at a path, without a location in a file.
     pub fn at(path: &[&str], message: impl Into<String>, remedy: impl Into<String>) -> Self {
         Self {
             path: path.iter().map(|name| (*name).to_owned()).collect(),
@@ -80,7 +80,7 @@
 }
 
 impl FaultList {
-    /// The list in the order of places, faults without a place last.
+    /// Orders faults by location; faults without a location come last.
     #[must_use]
     pub fn in_order(mut faults: Vec<ConfigFault>) -> Self {
         faults.sort_by(|left, right| {
--- a/crates/conf/src/index.rs
+++ b/crates/conf/src/index.rs
@@ -1,4 +1,4 @@
-//! Parts of a snapshot's index.
+//! Builds the lookup tables of a snapshot.
 
 use std::collections;
 
@@ -10,7 +10,7 @@
     snapshot::{OrganisationView, ServerView, VmView},
 };
 
-/// Region by failure domain.
+/// Region names by failure domain.
 pub(crate) type RegionNames = collections::HashMap<String, String>;
 
 pub(crate) fn server_views<'a>(
@@ -105,7 +105,7 @@
     keys
 }
 
-/// A SHA-256 in 64 hexadecimal digits.
+/// Parses a SHA-256 hash of 64 hexadecimal digits.
 pub(crate) fn parse_hash(text: &str) -> Option<fingerprint::ContentHash> {
     let mut bytes = [0_u8; 32];
     hex::decode_to_slice(text, &mut bytes).ok()?;
--- a/crates/conf/src/inventory_check.rs
+++ b/crates/conf/src/inventory_check.rs
@@ -1,20 +1,22 @@
-//! Checks the meaning of the inventory.
+//! Semantic validation of the inventory.
 
 use std::{collections, net};
 
 use crate::{
-    check::{self, MeaningCheck},
+    check::{self, SemanticCheck},
     inventory, structure,
 };
 
-/// Keys of one organisation or operator that are valid at once, at the most.
-const VALID_KEYS: usize = 2;
+/// Maximum number of concurrently valid keys of one organisation or operator, so that a key can be
+/// rotated.
+const MAX_VALID_KEYS: usize = 2;
 
-/// Paths of the fields that have an address.
+/// Path of the field that uses each address.
 type AddressOwners<'a> = collections::HashMap<net::SocketAddr, [&'a str; 3]>;
 
-impl<'a> MeaningCheck<'a> {
-    /// Checks the inventory; of the organisations only the named ones, unless all are meant.
+impl<'a> SemanticCheck<'a> {
+    /// Validates the inventory. With `organisations`, only these organisations are validated among
+    /// all organisations.
     pub(crate) fn check_inventory(&mut self, organisations: Option<&[&str]>) {
         self.check_regions();
         self.check_addresses();
@@ -36,24 +38,25 @@
                 self.fault(
                     &path,
                     "the region has no failure domain",
-                    "name at least one",
+                    "list at least one",
                 );
             }
             for (index, domain) in entry.failure_domains.iter().enumerate() {
                 let index = index.to_string();
                 let path = ["inventory", "regions", region, "failure_domains", &index];
                 if domain.is_empty() {
-                    self.fault(&path, "the failure domain has no name", "give it one");
+                    self.fault(&path, "the name of the failure domain is empty", "name it");
                 }
                 if let Some(owner) = owners.insert(domain, region) {
-                    let message = format!("failure domain \"{domain}\" is in \"{owner}\" already");
-                    self.fault(&path, message, "name it in one region only, and once");
+                    let message = format!("failure domain \"{domain}\" is already in \"{owner}\"");
+                    self.fault(&path, message, "list it once, in one region only");
                 }
             }
         }
     }
 
-    /// Two listeners on one address: the second cannot start, or answers for the first.
+    /// Checks that no two listeners share an address: the second one could not start, or would
+    /// receive connections meant for the first.
     fn check_addresses(&mut self) {
         let mut owners = AddressOwners::new();
         let inventory = self.inventory;
@@ -81,7 +84,7 @@
         }
         if let Some(owner) = owners.insert(address, field) {
             let owner = owner.join(".");
-            let message = format!("{address} is the address of {owner} already");
+            let message = format!("{address} is already the address of {owner}");
             self.fault(&path, message, "give each its own address or port");
         }
     }
@@ -97,7 +100,7 @@
         if !self.domains.contains_key(domain) {
             let path = ["inventory", owner[0], owner[1], "failure_domain"];
             let message = format!("no region has a failure domain \"{domain}\"");
-            let remedy = "add it to a region's failure_domains, or name one that is there";
+            let remedy = "add it to a region's failure_domains, or use one that is listed there";
             self.fault_on(check::DOMAINS, &path, message, remedy);
         }
     }
@@ -113,7 +116,7 @@
                         let tail = ["kind", "plain_service", "service"];
                         let path = [&["inventory", "backend_servers", name][..], &tail].concat();
                         let message = format!("no service \"{service}\" in the inventory");
-                        let remedy = "add it to services, or name one that is there";
+                        let remedy = "add it to services, or use one that is listed there";
                         self.fault_on(check::SERVICES, &path, message, remedy);
                     }
                 }
@@ -130,13 +133,13 @@
             ("max_batch", engine.max_batch),
         ];
         for (field, number) in numbers.into_iter().filter(|(_, number)| *number == 0) {
-            self.positive(&path(field), f64::from(number));
+            self.require_positive(&path(field), f64::from(number));
         }
         if engine.models.is_empty() {
             self.fault(
                 &path("models"),
-                "the engine may serve no model",
-                "name at least one",
+                "the engine has no models",
+                "list at least one",
             );
         }
         for (index, model) in engine.models.iter().enumerate() {
@@ -148,7 +151,11 @@
             let number = index.to_string();
             let path = [&path("models")[..], &[number.as_str()]].concat();
             if is_repeated {
-                self.fault(&path, format!("\"{model}\" stands twice"), "name it once");
+                self.fault(
+                    &path,
+                    format!("\"{model}\" is listed twice"),
+                    "list it once",
+                );
             }
             if let Some((basis, message, remedy)) = fault {
                 self.fault_on(basis, &path, message, remedy);
@@ -156,7 +163,7 @@
         }
     }
 
-    /// Why an engine cannot serve a model that it names.
+    /// The fault of an engine that cannot serve a model in its list.
     fn engine_model_fault(
         &self,
         engine: &inventory::EngineEntry,
@@ -164,16 +171,16 @@
     ) -> Option<(check::FaultBasis, String, &'static str)> {
         let Some(entry) = self.inventory.models.get(model) else {
             let message = format!("no model \"{model}\" in the inventory");
-            let remedy = "add it to models, or name one that is there";
+            let remedy = "add it to models, or use one that is listed there";
             return Some((check::MODELS, message, remedy));
         };
         let held = u64::from(engine.kv_blocks) * u64::from(engine.block_tokens);
-        let longest = u64::from(entry.context_tokens);
-        let is_too_long = held > 0 && longest > held;
+        let max_tokens = u64::from(entry.context_tokens);
+        let is_too_long = held > 0 && max_tokens > held;
         is_too_long.then(|| {
             let message = format!(
-                "the engine's KV cache holds {held} tokens, one generation of \"{model}\" up to \
-                 {longest}"
+                "the engine's KV cache holds {held} tokens, but one generation of \"{model}\" may \
+                 need up to {max_tokens}"
             );
             let remedy = "lower the model's context_tokens, or serve it on larger engines";
             (check::MODELS, message, remedy)
@@ -193,22 +200,22 @@
         for (name, entry) in &inventory.models {
             let path = |field| ["inventory", "models", name, field];
             if entry.version.is_empty() {
-                self.fault(&path("version"), "the version has no name", "give it one");
+                self.fault(&path("version"), "the version is empty", "name one");
             }
-            self.positive(&path("context_tokens"), f64::from(entry.context_tokens));
+            self.require_positive(&path("context_tokens"), f64::from(entry.context_tokens));
             let available = engines.get(name.as_str()).copied().unwrap_or_default();
             if entry.min_engines > available {
                 let message = format!(
-                    "{} engines are wanted, {available} may serve the model",
+                    "at least {} engines are required, but only {available} may serve the model",
                     entry.min_engines
                 );
-                let remedy = "lower min_engines, or name the model on more engines";
+                let remedy = "lower min_engines, or add the model to more engines";
                 self.fault_on(check::ENGINES, &path("min_engines"), message, remedy);
             }
             for (index, adapter) in entry.adapters.iter().enumerate() {
                 if entry.adapters[..index].contains(adapter) {
-                    let message = format!("adapter \"{adapter}\" stands twice");
-                    self.fault(&path("adapters"), message, "name it once");
+                    let message = format!("adapter \"{adapter}\" is listed twice");
+                    self.fault(&path("adapters"), message, "list it once");
                 }
             }
         }
@@ -219,14 +226,14 @@
         for (name, entry) in &inventory.services {
             let path = |field| ["inventory", "services", name, field];
             if name.is_empty() || name.contains('/') {
-                let message = "the name cannot stand in a path";
+                let message = "the name cannot be used in a path";
                 let path = ["inventory", "services", name];
                 self.fault(&path, message, "use a name without \"/\"");
             }
-            self.positive(&path("max_concurrency"), f64::from(entry.max_concurrency));
+            self.require_positive(&path("max_concurrency"), f64::from(entry.max_concurrency));
             if entry.non_idempotent_paths.iter().any(String::is_empty) {
-                let message = "an empty prefix stands for every path";
-                let remedy = "write \"/\" if all calls are meant, else the prefix";
+                let message = "an empty prefix matches every path";
+                let remedy = "write \"/\" to match all calls, otherwise a prefix";
                 self.fault(&path("non_idempotent_paths"), message, remedy);
             }
         }
@@ -275,16 +282,16 @@
         if !self.inventory.regions.contains_key(&entry.region) {
             let path = ["inventory", "organisations", name, "region"];
             let message = format!("no region \"{}\" in the inventory", entry.region);
-            let remedy = "add it to regions, or name one that is there";
+            let remedy = "add it to regions, or use one that is listed there";
             self.fault_on(check::REGIONS, &path, message, remedy);
         }
     }
 
     fn check_key_hashes(&mut self, section: &str, name: &str, hashes: &[String]) {
         let path = ["inventory", section, name, "key_hashes"];
-        if hashes.len() > VALID_KEYS {
-            let message = format!("{} keys are valid at once", hashes.len());
-            self.fault(&path, message, "keep two, the old and the new");
+        if hashes.len() > MAX_VALID_KEYS {
+            let message = format!("{} keys are listed", hashes.len());
+            self.fault(&path, message, "keep at most two, the old and the new one");
         }
         for (index, hash) in hashes.iter().enumerate() {
             if !structure::is_hash_text(hash) {
@@ -296,15 +303,16 @@
         }
     }
 
-    /// One key of two owners: a caller would be taken for somebody else.
+    /// Adds a fault for a key that two owners share: callers of one would be identified as the
+    /// other.
     fn shared_key(&mut self, section: &str, name: &str, index: usize, owner: &str) {
         let path = ["inventory", section, name, "key_hashes", &index.to_string()];
         let message = format!("\"{owner}\" has the same key");
-        self.fault(&path, message, "draw a new key for one of them");
+        self.fault(&path, message, "generate a new key for one of them");
     }
 }
 
-/// Section, name and key hashes of whoever has keys.
+/// Section, name and key hashes of all organisations and operators.
 fn key_owners(
     inventory: &inventory::Inventory,
 ) -> impl Iterator<Item = (&'static str, &str, &Vec<String>)> {
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,8 +1,8 @@
-//! Inventory, rules and settings: parsing, checking, differences and revisions.
+//! Inventory, rules and settings: parsing, validation, patches and revisions.
 //!
-//! The configuration in force is a pure function of the log's prefix: [`state::ConfigState`]
-//! applies records in order, and every reader of the same records comes to the same state.
-//! Nothing here does I/O or reads a clock.
+//! The configuration in force is a pure function of a prefix of the log: [`state::ConfigState`]
+//! applies records in order, and every reader of the same records reaches the same state.
+//! This crate performs no I/O and reads no clock.
 
 mod arena;
 pub mod change;
--- a/crates/conf/src/matcher.rs
+++ b/crates/conf/src/matcher.rs
@@ -1,4 +1,4 @@
-//! Class rules as requests are matched against them.
+//! Matches requests against the class rules.
 
 use std::collections;
 
@@ -6,14 +6,14 @@
 
 use crate::{rules, snapshot::RequestTarget};
 
-/// A class rule with its names resolved.
+/// A class rule with resolved names.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassMatcher {
     organisations: Option<collections::HashSet<id::OrganisationKey>>,
     models: Option<collections::HashSet<String>>,
     services: Option<collections::HashSet<String>>,
     requested: Option<class::TrafficClass>,
-    /// The class of the requests that match.
+    /// Class of matching requests.
     pub class: class::TrafficClass,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The class rules, in their order.
+/// Builds the matchers of the class rules, in the order of the rules.
 pub(crate) fn matchers(
     rules: &rules::RuleSet,
     organisations: &collections::HashMap<String, id::OrganisationKey>,
--- a/crates/conf/src/path.rs
+++ b/crates/conf/src/path.rs
@@ -1,9 +1,9 @@
-//! Paths of calls as rules are compared with them.
+//! Normalization of request paths before they are matched against rules.
 
-/// A path without its query, percent escapes, empty and dot segments.
+/// Removes the query, percent escapes, empty segments and dot segments from a path.
 ///
-/// A caller could otherwise write a path that is not idempotent in a way that its rule does not
-/// match and its server still understands, and the call would run without its key.
+/// Otherwise a caller could spell a non-idempotent path such that its rule does not match but the
+/// server still accepts it, and the call would run without an idempotency key.
 pub(crate) fn plain_path(path: &str) -> Vec<u8> {
     let path = path.split(['?', '#']).next().unwrap_or_default();
     let decoded = percent_decoded(path.as_bytes());
--- a/crates/conf/src/place.rs
+++ b/crates/conf/src/place.rs
@@ -1,28 +1,28 @@
-//! Places in a text: from byte offsets to lines and columns, from paths to byte offsets.
+//! Locations in a text: converts byte offsets to lines and columns, and paths to byte offsets.
 
 use jsonc_parser::{ast, common::Ranged as _};
 
 use crate::fault;
 
-/// One text under the name that its operator knows it by.
+/// A text and the name of its file.
 #[derive(Clone, Copy, Debug)]
 pub struct SourceText<'a> {
-    /// The file as the operator named it.
+    /// File name as given by the operator.
     pub file: &'a str,
-    /// Its content.
+    /// Content of the file.
     pub text: &'a str,
 }
 
-/// Starts of the lines of a text.
+/// Line starts of a text.
 #[derive(Clone, Debug)]
 pub struct LineTable<'a> {
     source: SourceText<'a>,
-    /// Byte offset of the start of each line, ascending; the first is 0.
+    /// Byte offset of each line start, in ascending order; the first is 0.
     starts: Vec<usize>,
 }
 
 impl<'a> LineTable<'a> {
-    /// The table of `source`.
+    /// Builds the table of `source`.
     #[must_use]
     pub fn new(source: SourceText<'a>) -> Self {
         let mut starts = vec![0];
@@ -30,7 +30,7 @@
         Self { source, starts }
     }
 
-    /// The place of a byte offset; an offset past the end is the end.
+    /// Converts a byte offset to a location; an offset past the end is clamped to the end.
     #[must_use]
     pub fn place(&self, offset: usize) -> fault::FaultPlace {
         let text = self.source.text;
@@ -48,9 +48,10 @@
     }
 }
 
-/// Byte offset of the value at `path`, or of the nearest value around it that exists.
+/// Byte offset of the value at `path`, or of its nearest existing ancestor.
 ///
-/// A member of an object is found at its name, an element of an array at its value.
+/// The offset of an object member is that of its name, the offset of an array element that of its
+/// value.
 #[must_use]
 pub fn locate(root: &ast::Value<'_>, path: &[String]) -> usize {
     let mut value = root;
--- a/crates/conf/src/reference.rs
+++ b/crates/conf/src/reference.rs
@@ -1,5 +1,5 @@
-//! The reference of all fields, from the types themselves: JSON schemas for editors and tables
-//! for the operators' page.
+//! Reference documentation of all fields, generated from the types: JSON schemas for editors and
+//! tables for the operators' page.
 
 use serde_json::Value;
 
@@ -17,13 +17,13 @@
     schema_text(schemars::schema_for!(rules::RuleSet).as_value())
 }
 
-/// The JSON schema of any other file of settings.
+/// The JSON schema of another settings file.
 #[must_use]
 pub fn settings_schema<T: schemars::JsonSchema>() -> String {
     schema_text(schemars::schema_for!(T).as_value())
 }
 
-/// Tables of every field of both files, in Markdown.
+/// Markdown tables of every field of the inventory and rules files.
 #[must_use]
 pub fn field_tables() -> String {
     let mut text = settings_tables::<inventory::Inventory>("Inventory");
@@ -31,7 +31,7 @@
     text
 }
 
-/// Tables of every field of one file of settings, in Markdown.
+/// Markdown tables of every field of a settings file.
 #[must_use]
 pub fn settings_tables<T: schemars::JsonSchema>(file: &str) -> String {
     let schema = schemars::schema_for!(T);
@@ -45,7 +45,7 @@
     text
 }
 
-/// A schema with the link to itself allowed, by which a file names it to editors.
+/// Serializes a schema and allows the `$schema` member by which a file refers editors to it.
 fn schema_text(schema: &Value) -> String {
     let mut schema = schema.clone();
     schema["properties"]["$schema"] = serde_json::json!({
@@ -101,7 +101,7 @@
     }
 }
 
-/// The type of a field, with a link where it has a table of its own.
+/// The type of a field, linked to its table if it has one.
 fn kind(field: &Value) -> String {
     if let Some(pointer) = field.get("$ref").and_then(Value::as_str) {
         let name = pointer.rsplit('/').next().unwrap_or_default();
--- a/crates/conf/src/rules_check.rs
+++ b/crates/conf/src/rules_check.rs
@@ -1,17 +1,18 @@
-//! Checks the meaning of the rules.
+//! Semantic validation of the rules.
 
 use std::collections;
 
 use crate::{
-    check::{self, FaultBasis, MeaningCheck},
+    check::{self, FaultBasis, SemanticCheck},
     rules,
 };
 
-/// A model engine shows life at least this often, in milliseconds.
+/// Maximum interval between two signs of life from a model engine, in milliseconds.
 const ENGINE_HEARTBEAT_MS: u64 = 500;
 
-impl MeaningCheck<'_> {
-    /// Checks the rules; those of organisations only for the named ones, unless all are meant.
+impl SemanticCheck<'_> {
+    /// Validates the rules. With `organisations`, only the rules of these organisations are
+    /// validated among the rules of organisations.
     pub(crate) fn check_rules(&mut self, rules: &rules::RuleSet, organisations: Option<&[&str]>) {
         for (index, rule) in rules.classes.iter().enumerate() {
             self.check_class_rule(&index.to_string(), rule);
@@ -32,12 +33,12 @@
         }
         self.check_time_limits(&rules.time_limits);
         self.check_fractions(rules);
-        self.positive(
+        self.require_positive(
             &["rules", "retries", "max_tries"],
             f64::from(rules.retries.max_tries),
         );
         let path = ["rules", "entries", "per_organisation"];
-        self.positive(&path, f64::from(rules.entries.per_organisation));
+        self.require_positive(&path, f64::from(rules.entries.per_organisation));
         let path = ["rules", "entries", "keep_ms"];
         self.check_duration(&path, rules.entries.keep_ms, 1);
     }
@@ -55,7 +56,7 @@
             };
             let path = ["rules", "classes", index, field];
             if names.is_empty() {
-                let remedy = format!("name some, or remove \"{field}\" to mean all");
+                let remedy = format!("list at least one name, or remove \"{field}\" to match all");
                 self.fault(&path, "an empty list matches nothing", remedy);
             }
             for (position, name) in names.iter().enumerate() {
@@ -73,22 +74,25 @@
             }
         }
         if rule.models.is_some() && rule.services.is_some() {
-            let message = "no request is for a model and a service at once";
-            let remedy = "make two rules of it";
+            let message = "no request targets both a model and a service";
+            let remedy = "split it into two rules";
             self.fault(&["rules", "classes", index], message, remedy);
         }
     }
 
-    /// A rule behind one that matches all that it matches never applies.
+    /// Adds a fault for each class rule that never applies because an earlier rule matches every
+    /// request that it matches.
     fn check_order(&mut self, classes: &[rules::ClassRule]) {
         let sets: Vec<MatchSet<'_>> = classes.iter().map(MatchSet::new).collect();
-        let telling = sets.iter().enumerate().filter(|(_, set)| !set.is_empty());
-        for (later, set) in telling {
+        let non_empty = sets.iter().enumerate().filter(|(_, set)| !set.is_empty());
+        for (later, set) in non_empty {
             let Some(earlier) = sets[..later].iter().position(|other| other.covers(set)) else {
                 continue;
             };
-            let message = format!("never applies: rule {earlier} matches all that it matches");
-            let remedy = "move it before that rule, or remove one of them (rules count from 0)";
+            let message =
+                format!("never applies: rule {earlier} matches every request that it matches");
+            let remedy =
+                "move it before that rule, or remove one of them (rules are numbered from 0)";
             self.fault(&["rules", "classes", &later.to_string()], message, remedy);
         }
     }
@@ -121,7 +125,7 @@
         ];
         for (field, number) in numbers {
             if let Some(number) = number.filter(|number| *number <= 0.0) {
-                self.positive(&[path, &[field]].concat(), number);
+                self.require_positive(&[path, &[field]].concat(), number);
             }
         }
     }
@@ -143,18 +147,18 @@
                 limits.service_call_ms,
             ),
         ];
-        for (field, duration_ms, least_ms) in durations {
-            self.check_duration(&["rules", "time_limits", field], duration_ms, least_ms);
+        for (field, duration_ms, min_ms) in durations {
+            self.check_duration(&["rules", "time_limits", field], duration_ms, min_ms);
         }
     }
 
-    fn check_duration(&mut self, path: &[&str], duration_ms: u64, least_ms: u64) {
-        if duration_ms < least_ms {
+    fn check_duration(&mut self, path: &[&str], duration_ms: u64, min_ms: u64) {
+        if duration_ms < min_ms {
             let message = format!("{duration_ms} ms is too short");
             self.fault(
                 path,
                 message,
-                format!("write at least {least_ms}; {}", reason(path)),
+                format!("write at least {min_ms}; {}", min_reason(path)),
             );
         }
     }
@@ -188,16 +192,16 @@
     }
 }
 
-/// Why a duration has its least value.
-fn reason(path: &[&str]) -> &'static str {
+/// Why a duration has its minimum.
+fn min_reason(path: &[&str]) -> &'static str {
     match path.last() {
         Some(&"silent_connection_ms") => "a live engine may be silent for 500 ms",
-        Some(&"idempotency_window_ms") => "a call may be repeated while the first try runs",
-        _ => "nothing could be done within it",
+        Some(&"idempotency_window_ms") => "a call may be repeated while its first attempt runs",
+        _ => "nothing can complete in a shorter time",
     }
 }
 
-/// What a class rule matches.
+/// Set of requests that a class rule matches.
 struct MatchSet<'a> {
     organisations: Option<collections::HashSet<&'a str>>,
     models: Option<collections::HashSet<&'a str>>,
@@ -219,7 +223,7 @@
         }
     }
 
-    /// Whether it can match no request at all; that is told as a fault of its own.
+    /// Whether the rule matches no request at all, which is reported as a separate fault.
     fn is_empty(&self) -> bool {
         let is_empty = |set: &Option<collections::HashSet<&str>>| {
             set.as_ref().is_some_and(collections::HashSet::is_empty)
@@ -249,7 +253,7 @@
     }
 }
 
-/// Whether one list of names, absent for all, holds every name of the other.
+/// Whether `wide` contains every name of `narrow`; `None` stands for all names.
 fn is_wider(
     wide: Option<&collections::HashSet<&str>>,
     narrow: Option<&collections::HashSet<&str>>,
--- a/crates/conf/src/sample.rs
+++ b/crates/conf/src/sample.rs
@@ -1,4 +1,4 @@
-//! A valid configuration of any size, the same on every run, for tests and benches.
+//! Generates valid, deterministic configurations of any size for tests and benchmarks.
 
 use std::{collections, net};
 
@@ -6,27 +6,27 @@
 
 use crate::{document, inventory, rules};
 
-/// How much there is of everything.
+/// Number of entries of each kind in a sample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SampleSize {
-    /// Regions, each of [`SampleSize::domains`] failure domains.
+    /// Number of regions, each with [`SampleSize::domains`] failure domains.
     pub regions: usize,
-    /// Failure domains of one region.
+    /// Number of failure domains per region.
     pub domains: usize,
-    /// Entry VMs.
+    /// Number of entry VMs.
     pub entry_vms: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Plain service servers.
+    /// Number of plain service servers.
     pub service_servers: usize,
-    /// Models.
+    /// Number of models.
     pub models: usize,
-    /// Organisations.
+    /// Number of organisations.
     pub organisations: usize,
 }
 
 impl SampleSize {
-    /// The size that decides the design.
+    /// Planned deployment size, which the design must support.
     pub const PLANNED: Self = Self {
         regions: 3,
         domains: 3,
@@ -37,7 +37,7 @@
         organisations: 38_000,
     };
 
-    /// A deployment of today.
+    /// Typical size of a deployment today.
     pub const TODAY: Self = Self {
         regions: 1,
         domains: 3,
@@ -49,19 +49,19 @@
     };
 }
 
-/// The API key of an organisation of a sample.
+/// The API key of a sample organisation.
 #[must_use]
 pub fn api_key(organisation: usize) -> String {
     format!("sample-key-{organisation}")
 }
 
-/// The name of an organisation of a sample.
+/// The name of a sample organisation.
 #[must_use]
 pub fn organisation_name(organisation: usize) -> String {
     format!("organisation-{organisation:05}")
 }
 
-/// A valid configuration of this size.
+/// Generates a valid configuration of the given size.
 #[must_use]
 pub fn configuration(size: SampleSize) -> document::Configuration {
     document::Configuration {
@@ -81,7 +81,7 @@
             size.entry_vms,
             |it| format!("entry-{it:03}"),
             |vm| inventory::VmEntry {
-                failure_domain: domain_of(size, vm),
+                failure_domain: member_domain(size, vm),
                 callers: address(1, vm),
                 peers: address(2, vm),
             },
@@ -117,7 +117,7 @@
     }
 }
 
-/// One organisation in ten has limits of its own.
+/// Generates rules in which every tenth organisation has its own limits.
 fn rules(size: SampleSize) -> rules::RuleSet {
     let own = (0..size.organisations).step_by(10).map(|organisation| {
         let rule = rules::OrganisationRule {
@@ -142,7 +142,7 @@
 
 fn servers(size: SampleSize) -> collections::BTreeMap<String, inventory::ServerEntry> {
     let engine = |engine: usize| inventory::ServerEntry {
-        failure_domain: domain_of(size, engine),
+        failure_domain: member_domain(size, engine),
         address: address(3, engine),
         kind: inventory::ServerKind::ModelEngine(inventory::EngineEntry {
             models: vec![model_name(engine % size.models)],
@@ -153,7 +153,7 @@
         }),
     };
     let service = |server: usize| inventory::ServerEntry {
-        failure_domain: domain_of(size, server),
+        failure_domain: member_domain(size, server),
         address: address(4, server),
         kind: inventory::ServerKind::PlainService {
             service: "bookings".to_owned(),
@@ -186,8 +186,8 @@
     format!("domain-{region}-{domain}")
 }
 
-/// Members are dealt out to all failure domains in turn.
-fn domain_of(size: SampleSize, member: usize) -> String {
+/// Assigns members to all failure domains in round-robin order.
+fn member_domain(size: SampleSize, member: usize) -> String {
     domain_name(member % size.regions, member / size.regions % size.domains)
 }
 
@@ -195,7 +195,7 @@
     format!("model-{model}")
 }
 
-/// Kinds of listeners have a network each, members an address each.
+/// Each kind of listener has its own network, and each member its own address.
 fn address(kind: u8, member: usize) -> net::SocketAddr {
     let [.., high, low] = member.to_be_bytes();
     net::SocketAddr::from(([10, kind, high, low], 8_000))
--- a/crates/conf/src/schema.rs
+++ b/crates/conf/src/schema.rs
@@ -1,12 +1,12 @@
-//! Questions to a JSON schema: what it allows, what it wants, what a remedy may offer.
+//! Queries on a JSON schema: which values it accepts, and which remedies to suggest.
 
 use jsonc_parser::ast;
 use serde_json::Value;
 
-/// Names offered in the remedy of an unknown field, at the most.
-const NAMED_FIELDS: usize = 12;
-/// Characters of a wrong text that a message shows.
-const SHOWN_TEXT: usize = 40;
+/// Maximum number of field names listed in the remedy for an unknown field.
+const MAX_LISTED_FIELDS: usize = 12;
+/// Maximum number of characters of an invalid string shown in a message.
+const MAX_SHOWN_CHARS: usize = 40;
 
 pub(crate) fn resolve<'s>(root: &'s Value, schema: &'s Value) -> &'s Value {
     let mut schema = schema;
@@ -33,7 +33,7 @@
         .chain(list.filter_map(Value::as_str))
 }
 
-/// Words that a schema allows; empty when it allows any text.
+/// String values that a schema allows; empty if it allows any string.
 pub(crate) fn names_of(schema: &Value) -> Vec<&str> {
     let list = schema
         .get("enum")
@@ -44,7 +44,7 @@
     list.chain(single).filter_map(Value::as_str).collect()
 }
 
-/// Whether the type of `node` is one that `schema` allows.
+/// Whether `schema` allows the type of `node`.
 pub(crate) fn accepts(schema: &Value, node: &ast::Value<'_>) -> bool {
     let mut names = type_names(schema).peekable();
     if names.peek().is_none() {
@@ -60,14 +60,14 @@
     })
 }
 
-/// Whether `node` is a word that the option names.
+/// Whether `node` is a string value listed by the option.
 pub(crate) fn is_exact(option: &Value, node: &ast::Value<'_>) -> bool {
     let text = node.as_string_lit().map(|literal| literal.value.as_ref());
     text.is_some_and(|text| names_of(option).contains(&text))
 }
 
-/// Whether `node` is an object that carries the tag of this variant: its only required member,
-/// or a member with the variant's constant word.
+/// Whether `node` is an object with the tag of this variant: its only required member, or a member
+/// with the variant's constant value.
 pub(crate) fn is_tagged(option: &Value, node: &ast::Value<'_>) -> bool {
     let (Some(object), Some(properties)) = (
         node.as_object(),
@@ -94,7 +94,7 @@
         .get("format")
         .and_then(Value::as_str)
         .unwrap_or_default();
-    let (least, greatest) = match format {
+    let (min, max) = match format {
         "uint8" => (0, i128::from(u8::MAX)),
         "uint16" => (0, i128::from(u16::MAX)),
         "uint32" => (0, i128::from(u32::MAX)),
@@ -104,12 +104,12 @@
     };
     let stated = |name: &str| schema.get(name).and_then(Value::as_i64).map(i128::from);
     (
-        stated("minimum").map_or(least, |value| value.max(least)),
-        stated("maximum").map_or(greatest, |value| value.min(greatest)),
+        stated("minimum").map_or(min, |value| value.max(min)),
+        stated("maximum").map_or(max, |value| value.min(max)),
     )
 }
 
-/// A value of the type that `schema` asks for.
+/// A placeholder value of the type that `schema` requires.
 pub(crate) fn placeholder(root: &Value, schema: &Value) -> Value {
     let schema = resolve(root, schema);
     if let Some(option) = options_of(schema).and_then(<[Value]>::first) {
@@ -134,14 +134,14 @@
     }
 }
 
-/// What a schema asks for, in words.
-pub(crate) fn wanted(root: &Value, schema: &Value) -> String {
+/// Describes the value that a schema requires, for use in a remedy.
+pub(crate) fn expected(root: &Value, schema: &Value) -> String {
     let schema = resolve(root, schema);
     if let Some(options) = options_of(schema) {
         let words = options.iter().map(|option| resolve(root, option));
         let words: Vec<String> = words
             .filter(|option| type_names(option).next() != Some("null"))
-            .map(|option| wanted(root, option))
+            .map(|option| expected(root, option))
             .collect();
         return words.join(" or ");
     }
@@ -174,7 +174,7 @@
 pub(crate) fn described(node: &ast::Value<'_>) -> String {
     match node {
         ast::Value::StringLit(text) => {
-            let shown: String = text.value.chars().take(SHOWN_TEXT).collect();
+            let shown: String = text.value.chars().take(MAX_SHOWN_CHARS).collect();
             format!("the text \"{shown}\"")
         }
         ast::Value::NumberLit(number) => format!("the number {}", number.value),
@@ -197,17 +197,17 @@
         .min();
     match nearest {
         Some((steps, other)) if steps <= 1 + name.len() / 4 => {
-            format!("write \"{other}\" if that is meant, else remove it")
+            format!("write \"{other}\" if you meant that, otherwise remove it")
         }
         _ if known.is_empty() => "remove it".to_owned(),
         _ => {
-            let shown = known.len().min(NAMED_FIELDS);
-            format!("remove it; known here: {}", known[..shown].join(", "))
+            let shown = known.len().min(MAX_LISTED_FIELDS);
+            format!("remove it; known fields: {}", known[..shown].join(", "))
         }
     }
 }
 
-/// Levenshtein distance.
+/// Levenshtein distance between two names.
 fn distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/crates/conf/src/settings.rs
+++ b/crates/conf/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reads a text of JSON with comments into a type, or gives all faults of the text at once.
+//! Parses JSON with comments into a type and reports all faults of the text at once.
 
 use jsonc_parser::{ast, common, errors};
 
@@ -8,24 +8,25 @@
     structure,
 };
 
-/// Settings that can be read from a text.
+/// Settings that can be parsed from a file.
 pub trait CheckedSettings: serde::de::DeserializeOwned + schemars::JsonSchema {
-    /// Contradictions among settings of the right structure, each with its path.
+    /// Semantic faults of structurally valid settings, each with its path.
     fn contradictions(&self) -> Vec<fault::ConfigFault> {
         Vec::new()
     }
 }
 
-/// Reads `text`, which the operator knows as `file`.
+/// Parses and validates `text`; `file` is the file name used in faults.
 ///
 /// # Errors
-/// All faults of the text, each with its place and its remedy; then nothing of it takes effect.
+/// Returns all faults of the text, each with its location and remedy; nothing of it then takes
+/// effect.
 pub fn parse<T: CheckedSettings>(file: &str, text: &str) -> Result<T, fault::FaultList> {
     let parsed: ParsedText<'_, T> = ParsedText::new(SourceText { file, text });
     let mut faults = parsed.faults.clone();
     if let Some(settings) = &parsed.repaired {
         faults.extend(settings.contradictions().into_iter().filter_map(|fault| {
-            (!parsed.is_repaired(&fault.path)).then(|| parsed.placed(fault, &[]))
+            (!parsed.is_repaired(&fault.path)).then(|| parsed.with_place(fault, &[]))
         }));
     }
     match parsed.repaired {
@@ -34,16 +35,16 @@
     }
 }
 
-/// A text after the check of its structure.
+/// A text after the structural check.
 pub(crate) struct ParsedText<'a, T> {
     lines: LineTable<'a>,
     root: ast::Value<'a>,
-    /// Faults of syntax and structure.
+    /// Syntax faults and structural faults.
     pub faults: Vec<fault::ConfigFault>,
-    /// Paths whose values were wrong and are replaced in `repaired`.
+    /// Paths of the invalid values that are replaced in `repaired`.
     pub repaired_paths: Vec<Vec<String>>,
-    /// The value with every wrong part replaced; absent when the syntax is hopeless. It may take
-    /// effect only when there are no faults.
+    /// The value with every invalid part replaced by a placeholder; `None` if the text cannot be
+    /// parsed even leniently. It must take effect only if there are no faults.
     pub repaired: Option<T>,
 }
 
@@ -57,11 +58,11 @@
             repaired_paths: Vec::new(),
             repaired: None,
         };
-        let is_hopeless = syntax.is_some() && parsed.root == empty_object();
+        let is_unparsable = syntax.is_some() && parsed.root == empty_object();
         if let Some(fault) = syntax {
             parsed.add(Vec::new(), fault.offset, fault.message, fault.remedy);
         }
-        if !is_hopeless {
+        if !is_unparsable {
             parsed.read(source.text);
         }
         parsed
@@ -76,13 +77,13 @@
         self.repaired_paths = report.repaired;
         match serde_json::from_value(report.document) {
             Ok(value) => self.repaired = Some(value),
-            Err(error) if self.faults.is_empty() => self.add_unexplained(text, &error),
+            Err(error) if self.faults.is_empty() => self.add_parser_fault(text, &error),
             Err(_) => {}
         }
     }
 
-    /// A fault that the schema does not tell, such as a text that its type cannot read.
-    fn add_unexplained(&mut self, text: &str, error: &serde_json::Error) {
+    /// Adds a fault that the schema does not describe, such as a string that its type cannot parse.
+    fn add_parser_fault(&mut self, text: &str, error: &serde_json::Error) {
         let placed: Result<T, errors::ParseError> =
             jsonc_parser::parse_to_serde_value(text, &strict());
         let offset = placed.err().map_or(0, |error| error.range().start);
@@ -102,15 +103,15 @@
 }
 
 impl<T> ParsedText<'_, T> {
-    /// Whether the value at `path` is, or is in, one that was replaced.
+    /// Whether the value at `path` is, or is part of, a replaced value.
     pub fn is_repaired(&self, path: &[String]) -> bool {
         self.repaired_paths
             .iter()
             .any(|repaired| path.starts_with(repaired))
     }
 
-    /// The same fault with its place in this text; `prefix` leads to the root of this text.
-    pub fn placed(&self, mut fault: fault::ConfigFault, prefix: &[&str]) -> fault::ConfigFault {
+    /// Adds the location in this text to a fault; `prefix` is the path of this text's root.
+    pub fn with_place(&self, mut fault: fault::ConfigFault, prefix: &[&str]) -> fault::ConfigFault {
         let path = fault.path.get(prefix.len()..).unwrap_or_default();
         let offset = place::locate(&self.root, path);
         fault.place = Some(self.lines.place(offset));
@@ -118,14 +119,14 @@
     }
 }
 
-/// A fault of syntax.
+/// A syntax fault.
 struct SyntaxFault {
     offset: usize,
     message: String,
     remedy: String,
 }
 
-/// JSON with comments and trailing commas, nothing more.
+/// Parser options for JSON with comments and trailing commas, without other extensions.
 fn strict() -> jsonc_parser::ParseOptions {
     jsonc_parser::ParseOptions {
         allow_comments: true,
@@ -141,7 +142,7 @@
     }
 }
 
-/// Parses strictly; where that fails, leniently, so that the other faults are found too.
+/// Parses strictly and, if that fails, leniently, so that the other faults are found too.
 fn parse_syntax(text: &str) -> (Option<ast::Value<'_>>, Option<SyntaxFault>) {
     let collect = jsonc_parser::CollectOptions::default();
     let error = match jsonc_parser::parse_to_ast(text, &collect, &strict()) {
@@ -155,7 +156,7 @@
     let remedy = if value.is_some() {
         "correct it here"
     } else {
-        "correct it here; what follows is checked after that"
+        "correct it here; the rest of the file is checked after that"
     };
     let fault = SyntaxFault {
         offset: error.range().start,
--- a/crates/conf/src/structure.rs
+++ b/crates/conf/src/structure.rs
@@ -1,10 +1,10 @@
-//! Checks the structure of a parsed text against the JSON schema of a type: unknown, missing and
-//! repeated names, wrong types, numbers out of range.
+//! Structural validation of a parsed text against the JSON schema of a type: unknown, missing and
+//! duplicate names, wrong types, numbers out of range.
 //!
-//! Every fault is found in one pass, and the outcome is a repaired document: a wrong or missing
-//! value is replaced by one of the right type and its path is remembered as repaired. So the
-//! checks of meaning run too, and the operator gets all faults of a file at once. The repaired
-//! document never takes effect.
+//! One pass finds all faults and produces a repaired document: an invalid or missing value is
+//! replaced by a placeholder of the right type, and its path is recorded as repaired. The semantic
+//! validation can therefore run as well, and operators get all faults of a file at once. The
+//! repaired document never takes effect.
 
 use std::{collections, net};
 
@@ -16,36 +16,36 @@
 
 use crate::schema;
 
-/// A fault of structure, at a byte range of the text.
+/// A structural fault at a byte offset of the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StructureFault {
-    /// Names from the root down to the value that is wrong.
+    /// Path of the invalid value, as field names from the root.
     pub path: Vec<String>,
     /// Byte offset in the text.
     pub offset: usize,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
-    /// What to do about it.
+    /// Instruction for correcting it.
     pub remedy: String,
 }
 
-/// The outcome of a check of structure.
+/// Result of a structural validation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StructureReport {
-    /// The document with every wrong value replaced by one of the right type.
+    /// The document with every invalid value replaced by a placeholder of the right type.
     pub document: Value,
-    /// All faults, in the order of the text.
+    /// All faults, ordered by offset.
     pub faults: Vec<StructureFault>,
-    /// Paths whose values were replaced.
+    /// Paths of the replaced values.
     pub repaired: Vec<Vec<String>>,
 }
 
-/// Pattern of a SHA-256, as the schema of the inventory states it.
+/// Pattern of a SHA-256 hash in the schema of the inventory.
 const HASH_PATTERN: &str = "^[0-9a-f]{64}$";
-/// Format of an IP address with a port, as the schema of the inventory states it.
+/// Format of an IP address with a port in the schema of the inventory.
 const ADDRESS_FORMAT: &str = "socket-address";
 
-/// Checks `root` against the JSON schema `schema`.
+/// Validates `root` against the JSON schema `schema`.
 #[must_use]
 pub fn check(root: &ast::Value<'_>, schema: &Value) -> StructureReport {
     let mut walker = StructureWalker {
@@ -63,9 +63,9 @@
     }
 }
 
-/// Where the walk through a document stands.
+/// State of the traversal of a document.
 struct StructureWalker<'s> {
-    /// The whole schema, for references.
+    /// The complete schema, used to resolve references.
     schema: &'s Value,
     path: Vec<String>,
     faults: Vec<StructureFault>,
@@ -111,14 +111,14 @@
         let properties = schema.get("properties").and_then(Value::as_object);
         let additional = schema.get("additionalProperties");
         let mut members = serde_json::Map::new();
-        let mut first_places: collections::HashMap<&str, Range> = collections::HashMap::new();
+        let mut first_ranges: collections::HashMap<&str, Range> = collections::HashMap::new();
         for property in &object.properties {
             let name = property.name.as_str();
             self.path.push(name.to_owned());
-            if first_places.insert(name, property.range).is_some() {
+            if first_ranges.insert(name, property.range).is_some() {
                 self.fault(
                     property.start(),
-                    format!("\"{name}\" stands more than once in this object"),
+                    format!("\"{name}\" appears more than once in this object"),
                     "keep one of them",
                 );
             }
@@ -140,7 +140,7 @@
         Value::Object(members)
     }
 
-    /// Editors find the schema of a file by this member of its root.
+    /// Whether this is the `$schema` member at the root, by which editors find the schema of a file.
     fn is_schema_link(&self, name: &str) -> bool {
         name == "$schema" && self.path.len() == 1
     }
@@ -158,7 +158,7 @@
             }
             let inner = &schema["properties"][name];
             self.path.push(name.to_owned());
-            let remedy = format!("add \"{name}\": {}", schema::wanted(self.schema, inner));
+            let remedy = format!("add \"{name}\": {}", schema::expected(self.schema, inner));
             self.fault(
                 object.start(),
                 format!("field \"{name}\" is missing"),
@@ -172,7 +172,14 @@
 
     fn array(&mut self, array: &ast::Array<'_>, schema: &'s Value) -> Value {
         let Some(inner) = schema.get("items") else {
-            return Value::Array(array.elements.iter().cloned().filter_map(plain).collect());
+            return Value::Array(
+                array
+                    .elements
+                    .iter()
+                    .cloned()
+                    .filter_map(untyped_value)
+                    .collect(),
+            );
         };
         let mut elements = Vec::with_capacity(array.elements.len());
         for (index, element) in array.elements.iter().enumerate() {
@@ -186,19 +193,19 @@
     fn number(&mut self, literal: &ast::NumberLit<'_>, schema: &'s Value) -> Value {
         let text = literal.value;
         let Ok(number) = text.parse::<serde_json::Number>() else {
-            let message = format!("{text} is not a number that can be read");
+            let message = format!("{text} is not a valid number");
             return self.repaired_fault(literal.start(), message, "write it in decimal", schema);
         };
-        let wants_whole = schema::type_names(schema).any(|name| name == "integer");
-        if !wants_whole {
+        let wants_integer = schema::type_names(schema).any(|name| name == "integer");
+        if !wants_integer {
             return Value::Number(number);
         }
-        let (least, greatest) = schema::bounds(schema);
-        let whole = text.parse::<i128>().ok();
-        if whole.is_some_and(|whole| (least..=greatest).contains(&whole)) {
+        let (min, max) = schema::bounds(schema);
+        let integer = text.parse::<i128>().ok();
+        if integer.is_some_and(|integer| (min..=max).contains(&integer)) {
             return Value::Number(number);
         }
-        let message = format!("{text} is not a whole number from {least} to {greatest}");
+        let message = format!("{text} is not a whole number from {min} to {max}");
         self.repaired_fault(literal.start(), message, "write one in that range", schema)
     }
 
@@ -218,7 +225,7 @@
         }
         let names = schema::names_of(schema);
         if !names.is_empty() && !names.contains(&text) {
-            let message = format!("\"{text}\" is not one of the known words");
+            let message = format!("\"{text}\" is not one of the allowed values");
             let remedy = format!("write one of: {}", names.join(", "));
             return self.repaired_fault(literal.start(), message, remedy, schema);
         }
@@ -226,8 +233,8 @@
     }
 
     fn wrong_type(&mut self, node: &ast::Value<'_>, schema: &'s Value) -> Value {
-        let message = format!("{} stands here", schema::described(node));
-        let remedy = format!("write {}", schema::wanted(self.schema, schema));
+        let message = format!("found {}", schema::described(node));
+        let remedy = format!("write {}", schema::expected(self.schema, schema));
         self.repaired_fault(node.start(), message, remedy, schema)
     }
 
@@ -257,28 +264,33 @@
     }
 }
 
-/// Whether `text` is a SHA-256 as configuration files hold it.
+/// Whether `text` is a SHA-256 hash in the format of configuration files: 64 lower-case hexadecimal
+/// digits.
 #[must_use]
 pub fn is_hash_text(text: &str) -> bool {
     let is_digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
     text.len() == 64 && text.bytes().all(is_digit)
 }
 
-/// The value of a node that no schema describes.
-fn plain(node: ast::Value<'_>) -> Option<Value> {
+/// Converts a node that no schema describes.
+fn untyped_value(node: ast::Value<'_>) -> Option<Value> {
     Some(match node {
         ast::Value::StringLit(text) => Value::String(text.value.into_owned()),
         ast::Value::NumberLit(number) => Value::Number(number.value.parse().ok()?),
         ast::Value::BooleanLit(literal) => Value::Bool(literal.value),
         ast::Value::NullKeyword(_) => Value::Null,
-        ast::Value::Array(array) => {
-            Value::Array(array.elements.into_iter().filter_map(plain).collect())
-        }
+        ast::Value::Array(array) => Value::Array(
+            array
+                .elements
+                .into_iter()
+                .filter_map(untyped_value)
+                .collect(),
+        ),
         ast::Value::Object(object) => Value::Object(
             object
                 .properties
                 .into_iter()
-                .filter_map(|it| Some((it.name.into_string(), plain(it.value)?)))
+                .filter_map(|it| Some((it.name.into_string(), untyped_value(it.value)?)))
                 .collect(),
         ),
     })
