--- a/crates/conf/src/inventory.rs
+++ b/crates/conf/src/inventory.rs
@@ -1,8 +1,9 @@
-//! The inventory: what exists, as an operator exports it from the asset register.
+//! The inventory of regions, VMs, servers, models, services and organisations, as exported by
+//! operators from the asset register.
 
 use std::{collections, net};
 
-/// Everything that exists.
+/// Regions, entry VMs, backend servers, models, services, organisations and operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -20,127 +21,130 @@
     pub services: collections::BTreeMap<String, ServiceEntry>,
     /// Organisations by name.
     pub organisations: collections::BTreeMap<String, OrganisationEntry>,
-    /// Hashes of operators' keys by operator name.
+    /// Operators by name.
     #[serde(default)]
     pub operators: collections::BTreeMap<String, OperatorEntry>,
 }
 
-/// One region.
+/// A region.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegionEntry {
-    /// Names of its failure domains; a failure domain belongs to one region.
+    /// Names of the region's failure domains; a failure domain belongs to exactly one region.
     pub failure_domains: Vec<String>,
 }
 
-/// One entry VM.
+/// An entry VM.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmEntry {
-    /// Its failure domain.
+    /// Failure domain of the VM.
     pub failure_domain: String,
-    /// Where callers and operators connect.
+    /// Address that callers and operators connect to.
     #[schemars(extend("format" = "socket-address"))]
     pub callers: net::SocketAddr,
-    /// Where the other entry VMs connect: TCP for frames, UDP for gossip, at one number.
+    /// Address that the other entry VMs connect to: TCP for frames and UDP for gossip, on the same
+    /// port.
     #[schemars(extend("format" = "socket-address"))]
     pub peers: net::SocketAddr,
 }
 
-/// One backend server.
+/// A backend server.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerEntry {
-    /// Its failure domain.
+    /// Failure domain of the server.
     pub failure_domain: String,
-    /// Where it listens.
+    /// Address that the server listens on.
     #[schemars(extend("format" = "socket-address"))]
     pub address: net::SocketAddr,
-    /// What it is.
+    /// Kind of the server.
     pub kind: ServerKind,
 }
 
-/// What a backend server is.
+/// Kind of a backend server.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ServerKind {
     /// A model engine.
     ModelEngine(EngineEntry),
-    /// A plain service server.
+    /// A server of a plain service.
     PlainService {
-        /// The service that it serves.
+        /// Name of the service.
         service: String,
     },
 }
 
-/// What is particular to a model engine.
+/// Properties of a model engine.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineEntry {
-    /// Models that it may serve; the first is loaded when nothing else is asked of it.
+    /// Models that the engine may serve; the first one is loaded unless another one is ordered.
     pub models: Vec<String>,
-    /// Whether it refuses an order that carries an old fencing number.
+    /// Whether the engine refuses orders with an outdated fencing number.
     pub checks_fencing: bool,
-    /// KV cache blocks that it has.
+    /// Number of KV cache blocks.
     pub kv_blocks: u32,
-    /// Tokens in one block.
+    /// Number of tokens per KV cache block.
     pub block_tokens: u32,
-    /// Generations that it runs at once at the most.
+    /// Maximum number of concurrent generations.
     pub max_batch: u32,
 }
 
-/// One model.
+/// A model.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelEntry {
-    /// The version that is wanted in force.
+    /// Version that the engines should serve.
     pub version: String,
-    /// Adapters that are wanted beside it.
+    /// Adapters that the engines should load in addition to the model.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// Engines that must serve it at any moment, also while a version is rolled out.
+    /// Minimum number of engines that must serve the model at any time, including during the
+    /// rollout of a version.
     #[serde(default)]
     pub min_engines: u32,
-    /// Longest prompt and output together, in tokens.
+    /// Maximum length of prompt and output together, in tokens.
     pub context_tokens: u32,
 }
 
-/// One plain service.
+/// A plain service.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEntry {
-    /// Path prefixes whose calls are not idempotent: they need a key and run at most once.
+    /// Path prefixes whose calls are not idempotent; such calls require an idempotency key and run
+    /// at most once.
     #[serde(default)]
     pub non_idempotent_paths: Vec<String>,
-    /// Calls that one server runs at once.
+    /// Maximum number of concurrent calls per server.
     pub max_concurrency: u32,
 }
 
-/// One organisation.
+/// An organisation.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationEntry {
-    /// SHA-256 of each API key, in hexadecimal; two are valid while a key is rotated.
+    /// SHA-256 hash of each API key, in hexadecimal; two keys may be valid while a key is rotated.
     #[schemars(inner(regex(pattern = "^[0-9a-f]{64}$")))]
     pub key_hashes: Vec<String>,
-    /// Home region, whose entry VMs its callers are told.
+    /// Home region; callers are directed to the entry VMs of this region.
     pub region: String,
 }
 
-/// One operator.
+/// An operator.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorEntry {
-    /// SHA-256 of each key, in hexadecimal.
+    /// SHA-256 hash of each key, in hexadecimal; two keys may be valid while a key is rotated.
     #[schemars(inner(regex(pattern = "^[0-9a-f]{64}$")))]
     pub key_hashes: Vec<String>,
 }
--- a/crates/conf/src/rules.rs
+++ b/crates/conf/src/rules.rs
@@ -1,65 +1,67 @@
-//! The rules: what operators want of the traffic.
+//! The rules that operators set for traffic: classes, limits, timeouts, admission and retries.
 
 use std::collections;
 
 use base::class;
 
-/// All rules. Every field has a default, so that an empty file is valid.
+/// All rules. Every field has a default, so an empty file is valid.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RuleSet {
-    /// Which class a request gets; the first match wins, else `normal`.
+    /// Rules that assign traffic classes; the first matching rule applies, and a request that
+    /// matches none is `normal`.
     pub classes: Vec<ClassRule>,
-    /// Limits and weights by organisation; an absent one has the defaults.
+    /// Limits and weights by organisation; organisations without an entry use
+    /// `default_organisation`.
     pub organisations: collections::BTreeMap<String, OrganisationRule>,
-    /// Defaults for organisations without a rule of their own.
+    /// Limits and weight of organisations without an entry in `organisations`.
     pub default_organisation: OrganisationRule,
-    /// Time limits by class.
+    /// Time limits of requests, connections and stored results.
     pub time_limits: TimeLimits,
-    /// How admission treats each class.
+    /// Admission of each class.
     pub admission: AdmissionRules,
     /// Retries.
     pub retries: RetryRules,
-    /// Entry VMs that an organisation is told.
+    /// List of entry VMs that callers receive.
     pub entries: EntryRules,
 }
 
-/// Gives a class to the requests that match every field present.
+/// Assigns a class to the requests that match every field present.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassRule {
-    /// Organisations that it is for; absent: all.
+    /// Organisations that the rule applies to; absent: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub organisations: Option<Vec<String>>,
-    /// Models that it is for; absent: all.
+    /// Models that the rule applies to; absent: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub models: Option<Vec<String>>,
-    /// Services that it is for; absent: all.
+    /// Services that the rule applies to; absent: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub services: Option<Vec<String>>,
-    /// Value of the caller's `X-Traffic-Class` header that it is for; absent: any.
+    /// Value of the caller's `X-Traffic-Class` header that the rule applies to; absent: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requested: Option<class::TrafficClass>,
-    /// The class that they get.
+    /// Class of matching requests.
     pub class: class::TrafficClass,
 }
 
-/// Limits and weight of one organisation, over all entry VMs together.
+/// Limits and weight of an organisation, across all entry VMs.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OrganisationRule {
-    /// Weight in the fair share of tokens among organisations; 1 is usual.
+    /// Weight of the organisation in the fair sharing of tokens; normally 1.
     pub weight: f64,
-    /// Requests a second; absent: unlimited.
+    /// Requests per second; absent: unlimited.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub requests_per_second: Option<f64>,
-    /// Generated tokens a second; absent: unlimited.
+    /// Generated tokens per second; absent: unlimited.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tokens_per_second: Option<f64>,
-    /// Generations at once; absent: unlimited.
+    /// Concurrent generations; absent: unlimited.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub concurrent_generations: Option<u32>,
 }
@@ -80,17 +82,17 @@
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TimeLimits {
-    /// An urgent request that has no first token after this is refused.
+    /// Time to the first token after which an urgent request is refused.
     pub urgent_first_token_ms: u64,
-    /// A normal request that has no first token after this is refused.
+    /// Time to the first token after which a normal request is refused.
     pub normal_first_token_ms: u64,
-    /// A plain service call ends after this.
+    /// Timeout of a plain service call.
     pub service_call_ms: u64,
-    /// A connection to a model engine that shows nothing for this long is given up.
+    /// Time without data after which a connection to a model engine is treated as failed.
     pub silent_connection_ms: u64,
-    /// The result of deferrable work is kept this long for its caller.
+    /// How long the result of a deferrable request is kept for its caller.
     pub result_kept_ms: u64,
-    /// An idempotency key is recognised for this long; older ones are refused.
+    /// How long an idempotency key is recognised; older keys are refused.
     pub idempotency_window_ms: u64,
 }
 
@@ -107,16 +109,16 @@
     }
 }
 
-/// Chance of running out of engine memory that admission accepts, by class, from 0 to 1.
+/// Probability of running out of engine memory that admission accepts, by class, from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmissionRules {
-    /// For urgent requests.
+    /// Accepted probability for urgent requests.
     pub urgent_overflow_chance: f64,
-    /// For normal requests.
+    /// Accepted probability for normal requests.
     pub normal_overflow_chance: f64,
-    /// For deferrable requests.
+    /// Accepted probability for deferrable requests.
     pub deferrable_overflow_chance: f64,
 }
 
@@ -135,9 +137,9 @@
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RetryRules {
-    /// Retries as a fraction of first tries.
+    /// Maximum number of retries as a fraction of first attempts.
     pub budget_fraction: f64,
-    /// Tries of one request, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub max_tries: u32,
 }
 
@@ -150,14 +152,14 @@
     }
 }
 
-/// Naming of entry VMs to callers.
+/// List of entry VMs that callers receive.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EntryRules {
-    /// Entry VMs named to one organisation.
+    /// Number of entry VMs in the list of an organisation.
     pub per_organisation: u32,
-    /// How long callers keep the answer, in milliseconds.
+    /// How long callers cache the list, in milliseconds.
     pub keep_ms: u64,
 }
 
