--- a/crates/conf/tests/follow/fuzz.rs
+++ b/crates/conf/tests/follow/fuzz.rs
@@ -1,6 +1,6 @@
 //! Random histories of followers against the plain oracle, with fixed seeds.
 
-use crate::world::{self, World};
+use crate::cluster::{self, World};
 use conf::{checkpoint, part};
 
 const HISTORIES: u64 = 2_000;
@@ -138,7 +138,7 @@
     let Some(state) = world.vms[vm].follower.state().cloned() else {
         return;
     };
-    let mut records = checkpoint::records(&state, world::PART_BYTES);
+    let mut records = checkpoint::records(&state, cluster::PART_BYTES);
     match world.below(4) {
         0 => world.append(b"{\"part\":{}}\nrubbish".to_vec()),
         1 => world.echoes.extend(records),
@@ -154,7 +154,7 @@
             let text = checkpoint::encode(&other);
             let kind = part::PartKind::Checkpoint(state.offer());
             let id = base::id::RecordId(world.below(u64::MAX).into());
-            let records = part::split(kind, id, &text, world::PART_BYTES);
+            let records = part::split(kind, id, &text, cluster::PART_BYTES);
             records.into_iter().for_each(|record| world.append(record));
         }
     }
@@ -163,7 +163,7 @@
 /// Whether another VM in touch has what this one has in force. The newest state that only one
 /// VM holds while the log is down is lost with that VM, whatever the design.
 fn can_be_replaced(world: &World, vm: usize) -> bool {
-    let held = |vm: &world::VmWorld| vm.follower.in_force().map_or(0, |offer| offer.revision);
+    let held = |vm: &cluster::VmWorld| vm.follower.in_force().map_or(0, |offer| offer.revision);
     let newest = world.vms.iter().map(held).max();
     world.vms.iter().enumerate().any(|(index, other)| {
         index != vm && !other.is_cut && held(other) > 0 && Some(held(other)) == newest
@@ -204,7 +204,7 @@
     for _ in 0..120 {
         world.pass(250);
         let newest = world.oracle.revision();
-        let revision = |vm: &world::VmWorld| vm.follower.in_force().map(|offer| offer.revision);
+        let revision = |vm: &cluster::VmWorld| vm.follower.in_force().map(|offer| offer.revision);
         if world.vms.iter().all(|vm| revision(vm) == Some(newest)) {
             return;
         }
--- a/crates/conf/tests/follow/main.rs
+++ b/crates/conf/tests/follow/main.rs
@@ -1,5 +1,5 @@
-//! The follower among others: random histories against an oracle, and situations with names.
+//! Tests of a cluster of followers: random histories against an oracle, and single scenarios.
 
+mod cluster;
 mod fuzz;
 mod situations;
-mod world;
--- a/crates/conf/tests/follow/situations.rs
+++ b/crates/conf/tests/follow/situations.rs
@@ -1,6 +1,6 @@
 //! The follower in the situations that have names.
 
-use crate::world::{self, World};
+use crate::cluster::{self, World};
 use conf::{checkpoint, event, state};
 use serde_json::json;
 
@@ -10,7 +10,7 @@
     world.publish_first();
     run(&mut world, 2_000);
     world.publish(1, json!({"rules": {"entries": {"keep_ms": 7_000}}}));
-    run(&mut world, 2 * world::RETENTION_MS);
+    run(&mut world, 2 * cluster::RETENTION_MS);
     assert!(world.first > 0, "the log has dropped its beginning");
     world
 }
@@ -77,7 +77,7 @@
     let mut world = grown();
     world.vms[0].is_cut = true;
     world.publish(2, json!({"rules": {"entries": {"keep_ms": 9_000}}}));
-    run(&mut world, 2 * world::RETENTION_MS);
+    run(&mut world, 2 * cluster::RETENTION_MS);
     assert_eq!(
         (revision(&world, 0), revision(&world, 1)),
         (Some(2), Some(3))
@@ -116,7 +116,7 @@
         .oracle
         .revisions
         .push(serde_json::to_value(&*known).expect("serializable"));
-    for record in checkpoint::records(&restored, world::PART_BYTES) {
+    for record in checkpoint::records(&restored, cluster::PART_BYTES) {
         world.append(record);
     }
     let last = world.oracle.after.len() - 1;
