--- a/crates/conf/tests/follow/cluster.rs
+++ b/crates/conf/tests/follow/cluster.rs
@@ -1,5 +1,5 @@
-//! A small world for followers: a log with faults, VMs that come and go, operators that race, and
-//! an oracle that applies every change in the plainest way.
+//! A small test cluster: a log with injected faults, VMs that are replaced, operators that publish
+//! concurrently, and an oracle that applies every change as plain JSON.
 
 use std::{collections, time::Duration};
 
@@ -14,9 +14,9 @@
 use tokio::time;
 
 pub const RETENTION_MS: u64 = 60_000;
-/// Small, so that checkpoints and large changes need several records.
+/// Small enough that checkpoints and large changes need several records.
 pub const PART_BYTES: usize = 1_200;
-const LONGEST_OUTAGE_MS: u64 = 20_000;
+const MAX_OUTAGE_MS: u64 = 20_000;
 
 pub const SIZE: sample::SampleSize = sample::SampleSize {
     regions: 1,
@@ -28,14 +28,14 @@
     organisations: 3,
 };
 
-/// Applies changes as plain JSON; knows the outcome of every change and every revision.
+/// Reference implementation: applies changes as plain JSON and records every outcome and revision.
 #[derive(Default)]
 pub struct PlainOracle {
     /// Configuration of each revision.
     pub revisions: Vec<Value>,
     /// Revision after each record.
     pub after: Vec<u64>,
-    /// Accepted revision, or nothing for a refused one, by change.
+    /// Revision that each accepted change produced, or `None` for a refused change.
     pub decided: collections::BTreeMap<id::RecordId, Option<u64>>,
     parts: collections::BTreeMap<id::RecordId, collections::BTreeMap<u32, String>>,
 }
@@ -60,8 +60,8 @@
                 let parts = self.parts.entry(header.id).or_default();
                 parts.insert(header.index, text.to_owned());
                 if parts.len() == header.count as usize {
-                    let whole: String = parts.values().map(String::as_str).collect();
-                    self.decide(whole.as_bytes());
+                    let text: String = parts.values().map(String::as_str).collect();
+                    self.decide(text.as_bytes());
                 }
             }
             Some(_) => {}
@@ -94,25 +94,25 @@
     }
 }
 
-/// One VM of the world.
-pub struct VmWorld {
+/// A VM of the test cluster.
+pub struct TestVm {
     pub name: String,
     pub follower: follow::ConfigFollower,
-    /// Answers on their way, by the time when the work is done.
+    /// Actions in progress, with the times at which they complete.
     queue: Vec<(u64, FollowAction)>,
-    /// Neither log nor peers reach it.
-    pub is_cut: bool,
-    /// No peer reaches it, the log does.
-    is_alone: bool,
+    /// Whether the VM is cut off from both the log and its peers.
+    pub is_partitioned: bool,
+    /// Whether the VM is cut off from its peers only.
+    is_unreachable_by_peers: bool,
     highest: Option<offer::StateOffer>,
-    /// Records in the log when this life began.
-    born_at: u64,
+    /// Number of records in the log when this incarnation started.
+    started_at_offset: u64,
     was_ready: bool,
-    /// Whether another VM ever gave it its state.
-    was_given: bool,
+    /// Whether the VM ever received a state from another VM.
+    received_state: bool,
 }
 
-pub struct World {
+pub struct TestCluster {
     pub rng: rand_chacha::ChaCha8Rng,
     start: time::Instant,
     pub now_ms: u64,
@@ -121,18 +121,19 @@
     pub is_log_up: bool,
     log_down_ms: u64,
     pub loses_answers: bool,
-    pub vms: Vec<VmWorld>,
+    pub vms: Vec<TestVm>,
     pub oracle: PlainOracle,
-    /// Records whose answer was lost, or checkpoints of long ago; they may come again.
-    pub echoes: Vec<Vec<u8>>,
-    drawn: u128,
-    /// Changes of which only some parts were appended.
+    /// Records that may be appended later: repeats after a lost response, records that could not be
+    /// appended, and old checkpoints.
+    pub repeats: Vec<Vec<u8>>,
+    last_id: u128,
+    /// Number of changes of which only some parts were appended at first.
     abandoned: usize,
 }
 
-impl World {
+impl TestCluster {
     pub fn new(seed: u64) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             start: time::Instant::now(),
             now_ms: 1_000_000,
@@ -143,18 +144,18 @@
             loses_answers: false,
             vms: Vec::new(),
             oracle: PlainOracle::new(),
-            echoes: Vec::new(),
-            drawn: 0,
+            repeats: Vec::new(),
+            last_id: 0,
             abandoned: 0,
         };
         for vm in 0..SIZE.entry_vms {
-            let fresh = world.fresh(vm);
-            world.vms.push(fresh);
+            let fresh = cluster.fresh(vm);
+            cluster.vms.push(fresh);
         }
-        world
+        cluster
     }
 
-    pub fn pace() -> pace::FollowSettings {
+    pub fn follow_settings() -> pace::FollowSettings {
         pace::FollowSettings {
             page_records: 40,
             lookback_records: 16,
@@ -168,27 +169,27 @@
         }
     }
 
-    fn fresh(&self, vm: usize) -> VmWorld {
+    fn fresh(&self, vm: usize) -> TestVm {
         let name = format!("entry-{vm:03}");
-        VmWorld {
-            follower: follow::ConfigFollower::new(name.clone(), Self::pace()),
+        TestVm {
+            follower: follow::ConfigFollower::new(name.clone(), Self::follow_settings()),
             name,
             queue: Vec::new(),
-            is_cut: false,
-            is_alone: false,
+            is_partitioned: false,
+            is_unreachable_by_peers: false,
             highest: None,
-            born_at: self.log.len() as u64,
+            started_at_offset: self.log.len() as u64,
             was_ready: false,
-            was_given: false,
+            received_state: false,
         }
     }
 
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub fn random_below(&mut self, bound: u64) -> u64 {
         self.rng.next_u64() % bound
     }
 
     pub fn chance(&mut self, percent: u64) -> bool {
-        self.below(100) < percent
+        self.random_below(100) < percent
     }
 
     fn clock(&self) -> keeper::ClockReading {
@@ -199,17 +200,17 @@
         }
     }
 
-    /// The whole of a deployment as the first change.
-    pub fn publish_first(&mut self) {
+    /// Publishes a complete deployment as the first change.
+    pub fn publish_initial(&mut self) {
         let empty = document::Configuration::default();
         let patch = change::difference(&empty, &sample::configuration(SIZE));
         self.publish(0, patch);
     }
 
     pub fn publish(&mut self, base_revision: u64, patch: Value) -> id::RecordId {
-        self.drawn += 1;
-        let id = id::RecordId(self.drawn);
-        let author = format!("operator-{}", self.drawn % 3);
+        self.last_id += 1;
+        let id = id::RecordId(self.last_id);
+        let author = format!("operator-{}", self.last_id % 3);
         let change = change::ConfigChange {
             id,
             base_revision,
@@ -221,11 +222,12 @@
         if records[0].len() > PART_BYTES {
             let text = serde_json::to_string(&change).expect("serializable");
             records = part::split(part::PartKind::Change, id, &text, PART_BYTES);
-            // The operator dies in the middle of a large change; another may go on with it.
-            if self.drawn > 1 && self.abandoned < 3 && self.chance(30) {
+            // The operator fails in the middle of a large change; the remaining parts may be
+            // appended later.
+            if self.last_id > 1 && self.abandoned < 3 && self.chance(30) {
                 self.abandoned += 1;
-                let kept = 1 + self.below(records.len() as u64 - 1) as usize;
-                self.echoes.extend(records.drain(kept..));
+                let kept = 1 + self.random_below(records.len() as u64 - 1) as usize;
+                self.repeats.extend(records.drain(kept..));
             }
         }
         for record in records {
@@ -233,7 +235,7 @@
                 self.append(record.clone());
             }
             if !self.is_log_up || self.chance(20) {
-                self.echoes.push(record);
+                self.repeats.push(record);
             }
         }
         id
@@ -244,19 +246,25 @@
         self.log.push((self.now_ms, record));
     }
 
-    /// A change that an operator could make who last saw `base`; some are invalid.
-    pub fn draw_patch(&mut self) -> Value {
-        let name = format!("organisation-{:05}", self.below(6));
-        let hash = format!("{:064x}", self.below(5));
-        match self.below(9) {
+    /// A random change that an operator could make; some are invalid.
+    pub fn random_patch(&mut self) -> Value {
+        let name = format!("organisation-{:05}", self.random_below(6));
+        let hash = format!("{:064x}", self.random_below(5));
+        match self.random_below(9) {
             0 | 1 => {
                 json!({"inventory": {"organisations": {name: {"key_hashes": [hash], "region": "region-0"}}}})
             }
             2 => json!({"inventory": {"organisations": {name: null}}}),
-            3 => json!({"rules": {"organisations": {name: {"weight": self.below(4) as f64}}}}),
+            3 => {
+                json!({"rules": {"organisations": {name: {"weight": self.random_below(4) as f64}}}})
+            }
             4 => json!({"rules": {"organisations": {name: null}}}),
-            5 => json!({"rules": {"time_limits": {"silent_connection_ms": 800 + self.below(500)}}}),
-            6 => json!({"inventory": {"models": {"model-0": {"min_engines": self.below(3)}}}}),
+            5 => {
+                json!({"rules": {"time_limits": {"silent_connection_ms": 800 + self.random_below(500)}}})
+            }
+            6 => {
+                json!({"inventory": {"models": {"model-0": {"min_engines": self.random_below(3)}}}})
+            }
             7 => json!({"inventory": {"operators": {name: {"key_hashes": [hash]}}}}),
             _ => {
                 let many = (0..20).map(|it| {
@@ -270,15 +278,15 @@
         }
     }
 
-    /// Lets time pass: retention, offers, ticks, answers.
-    pub fn pass(&mut self, step_ms: u64) {
+    /// Advances the time and applies retention, offers, ticks and completed actions.
+    pub fn advance(&mut self, step_ms: u64) {
         self.now_ms += step_ms;
         self.log_down_ms = if self.is_log_up {
             0
         } else {
             self.log_down_ms + step_ms
         };
-        if self.log_down_ms > LONGEST_OUTAGE_MS {
+        if self.log_down_ms > MAX_OUTAGE_MS {
             self.is_log_up = true;
         }
         let kept = self
@@ -287,24 +295,25 @@
             .position(|(at_ms, _)| at_ms + RETENTION_MS > self.now_ms);
         self.first = self.first.max(kept.unwrap_or(self.log.len()) as u64);
         for vm in 0..self.vms.len() {
-            self.gossip(vm);
-            self.give(vm, FollowEvent::Tick);
+            self.receive_offer(vm);
+            self.deliver(vm, FollowEvent::Tick);
             self.finish_work(vm);
         }
     }
 
-    fn gossip(&mut self, vm: usize) {
-        let peer = self.below(self.vms.len() as u64) as usize;
-        let is_lone = |vm: &VmWorld| vm.is_cut || vm.is_alone;
-        if peer == vm || is_lone(&self.vms[vm]) || is_lone(&self.vms[peer]) {
+    fn receive_offer(&mut self, vm: usize) {
+        let peer = self.random_below(self.vms.len() as u64) as usize;
+        let is_cut_off = |vm: &TestVm| vm.is_partitioned || vm.is_unreachable_by_peers;
+        if peer == vm || is_cut_off(&self.vms[vm]) || is_cut_off(&self.vms[peer]) {
             return;
         }
         let name = self.vms[peer].name.clone();
-        // A lost datagram shows nothing; a late one shows what was in force before.
+        // Only one random peer is received from per step, so the last offer of the others stays in
+        // place, as after a lost or late datagram.
         if let Some(offer) = self.vms[peer].follower.in_force() {
-            self.give(vm, FollowEvent::Offer { peer: name, offer });
+            self.deliver(vm, FollowEvent::Offer { peer: name, offer });
         } else {
-            self.give(vm, FollowEvent::PeerDeparted { peer: name });
+            self.deliver(vm, FollowEvent::PeerDeparted { peer: name });
         }
     }
 
@@ -316,13 +325,13 @@
         let done: Vec<(u64, FollowAction)> = done;
         for (_, action) in done {
             if let Some(event) = self.perform(vm, action) {
-                self.give(vm, event);
+                self.deliver(vm, event);
             }
         }
     }
 
     fn perform(&mut self, vm: usize, action: FollowAction) -> Option<FollowEvent> {
-        let is_reached = self.is_log_up && !self.vms[vm].is_cut;
+        let is_reached = self.is_log_up && !self.vms[vm].is_partitioned;
         Some(match action {
             FollowAction::Read { .. } if !is_reached => FollowEvent::ReadFailed,
             FollowAction::Read { from, .. } if from < self.first => {
@@ -352,7 +361,7 @@
                     return Some(FollowEvent::AppendFailed);
                 }
                 if self.chance(10) {
-                    self.echoes.push(record.clone());
+                    self.repeats.push(record.clone());
                 }
                 self.append(record);
                 if self.loses_answers && self.chance(50) {
@@ -367,9 +376,12 @@
     }
 
     fn fetch(&mut self, vm: usize, peer: String) -> FollowEvent {
-        let giver = self.vms.iter().find(|it| it.name == peer && !it.is_cut);
-        let transfer = giver.and_then(|giver| giver.follower.transfer());
-        let is_lost = self.vms[vm].is_cut || self.chance(10);
+        let sender = self
+            .vms
+            .iter()
+            .find(|it| it.name == peer && !it.is_partitioned);
+        let transfer = sender.and_then(|sender| sender.follower.transfer());
+        let is_lost = self.vms[vm].is_partitioned || self.chance(10);
         match transfer.filter(|_| !is_lost) {
             None => FollowEvent::FetchFailed { peer },
             Some(mut transfer) => {
@@ -384,16 +396,16 @@
         }
     }
 
-    fn give(&mut self, vm: usize, event: FollowEvent) {
+    fn deliver(&mut self, vm: usize, event: FollowEvent) {
         let clock = self.clock();
-        let is_given = matches!(event, FollowEvent::State { .. });
+        let is_state = matches!(event, FollowEvent::State { .. });
         let actions = self.vms[vm].follower.handle(event, clock);
-        self.vms[vm].was_given |= is_given;
+        self.vms[vm].received_state |= is_state;
         for action in actions {
             if let FollowAction::Decided { id, verdict, .. } = &action {
                 self.assert_verdict(*id, verdict);
             }
-            let due_ms = self.now_ms + self.below(400);
+            let due_ms = self.now_ms + self.random_below(400);
             self.vms[vm].queue.push((due_ms, action));
         }
         self.assert_vm(vm);
@@ -411,7 +423,7 @@
         );
     }
 
-    /// What must hold of a VM at any moment.
+    /// Asserts the invariants of a VM.
     fn assert_vm(&mut self, vm: usize) {
         let (after, revisions) = (&self.oracle.after, &self.oracle.revisions);
         let vm = &mut self.vms[vm];
@@ -427,7 +439,11 @@
             state.offset()
         );
         let Some(offer) = vm.follower.in_force() else {
-            assert_eq!(vm.highest, None, "{} lost what was in force", vm.name);
+            assert_eq!(
+                vm.highest, None,
+                "{} lost its configuration in force",
+                vm.name
+            );
             return;
         };
         if vm
@@ -438,13 +454,21 @@
             assert_eq!(value, revisions[revision as usize], "revision {revision}");
         }
         if let Some(highest) = vm.highest {
-            assert!(offer.offset >= highest.offset, "{} went back", vm.name);
-            assert!(offer.revision >= highest.revision, "{} reverted", vm.name);
+            assert!(
+                offer.offset >= highest.offset,
+                "the offset of {} decreased",
+                vm.name
+            );
+            assert!(
+                offer.revision >= highest.revision,
+                "the revision of {} decreased",
+                vm.name
+            );
         }
-        if !vm.was_ready && !vm.was_given {
+        if !vm.was_ready && !vm.received_state {
             assert!(
-                offer.offset >= vm.born_at,
-                "{} serves an old prefix",
+                offer.offset >= vm.started_at_offset,
+                "{} serves an old prefix of the log",
                 vm.name
             );
         }
@@ -452,31 +476,31 @@
         vm.highest = Some(offer);
     }
 
-    /// A new machine in the place of an old one.
+    /// Replaces a VM with a fresh one of the same name.
     pub fn replace(&mut self, vm: usize) {
         self.vms[vm] = self.fresh(vm);
     }
 
-    /// A machine that has never been there, for which no peer answers.
-    pub fn add_stranger(&mut self) {
+    /// Adds a fresh VM that cannot reach its peers.
+    pub fn add_vm_without_peers(&mut self) {
         let mut fresh = self.fresh(self.vms.len());
-        fresh.is_alone = true;
+        fresh.is_unreachable_by_peers = true;
         self.vms.push(fresh);
     }
 
-    /// Whether a fresh VM can start from the log alone, with some time to read it. Where outages
-    /// leave no time to write a checkpoint within retention it cannot, and the last VM with the
-    /// state must stay.
-    pub fn is_log_enough(&self) -> bool {
-        let young_ms = self.now_ms.saturating_sub(RETENTION_MS * 2 / 3);
-        let young = self.log.iter().position(|(at_ms, _)| *at_ms > young_ms);
-        let young = young.unwrap_or(self.log.len()) as u64;
+    /// Whether a fresh VM can start from the log alone and has some time to read it. It cannot if
+    /// outages left no time to write a checkpoint within the retention period; the last VM with the
+    /// state must then not be replaced.
+    pub fn can_start_from_log(&self) -> bool {
+        let oldest_ms = self.now_ms.saturating_sub(RETENTION_MS * 2 / 3);
+        let retained_from = self.log.iter().position(|(at_ms, _)| *at_ms > oldest_ms);
+        let retained_from = retained_from.unwrap_or(self.log.len()) as u64;
         let mut search = checkpoint::CheckpointSearch::default();
-        let mut records = self.log.iter().enumerate().skip(young as usize);
+        let mut records = self.log.iter().enumerate().skip(retained_from as usize);
         let mut is_usable = |(offset, (_, body)): (usize, &(u64, Vec<u8>))| {
             let found = search.add(offset as u64, body).ok().flatten();
-            found.is_some_and(|found| found.state.offset() >= young)
+            found.is_some_and(|found| found.state.offset() >= retained_from)
         };
-        young == 0 || records.any(&mut is_usable)
+        retained_from == 0 || records.any(&mut is_usable)
     }
 }
--- a/crates/conf/tests/follow/fuzz.rs
+++ b/crates/conf/tests/follow/fuzz.rs
@@ -1,68 +1,69 @@
-//! Random histories of followers against the plain oracle, with fixed seeds.
+//! Random histories of followers with fixed seeds, compared with the oracle.
 
-use crate::cluster::{self, World};
+use crate::cluster::{self, TestCluster};
 use conf::{checkpoint, part};
 
 const HISTORIES: u64 = 2_000;
-/// The histories are shared out to as many tests, which run side by side.
-const SHARES: u64 = 8;
+/// Number of tests that the histories are distributed over, so that they run in parallel.
+const SHARD_COUNT: u64 = 8;
 const STEPS: u64 = 70;
 
-/// Operators race, answers are lost, old records are dropped, checkpoints come from several VMs
-/// and again from long ago, VMs are replaced and cut off: every VM always has the oracle's
-/// configuration of its offset, nothing in force ever goes back, and after healing all agree and
-/// a fresh VM starts from the log alone.
-fn accepted_configuration_never_reverts(share: u64) {
+/// Guards against accepted changes that are lost or reverted. Operators publish concurrently,
+/// responses are lost, old records are dropped, several VMs write checkpoints, old checkpoints are
+/// repeated, and VMs are replaced or partitioned. Every VM must always have the oracle's
+/// configuration at its offset, its revision must never decrease, and once the faults have ended
+/// all VMs must agree and a fresh VM must start from the log alone.
+fn accepted_configuration_never_reverts(shard: u64) {
     let mut counts = Counts::default();
-    for seed in (share..HISTORIES).step_by(SHARES as usize) {
+    for seed in (shard..HISTORIES).step_by(SHARD_COUNT as usize) {
         println!("seed {seed}");
         run_history(seed, &mut counts);
     }
     println!("{counts:?}");
-    // A fuzz that no longer reaches what it is for must not pass.
-    let histories = HISTORIES / SHARES;
+    // Fail if the histories no longer reach the cases that they are meant to test.
+    let histories = HISTORIES / SHARD_COUNT;
     assert!(counts.changes > 5 * histories, "{counts:?}");
     assert!(counts.refused > 5 * histories, "{counts:?}");
     assert!(counts.dropped > histories / 4, "{counts:?}");
-    // Checkpoints cost appends: many VMs that write at once would crowd the log.
+    // Many VMs that write checkpoints concurrently would overload the log with appends.
     assert!(counts.part_records < 80 * histories, "{counts:?}");
     assert!(counts.replaced_in_outage > 2 * histories, "{counts:?}");
 }
 
 fn run_history(seed: u64, counts: &mut Counts) {
-    let mut world = World::new(seed);
-    world.publish_first();
+    let mut cluster = TestCluster::new(seed);
+    cluster.publish_initial();
     for _ in 0..STEPS {
-        step(&mut world, counts);
+        step(&mut cluster, counts);
     }
-    heal(&mut world);
-    counts.changes += world.oracle.revision();
-    counts.refused += world
+    end_faults(&mut cluster);
+    counts.changes += cluster.oracle.revision();
+    counts.refused += cluster
         .oracle
         .decided
         .values()
         .filter(|it| it.is_none())
         .count() as u64;
-    counts.dropped += u64::from(world.first > 0);
-    let parts = world
+    counts.dropped += u64::from(cluster.first > 0);
+    let parts = cluster
         .log
         .iter()
         .filter(|(_, record)| part::parse(record).is_some());
     counts.part_records += parts.count() as u64;
 }
 
-macro_rules! shares {
-    ($($name:ident: $share:literal,)*) => {
+macro_rules! shards {
+    ($($name:ident: $shard:literal,)*) => {
         $(
             #[test]
             fn $name() {
-                accepted_configuration_never_reverts($share);
+                accepted_configuration_never_reverts($shard);
             }
         )*
     };
 }
 
-shares! {
+shards! {
     histories_0: 0,
     histories_1: 1,
     histories_2: 2,
@@ -73,7 +74,7 @@
     histories_7: 7,
 }
 
-/// How often the histories reached what they are for.
+/// How often the histories reached the cases that they are meant to test.
 #[derive(Debug, Default)]
 struct Counts {
     changes: u64,
@@ -83,133 +84,142 @@
     replaced_in_outage: u64,
 }
 
-fn step(world: &mut World, counts: &mut Counts) {
-    let vm = world.below(world.vms.len() as u64) as usize;
-    match world.below(20) {
-        0..=6 => race(world, vm),
-        7 => world.is_log_up = !world.is_log_up,
-        8 => world.loses_answers = !world.loses_answers,
-        9 | 10 => echo(world),
-        11 if can_be_replaced(world, vm) || (world.is_log_up && world.is_log_enough()) => {
-            counts.replaced_in_outage += u64::from(!world.is_log_up);
-            world.replace(vm);
+fn step(cluster: &mut TestCluster, counts: &mut Counts) {
+    let vm = cluster.random_below(cluster.vms.len() as u64) as usize;
+    match cluster.random_below(20) {
+        0..=6 => publish_concurrently(cluster, vm),
+        7 => cluster.is_log_up = !cluster.is_log_up,
+        8 => cluster.loses_answers = !cluster.loses_answers,
+        9 | 10 => append_repeat(cluster),
+        11 if can_be_replaced(cluster, vm)
+            || (cluster.is_log_up && cluster.can_start_from_log()) =>
+        {
+            counts.replaced_in_outage += u64::from(!cluster.is_log_up);
+            cluster.replace(vm);
         }
-        12 => cut(world, vm),
-        13 => spoil(world, vm),
-        14 if !world.is_log_up => replace_all(world, counts),
+        12 => toggle_partition(cluster, vm),
+        13 => append_invalid_records(cluster, vm),
+        14 if !cluster.is_log_up => replace_all(cluster, counts),
         _ => {}
     }
-    let step_ms = 100 + world.below(1_500);
-    world.pass(step_ms);
+    let step_ms = 100 + cluster.random_below(1_500);
+    cluster.advance(step_ms);
 }
 
-/// Two operators publish against what they last saw; the second one may have seen old news.
-fn race(world: &mut World, vm: usize) {
-    let seen = world.vms[vm]
+/// Two operators publish, the first against the newest revision and the second against a revision
+/// that may be outdated.
+fn publish_concurrently(cluster: &mut TestCluster, vm: usize) {
+    let seen = cluster.vms[vm]
         .follower
         .in_force()
         .map_or(0, |offer| offer.revision);
-    let newest = world.oracle.revision();
+    let newest = cluster.oracle.revision();
     for base in [newest, seen] {
-        let patch = world.draw_patch();
-        world.publish(base, patch);
+        let patch = cluster.random_patch();
+        cluster.publish(base, patch);
     }
 }
 
-fn echo(world: &mut World) {
-    if world.is_log_up && !world.echoes.is_empty() {
-        let index = world.below(world.echoes.len() as u64) as usize;
-        let record = world.echoes.swap_remove(index);
-        world.append(record);
+fn append_repeat(cluster: &mut TestCluster) {
+    if cluster.is_log_up && !cluster.repeats.is_empty() {
+        let index = cluster.random_below(cluster.repeats.len() as u64) as usize;
+        let record = cluster.repeats.swap_remove(index);
+        cluster.append(record);
     }
 }
 
-/// At least one VM stays in touch, else the log drops what nobody has read.
-fn cut(world: &mut World, vm: usize) {
-    let connected = world.vms.iter().filter(|vm| !vm.is_cut).count();
-    world.vms[vm].is_cut = !world.vms[vm].is_cut && connected > 2;
+/// Partitions a VM or reconnects it. At least one VM always stays connected, because otherwise the
+/// log could drop records that no VM has read.
+fn toggle_partition(cluster: &mut TestCluster, vm: usize) {
+    let connected = cluster.vms.iter().filter(|vm| !vm.is_partitioned).count();
+    cluster.vms[vm].is_partitioned = !cluster.vms[vm].is_partitioned && connected > 2;
 }
 
-/// Rubbish in the log: bytes, a checkpoint of long ago later on, one with a damaged part.
-fn spoil(world: &mut World, vm: usize) {
-    if !world.is_log_up {
+/// Appends invalid records: an unparsable part, a checkpoint with a damaged part or one that does
+/// not match its offer; or schedules a checkpoint that will be outdated when it is appended.
+fn append_invalid_records(cluster: &mut TestCluster, vm: usize) {
+    if !cluster.is_log_up {
         return;
     }
-    let Some(state) = world.vms[vm].follower.state().cloned() else {
+    let Some(state) = cluster.vms[vm].follower.state().cloned() else {
         return;
     };
     let mut records = checkpoint::records(&state, cluster::PART_BYTES);
-    match world.below(4) {
-        0 => world.append(b"{\"part\":{}}\nrubbish".to_vec()),
-        1 => world.echoes.extend(records),
+    match cluster.random_below(4) {
+        0 => cluster.append(b"{\"part\":{}}\nrubbish".to_vec()),
+        1 => cluster.repeats.extend(records),
         2 => {
             let last = records.len() - 1;
             let damaged = records[last].len() - 1;
             records[last][damaged] ^= 1;
-            records.into_iter().for_each(|record| world.append(record));
+            records
+                .into_iter()
+                .for_each(|record| cluster.append(record));
         }
         _ => {
-            // Whole by its hashes, but not the state that it tells.
+            // The hashes match, but the state is not the one in the offer.
             let other = conf::state::ConfigState::new();
             let text = checkpoint::encode(&other);
             let kind = part::PartKind::Checkpoint(state.offer());
-            let id = base::id::RecordId(world.below(u64::MAX).into());
+            let id = base::id::RecordId(cluster.random_below(u64::MAX).into());
             let records = part::split(kind, id, &text, cluster::PART_BYTES);
-            records.into_iter().for_each(|record| world.append(record));
+            records
+                .into_iter()
+                .for_each(|record| cluster.append(record));
         }
     }
 }
 
-/// Whether another VM in touch has what this one has in force. The newest state that only one
-/// VM holds while the log is down is lost with that VM, whatever the design.
-fn can_be_replaced(world: &World, vm: usize) -> bool {
-    let held = |vm: &cluster::VmWorld| vm.follower.in_force().map_or(0, |offer| offer.revision);
-    let newest = world.vms.iter().map(held).max();
-    world.vms.iter().enumerate().any(|(index, other)| {
-        index != vm && !other.is_cut && held(other) > 0 && Some(held(other)) == newest
+/// Whether another connected VM holds the newest state in force. While the log is down, a state
+/// that only one VM holds is lost with that VM, which no design can prevent.
+fn can_be_replaced(cluster: &TestCluster, vm: usize) -> bool {
+    let held = |vm: &cluster::TestVm| vm.follower.in_force().map_or(0, |offer| offer.revision);
+    let newest = cluster.vms.iter().map(held).max();
+    cluster.vms.iter().enumerate().any(|(index, other)| {
+        index != vm && !other.is_partitioned && held(other) > 0 && Some(held(other)) == newest
     })
 }
 
-/// Every VM is replaced during an outage, each as soon as another one can hand the state on.
-fn replace_all(world: &mut World, counts: &mut Counts) {
-    for vm in &mut world.vms {
-        vm.is_cut = false;
+/// Replaces every VM during an outage of the log, each once another VM can pass the state on.
+fn replace_all(cluster: &mut TestCluster, counts: &mut Counts) {
+    for vm in &mut cluster.vms {
+        vm.is_partitioned = false;
     }
-    for vm in 0..world.vms.len() {
+    for vm in 0..cluster.vms.len() {
         for _ in 0..20 {
-            world.is_log_up = false;
-            if can_be_replaced(world, vm) {
+            cluster.is_log_up = false;
+            if can_be_replaced(cluster, vm) {
                 counts.replaced_in_outage += 1;
-                world.replace(vm);
+                cluster.replace(vm);
                 break;
             }
-            world.pass(200);
+            cluster.advance(200);
         }
     }
 }
 
-fn heal(world: &mut World) {
-    world.is_log_up = true;
-    world.loses_answers = false;
-    for vm in &mut world.vms {
-        vm.is_cut = false;
+fn end_faults(cluster: &mut TestCluster) {
+    cluster.is_log_up = true;
+    cluster.loses_answers = false;
+    for vm in &mut cluster.vms {
+        vm.is_partitioned = false;
     }
-    settle(world);
-    world.add_stranger();
-    settle(world);
+    settle(cluster);
+    cluster.add_vm_without_peers();
+    settle(cluster);
 }
 
-/// Until all agree, within half a minute.
-fn settle(world: &mut World) {
+/// Advances the cluster until all VMs have the newest revision in force, for at most 30 seconds.
+fn settle(cluster: &mut TestCluster) {
     for _ in 0..120 {
-        world.pass(250);
-        let newest = world.oracle.revision();
-        let revision = |vm: &cluster::VmWorld| vm.follower.in_force().map(|offer| offer.revision);
-        if world.vms.iter().all(|vm| revision(vm) == Some(newest)) {
+        cluster.advance(250);
+        let newest = cluster.oracle.revision();
+        let revision = |vm: &cluster::TestVm| vm.follower.in_force().map(|offer| offer.revision);
+        if cluster.vms.iter().all(|vm| revision(vm) == Some(newest)) {
             return;
         }
     }
-    for vm in &world.vms {
+    for vm in &cluster.vms {
         println!(
             "{}: {:?} {:?}",
             vm.name,
@@ -218,7 +228,7 @@
         );
     }
     panic!(
-        "revision {} is not in force everywhere",
-        world.oracle.revision()
+        "revision {} is not in force on all VMs",
+        cluster.oracle.revision()
     );
 }
