--- a/crates/conf/benches/configuration.rs
+++ b/crates/conf/benches/configuration.rs
@@ -1,7 +1,9 @@
-//! Parse, index, apply and catch-up at the planned size, in bytes, milliseconds and memory.
+//! Measures parsing, indexing, applying changes and catch-up at the planned deployment size, in
+//! bytes, milliseconds and memory.
 //!
-//! `cargo bench -p conf --bench configuration` prints the table of docs/MEASURES.md; every line
-//! also stands as a ratio to the indexing of the same run, which other machines can compare.
+//! `cargo bench -p conf --bench configuration` prints the table of docs/MEASURES.md. Each time is
+//! also printed as a ratio to the indexing time of the same run, to allow comparison between
+//! machines.
 
 use std::{
     fs, slice,
@@ -15,10 +17,10 @@
 };
 use serde_json::json;
 
-/// Runs of each measurement; the median counts.
+/// Number of runs of each measurement; the median is reported.
 const RUNS: usize = 5;
-/// Changes after the newest checkpoint, at the most, by the pace of the keeper.
-const TAIL: u64 = 128;
+/// Maximum number of changes after the newest checkpoint with the keeper's default settings.
+const TAIL_RECORDS: u64 = 128;
 
 fn main() {
     let configuration = sample::configuration(sample::SampleSize::PLANNED);
@@ -28,25 +30,25 @@
     measure_bytes(&configuration, &checkpoint::encode(&state), &tail);
     let previous = state.snapshot(&snapshot::ConfigSnapshot::default());
     let table = TimeTable {
-        unit: median(|| drop(state.snapshot(&previous))),
+        indexing: median(|| drop(state.snapshot(&previous))),
     };
     let organisations = configuration.inventory.organisations.len();
     println!("| step, {organisations} organisations | time | to indexing |");
     println!("| --- | --- | --- |");
-    table.show("index a revision", table.unit);
+    table.show("index a revision", table.indexing);
     measure_files(&table, &configuration);
     measure_changes(&table, &state, &tail);
     measure_catch_up(&table, &state, &tail);
 }
 
-/// Prints durations beside that of the indexing.
+/// Prints durations and their ratio to the indexing time.
 struct TimeTable {
-    unit: Duration,
+    indexing: Duration,
 }
 
 impl TimeTable {
     fn show(&self, name: &str, duration: Duration) {
-        let ratio = duration.as_secs_f64() / self.unit.as_secs_f64();
+        let ratio = duration.as_secs_f64() / self.indexing.as_secs_f64();
         println!(
             "| {name} | {:.1} ms | {ratio:.3} |",
             duration.as_secs_f64() * 1e3
@@ -138,7 +140,8 @@
     }
 }
 
-/// Changes of one organisation each, behind `state`: in the rules and in the inventory in turn.
+/// Records of changes on top of `state`, each of one organisation, alternating between the rules
+/// and the inventory.
 fn tail(state: &state::ConfigState) -> Vec<Vec<u8>> {
     let record = |number: u64| {
         let name = sample::organisation_name(usize::try_from(number).expect("small") * 7);
@@ -151,17 +154,17 @@
             .records()
             .remove(0)
     };
-    (0..TAIL).map(record).collect()
+    (0..TAIL_RECORDS).map(record).collect()
 }
 
 fn replay(state: &mut state::ConfigState, records: &[Vec<u8>]) {
     for record in records {
         let verdict = state.apply(state.offset(), record);
-        let is_fine = matches!(
+        let is_applied = matches!(
             verdict,
             state::ApplyVerdict::Accepted { .. } | state::ApplyVerdict::Part
         );
-        assert!(is_fine, "{verdict:?}");
+        assert!(is_applied, "{verdict:?}");
     }
 }
 
@@ -176,11 +179,11 @@
     let mut offset = 1_000;
     for record in records {
         offset += 1;
-        if let Some(found) = search.add(offset, record).expect("whole") {
+        if let Some(found) = search.add(offset, record).expect("valid checkpoint") {
             return found.state;
         }
     }
-    panic!("the checkpoint is not whole");
+    panic!("the checkpoint is incomplete");
 }
 
 fn catch_up(records: &[Vec<u8>], tail: &[Vec<u8>]) {
@@ -208,8 +211,8 @@
     );
 }
 
-/// Resident memory before and after, with the allocator's own overhead; the first thing that the
-/// process does, so that nothing that was freed before hides the growth.
+/// Measures the growth of resident memory, including allocator overhead. This must run first in the
+/// process, so that memory freed earlier does not hide the growth.
 fn measure_memory(configuration: &document::Configuration) {
     let organisations = configuration.inventory.organisations.len() as u64;
     let before = resident_bytes();
--- a/crates/conf/tests/enumeration.rs
+++ b/crates/conf/tests/enumeration.rs
@@ -1,8 +1,8 @@
-//! Every interleaving of two operators and three readers over a small log.
+//! Explores every interleaving of two operators and three readers over a small log.
 //!
-//! The readers are alike, so states that differ only in which reader is which count once. What a
-//! reader has is told by the prefix of the log that it stands for; that the code under test gives
-//! the same state for it by every way is asserted wherever a way ends.
+//! The readers are interchangeable, so states that differ only by a permutation of the readers
+//! count once. The state of a reader is represented by its prefix of the log; wherever a reader
+//! adopts a state, the test asserts that it equals the state replayed from that prefix.
 
 use std::collections;
 
@@ -10,14 +10,15 @@
 use conf::{change, checkpoint, document, part, state};
 use serde_json::json;
 
-/// Changes of each operator.
-const CHANGES: [u8; 2] = [2, 1];
-/// Appends whose answer may be lost, readers that may be replaced, checkpoints, cuts of the log.
+/// Number of changes of each operator.
+const CHANGES_PER_OPERATOR: [u8; 2] = [2, 1];
+/// Maximum numbers of appends with a lost response, replaced readers, checkpoints and truncations of
+/// the log.
 const BUDGET: Budget = Budget {
     lost: 1,
     replaced: 1,
     checkpoints: 1,
-    cuts: 1,
+    truncations: 1,
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -25,7 +26,7 @@
     lost: u8,
     replaced: u8,
     checkpoints: u8,
-    cuts: u8,
+    truncations: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -36,29 +37,30 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Operator {
-    /// Has made so many changes.
+    /// Has made this number of changes.
     Idle(u8),
-    /// Has seen this revision and is about to append.
+    /// Has read the revision `base` and is about to append.
     Ready { number: u8, base: u8 },
-    /// Appended, and does not know it.
-    Unsure { number: u8, base: u8 },
+    /// Has appended, but the response was lost.
+    Unacknowledged { number: u8, base: u8 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     log: Vec<Entry>,
     first: u8,
-    /// Offset up to which each reader has applied the log; ascending.
+    /// Offset up to which each reader has applied the log, in ascending order; `None` for a reader
+    /// without a state.
     readers: [Option<u8>; 3],
     operators: [Operator; 2],
     budget: Budget,
 }
 
-/// Real states by prefix of the log.
+/// States of the code under test by prefix of the log.
 #[derive(Default)]
 struct Replay {
     known: collections::HashMap<Vec<Entry>, state::ConfigState>,
-    /// Outcomes of giving the state of one offset to a reader of another.
+    /// Whether a reader at one offset adopts the state of another offset.
     adopted: collections::HashMap<(Vec<Entry>, Option<u8>, u8), bool>,
 }
 
@@ -100,7 +102,7 @@
     }
 }
 
-/// The first changes of both operators touch the same place, the second one another.
+/// The first changes of both operators touch the same path, the second change a different one.
 fn change_of(operator: u8, number: u8, base: u8) -> change::ConfigChange {
     let value = 1_000 + u32::from(operator) * 10 + u32::from(number);
     change::ConfigChange {
@@ -115,7 +117,7 @@
     }
 }
 
-/// The verdict is the one that the plain reading of the log gives.
+/// Asserts that the verdict follows from the log prefix by the simplest reading of the rules.
 fn assert_verdict(
     prefix: &[Entry],
     last: Entry,
@@ -171,11 +173,13 @@
     for reader in 0..3 {
         reader_moves(node, reader, replay, &mut next);
     }
-    if node.budget.cuts > 0 && newest_checkpoint(node).is_some_and(|offset| offset > node.first) {
-        let mut cut = node.clone();
-        cut.first = newest_checkpoint(node).unwrap_or_default();
-        cut.budget.cuts -= 1;
-        next.push(cut);
+    if node.budget.truncations > 0
+        && newest_checkpoint(node).is_some_and(|offset| offset > node.first)
+    {
+        let mut truncated = node.clone();
+        truncated.first = newest_checkpoint(node).unwrap_or_default();
+        truncated.budget.truncations -= 1;
+        next.push(truncated);
     }
     for node in &mut next {
         node.readers.sort_unstable();
@@ -197,7 +201,7 @@
         next.push(other);
     };
     match node.operators[operator] {
-        Operator::Idle(number) if number < CHANGES[operator] => {
+        Operator::Idle(number) if number < CHANGES_PER_OPERATOR[operator] => {
             let seen: collections::BTreeSet<u8> = node.readers.iter().flatten().copied().collect();
             for offset in seen {
                 let base = replay.revision(&node.log[..offset as usize]);
@@ -208,10 +212,14 @@
         Operator::Ready { number, base } => {
             push(Operator::Idle(number + 1), Some((number, base)), 0);
             if node.budget.lost > 0 {
-                push(Operator::Unsure { number, base }, Some((number, base)), 1);
+                push(
+                    Operator::Unacknowledged { number, base },
+                    Some((number, base)),
+                    1,
+                );
             }
         }
-        Operator::Unsure { number, base } => {
+        Operator::Unacknowledged { number, base } => {
             push(Operator::Idle(number + 1), Some((number, base)), 0);
         }
     }
@@ -236,8 +244,8 @@
     if own.is_none() && node.first == 0 {
         push(Some(0), 0);
     }
-    let given = node.readers.iter().flatten().copied();
-    for offset in given.chain(newest_checkpoint(node)) {
+    let received = node.readers.iter().flatten().copied();
+    for offset in received.chain(newest_checkpoint(node)) {
         if adopt(node, own, offset, replay) {
             push(Some(offset), 0);
         }
@@ -251,21 +259,21 @@
     }
 }
 
-/// Whether a reader takes over the state of `offset`; it does when that is newer, never else.
+/// Whether a reader adopts the state of `offset`; asserts that it does so only if that is newer.
 fn adopt(node: &Node, own: Option<u8>, offset: u8, replay: &mut Replay) -> bool {
-    let longest = own.unwrap_or_default().max(offset);
-    let log = &node.log[..longest as usize];
+    let max_offset = own.unwrap_or_default().max(offset);
+    let log = &node.log[..max_offset as usize];
     let key = (log.to_vec(), own, offset);
     if let Some(is_adopted) = replay.adopted.get(&key) {
         return *is_adopted;
     }
-    let given = replay.state(&log[..offset as usize]);
-    let text = checkpoint::encode(&given);
+    let received = replay.state(&log[..offset as usize]);
+    let text = checkpoint::encode(&received);
     let hash = base::fingerprint::ContentHash::of(text.as_bytes());
-    let given = checkpoint::decode(&text, hash, &given.offer()).expect("whole");
+    let received = checkpoint::decode(&text, hash, &received.offer()).expect("valid");
     let is_adopted = own.is_none_or(|own| {
         let mut state = replay.state(&log[..own as usize]);
-        let is_adopted = state.adopt(given).is_ok();
+        let is_adopted = state.adopt(received).is_ok();
         assert_eq!(is_adopted, offset > own, "{node:?}");
         let kept = if is_adopted { offset } else { own };
         assert_eq!(state, replay.state(&log[..kept as usize]), "{node:?}");
@@ -296,10 +304,10 @@
     let mut replay = Replay::default();
     let mut seen = collections::HashSet::from([start.clone()]);
     let mut queue = vec![start];
-    let mut last_states = 0_u64;
+    let mut terminal_states = 0_u64;
     while let Some(node) = queue.pop() {
         let next = successors(&node, &mut replay);
-        last_states += u64::from(next.is_empty());
+        terminal_states += u64::from(next.is_empty());
         for node in next {
             if seen.insert(node.clone()) {
                 queue.push(node);
@@ -307,13 +315,13 @@
         }
     }
     println!(
-        "{} states, {} logs, {last_states} without a move",
+        "{} states, {} logs, {terminal_states} without a successor",
         seen.len(),
         replay.known.len()
     );
     assert!(
         seen.len() > 100_000,
-        "the enumeration has shrunk: {}",
+        "the enumeration reached only {} states",
         seen.len()
     );
 }
--- a/crates/conf/tests/examples.rs
+++ b/crates/conf/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The committed examples are valid and say what the README beside them says.
+//! The committed examples are valid and agree with their README.
 
 use std::{fs, path};
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn both_deployments_have_the_size_of_today() {
+fn example_deployments_have_the_documented_size() {
     for (name, model, service, vms) in [
         ("pass-works", "review-llm", "pass-app", 9),
         ("ridebook", "pollen-lm", "ridebook-app", 7),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_keys_of_the_readme_are_the_keys_of_the_files() {
+fn the_keys_in_the_readme_match_the_files() {
     let snapshots = [
         ("pass-works", index(example("pass-works"))),
         ("ridebook", index(example("ridebook"))),
@@ -78,7 +78,7 @@
     assert_eq!(found, 24);
 }
 
-/// Organisation, target, what the caller asked for, and the class by the rules of Pass Works.
+/// Organisation, target, requested class and resulting class by the rules of Pass Works.
 const CLASS_CASES: [(
     &str,
     snapshot::RequestTarget<'_>,
@@ -109,7 +109,7 @@
 };
 
 #[test]
-fn classes_follow_the_first_rule_that_matches() {
+fn the_first_matching_rule_determines_the_class() {
     let snapshot = index(example("pass-works"));
     for (name, target, requested, class) in CLASS_CASES {
         let organisation = snapshot.organisation_key(name).expect("known");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn no_spelling_of_a_path_escapes_its_rule() {
+fn every_spelling_of_a_path_matches_its_rule() {
     let snapshot = index(example("pass-works"));
     for path in [
         "charges",
--- a/crates/conf/tests/faults.rs
+++ b/crates/conf/tests/faults.rs
@@ -1,4 +1,4 @@
-//! A wrong file gets all its faults at once, each with its place and its remedy.
+//! All faults of an invalid file are reported at once, each with its location and remedy.
 
 use std::fs;
 
@@ -8,7 +8,7 @@
 /// A pair of files with faults of every kind.
 const INVENTORY: &str = include_str!("wrong-files/inventory.jsonc");
 const RULES: &str = include_str!("wrong-files/rules.jsonc");
-/// Place and beginning of each of their faults, in the order of the report.
+/// Location and beginning of each fault of the two files, in the order of the report.
 const EXPECTED: &str = include_str!("wrong-files/faults.txt");
 
 fn parse(inventory: &str, rules: &str) -> Result<document::Configuration, fault::FaultList> {
@@ -25,28 +25,28 @@
 }
 
 #[test]
-fn every_fault_of_both_files_is_told_at_once() {
-    let faults = parse(INVENTORY, RULES).expect_err("the files are wrong");
-    let told: Vec<String> = faults.faults.iter().map(ToString::to_string).collect();
+fn all_faults_of_both_files_are_reported_at_once() {
+    let faults = parse(INVENTORY, RULES).expect_err("the files are invalid");
+    let messages: Vec<String> = faults.faults.iter().map(ToString::to_string).collect();
     let expected: Vec<&str> = EXPECTED.lines().collect();
-    for (told, expected) in told.iter().zip(&expected) {
+    for (message, expected) in messages.iter().zip(&expected) {
         assert!(
-            told.starts_with(expected),
-            "told {told}\nexpected {expected}"
+            message.starts_with(expected),
+            "reported {message}\nexpected {expected}"
         );
     }
-    assert_eq!(told.len(), expected.len(), "{}", told.join("\n"));
+    assert_eq!(messages.len(), expected.len(), "{}", messages.join("\n"));
 }
 
 #[test]
-fn a_fault_that_only_follows_from_another_is_left_out() {
+fn a_fault_that_only_follows_from_another_is_not_reported() {
     let broken = r#"{
       "regions": { "west": { "failure_domains": "a" } },
       "entry_vms": { "entry-1": { "failure_domain": "a", "callers": "127.0.0.1:80", "peers": "127.0.0.1:81" } },
       "backend_servers": {}, "models": {}, "organisations": []
     }"#;
     let rules = r#"{ "organisations": { "one": {} } }"#;
-    let faults = parse(broken, rules).expect_err("the file is wrong");
+    let faults = parse(broken, rules).expect_err("the file is invalid");
     let paths: Vec<String> = faults
         .faults
         .iter()
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn text_that_is_no_json_is_told_where_it_ends() {
+fn every_fault_of_text_that_is_not_json_has_a_location() {
     for text in [
         "{",
         "",
@@ -79,7 +79,7 @@
     }
 }
 
-/// Settings of a daemon, for the generic reader.
+/// Settings of a daemon, for the generic parser.
 #[derive(Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn settings_of_daemons_are_checked_the_same_way() {
+fn daemon_settings_are_validated_like_configurations() {
     let cases = [
         (
             "{ \"least\": 3, // so\n \"greatest\": 2, \"address\": \"127.0.0.1:1\" }",
@@ -129,10 +129,10 @@
     );
 }
 
-/// The examples with some bytes replaced, removed, repeated: nothing panics, every fault has a
-/// place within the file and a remedy, and what is accepted is valid.
+/// Parses the examples with characters inserted, removed or repeated: the parser must not panic,
+/// and every fault must have a location within its file and a remedy.
 #[test]
-fn no_text_makes_the_parser_panic_or_lose_a_place() {
+fn the_parser_neither_panics_nor_loses_a_location_on_mutated_text() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/ridebook/");
     let read = |file| fs::read_to_string(format!("{root}{file}")).expect("committed");
     let (inventory, rules) = (read("inventory.jsonc"), read("rules.jsonc"));
@@ -162,7 +162,7 @@
             assert!(!fault.remedy.is_empty(), "seed {seed}: {fault}");
         }
     }
-    assert!(refused > 1_000, "only {refused} were refused");
+    assert!(refused > 1_000, "only {refused} texts were refused");
 }
 
 fn mutated(text: &str, rng: &mut rand_chacha::ChaCha8Rng) -> String {
--- a/crates/conf/tests/reference.rs
+++ b/crates/conf/tests/reference.rs
@@ -1,6 +1,6 @@
-//! The committed schemas and the operators' page are those of the types.
+//! The committed schemas and the operators' page match the types.
 //!
-//! `POLLENCHUTE_WRITE_REFERENCE=1 cargo test -p conf --test reference` writes them anew.
+//! `POLLENCHUTE_WRITE_REFERENCE=1 cargo test -p conf --test reference` regenerates them.
 
 use std::{env, fs, path};
 
@@ -26,7 +26,7 @@
     let committed = fs::read_to_string(path_of(file)).unwrap_or_default();
     assert!(
         committed == wanted,
-        "docs/{file} is not current; see the head of this test file"
+        "docs/{file} is out of date; regenerate it as described at the top of this test file"
     );
 }
 
--- a/crates/conf/tests/snapshot.rs
+++ b/crates/conf/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Keys and entry VMs of a snapshot.
+//! Stability of keys and selection of entry VMs in a snapshot.
 
 use std::collections;
 
@@ -8,11 +8,11 @@
     snapshot::ConfigSnapshot::default().next(1, 1, sample::configuration(size).into())
 }
 
-/// Symptom: requests of one organisation are counted for another after a change.
-/// Sequence: an organisation is removed, a new one is added, a request still holds the old key.
-/// Cause: a key that is used again; keys carry a generation and never resolve to another name.
+/// Guards against requests that are attributed to the wrong organisation. An organisation is
+/// removed and another one added while a request still holds the old key. Keys carry a generation,
+/// so a key is never reused and never resolves to another name.
 #[test]
-fn keys_outlive_revisions_and_are_never_used_again() {
+fn keys_stay_valid_across_revisions_and_are_never_reused() {
     let before = first(sample::SampleSize::TODAY);
     let names: Vec<String> = before.inventory().organisations.keys().cloned().collect();
     let mut configuration = sample::configuration(sample::SampleSize::TODAY);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn entries_spread_over_failure_domains_and_first_places_fall_evenly() {
+fn entries_cover_failure_domains_and_first_positions_are_balanced() {
     let size = sample::SampleSize {
         organisations: 8_000,
         ..sample::SampleSize::TODAY
--- a/crates/conf/tests/state.rs
+++ b/crates/conf/tests/state.rs
@@ -1,4 +1,4 @@
-//! Races, repeats, parts and rollbacks on the log, one by one.
+//! Concurrent changes, duplicates, parts and rollbacks on the log.
 
 use base::id;
 use conf::{change, check, checkpoint, document, part, sample, state};
@@ -24,7 +24,7 @@
     verdict
 }
 
-/// Revision 1 is a whole deployment.
+/// A state whose revision 1 is a complete deployment.
 fn started() -> state::ConfigState {
     let mut state = state::ConfigState::new();
     let patch = change::difference(
@@ -44,11 +44,11 @@
     json!({"rules": {"retries": {"max_tries": max_tries}}})
 }
 
-/// Symptom: an operator's change vanishes without a word.
-/// Sequence: two operators look at revision 1; both publish; the second one's base is old.
-/// Cause: without a base revision the later record would overwrite what its author never saw.
+/// Guards against a change that silently overwrites another one. Several operators publish, one of
+/// them against an old base revision. Without the base revision the later record would overwrite
+/// changes that its author never saw.
 #[test]
-fn the_loser_of_a_race_learns_who_changed_what() {
+fn a_conflict_reports_who_changed_what() {
     let mut state = started();
     apply(&mut state, &change(2, 1, "ann", keep(7_000)));
     apply(&mut state, &change(3, 2, "bob", tries(2)));
@@ -72,7 +72,7 @@
     assert_eq!(state.configuration().rules.entries.keep_ms, 7_000);
     let apart = change(5, 2, "eve", keep(9_000));
     let state::ApplyVerdict::Conflict(report) = apply(&mut state, &apart) else {
-        panic!("a change against an old revision is refused, also where nothing overlaps");
+        panic!("a change against an old revision was not refused");
     };
     assert!(report.overlapping.is_empty() && report.is_complete);
     let again = change(6, 3, "eve", keep(9_000));
@@ -82,9 +82,9 @@
     );
 }
 
-/// Symptom: a change comes back after another operator has undone it.
-/// Sequence: the answer to an append is lost, its writer appends again, meanwhile others went on.
-/// Cause: the log holds one change twice; the second record must have no effect.
+/// Guards against a change that takes effect again after another operator replaced it. The response
+/// to an append is lost and the writer appends again, while another change was accepted in between.
+/// The log then holds the change twice, and the second record must have no effect.
 #[test]
 fn a_repeated_record_has_no_effect() {
     let mut state = started();
@@ -112,11 +112,11 @@
     assert_eq!((state.revision(), state.offset()), (1, 2));
 }
 
-/// Symptom: half of a large change is in force.
-/// Sequence: a change of many records is appended, another operator's record lies between them.
-/// Cause: the parts are one change; it is decided where the last of them lies, by the base then.
+/// Guards against a large change that is applied in part. Its records are interleaved with a change
+/// of another operator. The parts form one change, which is decided at the last part, against the
+/// revision in force there.
 #[test]
-fn a_large_change_is_decided_as_one() {
+fn a_large_change_is_decided_atomically() {
     let mut state = started();
     let patch = json!({"inventory": {"regions": {"r": {"failure_domains": ["d"]}}}});
     let large = change(2, 1, "ann", patch);
@@ -142,11 +142,11 @@
     );
 }
 
-/// Symptom: a change that was appended whole never takes effect.
-/// Sequence: one of its parts is damaged on its way; the part is appended again.
-/// Cause: had the damaged one counted, the whole would not match its hash and all would be lost.
+/// Guards against a completely appended change that never takes effect. One part is damaged in
+/// transit and appended again. If the damaged part were kept, the reassembled text would not match
+/// its hash and the change would be lost.
 #[test]
-fn a_damaged_part_spoils_no_others() {
+fn a_damaged_part_does_not_invalidate_the_others() {
     let mut state = started();
     let large = change(2, 1, "ann", tries(2));
     let text = serde_json::to_string(&large).expect("serializable");
@@ -165,11 +165,11 @@
     );
 }
 
-/// Symptom: half of one text and half of another are in force together.
-/// Sequence: parts that each match their own hash make a whole that is not the one they tell.
-/// Cause: a faulty writer; the hash of the whole is compared when the last part comes.
+/// Guards against a mixture of two texts that takes effect. A faulty writer appends parts that each
+/// match their own hash but do not add up to the announced text, so the hash of the complete text
+/// is compared at the last part.
 #[test]
-fn parts_that_do_not_make_their_whole_are_refused() {
+fn parts_whose_text_does_not_match_its_hash_are_refused() {
     let mut state = started();
     let large = change(2, 1, "ann", tries(2));
     let text = serde_json::to_string(&large).expect("serializable");
@@ -211,11 +211,11 @@
     assert_eq!(state.configuration_at(9), None);
 }
 
-/// Symptom: one VM goes by rules that nobody published.
-/// Sequence: it takes over a state from a VM that read another log, or a damaged checkpoint.
-/// Cause: offsets of two logs cannot be compared; the chain of changes tells them apart.
+/// Guards against a VM with rules that were never published, adopted from a VM that read another
+/// log or from a damaged checkpoint. Offsets of different logs cannot be compared; the hash chain
+/// of the changes distinguishes the logs.
 #[test]
-fn a_state_of_another_history_or_a_damaged_one_is_not_taken_over() {
+fn a_damaged_state_or_one_of_another_log_is_not_adopted() {
     let mut state = started();
     let mut other = state.clone();
     apply(&mut state, &change(2, 1, "ann", keep(7_000)));
@@ -234,15 +234,16 @@
     assert!(checkpoint::decode(&damaged, hash, &other.offer()).is_err());
     assert!(checkpoint::decode(&text, hash, &state.offer()).is_err());
     assert_eq!(
-        checkpoint::decode(&text, hash, &other.offer()).expect("whole"),
+        checkpoint::decode(&text, hash, &other.offer()).expect("valid"),
         other
     );
 }
 
-/// A patch goes through the named entries only and checks only these again; the outcome must be
-/// that of the whole document, merged and checked as plain JSON, and the way back must lead back.
+/// A patch converts and validates only the entries that it names. The result must be the same as
+/// when the complete document is merged and validated as plain JSON, and the reverse patch must
+/// restore the original.
 #[test]
-fn patching_a_part_is_patching_the_whole() {
+fn a_partial_patch_equals_a_patch_of_the_complete_document() {
     let start = sample::configuration(sample::SampleSize::TODAY);
     let (mut accepted, mut refused) = (0, 0);
     for seed in 0..3_000 {
@@ -267,7 +268,7 @@
             None => refused += 1,
             Some(reverse) => {
                 patched.patch(&reverse).expect("it was valid before");
-                assert_eq!(patched, start, "seed {seed}: {patch} back by {reverse}");
+                assert_eq!(patched, start, "seed {seed}: {patch} reverted by {reverse}");
                 accepted += 1;
             }
         }
