--- a/crates/conf/src/follow.rs
+++ b/crates/conf/src/follow.rs
@@ -70,7 +70,7 @@
                 self.continue_search(clock);
             }
             FollowEvent::Dropped { first } => self.on_dropped(first),
-            FollowEvent::ReadFailed => self.on_read_fault(clock),
+            FollowEvent::ReadFailed => self.on_read_failed(clock),
             FollowEvent::Offer { peer, offer } => self.on_offer(peer, offer, &mut actions),
             FollowEvent::PeerDeparted { peer } => self.peers.remove(&peer),
             FollowEvent::State { peer, transfer } => self.on_state(&peer, &transfer, &mut actions),
@@ -221,7 +221,7 @@
         self.keeper.restart_search();
     }
 
-    fn on_read_fault(&mut self, clock: ClockReading) {
+    fn on_read_failed(&mut self, clock: ClockReading) {
         self.is_reading = false;
         self.is_log_live = false;
         self.read_after = Some(clock.now + self.settings.retry_after);
--- a/crates/conf/src/inventory_check.rs
+++ b/crates/conf/src/inventory_check.rs
@@ -79,7 +79,7 @@
     ) {
         let path = ["inventory", field[0], field[1], field[2]];
         if address.port() == 0 || address.ip().is_unspecified() {
-            let message = format!("nobody can connect to {address}");
+            let message = format!("no client can connect to {address}");
             self.fault(&path, message, "write the address and port that others use");
         }
         if let Some(owner) = owners.insert(address, field) {
--- a/crates/conf/src/keeper.rs
+++ b/crates/conf/src/keeper.rs
@@ -43,8 +43,8 @@
     pub newest: Option<SeenCheckpoint>,
     /// When record 0 was appended, if it was read.
     pub start_ms: Option<u64>,
-    /// Number of records after the newest checkpoint that are not parts, neither of checkpoints nor
-    /// of large changes.
+    /// Number of records after the newest checkpoint that are not parts of checkpoints or of large
+    /// changes.
     pub records_since: u64,
 }
 
--- a/crates/conf/src/part.rs
+++ b/crates/conf/src/part.rs
@@ -149,7 +149,7 @@
 }
 
 impl PartTable {
-    /// Adds the part that lies at `offset`.
+    /// Adds the part at `offset`.
     pub fn add(&mut self, offset: u64, header: &PartHeader, text: &str) -> PartOutcome {
         if header.index >= header.count
             || header.count > MAX_PART_COUNT
--- a/crates/conf/tests/enumeration.rs
+++ b/crates/conf/tests/enumeration.rs
@@ -149,9 +149,9 @@
             assert!(!is_repeated && is_current, "{prefix:?} {last:?}");
             assert_eq!(*revision, before.revision() + 1);
             let patch = change_of(operator, number, base).patch;
-            let wanted: document::Configuration =
+            let expected: document::Configuration =
                 before.configuration().patched(&patch).expect("valid");
-            assert_eq!(**after.configuration(), wanted);
+            assert_eq!(**after.configuration(), expected);
         }
         state::ApplyVerdict::Conflict(report) => {
             assert!(!is_repeated && !is_current, "{prefix:?} {last:?}");
--- a/crates/conf/tests/reference.rs
+++ b/crates/conf/tests/reference.rs
@@ -19,13 +19,13 @@
     env::var_os("POLLENCHUTE_WRITE_REFERENCE").is_some()
 }
 
-fn assert_current(file: &str, wanted: &str) {
+fn assert_current(file: &str, expected: &str) {
     if is_writing() {
-        fs::write(path_of(file), wanted).expect("docs/ can be written");
+        fs::write(path_of(file), expected).expect("docs/ can be written");
     }
     let committed = fs::read_to_string(path_of(file)).unwrap_or_default();
     assert!(
-        committed == wanted,
+        committed == expected,
         "docs/{file} is out of date; regenerate it as described at the top of this test file"
     );
 }
