--- a/crates/trace/src/clock.rs
+++ b/crates/trace/src/clock.rs
@@ -1,4 +1,4 @@
-//! Hybrid logical clocks: stamps near the wall clock that never run backwards and that order an
+//! Hybrid logical clocks: timestamps close to the wall clock that never decrease and that order an
 //! event after every event that could have caused it.
 
 use std::sync::atomic;
@@ -7,27 +7,27 @@
 const LOGICAL_BITS: u32 = 16;
 const LOGICAL_MASK: u64 = (1 << LOGICAL_BITS) - 1;
 
-/// A moment: milliseconds of the wall clock, then a counter within the millisecond.
+/// A hybrid timestamp: milliseconds of the wall clock and a counter within the millisecond.
 ///
-/// Both stand in one number (48 bits and 16 bits), so that comparing is one instruction and a full
-/// counter carries into the next millisecond by itself. JSON and text carry `<ms>.<counter>`.
+/// Both are packed into one integer (48 bits and 16 bits), so that a comparison is one instruction
+/// and a counter overflow carries into the millisecond. JSON and text use `<ms>.<counter>`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HybridStamp(u64);
 
 impl HybridStamp {
-    /// The first stamp of millisecond `wall_ms` plus `logical`.
+    /// Creates the stamp with counter `logical` within millisecond `wall_ms`.
     #[must_use]
     pub const fn new(wall_ms: u64, logical: u16) -> Self {
         Self((wall_ms << LOGICAL_BITS) | logical as u64)
     }
 
-    /// The stamp that a peer sent as one number.
+    /// Decodes a stamp from the integer that a peer sent.
     #[must_use]
     pub const fn from_bits(bits: u64) -> Self {
         Self(bits)
     }
 
-    /// The stamp as one number, for the wire.
+    /// Encodes the stamp as one integer for the wire.
     #[must_use]
     pub const fn bits(self) -> u64 {
         self.0
@@ -56,7 +56,7 @@
     }
 }
 
-/// The text is not `<ms>.<counter>`.
+/// Error for a text that is not `<ms>.<counter>`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StampError;
 
@@ -96,34 +96,34 @@
     }
 }
 
-/// What became of a peer's stamp.
+/// Result of merging a peer's stamp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Every later stamp here is greater than the peer's.
+    /// The stamp was merged: every later stamp of this process is greater.
     Merged,
-    /// The peer's stamp lies further ahead than clocks may differ; it was left out.
+    /// The stamp exceeds the maximum clock drift and was ignored.
     TooFarAhead {
-        /// How far it lies before this VM's wall clock.
+        /// Milliseconds by which the stamp is ahead of this VM's wall clock.
         ahead_ms: u64,
     },
 }
 
-/// One process's clock. Threads share it; stamps that it hands out are all different.
+/// The hybrid logical clock of one process. Threads share it; the stamps it issues are unique.
 ///
-/// It reads no clock: callers pass the wall clock's milliseconds.
+/// It does not read the wall clock: callers pass its milliseconds.
 #[derive(Debug)]
 pub struct HybridClock {
-    /// The newest stamp handed out or merged; only ever grows.
+    /// The newest stamp issued or merged; never decreases.
     last: atomic::AtomicU64,
-    /// Stamps of peers further ahead than this are left out.
+    /// Stamps of peers further ahead than this are ignored.
     max_drift_ms: u64,
 }
 
 impl HybridClock {
-    /// How far clocks of healthy VMs are taken to differ at the most.
+    /// Maximum clock difference assumed between healthy VMs.
     pub const DEFAULT_DRIFT_MS: u64 = 2_000;
 
-    /// A clock that follows peers up to `max_drift_ms` ahead of its own wall clock.
+    /// Creates a clock that follows peers up to `max_drift_ms` ahead of its own wall clock.
     #[must_use]
     pub const fn new(max_drift_ms: u64) -> Self {
         Self {
@@ -132,19 +132,19 @@
         }
     }
 
-    /// The stamp of an event that happens now, greater than all before it.
+    /// Issues the stamp of an event that happens now, greater than all earlier stamps.
     ///
-    /// A wall clock that was set back would otherwise order an effect before its cause: then the
-    /// wall part stands still and the counter runs until the wall clock has caught up.
+    /// When the wall clock is set back, the wall part stays constant and the counter advances until
+    /// the wall clock has caught up; otherwise an effect could be ordered before its cause.
     pub fn tick(&self, now_ms: u64) -> HybridStamp {
         self.advance(HybridStamp::new(now_ms, 0))
     }
 
-    /// Takes in the stamp of a message from a peer, so that what follows is ordered after it.
+    /// Merges the stamp of a message from a peer, so that later events are ordered after it.
     ///
-    /// One VM with a clock an hour ahead would drag every other an hour ahead, for good, since
-    /// stamps never go back. A stamp beyond the bound is therefore left out, and the caller is
-    /// told, because the order of events against that peer is then by wall clocks alone.
+    /// Stamps never decrease, so one VM with a clock an hour ahead would move all others an hour
+    /// ahead permanently. A stamp beyond the limit is therefore ignored and reported to the caller,
+    /// because events are then ordered against that peer by wall clocks alone.
     pub fn observe(&self, now_ms: u64, peer: HybridStamp) -> MergeOutcome {
         let ahead_ms = peer.wall_ms().saturating_sub(now_ms);
         if ahead_ms > self.max_drift_ms {
@@ -154,7 +154,7 @@
         MergeOutcome::Merged
     }
 
-    /// The newest stamp so far, to be sent with a message without recording an event.
+    /// Returns the newest stamp so far, to be sent with a message without recording an event.
     pub fn newest(&self) -> HybridStamp {
         HybridStamp(self.last.load(atomic::Ordering::Acquire))
     }
--- a/crates/trace/src/event.rs
+++ b/crates/trace/src/event.rs
@@ -4,21 +4,21 @@
 
 use crate::{clock, kind};
 
-/// One event, as it leaves its process.
+/// One recorded event, in the form in which it is serialised.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 pub struct Event {
-    /// When; unique and growing within one incarnation.
+    /// Timestamp; unique and strictly increasing within one incarnation.
     pub stamp: clock::HybridStamp,
     /// The entry VM that recorded it.
     pub vm: String,
-    /// The life of its process.
+    /// Incarnation of the process that recorded it.
     pub incarnation: id::Incarnation,
-    /// Number within the incarnation, from 0, without gaps where it was recorded.
+    /// Sequence number within the incarnation, from 0, contiguous at the recording process.
     pub seq: u64,
-    /// The request that it is about.
+    /// The request that the event concerns, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<id::RequestId>,
-    /// What happened.
+    /// Kind of the event, with its fields.
     #[serde(flatten)]
     pub kind: kind::EventKind,
 }
--- a/crates/trace/src/explain.rs
+++ b/crates/trace/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why one request went where it went, waited, or was refused.
+//! Explanation of one request: how it was routed, why it waited, and why it was refused.
 
 use std::{collections, fmt::Write as _};
 
@@ -6,10 +6,10 @@
 
 use crate::{event, kind, merge, moment, text};
 
-/// Explains `request` from a time line that holds all events, not only its own.
+/// Explains `request` from a time line that holds all events, not only those of the request.
 ///
-/// Deaths and departures of the backend servers that it used are told among its own events,
-/// because they are the cause of most retries. Returns `None` when no event of it is kept.
+/// Failures and departures of the backend servers that it used are listed among its own events,
+/// because they cause most retries. Returns `None` when no event of the request is retained.
 #[must_use]
 pub fn explain(timeline: &merge::MergedTimeline, request: id::RequestId) -> Option<String> {
     let own: Vec<&event::Event> = timeline
@@ -21,10 +21,12 @@
     let start_ms = first.stamp.wall_ms();
     let mut out = format!("request {request}\n");
     if !matches!(first.kind, kind::EventKind::RequestTaken { .. }) {
-        out.push_str("  its beginning is not kept: what led up to the first line is unknown\n");
+        out.push_str(
+            "  its first events are no longer kept: what led up to the first line is unknown\n",
+        );
     }
     let mut vm = "";
-    for event in story(timeline, &own) {
+    for event in relevant_events(timeline, &own) {
         if event.vm != vm {
             let _ = writeln!(out, "  on {}:", text::clean(&event.vm));
             vm = &event.vm;
@@ -41,8 +43,8 @@
     Some(out)
 }
 
-/// The request's own events, and between them what became of the servers that it used.
-fn story<'a>(
+/// Selects the events of the request and, in its time range, those of the servers that it used.
+fn relevant_events<'a>(
     timeline: &'a merge::MergedTimeline,
     own: &[&event::Event],
 ) -> impl Iterator<Item = &'a event::Event> {
@@ -65,7 +67,7 @@
     })
 }
 
-/// Whether a gap may hide something about a request that began at `start_ms`.
+/// Returns whether a gap may hide events of a request that began at `start_ms`.
 fn may_hide(gap: &merge::TimelineGap, start_ms: u64) -> bool {
     match gap {
         merge::TimelineGap::Lost { up_to_ms, .. } => *up_to_ms >= start_ms,
@@ -74,24 +76,24 @@
 }
 
 fn outcome_text(own: &[&event::Event]) -> String {
-    let tries = own
+    let attempts = own
         .iter()
         .filter(|event| matches!(event.kind, kind::EventKind::RequestDispatched { .. }))
         .count();
     let end = own.iter().rev().find(|event| is_end(&event.kind));
-    let how = end.map_or_else(|| open_text(own), |event| sentence(&event.kind));
-    let tries_text = if tries == 1 {
-        "1 try".to_owned()
+    let end_text = end.map_or_else(|| open_text(own), |event| sentence(&event.kind));
+    let attempts_text = if attempts == 1 {
+        "1 attempt".to_owned()
     } else {
-        format!("{tries} tries")
+        format!("{attempts} attempts")
     };
     format!(
-        "{how}; {tries_text}, {} waiting here",
+        "{end_text}; {attempts_text}, {} waiting on entry VMs",
         moment::span_text(waited_ms(own))
     )
 }
 
-/// Time that the request spent waiting on entry VMs, before its first try and between tries.
+/// Time that the request waited on entry VMs, before its first attempt and between attempts.
 fn waited_ms(own: &[&event::Event]) -> u64 {
     let mut since_ms = own.first().map(|event| event.stamp.wall_ms());
     let mut waited_ms = 0;
@@ -116,7 +118,7 @@
 
 fn open_text(own: &[&event::Event]) -> String {
     let last = own.last().map_or("", |event| event.kind.name());
-    format!("not ended as far as is known (last: {last})")
+    format!("no end recorded (last event: {last})")
 }
 
 fn is_end(kind: &kind::EventKind) -> bool {
@@ -136,17 +138,17 @@
     }
 }
 
-/// An event in words.
+/// Describes an event in words.
 fn sentence(kind: &kind::EventKind) -> String {
-    let sentence = path_sentence(kind)
+    let sentence = progress_sentence(kind)
         .or_else(|| setback_sentence(kind))
         .or_else(|| server_sentence(kind))
         .unwrap_or_else(|| plain_sentence(kind));
     text::clean(&sentence)
 }
 
-/// What leads a request forward.
-fn path_sentence(kind: &kind::EventKind) -> Option<String> {
+/// Describes events that advance a request.
+fn progress_sentence(kind: &kind::EventKind) -> Option<String> {
     use kind::EventKind as Kind;
     let sentence = match kind {
         Kind::RequestTaken {
@@ -165,9 +167,9 @@
             waited_ms,
             reason,
         } => format!(
-            "sent to {server} after {} (try {attempt}{}): {reason}",
+            "sent to {server} after {} (attempt {attempt}{}): {reason}",
             moment::span_text(*waited_ms),
-            choice_text(*candidates)
+            candidates_text(*candidates)
         ),
         Kind::RequestFirstToken { server, after_ms } => {
             let after = moment::span_text(*after_ms);
@@ -179,14 +181,14 @@
             finish,
         } => {
             let after = moment::span_text(*after_ms);
-            format!("whole answer, {tokens} tokens in {after} ({finish})")
+            format!("complete answer, {tokens} tokens in {after} ({finish})")
         }
         _ => return None,
     };
     Some(sentence)
 }
 
-/// What holds a request up or ends it early.
+/// Describes events that delay a request or end it early.
 fn setback_sentence(kind: &kind::EventKind) -> Option<String> {
     use kind::EventKind as Kind;
     let sentence = match kind {
@@ -205,7 +207,7 @@
             ran,
             reason,
         } => format!(
-            "try {attempt} on {server} failed, {}: {reason}",
+            "attempt {attempt} on {server} failed, {}: {reason}",
             ran_text(*ran)
         ),
         Kind::RequestResumed {
@@ -217,9 +219,9 @@
             server,
             produced,
             reason,
-        } => format!("stopped on {server} after {produced} tokens to make room: {reason}"),
+        } => format!("stopped on {server} after {produced} tokens to free memory: {reason}"),
         Kind::RequestCancelled { ran, reason } => {
-            format!("called off, {}: {reason}", ran_text(*ran))
+            format!("cancelled, {}: {reason}", ran_text(*ran))
         }
         Kind::RequestTakenOver { from_vm, offset } => {
             format!("taken over from {from_vm} by the claim at offset {offset}")
@@ -229,7 +231,7 @@
     Some(sentence)
 }
 
-/// What became of a backend server that the request was on.
+/// Describes a state change of a backend server that the request used.
 fn server_sentence(kind: &kind::EventKind) -> Option<String> {
     use kind::EventKind as Kind;
     let sentence = match kind {
@@ -242,8 +244,8 @@
     Some(sentence)
 }
 
-/// Empty when it is not recorded how many were weighed.
-fn choice_text(candidates: u32) -> String {
+/// Describes the number of candidates; empty when it is not recorded.
+fn candidates_text(candidates: u32) -> String {
     match candidates {
         0 => String::new(),
         count => format!(", best of {count}"),
@@ -255,7 +257,7 @@
         return String::new();
     }
     format!(
-        "; told to come back after {}",
+        "; told to retry after {}",
         moment::span_text(retry_after_ms)
     )
 }
--- a/crates/trace/src/field.rs
+++ b/crates/trace/src/field.rs
@@ -1,10 +1,10 @@
-//! What every kind of event needs of the types of its fields: their size and their text.
+//! Traits that the field types of events implement: heap size and conversion to text.
 
 use base::{class, fingerprint, outcome, refusal};
 
-/// Bytes that a field holds on the heap.
+/// Heap memory that a field owns.
 pub trait HeapSize {
-    /// The bytes; 0 for what lies within its event.
+    /// Returns the bytes on the heap; 0 for types that are stored inline in the event.
     fn heap_bytes(&self) -> usize {
         0
     }
@@ -23,9 +23,9 @@
     }
 }
 
-/// A field as people read it.
+/// Human-readable text of a field.
 pub trait FieldText {
-    /// The text, without quotes.
+    /// Returns the text, without quotes.
     fn field_text(&self) -> String;
 }
 
--- a/crates/trace/src/journal.rs
+++ b/crates/trace/src/journal.rs
@@ -1,4 +1,4 @@
-//! One process's clock and ring together: what the other crates record into.
+//! The event journal of one process, its clock and its ring, into which the other crates record.
 
 use std::sync::atomic;
 
@@ -6,11 +6,11 @@
 
 use crate::{clock, event, kind, query, ring};
 
-/// A peer with a clock too far ahead is noted at most once in this time.
+/// Minimum interval between two `clock_ahead` events.
 ///
-/// Its every datagram shows the same; without the bound the note would push all else out of the
-/// ring.
-const AHEAD_NOTE_MS: u64 = 60_000;
+/// Every datagram of a peer whose clock is too far ahead would record one; without the limit these
+/// events would evict all others from the ring.
+const CLOCK_AHEAD_INTERVAL_MS: u64 = 60_000;
 
 /// Records the events of one process. Shared by all its threads.
 #[derive(Debug)]
@@ -19,12 +19,12 @@
     incarnation: id::Incarnation,
     clock: clock::HybridClock,
     ring: ring::EventRing,
-    /// Wall clock of the last [`kind::EventKind::ClockAhead`]; 0 before the first.
-    ahead_noted_ms: atomic::AtomicU64,
+    /// Wall clock at the last recorded [`kind::EventKind::ClockAhead`]; 0 before the first.
+    ahead_recorded_ms: atomic::AtomicU64,
 }
 
 impl EventJournal {
-    /// An empty journal of the process `incarnation` on `vm`.
+    /// Creates an empty journal for the process `incarnation` on `vm`.
     #[must_use]
     pub fn new(vm: String, incarnation: id::Incarnation, limits: ring::RingLimits) -> Self {
         Self {
@@ -32,27 +32,27 @@
             incarnation,
             clock: clock::HybridClock::default(),
             ring: ring::EventRing::new(limits),
-            ahead_noted_ms: atomic::AtomicU64::new(0),
+            ahead_recorded_ms: atomic::AtomicU64::new(0),
         }
     }
 
-    /// Records an event about no request in particular. `now_ms`: wall clock, since 1970.
+    /// Records an event that concerns no particular request. `now_ms`: wall clock, since 1970.
     pub fn record(&self, now_ms: u64, kind: kind::EventKind) {
         self.ring.write(|| self.clock.tick(now_ms), None, kind);
     }
 
-    /// Records an event about one request. `now_ms`: wall clock, since 1970.
+    /// Records an event that concerns one request. `now_ms`: wall clock, since 1970.
     pub fn record_for(&self, now_ms: u64, request: id::RequestId, kind: kind::EventKind) {
         self.ring
             .write(|| self.clock.tick(now_ms), Some(request), kind);
     }
 
-    /// The stamp to send with a message to a peer.
+    /// Returns the stamp to send with a message to a peer.
     pub fn stamp(&self, now_ms: u64) -> clock::HybridStamp {
         self.clock.tick(now_ms)
     }
 
-    /// Takes in the stamp that came with a message of `member`.
+    /// Merges the stamp received with a message from `member` into the clock.
     pub fn observe(
         &self,
         now_ms: u64,
@@ -61,7 +61,7 @@
     ) -> clock::MergeOutcome {
         let outcome = self.clock.observe(now_ms, stamp);
         if let clock::MergeOutcome::TooFarAhead { ahead_ms } = outcome
-            && self.may_note_ahead(now_ms)
+            && self.may_record_clock_ahead(now_ms)
         {
             let member = member.to_owned();
             self.record(now_ms, kind::EventKind::ClockAhead { member, ahead_ms });
@@ -69,7 +69,7 @@
         outcome
     }
 
-    /// What matches, in the form in which the operators' face serves it.
+    /// Returns the matching events in the form in which the operators' API serves them.
     #[must_use]
     pub fn timeline(&self, query: &query::EventQuery) -> ops::TimelineBody<event::Event> {
         let view = self.ring.read(query);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// How full the ring is.
+    /// Returns the fill level of the ring.
     #[must_use]
     pub fn usage(&self) -> ring::RingUsage {
         self.ring.usage()
@@ -104,14 +104,14 @@
         }
     }
 
-    fn may_note_ahead(&self, now_ms: u64) -> bool {
-        let noted_ms = self.ahead_noted_ms.load(atomic::Ordering::Relaxed);
-        if noted_ms != 0 && now_ms.saturating_sub(noted_ms) < AHEAD_NOTE_MS {
+    fn may_record_clock_ahead(&self, now_ms: u64) -> bool {
+        let recorded_ms = self.ahead_recorded_ms.load(atomic::Ordering::Relaxed);
+        if recorded_ms != 0 && now_ms.saturating_sub(recorded_ms) < CLOCK_AHEAD_INTERVAL_MS {
             return false;
         }
         let order = atomic::Ordering::Relaxed;
-        self.ahead_noted_ms
-            .compare_exchange(noted_ms, now_ms, order, order)
+        self.ahead_recorded_ms
+            .compare_exchange(recorded_ms, now_ms, order, order)
             .is_ok()
     }
 }
--- a/crates/trace/src/kind.rs
+++ b/crates/trace/src/kind.rs
@@ -1,4 +1,4 @@
-//! What can happen: one variant for each kind of event.
+//! The kinds of events, one variant each.
 
 use base::{class, fingerprint, outcome, refusal};
 
@@ -9,7 +9,7 @@
         $(#[$doc:meta])*
         $variant:ident = $name:literal { $( $(#[$field_doc:meta])* $field:ident: $kind:ty, )* }
     )*) => {
-        /// What happened. JSON carries the name in `kind` and the fields beside it.
+        /// Kind of an event with its fields. JSON has the name in `kind` and the fields beside it.
         #[derive(Clone, Debug, PartialEq, Eq)]
         #[derive(serde::Deserialize, serde::Serialize)]
         #[serde(tag = "kind")]
@@ -19,16 +19,16 @@
                 #[serde(rename = $name)]
                 $variant { $( $(#[$field_doc])* $field: $kind, )* },
             )*
-            /// A kind that a newer version records; its name and fields are not kept.
+            /// A kind that only a newer version knows; its name and fields are discarded.
             #[serde(other, rename = "unrecognised")]
             Unrecognised,
         }
 
         impl EventKind {
-            /// Names of all kinds, as filters and JSON write them.
+            /// Names of all kinds, as used in filters and JSON.
             pub const NAMES: &'static [&'static str] = &[$($name),*];
 
-            /// The name used in JSON, text and filters: area, underscore, what.
+            /// Returns the name used in JSON, text and filters: area, underscore, what happened.
             #[must_use]
             pub const fn name(&self) -> &'static str {
                 match self {
@@ -37,7 +37,7 @@
                 }
             }
 
-            /// Bytes that the event holds outside itself.
+            /// Returns the heap memory that the fields own, in bytes.
             #[must_use]
             #[allow(unused_variables, reason = "kinds without text have nothing to measure")]
             pub fn heap_bytes(&self) -> usize {
@@ -47,7 +47,7 @@
                 }
             }
 
-            /// Each field's name and its value as text, in the order of declaration.
+            /// Returns the name and text of each field, in the order of declaration.
             #[must_use]
             pub fn fields(&self) -> Vec<(&'static str, String)> {
                 match self {
@@ -62,283 +62,283 @@
 }
 
 event_kinds! {
-    /// An entry VM took a request from a caller.
+    /// An entry VM received a request from a caller.
     RequestTaken = "request_taken" {
-        /// Who sent it.
+        /// The organisation that sent it.
         organisation: String,
-        /// The model or service that it asks for.
+        /// The requested model or service.
         target: String,
     }
-    /// Rules gave it a class.
+    /// The rules assigned the request a traffic class.
     RequestClassified = "request_classified" {
         /// The class.
         class: class::TrafficClass,
-        /// What decided it, for instance `rule 2` or `default`.
+        /// The rule that matched, for instance `rule 2` or `default`.
         reason: String,
     }
-    /// The promise to do it is on the log.
+    /// The acceptance of a deferred request is committed to the log.
     RequestAccepted = "request_accepted" {
         /// Partition of the stream that holds it.
         partition: u32,
         /// Offset of its record.
         offset: u64,
     }
-    /// It waits here.
+    /// The request waits in the queue of this entry VM.
     RequestQueued = "request_queued" {
         /// Its class.
         class: class::TrafficClass,
-        /// Requests before it in its class.
+        /// Requests ahead of it in its class.
         ahead: u32,
-        /// Why nothing could take it at once.
+        /// Why it could not be dispatched at once.
         reason: String,
     }
-    /// It was sent to a backend server.
+    /// The request was sent to a backend server.
     RequestDispatched = "request_dispatched" {
         /// The backend server.
         server: String,
-        /// Number of the try, from 1.
+        /// Number of the attempt, from 1.
         attempt: u32,
-        /// Backend servers that were weighed; 0 when that is not recorded.
+        /// Number of backend servers considered; 0 when not recorded.
         candidates: u32,
-        /// Time since the request was taken.
+        /// Time since the request was received.
         waited_ms: u64,
-        /// Why this one.
+        /// Why this backend server was selected.
         reason: String,
     }
-    /// The first token left for the caller.
+    /// The first token was sent to the caller.
     RequestFirstToken = "request_first_token" {
-        /// The backend server that made it.
+        /// The backend server that generated it.
         server: String,
-        /// Time since the request was taken.
+        /// Time since the request was received.
         after_ms: u64,
     }
-    /// The whole answer left for the caller.
+    /// The complete answer was sent to the caller.
     RequestFinished = "request_finished" {
         /// Tokens relayed, 0 for a plain service.
         tokens: u32,
-        /// Time since the request was taken.
+        /// Time since the request was received.
         after_ms: u64,
-        /// How it ended: `stop`, `length` or an HTTP status.
+        /// Finish reason: `stop`, `length` or an HTTP status.
         finish: String,
     }
-    /// The caller was refused, or told that the rest is not coming.
+    /// The request was refused, or its answer was ended early with an error.
     RequestRefused = "request_refused" {
-        /// What it was told.
+        /// The code sent to the caller.
         code: refusal::RefusalCode,
-        /// What it was promised.
+        /// Whether it ran, as stated to the caller.
         ran: outcome::RanState,
-        /// When it was told to come back; 0 for never.
+        /// Delay after which the caller may retry; 0 for no retry.
         retry_after_ms: u64,
-        /// Why.
+        /// Why it was refused.
         reason: String,
     }
-    /// A try failed and another is made.
+    /// An attempt failed and the request is retried.
     RequestRetried = "request_retried" {
-        /// The backend server of the failed try.
+        /// The backend server of the failed attempt.
         server: String,
-        /// Number of the failed try, from 1.
+        /// Number of the failed attempt, from 1.
         attempt: u32,
-        /// Whether the failed try ran.
+        /// Whether the failed attempt ran.
         ran: outcome::RanState,
-        /// How it failed.
+        /// How the attempt failed.
         reason: String,
     }
-    /// A generation was continued over a fresh connection.
+    /// A generation was resumed over a new connection.
     RequestResumed = "request_resumed" {
         /// The backend server that holds the generation.
         server: String,
-        /// The first token asked for.
+        /// The first token requested.
         from_token: u32,
-        /// Why the earlier connection was given up.
+        /// Why the earlier connection was abandoned.
         reason: String,
     }
-    /// A generation was stopped to make room; the request waits again.
+    /// A generation was preempted to free memory; the request is queued again.
     RequestPreempted = "request_preempted" {
         /// The backend server.
         server: String,
-        /// Tokens made until then.
+        /// Tokens generated before the preemption.
         produced: u32,
-        /// Why this one was chosen.
+        /// Why this generation was selected.
         reason: String,
     }
-    /// The request was called off.
+    /// The request was cancelled.
     RequestCancelled = "request_cancelled" {
         /// Whether it ran.
         ran: outcome::RanState,
-        /// Who called it off.
+        /// Who cancelled it.
         reason: String,
     }
-    /// Another entry VM continues accepted work.
+    /// This entry VM took over an accepted request from another entry VM.
     RequestTakenOver = "request_taken_over" {
-        /// The entry VM that had it.
+        /// The entry VM that handled it before.
         from_vm: String,
-        /// Offset of the claim that settled it.
+        /// Offset of the claim that decided the takeover.
         offset: u64,
     }
-    /// A backend server may be dead.
+    /// A backend server is suspected to be dead.
     ServerSuspected = "server_suspected" {
         /// The backend server.
         server: String,
-        /// What was seen.
+        /// The evidence.
         reason: String,
     }
-    /// A backend server is taken to be dead.
+    /// A backend server is considered dead.
     ServerDead = "server_dead" {
         /// The backend server.
         server: String,
-        /// What was seen.
+        /// The evidence.
         reason: String,
     }
     /// A backend server answers, for the first time or again.
     ServerUp = "server_up" {
         /// The backend server.
         server: String,
-        /// What was seen.
+        /// The evidence.
         reason: String,
     }
     /// A backend server is leaving and gets no new work.
     ServerLeaving = "server_leaving" {
         /// The backend server.
         server: String,
-        /// Who said so: itself, the VM list, an operator, a peer.
+        /// Source of the information: the server itself, the VM list, an operator or a peer.
         source: String,
     }
-    /// A backend server has a model ready.
+    /// A backend server has finished loading a model.
     ServerLoaded = "server_loaded" {
         /// The backend server.
         server: String,
         /// The model.
         model: String,
-        /// Its version.
+        /// The version of the model.
         version: String,
     }
-    /// An entry VM joined or came back.
+    /// An entry VM joined or rejoined.
     MemberUp = "member_up" {
         /// The entry VM.
         member: String,
     }
-    /// An entry VM may be dead.
+    /// An entry VM is suspected to be dead.
     MemberSuspect = "member_suspect" {
         /// The entry VM.
         member: String,
-        /// What was seen.
+        /// The evidence.
         reason: String,
     }
-    /// An entry VM is taken to be dead.
+    /// An entry VM is considered dead.
     MemberDead = "member_dead" {
         /// The entry VM.
         member: String,
-        /// What was seen.
+        /// The evidence.
         reason: String,
     }
     /// An entry VM is leaving.
     MemberLeaving = "member_leaving" {
         /// The entry VM.
         member: String,
-        /// Who said so.
+        /// Source of the information.
         source: String,
     }
-    /// The log decided that a change stands.
+    /// A configuration change was accepted by its order on the log.
     ConfigurationAccepted = "configuration_accepted" {
-        /// The revision that it made.
+        /// The revision that the change created.
         revision: u64,
         /// Offset of its record.
         offset: u64,
         /// The operator.
         author: String,
     }
-    /// The log decided that a change does not stand.
+    /// A configuration change was refused by its order on the log.
     ConfigurationRefused = "configuration_refused" {
-        /// The revision that it was made against.
+        /// The revision that the change was based on.
         base_revision: u64,
         /// Offset of its record.
         offset: u64,
         /// The operator.
         author: String,
-        /// Which other change was first, or what is wrong with it.
+        /// The conflicting earlier change, or why the change is invalid.
         reason: String,
     }
-    /// This VM acts by a revision.
+    /// A configuration revision is in force on this VM.
     ConfigurationInForce = "configuration_in_force" {
         /// The revision.
         revision: u64,
-        /// Where it came from: `log`, `checkpoint` or a peer.
+        /// Source of the revision: `log`, `checkpoint` or a peer.
         source: String,
     }
-    /// A checkpoint of the configuration is on the log.
+    /// A checkpoint of the configuration was committed to the log.
     CheckpointWritten = "checkpoint_written" {
-        /// The revision that it holds.
+        /// The revision that the checkpoint contains.
         revision: u64,
         /// Offset of its record.
         offset: u64,
     }
-    /// This VM holds a lease.
+    /// This VM acquired a lease.
     LeaseTaken = "lease_taken" {
-        /// What it is on.
+        /// The subject of the lease.
         subject: String,
-        /// Its fencing number.
+        /// The fencing number of the lease.
         fencing: u64,
     }
     /// This VM no longer holds a lease.
     LeaseLost = "lease_lost" {
-        /// What it was on.
+        /// The subject of the lease.
         subject: String,
-        /// Its fencing number.
+        /// The fencing number of the lease.
         fencing: u64,
-        /// How it was lost.
+        /// How the lease was lost.
         reason: String,
     }
-    /// An order went to a model engine.
+    /// An order was sent to a model engine.
     OrderSent = "order_sent" {
         /// The model engine.
         server: String,
-        /// The fencing number that it carries; 0 for a server that checks none.
+        /// The fencing number in the order; 0 for a server that checks none.
         fencing: u64,
-        /// What is wanted.
+        /// The requested state.
         want: String,
     }
-    /// A model engine answered an order, or did not.
+    /// A model engine answered an order, or the order failed.
     OrderAnswered = "order_answered" {
         /// The model engine.
         server: String,
         /// The fencing number of the order.
         fencing: u64,
-        /// The answer, or what came in place of one.
+        /// The answer, or the error.
         answer: String,
     }
-    /// A claim on an idempotency key is on the log.
+    /// A claim on an idempotency key was committed to the log.
     ClaimMade = "claim_made" {
         /// Partition of the stream.
         partition: u32,
         /// Offset of its record.
         offset: u64,
     }
-    /// The outcome of a claimed call is known.
+    /// The outcome of a claimed call was determined.
     ClaimSettled = "claim_settled" {
         /// Partition of the stream.
         partition: u32,
         /// Whether the call ran.
         ran: outcome::RanState,
-        /// What decided it.
+        /// How the outcome was determined.
         reason: String,
     }
     /// Content is suspected of crashing backend servers.
     QuarantineSuspected = "quarantine_suspected" {
-        /// Its fingerprint.
+        /// Fingerprint of the content.
         fingerprint: fingerprint::ContentHash,
-        /// Deaths at which it was there.
+        /// Number of server failures while the content was being processed.
         deaths: u32,
     }
-    /// Content is refused.
+    /// Content is quarantined: requests with it are refused.
     QuarantineAdded = "quarantine_added" {
-        /// Its fingerprint.
+        /// Fingerprint of the content.
         fingerprint: fingerprint::ContentHash,
-        /// What it did.
+        /// The failures attributed to the content.
         reason: String,
     }
     /// Content is no longer refused.
     QuarantineLifted = "quarantine_lifted" {
-        /// Its fingerprint.
+        /// Fingerprint of the content.
         fingerprint: fingerprint::ContentHash,
         /// An operator's name, or `expired`.
         reason: String,
@@ -347,60 +347,60 @@
     LogDown = "log_down" {
         /// The stream.
         stream: String,
-        /// What was seen.
+        /// The evidence.
         reason: String,
     }
     /// The log answers again.
     LogUp = "log_up" {
         /// The stream.
         stream: String,
-        /// How long it did not.
+        /// How long the log did not answer.
         down_ms: u64,
     }
-    /// The weight store holds an order up.
+    /// An order waits for the weight store.
     WeightsWaiting = "weights_waiting" {
         /// The model.
         model: String,
         /// The version.
         version: String,
-        /// When it says to come back.
+        /// Retry delay given by the weight store.
         retry_after_ms: u64,
     }
-    /// Something takes no new work from here on.
+    /// Draining started: the entry VM or backend server gets no new work.
     DrainStarted = "drain_started" {
         /// The entry VM or backend server.
         subject: String,
-        /// Who asked for it.
+        /// Who requested the drain.
         source: String,
     }
-    /// Nothing runs there any more.
+    /// Draining finished: the entry VM or backend server has no running work.
     DrainFinished = "drain_finished" {
         /// The entry VM or backend server.
         subject: String,
-        /// How long it took.
+        /// Duration of the drain.
         after_ms: u64,
     }
-    /// This process began.
+    /// This process started.
     ProcessStarted = "process_started" {
         /// Version of the program.
         version: String,
     }
-    /// This process was told to end.
+    /// This process was requested to stop.
     ProcessStopping = "process_stopping" {
-        /// Who told it.
+        /// Source of the request.
         reason: String,
     }
-    /// A peer's clock is too far ahead to follow: order against it is uncertain.
+    /// A peer's clock is ahead by more than the maximum drift: the order of its events is uncertain.
     ClockAhead = "clock_ahead" {
-        /// The entry VM with that clock.
+        /// The entry VM whose clock is ahead.
         member: String,
-        /// How far ahead.
+        /// Milliseconds by which the clock is ahead.
         ahead_ms: u64,
     }
 }
 
 impl EventKind {
-    /// The backend server that the event is about.
+    /// Returns the backend server that the event concerns, if any.
     #[must_use]
     pub fn server(&self) -> Option<&str> {
         match self {
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,7 +1,7 @@
 //! The time line of events: hybrid logical clocks, event rings, merging and drawing.
 //!
-//! A process records into one [`journal::EventJournal`]; an operators' client fetches what each
-//! process kept and puts it in one causal order with [`merge::merge`].
+//! A process records into one [`journal::EventJournal`]; an operators' client fetches the retained
+//! events of each process and merges them into one causal order with [`merge::merge`].
 
 pub mod clock;
 pub mod event;
--- a/crates/trace/src/lines.rs
+++ b/crates/trace/src/lines.rs
@@ -1,4 +1,4 @@
-//! A time line as JSON lines: first what is missing, then the events, one object a line.
+//! A time line as JSON lines: first the gaps, then the events, one object per line.
 
 use crate::{event, merge};
 
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(untagged)]
 pub enum TimelineLine {
-    /// What is missing.
+    /// A gap in the time line.
     Gap(merge::TimelineGap),
-    /// One event.
+    /// A recorded event.
     Event(Box<event::Event>),
 }
 
-/// The whole time line.
+/// Renders the complete time line as JSON lines.
 ///
 /// # Errors
 /// When a line cannot be written as JSON, which no event of this crate causes.
@@ -29,7 +29,7 @@
     Ok(out)
 }
 
-/// Reads back what [`render`] wrote, for instance a saved time line.
+/// Parses the output of [`render`], for instance a saved time line.
 ///
 /// # Errors
 /// For the first line that is neither an event nor a gap.
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,4 +1,4 @@
-//! Merging what several processes recorded into one causal order.
+//! Merging the recorded events of several processes into one causal order.
 
 use std::{cmp, collections};
 
@@ -6,60 +6,60 @@
 
 use crate::{clock, event, kind};
 
-/// Events of several processes in one order, and what is missing from them.
+/// Events of several processes in one order, and the known gaps.
 ///
-/// An event stands after every event that could have caused it, and events of one process stand
-/// as that process recorded them. Concurrent events stand by their stamps, then by VM.
+/// An event follows every event that could have caused it, and events of one process keep the order
+/// in which they were recorded. Concurrent events are ordered by stamp, then by VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MergedTimeline {
-    /// The events, earliest first, each once.
+    /// The events, earliest first, without duplicates.
     pub events: Vec<event::Event>,
-    /// What cannot be seen here.
+    /// Gaps in the events.
     pub gaps: Vec<TimelineGap>,
 }
 
-/// Something that a merged time line does not show.
+/// A reason why a merged time line is incomplete or its order uncertain.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Deserialize, serde::Serialize)]
 #[serde(tag = "gap", rename_all = "snake_case")]
 pub enum TimelineGap {
-    /// A full ring dropped events.
+    /// A full ring evicted events.
     Lost {
         /// The VM.
         vm: String,
-        /// Events of every kind that it dropped since its process began.
+        /// Events of every kind evicted since the process started.
         lost: u64,
-        /// Nothing later than this was dropped; milliseconds since 1970.
+        /// Time of the newest evicted event; milliseconds since 1970.
         up_to_ms: u64,
     },
-    /// The answer was cut to its newest events.
+    /// The answer was truncated to its newest events.
     Omitted {
         /// The VM.
         vm: String,
         /// Matching events that were left out.
         omitted: u64,
     },
-    /// A VM did not answer, so nothing of it is here.
+    /// A VM did not answer, so its events are missing.
     Silent {
         /// The VM.
         vm: String,
-        /// What came in place of an answer.
+        /// Why there was no answer.
         reason: String,
     },
-    /// The clocks of two VMs differ too much to follow; the order of their events is by those
-    /// clocks alone.
+    /// The clocks of two VMs differ by more than the maximum drift; their events are ordered by
+    /// those clocks alone.
     Unordered {
-        /// The VM that noted it.
+        /// The VM that observed the difference.
         vm: String,
         /// The VM whose clock is ahead.
         member: String,
-        /// How far.
+        /// Difference of the clocks in milliseconds.
         ahead_ms: u64,
     },
 }
 
-/// Merges the answers of several processes, `since_ms` being what they were asked for.
+/// Merges the answers of several processes to a query with `since_ms`.
 ///
-/// Losses that ended before `since_ms` are not told: nothing that was asked for is missing.
+/// Losses that ended before `since_ms` are not reported, because no requested event is missing.
 #[must_use]
 pub fn merge(
     bodies: Vec<ops::TimelineBody<event::Event>>,
@@ -91,7 +91,7 @@
     timeline
 }
 
-/// The next event of one source, ordered by [`SourceHead::rank`].
+/// The next event of one source, ordered by [`SourceHead::rank`] in the merge heap.
 #[derive(Debug)]
 struct SourceHead {
     event: event::Event,
@@ -141,7 +141,7 @@
     }
 }
 
-/// The same event, seen twice because one VM was asked twice.
+/// Returns whether both are the same event, received twice because one VM was queried twice.
 fn is_same(left: &event::Event, right: &event::Event) -> bool {
     left.seq == right.seq && left.incarnation == right.incarnation && left.vm == right.vm
 }
@@ -150,10 +150,10 @@
     body: &ops::TimelineBody<event::Event>,
     since_ms: Option<u64>,
 ) -> impl Iterator<Item = TimelineGap> + '_ {
-    let is_told = |up_to_ms: &u64| since_ms.is_none_or(|since_ms| *up_to_ms >= since_ms);
+    let is_in_range = |up_to_ms: &u64| since_ms.is_none_or(|since_ms| *up_to_ms >= since_ms);
     let lost = body
         .lost_up_to_ms
-        .filter(is_told)
+        .filter(is_in_range)
         .map(|up_to_ms| TimelineGap::Lost {
             vm: body.vm.clone(),
             lost: body.lost,
--- a/crates/trace/src/moment.rs
+++ b/crates/trace/src/moment.rs
@@ -1,8 +1,8 @@
-//! Moments as text, in UTC.
+//! Formatting and parsing of points in time (UTC) and of durations.
 
 const DAY_MS: u64 = 86_400_000;
 
-/// `12:34:56.789`.
+/// Formats the time of day as `12:34:56.789`.
 #[must_use]
 pub fn clock_text(unix_ms: u64) -> String {
     let in_day = unix_ms % DAY_MS;
@@ -11,20 +11,21 @@
     format!("{hours:02}:{minutes:02}:{seconds:02}.{millis:03}")
 }
 
-/// `2026-03-04`.
+/// Formats the date as `2026-03-04`.
 #[must_use]
 pub fn date_text(unix_ms: u64) -> String {
     let (year, month, day) = civil_date(unix_ms / DAY_MS);
     format!("{year:04}-{month:02}-{day:02}")
 }
 
-/// `2026-03-04T12:34:56.789Z`.
+/// Formats date and time as `2026-03-04T12:34:56.789Z`.
 #[must_use]
 pub fn full_text(unix_ms: u64) -> String {
     format!("{}T{}Z", date_text(unix_ms), clock_text(unix_ms))
 }
 
-/// `850 ms`, `4.2 s`, `3 min`, `2.5 h`, `3 d`: two figures are enough to read at a glance.
+/// Formats a duration as `850 ms`, `4.2 s`, `3 min`, `2.5 h` or `3 d`; about two digits are enough
+/// to read at a glance.
 #[must_use]
 pub fn span_text(span_ms: u64) -> String {
     match span_ms {
@@ -40,9 +41,9 @@
     }
 }
 
-/// Year, month and day of a day counted from 1970, by the Gregorian calendar.
+/// Converts days since 1970-01-01 to year, month and day of the Gregorian calendar.
 ///
-/// The year is taken to begin in March, so that the leap day is its last day.
+/// Internally the year begins in March, so that the leap day is its last day.
 fn civil_date(days: u64) -> (u64, u64, u64) {
     const DAYS_IN_ERA: u64 = 146_097;
     const DAYS_BEFORE_1970: u64 = 719_468;
@@ -62,7 +63,7 @@
     (year, month, day)
 }
 
-/// The moment that `2026-03-04T12:34:56Z` names, with or without milliseconds.
+/// Parses `2026-03-04T12:34:56Z`, with or without milliseconds, as milliseconds since 1970.
 #[must_use]
 pub fn parse_full(text: &str) -> Option<u64> {
     let (date, clock) = text.strip_suffix('Z')?.split_once('T')?;
--- a/crates/trace/src/picture.rs
+++ b/crates/trace/src/picture.rs
@@ -1,8 +1,9 @@
-//! A time line as a picture: one lane for each process, time downwards, arrows along a request.
+//! A time line as an SVG diagram: one lane per process, time running downwards, and arrows that
+//! follow each request.
 //!
-//! Every event has a row of its own, so that labels never lie on one another; the time stands at
-//! the left, and a gap in time is a wider gap between rows. Backend servers record nothing here,
-//! yet have lanes too, for the arrows that go there and come back.
+//! Every event has its own row, so that labels never overlap. The time is shown at the left, and
+//! the distance between rows grows with the time between events. Backend servers record no events
+//! themselves but have lanes too, for the arrows of calls and answers.
 
 use std::collections;
 
@@ -10,9 +11,9 @@
 
 use crate::{event, kind, merge, moment, svg, text};
 
-/// Rows drawn at the most; the newest are kept.
+/// Maximum number of rows; the newest events are drawn.
 pub const MAX_ROWS: usize = 600;
-/// Lanes drawn at the most; those with most events are kept.
+/// Maximum number of lanes; those with the most events are drawn.
 pub const MAX_LANES: usize = 24;
 
 const TIME_WIDTH: u32 = 96;
@@ -21,10 +22,10 @@
 const HEAD_HEIGHT: u32 = 34;
 const NOTE_HEIGHT: u32 = 18;
 const MARGIN: u32 = 16;
-const LABEL_LETTERS: usize = 28;
-/// Room between a dot and its label, for the head of an arrow.
+const LABEL_MAX_CHARS: usize = 28;
+/// Distance between a dot and its label, which leaves space for an arrow head.
 const LABEL_OFFSET: u32 = 15;
-const LETTER_WIDTH: u32 = 6;
+const CHAR_WIDTH: u32 = 6;
 
 const VM_FILL: &str = "#f4f6fa";
 const SERVER_FILL: &str = "#f7f3ea";
@@ -35,19 +36,19 @@
     "#1565c0", "#2e7d32", "#6a1b9a", "#ef6c00", "#00838f", "#ad1457", "#4e342e", "#558b2f",
 ];
 
-/// Draws a time line.
+/// Renders a time line as an SVG document.
 #[must_use]
 pub fn render(timeline: &merge::MergedTimeline) -> String {
-    let plan = DrawingPlan::of(timeline);
-    let mut drawing = svg::SvgDrawing::new(plan.width(), plan.height());
-    plan.draw_notes(&mut drawing);
-    plan.draw_lanes(&mut drawing);
-    plan.draw_arrows(&mut drawing);
-    plan.draw_events(&mut drawing);
+    let layout = DiagramLayout::of(timeline);
+    let mut drawing = svg::SvgDrawing::new(layout.width(), layout.height());
+    layout.draw_notes(&mut drawing);
+    layout.draw_lanes(&mut drawing);
+    layout.draw_arrows(&mut drawing);
+    layout.draw_events(&mut drawing);
     drawing.finish()
 }
 
-/// A lane's subject. Entry VMs stand before backend servers.
+/// The process that a lane shows. Entry VMs are ordered before backend servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum LaneSubject<'a> {
     Vm(&'a str),
@@ -62,9 +63,9 @@
     }
 }
 
-/// Where everything goes.
+/// Layout of the diagram.
 #[derive(Debug)]
-struct DrawingPlan<'a> {
+struct DiagramLayout<'a> {
     events: Vec<&'a event::Event>,
     /// Vertical position of each event, parallel to `events`.
     rows: Vec<u32>,
@@ -72,7 +73,7 @@
     notes: Vec<String>,
 }
 
-impl<'a> DrawingPlan<'a> {
+impl<'a> DiagramLayout<'a> {
     fn of(timeline: &'a merge::MergedTimeline) -> Self {
         let mut notes: Vec<String> = timeline.gaps.iter().map(text::gap_text).collect();
         let skipped = timeline.events.len().saturating_sub(MAX_ROWS);
@@ -148,14 +149,14 @@
                 x: x + 8,
                 y: head_y + 20,
             };
-            let name = shortened(lane.name(), 26);
+            let name = truncated(lane.name(), 26);
             drawing.text(head, svg::TextAnchor::Start, "lane", &name);
-            let life = svg::SvgPoint {
+            let lifeline_start = svg::SvgPoint {
                 x: x + 14,
                 y: head_y + HEAD_HEIGHT,
             };
             drawing.line(
-                life,
+                lifeline_start,
                 svg::SvgPoint {
                     x: x + 14,
                     y: bottom_y,
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Arrows between one request's events on different VMs, and to and from backend servers.
+    /// Draws arrows between one request's events on different VMs and to and from backend servers.
     fn draw_arrows(&self, drawing: &mut svg::SvgDrawing) {
         let mut last: collections::BTreeMap<id::RequestId, (svg::SvgPoint, &str)> =
             collections::BTreeMap::new();
@@ -201,18 +202,18 @@
         let Some(x) = self.lane_x(LaneSubject::Server(server)) else {
             return;
         };
-        let lifted = svg::SvgPoint {
+        let above = svg::SvgPoint {
             x,
             y: here.y.saturating_sub(ROW_HEIGHT / 2),
         };
-        let lowered = svg::SvgPoint {
+        let below = svg::SvgPoint {
             x,
             y: here.y + ROW_HEIGHT / 2,
         };
         if is_towards_server(&event.kind) {
-            drawing.arrow(here, lowered, colour);
+            drawing.arrow(here, below, colour);
         } else {
-            drawing.arrow(lifted, here, colour);
+            drawing.arrow(above, here, colour);
         }
     }
 
@@ -238,9 +239,9 @@
     }
 }
 
-/// A label right of its dot, on a ground of its own, so that arrows do not run through it.
+/// Draws a label to the right of its dot, with a background so that arrows do not cross the text.
 fn draw_label(drawing: &mut svg::SvgDrawing, x: u32, y: u32, label: &str) {
-    let width = u32::try_from(label.chars().count()).unwrap_or(0) * LETTER_WIDTH;
+    let width = u32::try_from(label.chars().count()).unwrap_or(0) * CHAR_WIDTH;
     let corner = svg::SvgPoint {
         x: x + LABEL_OFFSET - 2,
         y: y - ROW_HEIGHT / 2 + 1,
@@ -257,7 +258,7 @@
     MARGIN + u32::try_from(notes.len()).unwrap_or(0) * NOTE_HEIGHT
 }
 
-/// All lanes, those with most events first.
+/// Returns all lanes, those with the most events first.
 fn ranked_lanes<'a>(events: &[&'a event::Event]) -> Vec<LaneSubject<'a>> {
     let mut counts: collections::BTreeMap<LaneSubject<'a>, usize> = collections::BTreeMap::new();
     for event in events {
@@ -274,7 +275,7 @@
     ranking.into_iter().map(|(_, lane)| lane).collect()
 }
 
-/// Vertical positions: one row each, and up to two rows more where time passed.
+/// Computes the vertical position of each event: one row, and up to two more rows for elapsed time.
 fn rows(events: &[&event::Event], first_y: u32) -> Vec<u32> {
     let mut y = first_y;
     let mut last_ms = events.first().map_or(0, |event| event.stamp.wall_ms());
@@ -326,7 +327,7 @@
     })
 }
 
-/// What stands beside an event: what happened and to what.
+/// Builds the label of an event: its kind and the value of its first field.
 fn label(event: &event::Event) -> String {
     let name = event.kind.name();
     let name = name
@@ -343,14 +344,14 @@
         Some(detail) => format!("{name} {detail}"),
         None => name,
     };
-    shortened(&label, LABEL_LETTERS)
+    truncated(&label, LABEL_MAX_CHARS)
 }
 
-fn shortened(text: &str, letters: usize) -> String {
-    if text.chars().count() <= letters {
+fn truncated(text: &str, max_chars: usize) -> String {
+    if text.chars().count() <= max_chars {
         return text.to_owned();
     }
-    let mut short: String = text.chars().take(letters - 1).collect();
+    let mut short: String = text.chars().take(max_chars - 1).collect();
     short.push('…');
     short
 }
--- a/crates/trace/src/query.rs
+++ b/crates/trace/src/query.rs
@@ -1,35 +1,35 @@
-//! Which events are wanted.
+//! Queries that select events by request, time and kind.
 
 use base::id;
 use snafu::Snafu;
 
 use crate::{clock, kind};
 
-/// Events in one answer at the most, whatever was asked for.
+/// Maximum number of events in one answer, whatever limit the query requests.
 ///
-/// Without the bound one operator's call would make an entry VM build an answer as large as its
-/// whole ring, beside the requests that it serves.
+/// Without it one operator's call would make an entry VM build an answer as large as its complete
+/// ring while it serves requests.
 pub const MAX_LIMIT: usize = 20_000;
 
 /// A query that cannot be answered.
 #[derive(Debug, Snafu)]
 pub enum QueryError {
-    /// The filter names no kind.
+    /// The filter names no known kind or area.
     #[snafu(display(
         "no kind of event is called {name:?}; use an area ({areas}) or a whole name such as lease_lost"
     ))]
     UnknownKind {
-        /// What was given.
+        /// The given name.
         name: String,
-        /// What there is.
+        /// The known areas.
         areas: String,
     },
-    /// The text is no beginning of a request's id.
+    /// The text is not a prefix of a request id.
     #[snafu(display(
         "{text:?} is no request id; give its 32 hexadecimal digits, or the first of them, as in x-request-id"
     ))]
     BadRequest {
-        /// What was given.
+        /// The given text.
         text: String,
     },
 }
@@ -37,21 +37,21 @@
 /// A filter over events; every field present must match.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventQuery {
-    /// Only events about the requests whose id begins so.
+    /// Only events of requests whose id has this prefix.
     pub request: Option<RequestPrefix>,
-    /// Only events at or after this moment, in milliseconds since 1970.
+    /// Only events at or after this time, in milliseconds since 1970.
     pub since_ms: Option<u64>,
     /// Only events whose kind matches one of these; empty: all.
     pub kinds: Vec<KindFilter>,
-    /// At most this many, the newest; absent: all that are kept.
+    /// Maximum number of events, keeping the newest; absent: all retained events.
     pub limit: Option<usize>,
 }
 
 impl EventQuery {
-    /// The query that the parameters of `GET /ops/timeline` spell.
+    /// Builds a query from the parameters of `GET /ops/timeline`.
     ///
     /// # Errors
-    /// [`QueryError`] for the first parameter that means nothing.
+    /// [`QueryError`] for the first invalid parameter.
     pub fn from_parts(
         request: Option<&str>,
         since_ms: Option<u64>,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Whether an event with these parts is wanted; `limit` is not looked at.
+    /// Returns whether an event with these parts matches; `limit` is ignored.
     #[must_use]
     pub fn matches(
         &self,
@@ -85,7 +85,7 @@
     }
 }
 
-/// A kind by its name (`lease_lost`) or all kinds of an area (`lease`).
+/// A filter for one kind by its name (`lease_lost`) or for all kinds of an area (`lease`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KindFilter(String);
 
@@ -93,7 +93,7 @@
     /// Parses one name or area.
     ///
     /// # Errors
-    /// [`QueryError`] when nothing is called so.
+    /// [`QueryError`] when no kind or area has that name.
     pub fn parse(name: &str) -> Result<Self, QueryError> {
         let filter = Self(name.to_owned());
         if kind::EventKind::NAMES
@@ -106,10 +106,10 @@
         UnknownKindSnafu { name, areas }.fail()
     }
 
-    /// Parses several, with commas between them.
+    /// Parses a comma-separated list of names or areas.
     ///
     /// # Errors
-    /// [`QueryError`] for the first that names nothing.
+    /// [`QueryError`] for the first unknown name.
     pub fn parse_list(text: &str) -> Result<Vec<Self>, QueryError> {
         text.split(',')
             .map(str::trim)
@@ -118,13 +118,13 @@
             .collect()
     }
 
-    /// Whether `kind` is wanted.
+    /// Returns whether the filter matches `kind`.
     #[must_use]
     pub fn matches(&self, kind: &kind::EventKind) -> bool {
         self.covers(kind.name())
     }
 
-    /// The name or area as it was given.
+    /// Returns the name or area as given.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.0
@@ -136,12 +136,12 @@
     }
 }
 
-/// The first digits of a request's id, or all of them.
+/// A prefix of a request id, in hexadecimal digits, up to the complete id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestPrefix {
-    /// The digits given, at the low end.
+    /// The given digits, right-aligned.
     digits: u128,
-    /// How many were given, from 1 to 32.
+    /// Number of given digits, from 1 to 32.
     count: u32,
 }
 
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Whether the id of `request` begins so.
+    /// Returns whether the id of `request` has this prefix.
     #[must_use]
     pub const fn matches(self, request: id::RequestId) -> bool {
         request.0 >> (4 * (Self::ALL_DIGITS - self.count)) == self.digits
@@ -177,7 +177,7 @@
     }
 }
 
-/// The areas of events, in the order of declaration.
+/// Returns the areas of events, in the order of declaration.
 #[must_use]
 pub fn areas() -> Vec<&'static str> {
     let mut areas: Vec<&'static str> = Vec::new();
--- a/crates/trace/src/ring.rs
+++ b/crates/trace/src/ring.rs
@@ -1,4 +1,4 @@
-//! The bounded ring of events that one process keeps.
+//! The bounded ring buffer of events that one process retains.
 
 use std::{collections, sync};
 
@@ -6,18 +6,18 @@
 
 use crate::{clock, kind, query};
 
-/// Entries looked at under one hold of the lock while reading.
+/// Maximum number of entries that a reader scans per lock acquisition.
 ///
-/// A reader that held the lock over the whole ring would stall every request of this process for
-/// as long as the copy takes; in pieces the stall is bounded by this many entries.
+/// A reader that held the lock over the complete ring would stall every request of this process for
+/// the duration of the copy; reading in batches bounds the stall to this many entries.
 const READ_BATCH: usize = 256;
 
-/// How much a ring keeps.
+/// Capacity limits of a ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingLimits {
-    /// Events at the most.
+    /// Maximum number of events.
     pub max_events: usize,
-    /// Bytes at the most, text of the events included.
+    /// Maximum size in bytes, including the text of the events.
     pub max_bytes: usize,
 }
 
@@ -30,52 +30,52 @@
     }
 }
 
-/// What a ring holds of an event; the VM and incarnation are the same for all.
+/// An event as stored in a ring, without the VM and incarnation, which all entries share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RingEntry {
-    /// When.
+    /// Timestamp of the event.
     pub stamp: clock::HybridStamp,
-    /// Number within the incarnation.
+    /// Sequence number within the incarnation.
     pub seq: u64,
-    /// The request that it is about.
+    /// The request that the event concerns, if any.
     pub request: Option<id::RequestId>,
-    /// What happened.
+    /// Kind of the event, with its fields.
     pub kind: kind::EventKind,
 }
 
 impl RingEntry {
-    /// Bytes that an entry with `kind` takes in a ring.
+    /// Returns the bytes that an entry with `kind` occupies in a ring.
     #[must_use]
     pub fn cost_bytes(kind: &kind::EventKind) -> usize {
         size_of::<Self>() + kind.heap_bytes()
     }
 }
 
-/// What a ring had when it was read.
+/// Result of reading a ring.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RingView {
     /// Matching events, oldest first.
     pub entries: Vec<RingEntry>,
-    /// Events dropped since the process began, matching or not.
+    /// Events evicted since the process started, matching or not.
     pub lost: u64,
-    /// Stamp of the newest dropped one.
+    /// Stamp of the newest evicted event.
     pub lost_up_to: Option<clock::HybridStamp>,
-    /// Matching events that `limit` left out.
+    /// Matching events omitted because of `limit`.
     pub omitted: u64,
 }
 
-/// How full a ring is.
+/// Fill level of a ring.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RingUsage {
-    /// Events kept.
+    /// Events retained.
     pub events: usize,
-    /// Bytes kept.
+    /// Bytes retained.
     pub bytes: usize,
-    /// Events dropped since the process began.
+    /// Events evicted since the process started.
     pub lost: u64,
 }
 
-/// A bounded ring of events; the oldest go first, and how many went is known.
+/// A bounded ring buffer of events that evicts the oldest first and counts the evictions.
 #[derive(Debug)]
 pub struct EventRing {
     limits: RingLimits,
@@ -94,7 +94,7 @@
 }
 
 impl EventRing {
-    /// An empty ring whose table of entries is reserved at once, so that writing never grows it.
+    /// Creates an empty ring. The entry table is allocated up front, so that writes never grow it.
     #[must_use]
     pub fn new(limits: RingLimits) -> Self {
         let by_bytes = limits.max_bytes / size_of::<RingEntry>();
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Adds an event. `stamp` is called under the lock, so that numbers and stamps grow together.
+    /// Adds an event. `stamp` is called under the lock, so that sequence numbers and stamps
+    /// increase together.
     pub fn write<S>(&self, stamp: S, request: Option<id::RequestId>, kind: kind::EventKind)
     where
         S: FnOnce() -> clock::HybridStamp,
@@ -127,19 +128,19 @@
         };
         inner.next_seq += 1;
         if cost_bytes > self.limits.max_bytes {
-            inner.note_loss(entry.stamp);
+            inner.record_loss(entry.stamp);
             return;
         }
         while inner.entries.len() >= self.limits.max_events
             || inner.bytes + cost_bytes > self.limits.max_bytes
         {
-            inner.drop_oldest();
+            inner.evict_oldest();
         }
         inner.bytes += cost_bytes;
         inner.entries.push_back(entry);
     }
 
-    /// Copies what matches, in pieces, so that writers are not held up.
+    /// Copies the matching events in batches, so that writers are not blocked for long.
     #[must_use]
     pub fn read(&self, query: &query::EventQuery) -> RingView {
         let mut view = RingView::default();
@@ -160,7 +161,7 @@
         view
     }
 
-    /// How full it is.
+    /// Returns the fill level of the ring.
     #[must_use]
     pub fn usage(&self) -> RingUsage {
         let inner = self.lock();
@@ -199,14 +200,14 @@
 }
 
 impl RingInner {
-    fn drop_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         if let Some(entry) = self.entries.pop_front() {
             self.bytes -= RingEntry::cost_bytes(&entry.kind);
-            self.note_loss(entry.stamp);
+            self.record_loss(entry.stamp);
         }
     }
 
-    fn note_loss(&mut self, stamp: clock::HybridStamp) {
+    fn record_loss(&mut self, stamp: clock::HybridStamp) {
         self.lost += 1;
         self.lost_up_to = self.lost_up_to.max(Some(stamp));
     }
--- a/crates/trace/src/svg.rs
+++ b/crates/trace/src/svg.rs
@@ -1,8 +1,8 @@
-//! A small writer of SVG: the few shapes that a picture of events needs.
+//! A minimal SVG writer with the few shapes that the diagram of events needs.
 
 use std::fmt::Write as _;
 
-/// A drawing under way. Coordinates are pixels.
+/// An SVG document under construction. Coordinates are in pixels.
 #[derive(Debug)]
 pub struct SvgDrawing {
     body: String,
@@ -10,28 +10,28 @@
     height: u32,
 }
 
-/// How a text stands against its point.
+/// Horizontal alignment of a text relative to its point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TextAnchor {
-    /// It begins there.
+    /// The text begins at the point.
     Start,
-    /// It is centred there.
+    /// The text is centred on the point.
     Middle,
-    /// It ends there.
+    /// The text ends at the point.
     End,
 }
 
 /// A point in a drawing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SvgPoint {
-    /// From the left.
+    /// Distance from the left edge.
     pub x: u32,
-    /// From the top.
+    /// Distance from the top edge.
     pub y: u32,
 }
 
 impl SvgDrawing {
-    /// An empty drawing.
+    /// Creates an empty drawing.
     #[must_use]
     pub const fn new(width: u32, height: u32) -> Self {
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A filled rectangle.
+    /// Draws a filled rectangle.
     pub fn rectangle(&mut self, corner: SvgPoint, width: u32, height: u32, fill: &str) {
         let SvgPoint { x, y } = corner;
         let _ = writeln!(
@@ -50,7 +50,7 @@
         );
     }
 
-    /// A straight line.
+    /// Draws a straight line.
     pub fn line(&mut self, from: SvgPoint, to: SvgPoint, stroke: &str, width: u32) {
         let _ = writeln!(
             self.body,
@@ -59,7 +59,7 @@
         );
     }
 
-    /// A straight line with a head at its end.
+    /// Draws a straight line with an arrow head at its end.
     pub fn arrow(&mut self, from: SvgPoint, to: SvgPoint, stroke: &str) {
         let _ = writeln!(
             self.body,
@@ -69,7 +69,7 @@
         self.arrow_head(from, to, stroke);
     }
 
-    /// A filled circle with a text that shows when pointed at.
+    /// Draws a filled circle with a tooltip.
     pub fn dot(&mut self, centre: SvgPoint, radius: u32, fill: &str, title: &str) {
         let SvgPoint { x, y } = centre;
         let title = escape(title);
@@ -79,7 +79,7 @@
         );
     }
 
-    /// A line of text. `class`: `label`, `lane`, `time` or `note`.
+    /// Draws a line of text. `class`: `label`, `lane`, `time` or `note`.
     pub fn text(&mut self, at: SvgPoint, anchor: TextAnchor, class: &str, text: &str) {
         let anchor = match anchor {
             TextAnchor::Start => "start",
@@ -94,7 +94,7 @@
         );
     }
 
-    /// The whole document.
+    /// Returns the complete document.
     #[must_use]
     pub fn finish(self) -> String {
         let Self {
@@ -136,7 +136,7 @@
     }
 }
 
-/// `text` so that it stands as it is in a document, without control characters.
+/// Escapes `text` for XML and replaces control characters by spaces.
 fn escape(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for letter in text.chars() {
--- a/crates/trace/src/text.rs
+++ b/crates/trace/src/text.rs
@@ -1,4 +1,4 @@
-//! A time line as lines of text for people.
+//! A time line as human-readable lines of text.
 
 use std::fmt::Write as _;
 
@@ -6,10 +6,10 @@
 
 use crate::{event, merge, moment};
 
-/// Digits of a request's id that stand in a line; commands take them in place of the whole.
+/// Digits of a request id shown in a line; commands accept them in place of the complete id.
 pub const SHORT_ID_DIGITS: usize = 8;
 
-/// The whole time line: what is missing first, then one line for each event.
+/// Renders the complete time line: the gaps first, then one line for each event.
 #[must_use]
 pub fn render(timeline: &merge::MergedTimeline) -> String {
     let mut out = String::new();
@@ -38,7 +38,7 @@
     out
 }
 
-/// One event as one line, its VM padded to `vm_width`.
+/// Renders one event as one line, its VM padded to `vm_width`.
 #[must_use]
 pub fn line(event: &event::Event, vm_width: usize) -> String {
     let mut line = format!(
@@ -54,7 +54,7 @@
     line
 }
 
-/// What a gap means, in one sentence.
+/// Describes a gap in one sentence.
 #[must_use]
 pub fn gap_text(gap: &merge::TimelineGap) -> String {
     match gap {
@@ -87,7 +87,7 @@
     }
 }
 
-/// The first digits of a request's id.
+/// Returns the first [`SHORT_ID_DIGITS`] digits of a request id.
 #[must_use]
 pub fn short_id(request: id::RequestId) -> String {
     let mut digits = request.to_string();
@@ -95,21 +95,21 @@
     digits
 }
 
-/// `text` without control characters and without marks that turn the direction of writing.
+/// Replaces control characters and bidirectional formatting characters in `text` by `?`.
 ///
-/// Names and reasons may hold what a caller sent; printed as it is, an escape sequence in it
-/// would rewrite the operator's terminal, and a turned direction would show a line that says
-/// something else than it holds.
+/// Names and reasons may contain text that a caller sent. Printed unchanged, an escape sequence
+/// could rewrite the operator's terminal, and a change of writing direction could display a line
+/// that reads differently from its content.
 #[must_use]
 pub fn clean(text: &str) -> String {
-    let is_harmful = |letter: char| letter.is_control() || DIRECTION_MARKS.contains(&letter);
+    let is_harmful = |letter: char| letter.is_control() || BIDI_CONTROLS.contains(&letter);
     text.chars()
         .map(|letter| if is_harmful(letter) { '?' } else { letter })
         .collect()
 }
 
-/// Marks of bidirectional text that act on what follows them.
-const DIRECTION_MARKS: [char; 9] = [
+/// Formatting characters of bidirectional text that affect the text after them.
+const BIDI_CONTROLS: [char; 9] = [
     '\u{202a}', '\u{202b}', '\u{202c}', '\u{202d}', '\u{202e}', '\u{2066}', '\u{2067}', '\u{2068}',
     '\u{2069}',
 ];
