--- a/crates/trace/benches/ring.rs
+++ b/crates/trace/benches/ring.rs
@@ -1,7 +1,8 @@
-//! What recording an event costs against building it, alone, among threads, and beside a reader.
+//! Cost of recording an event relative to building it: with one thread, with several threads, and
+//! with a concurrent reader.
 //!
 //! `cargo bench -p trace --bench ring` prints times and, in the last column, the ratio to
-//! building the event without recording it, all of one run.
+//! building the event without recording it in the same run.
 
 use std::sync::atomic;
 use std::{hint, sync, thread, time};
@@ -27,15 +28,15 @@
     }
     for with_reader in [false, true] {
         let name = if with_reader {
-            "beside a reader of all"
+            "with a concurrent reader"
         } else {
             "without a reader"
         };
-        let (mean_ns, worst_us) = beside_reader(with_reader);
+        let (mean_ns, worst_us) = record_times(with_reader);
         print_case(&format!("record, 1 thread, {name}"), mean_ns, build_ns);
         println!("{:<34} {worst_us:>7} us", "  slowest single record");
     }
-    sizes();
+    print_sizes();
 }
 
 fn print_case(name: &str, ns: f64, base_ns: f64) {
@@ -57,7 +58,7 @@
     }
 }
 
-/// Wall time of each event, `threads` threads sharing [`EVENTS`] evenly.
+/// Measures the wall time per event, with [`EVENTS`] divided evenly among `threads` threads.
 fn time_ns<F: Fn(u64) + Sync>(threads: u64, act: F) -> f64 {
     let begin = time::Instant::now();
     thread::scope(|scope| {
@@ -68,7 +69,7 @@
     begin.elapsed().as_nanos() as f64 / EVENTS as f64
 }
 
-fn beside_reader(with_reader: bool) -> (f64, u128) {
+fn record_times(with_reader: bool) -> (f64, u128) {
     let journal = sync::Arc::new(new_journal());
     let is_done = atomic::AtomicBool::new(false);
     let mut worst = time::Duration::ZERO;
@@ -93,7 +94,7 @@
     (total.as_nanos() as f64 / EVENTS as f64, worst.as_micros())
 }
 
-fn sizes() {
+fn print_sizes() {
     let journal = new_journal();
     for number in 0..EVENTS {
         journal.record_for(NOW_MS, id::RequestId(u128::from(number)), dispatched());
--- a/crates/trace/tests/clock.rs
+++ b/crates/trace/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Stamps never run backwards and follow peers only as far as they should.
+//! Stamps never decrease and follow peers only within the maximum drift.
 
 mod sample;
 
@@ -7,10 +7,9 @@
 use trace::clock;
 
 #[test]
-fn stamps_grow_while_wall_clock_runs_backwards() {
-    // Symptom: an effect stands before its cause in the time line.
-    // Sequence: an event; the wall clock is set back; another event of the same process.
-    // Cause: the stamp was taken from the wall clock alone.
+fn stamps_increase_when_the_wall_clock_is_set_back() {
+    // Guards against an effect ordered before its cause: when stamps come from the wall clock
+    // alone and the clock is set back between two events of one process, the second sorts first.
     sample::for_seeds(200, |unstructured| {
         let clock = clock::HybridClock::default();
         let mut last = clock::HybridStamp::default();
@@ -21,9 +20,9 @@
                 let ahead_ms: u64 = unstructured.int_in_range(0..=10_000)?;
                 let peer = clock::HybridStamp::new(now_ms + ahead_ms, unstructured.arbitrary()?);
                 let outcome = clock.observe(now_ms, peer);
-                let is_followed = ahead_ms <= clock::HybridClock::DEFAULT_DRIFT_MS;
-                assert_eq!(outcome == clock::MergeOutcome::Merged, is_followed);
-                if is_followed {
+                let is_merged = ahead_ms <= clock::HybridClock::DEFAULT_DRIFT_MS;
+                assert_eq!(outcome == clock::MergeOutcome::Merged, is_merged);
+                if is_merged {
                     last = last.max(peer);
                 }
             }
@@ -36,10 +35,9 @@
 }
 
 #[test]
-fn far_ahead_peer_does_not_drag_the_clock() {
-    // Symptom: every VM's time line stands an hour in the future, for good.
-    // Sequence: one VM's clock is an hour ahead; it sends a datagram to each.
-    // Cause: the stamp of a peer was followed without a bound.
+fn stamp_beyond_the_maximum_drift_is_ignored() {
+    // Guards against one VM with a clock an hour ahead moving the stamps of all VMs an hour ahead
+    // permanently: without a drift limit, one datagram to each VM is enough.
     let clock = clock::HybridClock::default();
     let peer = clock::HybridStamp::new(sample::START_MS + 3_600_000, 0);
     let outcome = clock.observe(sample::START_MS, peer);
@@ -49,14 +47,14 @@
 }
 
 #[test]
-fn full_counter_carries_into_the_next_millisecond() {
+fn counter_overflow_carries_into_the_next_millisecond() {
     let clock = clock::HybridClock::default();
     clock.observe(5, clock::HybridStamp::new(5, u16::MAX));
     assert_eq!(clock.tick(5), clock::HybridStamp::new(6, 0));
 }
 
 #[test]
-fn threads_get_different_stamps() {
+fn concurrent_threads_get_unique_stamps() {
     let clock = sync::Arc::new(clock::HybridClock::default());
     let ticks = || {
         let clock = sync::Arc::clone(&clock);
@@ -73,10 +71,10 @@
 }
 
 #[test]
-fn stamp_survives_text() {
+fn stamp_round_trips_through_text() {
     let stamp = clock::HybridStamp::new(sample::START_MS, 65_535);
     assert_eq!(stamp.to_string().parse(), Ok(stamp));
-    for wrong in ["", "1", "1.x", "1.65536", "281474976710656.0", "-1.0"] {
-        assert!(wrong.parse::<clock::HybridStamp>().is_err(), "{wrong}");
+    for invalid in ["", "1", "1.x", "1.65536", "281474976710656.0", "-1.0"] {
+        assert!(invalid.parse::<clock::HybridStamp>().is_err(), "{invalid}");
     }
 }
--- a/crates/trace/tests/kind.rs
+++ b/crates/trace/tests/kind.rs
@@ -1,10 +1,10 @@
-//! Events keep their meaning through JSON.
+//! JSON encoding of events.
 
 use base::id;
 use trace::{clock, event, kind};
 
 #[test]
-fn event_survives_json() {
+fn event_round_trips_through_json() {
     let event = event::Event {
         stamp: clock::HybridStamp::new(1_760_000_000_123, 7),
         vm: "hall-a-1".to_owned(),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn kind_of_newer_version_is_kept_as_unrecognised() {
+fn unknown_kind_is_parsed_as_unrecognised() {
     let text = r#"{"stamp":"1.0","vm":"a","incarnation":"00000000000000000000000000000001",
         "seq":0,"kind":"from_the_future","field":{"deep":[1]}}"#;
     let event: event::Event = serde_json::from_str(text).unwrap();
--- a/crates/trace/tests/merge.rs
+++ b/crates/trace/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Merged time lines respect cause and effect, against vector clocks as the oracle.
+//! Merged time lines respect causal order, checked with vector clocks as the oracle.
 
 mod sample;
 
@@ -10,15 +10,15 @@
 
 const PROCESSES: usize = 4;
 
-/// Processes with clocks of their own, and what causes what by vector clocks.
+/// Processes with independent clocks, and the causal order of their events by vector clocks.
 struct History {
     journals: Vec<journal::EventJournal>,
-    /// Wall clock of each against the true time.
+    /// Offset of each process's wall clock from the true time.
     offsets_ms: Vec<i64>,
     vectors: Vec<[u64; PROCESSES]>,
-    /// Vector of each event, by process and number.
+    /// Vector clock of each event, by process and sequence number.
     events: collections::BTreeMap<(usize, u64), [u64; PROCESSES]>,
-    /// Messages under way: sender's stamp and vector.
+    /// Messages in flight: stamp and vector clock of the sender.
     messages: Vec<(trace::clock::HybridStamp, [u64; PROCESSES])>,
     true_ms: u64,
 }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn merge_respects_causes_and_tells_losses() {
+fn merge_respects_causal_order_and_reports_losses() {
     sample::for_seeds(200, |unstructured| {
         let max_events = unstructured.int_in_range(3..=60)?;
         let mut history = History::new(max_events);
@@ -83,7 +83,7 @@
         for (process, journal) in history.journals.iter().enumerate() {
             let lost = history.vectors[process][process].saturating_sub(max_events as u64);
             assert_eq!(journal.usage().lost, lost);
-            assert_eq!(told_loss(&timeline, &sample::vm(process as u128)), lost);
+            assert_eq!(reported_loss(&timeline, &sample::vm(process as u128)), lost);
         }
         Ok(())
     });
@@ -97,18 +97,18 @@
     };
     for earlier in 0..timeline.events.len() {
         for later in earlier + 1..timeline.events.len() {
-            let ((process, seq), seen) = vector(later);
-            let (_, earlier_seen) = vector(earlier);
-            let is_cause = earlier_seen[process] > seq;
+            let ((process, seq), later_vector) = vector(later);
+            let (_, earlier_vector) = vector(earlier);
+            let is_cause = earlier_vector[process] > seq;
             assert!(
                 !is_cause,
-                "{seen:?} stands after its effect {earlier_seen:?}"
+                "{later_vector:?} is ordered after its effect {earlier_vector:?}"
             );
         }
     }
 }
 
-fn told_loss(timeline: &merge::MergedTimeline, name: &str) -> u64 {
+fn reported_loss(timeline: &merge::MergedTimeline, name: &str) -> u64 {
     let lost = timeline.gaps.iter().filter_map(|gap| match gap {
         merge::TimelineGap::Lost { vm, lost, .. } if vm == name => Some(*lost),
         _ => None,
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn losses_before_the_asked_time_are_not_told() {
+fn losses_before_the_requested_time_are_not_reported() {
     let journal = sample::journal(1, 2);
     for now_ms in 0..10 {
         journal.record(1_000 + now_ms, sample::member_up("x"));
@@ -130,15 +130,14 @@
         merge::merge(vec![journal.timeline(&query)], since_ms)
     };
     assert_eq!(timeline(Some(1_008)).gaps, []);
-    assert_eq!(told_loss(&timeline(Some(1_007)), "hall-a-1"), 8);
-    assert_eq!(told_loss(&timeline(None), "hall-a-1"), 8);
+    assert_eq!(reported_loss(&timeline(Some(1_007)), "hall-a-1"), 8);
+    assert_eq!(reported_loss(&timeline(None), "hall-a-1"), 8);
 }
 
 #[test]
-fn events_fetched_twice_stand_once() {
-    // Symptom: a time line shows each event of one VM twice.
-    // Sequence: the answer to a fetch is slow; the client asks the same VM again; both arrive.
-    // Cause: answers were joined without looking at who recorded what.
+fn events_fetched_twice_are_deduplicated() {
+    // Guards against a time line that shows each event of one VM twice: a slow answer makes the
+    // client query the VM again, and both answers arrive.
     let (first, second) = (sample::journal(1, 10), sample::journal(2, 10));
     for now_ms in 0..5 {
         first.record(now_ms, sample::member_up("x"));
@@ -154,7 +153,7 @@
 }
 
 #[test]
-fn clock_far_ahead_is_told_once_in_a_while() {
+fn clock_ahead_events_are_rate_limited() {
     let (behind, ahead) = (sample::journal(1, 100), sample::journal(2, 100));
     for now_ms in 0..50 {
         let now_ms = sample::START_MS + now_ms;
--- a/crates/trace/tests/ring.rs
+++ b/crates/trace/tests/ring.rs
@@ -1,4 +1,4 @@
-//! A ring keeps to its bounds and knows what it lost.
+//! A ring respects its limits and counts evicted events.
 
 mod sample;
 
@@ -8,7 +8,7 @@
 use trace::{clock, kind, query, ring};
 
 #[test]
-fn ring_keeps_bounds_and_counts_losses() {
+fn ring_respects_limits_and_counts_losses() {
     sample::for_seeds(200, |unstructured| {
         let limits = ring::RingLimits {
             max_events: unstructured.int_in_range(0..=20)?,
@@ -34,21 +34,22 @@
     });
 }
 
-/// What is kept and what was lost make up what was written; nothing kept is older than a loss,
-/// but for an event too large for the whole ring, which is lost alone.
+/// Checks that retained and lost events add up to the written ones, that retained events are
+/// unchanged, and that `lost_up_to` is the stamp of the newest lost event. An event too large for
+/// the ring is lost by itself.
 fn check_view(view: &ring::RingView, written: &[(clock::HybridStamp, kind::EventKind)]) {
     assert_eq!(view.entries.len() as u64 + view.lost, written.len() as u64);
     for entry in &view.entries {
         let (stamp, kind) = &written[usize::try_from(entry.seq).unwrap()];
         assert_eq!((&entry.stamp, &entry.kind), (stamp, kind));
     }
-    let is_kept = |seq: usize| view.entries.iter().any(|entry| entry.seq == seq as u64);
-    let last_lost = (0..written.len()).rev().find(|seq| !is_kept(*seq));
+    let is_retained = |seq: usize| view.entries.iter().any(|entry| entry.seq == seq as u64);
+    let last_lost = (0..written.len()).rev().find(|seq| !is_retained(*seq));
     assert_eq!(view.lost_up_to, last_lost.map(|seq| written[seq].0));
 }
 
 #[test]
-fn threads_write_in_one_order() {
+fn concurrent_writes_have_one_order() {
     let ring = sync::Arc::new(ring::EventRing::new(ring::RingLimits::default()));
     let clock = sync::Arc::new(clock::HybridClock::default());
     let writer = |request: u128| {
@@ -66,9 +67,9 @@
     }
     let view = ring.read(&query::EventQuery::default());
     assert_eq!((view.entries.len(), view.lost), (8_000, 0));
-    let grows =
+    let is_increasing =
         |pair: &[ring::RingEntry]| pair[0].stamp < pair[1].stamp && pair[0].seq + 1 == pair[1].seq;
-    assert!(view.entries.windows(2).all(grows));
+    assert!(view.entries.windows(2).all(is_increasing));
 }
 
 #[test]
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn unknown_kind_is_refused_with_those_there_are() {
+fn unknown_kind_is_refused_and_known_areas_are_listed() {
     let error = query::KindFilter::parse_list("lease,memb")
         .unwrap_err()
         .to_string();
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn request_prefix_matches_its_beginnings_only() {
+fn request_prefix_matches_only_leading_digits() {
     let request: id::RequestId = "00ab3400000000000000000000000001".parse().unwrap();
     for text in ["0", "00ab", "00AB34", "00ab3400000000000000000000000001"] {
         assert!(
