--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -38,29 +38,29 @@
     /// print the version and exit
     #[argh(switch)]
     pub version: bool,
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: Option<CtlCommand>,
 }
 
-/// All commands.
+/// The commands of `pollenctl`.
 #[derive(Debug)]
 #[derive(argh::ArgsInfo, argh::FromArgs)]
 #[argh(subcommand)]
 pub enum CtlCommand {
-    /// Check files.
+    /// Check inventory and rules files.
     Check(CheckArgs),
-    /// Compare files with what is in force.
+    /// Compare files with the configuration in force.
     Diff(DiffArgs),
-    /// Publish files.
+    /// Publish files as one change.
     Publish(PublishArgs),
-    /// Bring an older revision back as a new one.
+    /// Publish an older state as a new revision.
     Rollback(RollbackArgs),
-    /// Show changes.
+    /// Show the history of changes.
     History(HistoryArgs),
-    /// Show what runs.
+    /// Show the state of the system.
     Status(StatusArgs),
-    /// Stop new work.
+    /// Drain an entry VM or a backend server.
     Drain(DrainArgs),
     /// Show models on engines.
     Placement(PlacementArgs),
@@ -70,13 +70,13 @@
     Timeline(TimelineArgs),
     /// Explain one request.
     Explain(ExplainArgs),
-    /// Work out what a large size costs.
+    /// Compute the cost at the design size.
     Capacity(CapacityArgs),
     /// Print shell completions.
     Completions(CompletionsArgs),
 }
 
-/// Work out the cost at the size that decides the design from measured slopes; needs no entry VM.
+/// Compute the cost at the design size from measured slopes; needs no entry VM.
 #[derive(Debug)]
 #[derive(argh::ArgsInfo, argh::FromArgs)]
 #[argh(
@@ -90,7 +90,7 @@
     pub slopes: String,
 }
 
-/// Check inventory and rules files; needs no entry VM. All faults are told at once.
+/// Check inventory and rules files; needs no entry VM. Reports all faults at once.
 #[derive(Debug)]
 #[derive(argh::ArgsInfo, argh::FromArgs)]
 #[argh(
@@ -148,7 +148,7 @@
     /// why, for the history
     #[argh(option, arg_name = "text", default = "String::new()")]
     pub comment: String,
-    /// when another change was first and touched nothing of this one, publish on top of it
+    /// if another change was accepted first and does not overlap, publish on top of it
     #[argh(switch)]
     pub rebase: bool,
     /// wait until every entry VM has it in force
@@ -157,7 +157,7 @@
     /// seconds to wait for the decision, and with --wait as many again for all VMs
     #[argh(option, arg_name = "seconds", default = "20")]
     pub timeout: u64,
-    /// id of a change whose decision did not come in time, to ask again
+    /// id of a change that was not decided in time, to send it again
     #[argh(option, arg_name = "id")]
     pub record: Option<String>,
 }
@@ -171,7 +171,7 @@
     example = "{command_name} 40 --comment 'limits too tight'"
 )]
 pub struct RollbackArgs {
-    /// the revision whose state is wanted back
+    /// the revision whose state to restore
     #[argh(positional)]
     pub revision: u64,
     /// why, for the history
@@ -190,7 +190,7 @@
 #[derive(argh::ArgsInfo, argh::FromArgs)]
 #[argh(subcommand, name = "history", example = "{command_name} --limit 5")]
 pub struct HistoryArgs {
-    /// how many, the newest
+    /// maximum number of changes, the newest
     #[argh(option, arg_name = "count", default = "20")]
     pub limit: usize,
     /// print JSON
@@ -216,7 +216,7 @@
     /// with --in-force: this revision or a later one
     #[argh(option, arg_name = "number")]
     pub revision: Option<u64>,
-    /// with --in-force: do not wait for VMs that are taken to be dead
+    /// with --in-force: do not wait for VMs that are considered dead
     #[argh(switch)]
     pub live_only: bool,
     /// with --in-force: seconds to wait
@@ -224,7 +224,7 @@
     pub timeout: u64,
 }
 
-/// Let an entry VM or backend server finish what runs and give it nothing new.
+/// Let an entry VM or backend server finish its running requests and give it no new ones.
 #[derive(Debug)]
 #[derive(argh::ArgsInfo, argh::FromArgs)]
 #[argh(
@@ -273,19 +273,19 @@
     example = "{command_name} list\n{command_name} lift 9c4a77"
 )]
 pub struct QuarantineArgs {
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: QuarantineCommand,
 }
 
-/// Commands on quarantine.
+/// The commands of `pollenctl quarantine`.
 #[derive(Debug)]
 #[derive(argh::ArgsInfo, argh::FromArgs)]
 #[argh(subcommand)]
 pub enum QuarantineCommand {
-    /// Show it.
+    /// Show quarantined content.
     List(QuarantineListArgs),
-    /// End it.
+    /// Lift the quarantine of content.
     Lift(QuarantineLiftArgs),
 }
 
@@ -304,7 +304,7 @@
 #[derive(argh::ArgsInfo, argh::FromArgs)]
 #[argh(subcommand, name = "lift")]
 pub struct QuarantineLiftArgs {
-    /// its fingerprint, or the beginning of it
+    /// fingerprint of the content, or its first digits
     #[argh(positional)]
     pub fingerprint: String,
 }
@@ -318,38 +318,38 @@
     example = "{command_name} --since 10m --kind lease,server_dead\n{command_name} --request 3f2a90c1 --format svg --output request.svg"
 )]
 pub struct TimelineArgs {
-    /// only this request: its id (response header x-request-id) or the beginning of it
+    /// only this request: its id (response header x-request-id), or the first digits
     #[argh(option, arg_name = "id")]
     pub request: Option<String>,
-    /// only from then on: 30s, 10m, 2h, 2026-03-04T12:00:00Z or unix milliseconds
+    /// only events since then: 30s, 10m, 2h, 2026-03-04T12:00:00Z or unix milliseconds
     #[argh(option, arg_name = "time")]
     pub since: Option<String>,
-    /// only these kinds or areas, with commas: lease,server_dead
+    /// only these kinds or areas, separated by commas: lease,server_dead
     #[argh(option, arg_name = "kinds")]
     pub kind: Option<String>,
-    /// events of one VM at the most, the newest; by default 100,000 over all VMs together
+    /// maximum number of events per VM, the newest; by default 100,000 for all VMs together
     #[argh(option, arg_name = "count")]
     pub limit: Option<usize>,
     /// text, jsonl or svg
     #[argh(option, arg_name = "format", default = "OutputFormat::Text")]
     pub format: OutputFormat,
-    /// read a time line saved with --format jsonl, and ask no entry VM
+    /// read a time line saved with --format jsonl, and call no entry VM
     #[argh(option, arg_name = "file")]
     pub from: Option<String>,
-    /// write there and not to the standard output
+    /// write to this file instead of standard output
     #[argh(option, arg_name = "file")]
     pub output: Option<String>,
 }
 
-/// How a time line is written.
+/// Output format of a time line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(argh::FromArgValue)]
 pub enum OutputFormat {
-    /// Lines for people.
+    /// Human-readable lines.
     Text,
     /// JSON lines.
     Jsonl,
-    /// A picture.
+    /// An SVG diagram.
     Svg,
 }
 
@@ -363,13 +363,13 @@
     example = "From saved logs, one file a VM:\n  {command_name} 3f2a90c1 --logs edge-1.log --logs edge-2.log"
 )]
 pub struct ExplainArgs {
-    /// its id (response header x-request-id) or the beginning of it
+    /// request id (response header x-request-id), or its first digits
     #[argh(positional)]
     pub request: String,
-    /// read a time line saved with --format jsonl, and ask no entry VM
+    /// read a time line saved with --format jsonl, and call no entry VM
     #[argh(option, arg_name = "file")]
     pub from: Option<String>,
-    /// read a log that pollenedge wrote, and ask no entry VM; give one file for each VM
+    /// read a log that pollenedge wrote, and call no entry VM; give one file for each VM
     #[argh(option, arg_name = "file")]
     pub logs: Vec<String>,
 }
@@ -384,16 +384,16 @@
 )]
 pub struct CompletionsArgs {}
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
-/// The help that was asked for, or what is wrong with the line.
+/// Output with the requested help, or with the error in the command line.
 pub fn parse(words: &[&str]) -> Result<CtlArgs, error::CommandOutput> {
     CtlArgs::from_args(&["pollenctl"], words).map_err(|exit| match exit.status {
         Ok(()) => error::CommandOutput::success(format!("{}\n", exit.output.trim_end())),
         Err(()) => error::CommandOutput {
             text: String::new(),
-            complaint: format!(
+            error_text: format!(
                 "pollenctl: {}{}\nRun `pollenctl --help` or `pollenctl <command> --help` for examples.\n",
                 exit.output.trim_end(),
                 suggestion(&exit.output)
@@ -403,9 +403,9 @@
     })
 }
 
-/// The command that a mistyped one may mean; the library suggests options only.
-fn suggestion(complaint: &str) -> String {
-    let Some(given) = complaint.trim().strip_prefix("Unrecognized argument: ") else {
+/// Suggests a command for a mistyped one; the library suggests options only.
+fn suggestion(parse_error: &str) -> String {
+    let Some(given) = parse_error.trim().strip_prefix("Unrecognized argument: ") else {
         return String::new();
     };
     let commands = CtlArgs::get_subcommands();
--- a/crates/ctl/src/attention.rs
+++ b/crates/ctl/src/attention.rs
@@ -1,4 +1,4 @@
-//! What in a status an operator should look at.
+//! Findings in a status that need an operator's attention.
 
 use std::collections;
 
@@ -6,10 +6,10 @@
 
 use crate::in_force;
 
-/// Lines at the most; the rest is counted.
+/// Maximum number of findings shown; the rest are only counted.
 const MAX_LINES: usize = 12;
 
-/// What needs attention, worst first, or one line that nothing does.
+/// Returns the findings, most severe first, or one line if there are none.
 #[must_use]
 pub fn lines(status: &ops::StatusBody) -> Vec<String> {
     let mut findings = Vec::new();
@@ -19,7 +19,7 @@
     findings.extend(members(status));
     findings.extend(servers(status));
     findings.extend(versions(status));
-    findings.extend(never_heard(status));
+    findings.extend(never_seen(status));
     if findings.is_empty() {
         return vec!["nothing needs attention".to_owned()];
     }
@@ -46,10 +46,10 @@
             "log stream {} has not answered this process yet",
             stream.stream
         ),
-        heard => {
-            let heard = in_force::heard_text(heard);
+        answered_ms_ago => {
+            let answered = in_force::age_text(answered_ms_ago);
             format!(
-                "log stream {} does not answer; last answer {heard}",
+                "log stream {} does not answer; last answer {answered}",
                 stream.stream
             )
         }
@@ -76,7 +76,7 @@
 fn members(status: &ops::StatusBody) -> impl Iterator<Item = String> + '_ {
     let bad = status.members.iter().filter(|member| is_bad(member.state));
     bad.map(|member| {
-        let heard = in_force::heard_text(member.heard_ms_ago);
+        let heard = in_force::age_text(member.heard_ms_ago);
         format!(
             "entry VM {} is {}, heard {heard}",
             member.vm,
@@ -88,9 +88,9 @@
 fn servers(status: &ops::StatusBody) -> impl Iterator<Item = String> + '_ {
     let bad = status.servers.iter().filter(|server| is_bad(server.state));
     bad.map(|server| {
-        let heard = in_force::heard_text(server.report_age_ms);
+        let reported = in_force::age_text(server.report_age_ms);
         format!(
-            "backend server {} is {}, reported {heard}",
+            "backend server {} is {}, reported {reported}",
             server.server,
             server.state.name()
         )
@@ -123,8 +123,9 @@
     ))
 }
 
-/// VMs that the inventory names and nobody has heard of; they may never have been started.
-fn never_heard(status: &ops::StatusBody) -> Option<String> {
+/// Reports VMs in the inventory that no VM has ever received a message from; they may never have
+/// been started.
+fn never_seen(status: &ops::StatusBody) -> Option<String> {
     let is_unknown = |member: &&ops::MemberStatus| member.state == ops::HealthState::Unknown;
     let unknown: Vec<&str> = status
         .members
--- a/crates/ctl/src/capacity.rs
+++ b/crates/ctl/src/capacity.rs
@@ -1,4 +1,4 @@
-//! What the system costs at the size that decides its design, worked out from measured slopes.
+//! Cost estimate of the system at its design size, computed from measured slopes.
 
 use std::{fmt::Write as _, fs};
 
@@ -6,12 +6,12 @@
 
 use crate::{args, error};
 
-/// The size, and what was measured.
+/// The design size and the measured slopes.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CapacityFile {
-    /// The size that decides the design.
+    /// The design size.
     pub size: TargetSize,
     /// Measured slopes.
     pub slopes: SlopeTable,
@@ -19,103 +19,105 @@
 
 impl settings::CheckedSettings for CapacityFile {}
 
-/// The size that decides the design.
+/// The deployment size for which the system is designed.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSize {
-    /// Entry VMs.
+    /// Number of entry VMs.
     pub entry_vms: f64,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: f64,
-    /// Organisations.
+    /// Number of organisations.
     pub organisations: f64,
-    /// Requests a second at the peak.
+    /// Peak requests per second.
     pub requests_per_second: f64,
-    /// Generated tokens a second at the peak.
+    /// Peak generated tokens per second.
     pub tokens_per_second: f64,
-    /// Generations at once at the peak.
+    /// Peak number of concurrent generations.
     pub streams: f64,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub changes_per_day: f64,
-    /// VMs replaced a day.
+    /// VMs replaced per day.
     pub replaced_per_day: f64,
-    /// Appends a second that the log takes.
+    /// Appends per second that the log can sustain.
     pub log_appends: f64,
-    /// Part of a core that control may cost a VM.
+    /// Budget of the control plane per VM, as a fraction of a core.
     pub control_core: f64,
-    /// Memory that control may cost a VM, in bytes.
+    /// Memory budget of the control plane per VM, in bytes.
     pub control_memory_bytes: f64,
-    /// Traffic that control may cost a VM, in bytes a second.
+    /// Traffic budget of the control plane per VM, in bytes per second.
     pub control_bytes_per_second: f64,
 }
 
-/// Measured slopes; beside each its file says which command prints it.
+/// Measured slopes; comments in the file name the command that measures each.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SlopeTable {
-    /// Gossip that one VM sends and receives at the full size, bytes a second.
+    /// Gossip that one VM sends and receives at full size, in bytes per second.
     pub gossip_bytes_per_second: f64,
-    /// Part of a core that gossip costs one VM at the full size.
+    /// Processor time of gossip on one VM at full size, as a fraction of a core.
     pub gossip_core: f64,
-    /// Memory of gossip on one VM at the full size, in bytes.
+    /// Memory of gossip on one VM at full size, in bytes.
     pub gossip_memory_bytes: f64,
-    /// One poll of an engine's load, both ways with headers, in bytes.
+    /// One poll of an engine's load, request and answer with headers, in bytes.
     pub poll_bytes: f64,
-    /// One poll, in seconds of a core.
+    /// One poll, in core seconds.
     pub poll_core_seconds: f64,
     /// Configuration and index for one organisation, in bytes.
     pub configuration_bytes: f64,
-    /// Applying and indexing one change at 38,000 organisations, in seconds of a core.
+    /// Applying and indexing one change at 38,000 organisations, in core seconds.
     pub change_core_seconds: f64,
     /// One change on the wire, in bytes.
     pub change_bytes: f64,
-    /// The whole state, in bytes.
+    /// The complete configuration state, in bytes.
     pub state_bytes: f64,
-    /// The decision core for one organisation that is idle, in bytes.
+    /// State of the decision core for one idle organisation, in bytes.
     pub idle_organisation_bytes: f64,
-    /// One decision at the full size, in seconds of a core.
+    /// One decision at full size, in core seconds.
     pub decision_seconds: f64,
-    /// Tokens that one core of an entry VM relays a second.
+    /// Tokens per second that one core of an entry VM relays.
     pub relayed_tokens_per_core: f64,
     /// Memory of one open stream, in bytes.
     pub stream_bytes: f64,
-    /// The ring of events, full, in bytes.
+    /// A full event ring, in bytes.
     pub ring_bytes: f64,
-    /// Appends of claims a second at 300 calls a second, where every appender is always busy.
+    /// Appends of claims per second at 300 calls per second, where every appender is always busy.
     pub claim_appends_per_second: f64,
-    /// Appends of deferred work a second when every appender is always busy.
+    /// Appends of deferred work per second when every appender is always busy.
     pub job_appends_per_second: f64,
-    /// Appends of leases a second.
+    /// Appends of leases per second.
     pub lease_appends_per_second: f64,
 }
 
-/// One row of the table.
+/// One row of the capacity table.
 #[derive(Clone, Debug, PartialEq)]
 struct CapacityRow {
     what: &'static str,
     budget: f64,
     computed: f64,
     unit: &'static str,
-    /// How it was worked out.
-    from: &'static str,
+    /// The formula in words.
+    formula: &'static str,
     mechanism: &'static str,
     breaks: &'static str,
 }
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Polls a second of one server by its watchers together: twice by the first, half by the
-/// standby, and half a reading of cache events.
-const WATCHED_POLLS: f64 = 2.0 + 0.5 + 0.5;
-/// Servers that one VM uses without watching them, and its polls of each a second.
-const USED_SERVERS: f64 = 32.0;
-const USER_POLLS: f64 = 1.0 / 30.0;
+/// Polls per second of one server by its watchers together: 2 by the primary, 0.5 by the standby,
+/// and 0.5 reads of cache events.
+const WATCHED_POLLS_PER_SECOND: f64 = 2.0 + 0.5 + 0.5;
+/// Number of servers that one VM uses without watching them.
+const UNWATCHED_SERVERS: f64 = 32.0;
+/// Polls per second of one server by a VM that uses it without watching it.
+const UNWATCHED_POLLS_PER_SECOND: f64 = 1.0 / 30.0;
 
 fn polls_per_second(size: &TargetSize) -> f64 {
-    size.engines / size.entry_vms * WATCHED_POLLS + USED_SERVERS * USER_POLLS
+    size.engines / size.entry_vms * WATCHED_POLLS_PER_SECOND
+        + UNWATCHED_SERVERS * UNWATCHED_POLLS_PER_SECOND
 }
 
 fn rows(file: &CapacityFile) -> Vec<CapacityRow> {
@@ -135,7 +137,7 @@
                 + polls * slopes.poll_bytes
                 + changes * slopes.change_bytes,
             unit: "B/s",
-            from: "gossip at full size + polls x bytes + changes x bytes",
+            formula: "gossip at full size + polls x bytes + changes x bytes",
             mechanism: "divided watching, digests under a byte bound, differences on the log",
             breaks: "the polls of used servers; ask less often",
         },
@@ -147,7 +149,7 @@
                     + polls * slopes.poll_core_seconds
                     + changes * slopes.change_core_seconds),
             unit: "% of a core",
-            from: "gossip + polls x cost + changes x cost",
+            formula: "gossip + polls x cost + changes x cost",
             mechanism: "probing within the region, few links between regions, one index a change",
             breaks: "the index, made anew with each change",
         },
@@ -160,7 +162,7 @@
                 + slopes.ring_bytes)
                 / 1e6,
             unit: "MB",
-            from: "2 revisions x organisations x (configuration + index) + decision core + gossip + events",
+            formula: "2 revisions x organisations x (configuration + index) + decision core + gossip + events",
             mechanism: "snapshots shared by requests, bounded rings and tables",
             breaks: "snapshots held by long streams during bursts of changes",
         },
@@ -169,7 +171,7 @@
             budget: size.control_bytes_per_second * size.entry_vms,
             computed: size.replaced_per_day / SECONDS_PER_DAY * slopes.state_bytes,
             unit: "B/s",
-            from: "replacements x whole state",
+            formula: "replacements x whole state",
             mechanism: "checkpoints on the log, parts from a peer",
             breaks: "a failure domain that comes back at once: 46 states in one minute",
         },
@@ -187,7 +189,7 @@
                 + slopes.lease_appends_per_second
                 + size.changes_per_day / SECONDS_PER_DAY,
             unit: "appends/s",
-            from: "partitions / gap of an appender, whatever the demand + leases + changes",
+            formula: "partitions / gap of an appender, whatever the demand + leases + changes",
             mechanism: "group commit through one appender a partition",
             breaks: "more partitions: each commits on its own",
         },
@@ -196,7 +198,7 @@
             budget: 100.0,
             computed: 100.0 * requests * slopes.decision_seconds,
             unit: "% of a core",
-            from: "requests x decision",
+            formula: "requests x decision",
             mechanism: "bounded candidates, arenas, no allocation",
             breaks: "nothing near",
         },
@@ -207,7 +209,7 @@
                 / size.entry_vms
                 / slopes.relayed_tokens_per_core,
             unit: "% of a core",
-            from: "tokens / tokens that one core relays",
+            formula: "tokens / tokens that one core relays",
             mechanism: "one gathered write for many tokens of a busy connection",
             breaks: "one write a token on quiet connections",
         },
@@ -216,14 +218,14 @@
             budget: 32.0 * 1024.0 * size.streams / size.entry_vms / 1e6,
             computed: slopes.stream_bytes * size.streams / size.entry_vms / 1e6,
             unit: "MB",
-            from: "streams x bytes; budget 32 KB a stream",
+            formula: "streams x bytes; budget 32 KB a stream",
             mechanism: "bounded pipe of 16 KB to each caller",
             breaks: "callers that stop reading; they are dropped after 10 s",
         },
     ]
 }
 
-/// The table in Markdown.
+/// Renders the table as Markdown.
 #[must_use]
 pub fn table(file: &CapacityFile) -> String {
     let mut text = String::from(
@@ -239,7 +241,7 @@
                 row.computed / row.budget
             )
         };
-        // Writing into a text does not fail.
+        // Writing into a string does not fail.
         let _ = writeln!(
             text,
             "| {} | {} {} | {} {} | {verdict} | {} | {} | {} |",
@@ -248,7 +250,7 @@
             row.unit,
             rounded(row.computed),
             row.unit,
-            row.from,
+            row.formula,
             row.mechanism,
             row.breaks
         );
@@ -256,7 +258,7 @@
     text
 }
 
-/// Three digits that matter are all that slopes of one machine give.
+/// Rounds to about three significant digits, the precision of slopes measured on one machine.
 fn rounded(value: f64) -> String {
     if value >= 100.0 {
         format!("{value:.0}")
@@ -267,10 +269,10 @@
     }
 }
 
-/// Prints the table from a file of measured slopes.
+/// Runs `pollenctl capacity`, which prints the table from a file of measured slopes.
 ///
 /// # Errors
-/// The file cannot be read or has faults.
+/// When the file cannot be read or is invalid.
 pub fn capacity(args: &args::CapacityArgs) -> Result<error::CommandOutput, error::CtlError> {
     let text = fs::read_to_string(&args.slopes).map_err(|source| error::CtlError::Usage {
         message: format!("{}: {source}; name docs/capacity.jsonc", args.slopes),
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' face, at whichever entry VM answers.
+//! Calls to the operators' API, on the first entry VM that answers.
 
 use std::{fmt, net};
 
@@ -7,7 +7,7 @@
 
 use crate::{error, settings};
 
-/// A client of the operators' face.
+/// A client of the operators' API.
 #[derive(Clone, Debug)]
 pub struct OpsClient {
     http: reqwest::Client,
@@ -15,7 +15,7 @@
     key: String,
 }
 
-/// What one entry VM answered.
+/// The unparsed answer of one entry VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RawAnswer {
     /// The entry VM.
@@ -26,16 +26,16 @@
     pub body: Vec<u8>,
 }
 
-/// Why one entry VM gave no answer.
+/// Reason why one entry VM gave no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CallFault {
-    /// What happened.
+pub struct CallError {
+    /// The cause.
     pub reason: String,
     /// Whether it is certain that the call had no effect.
-    pub is_unsent: bool,
+    pub is_not_run: bool,
 }
 
-impl fmt::Display for CallFault {
+impl fmt::Display for CallError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.reason)
     }
@@ -46,21 +46,21 @@
         self.status >= 200 && self.status < 300
     }
 
-    /// Whether another entry VM may do better: this one is broken, leaving or not ready.
-    const fn is_other_worth_trying(&self) -> bool {
+    /// Returns whether another entry VM may succeed: this one is broken, leaving or not ready.
+    const fn is_retryable_elsewhere(&self) -> bool {
         self.status >= 500
     }
 
-    /// The body as `T`.
+    /// Parses the body as `T`.
     ///
     /// # Errors
-    /// When it is something else.
+    /// When the body is not a JSON value of type `T`.
     pub fn parse<T: serde::de::DeserializeOwned>(&self) -> Result<T, error::CtlError> {
         let what = || format!("the answer of {}", self.entry);
         serde_json::from_slice(&self.body).with_context(|_| error::JsonSnafu { what: what() })
     }
 
-    /// What a refusal says.
+    /// Returns the message of a refusal, or the beginning of a body in another format.
     #[must_use]
     pub fn message(&self) -> String {
         let envelope: Result<refusal::RefusalEnvelope, _> = serde_json::from_slice(&self.body);
@@ -75,7 +75,7 @@
         )
     }
 
-    /// Whether the VM promises that the call had no effect.
+    /// Returns whether the VM guarantees that the call had no effect.
     #[must_use]
     pub fn is_not_run(&self) -> bool {
         let envelope: Result<refusal::RefusalEnvelope, _> = serde_json::from_slice(&self.body);
@@ -92,19 +92,19 @@
 }
 
 impl OpsClient {
-    /// A client with these settings.
+    /// Creates a client with these settings.
     ///
     /// # Errors
-    /// When the HTTP library cannot start.
+    /// When the HTTP client cannot be created.
     pub fn new(settings: settings::CallSettings) -> Result<Self, error::CtlError> {
-        // A proxy named in the operator's environment would see the operator key.
+        // A proxy from the operator's environment would see the operator key.
         let http = reqwest::Client::builder()
             .no_proxy()
             .connect_timeout(settings.timeout.min(std::time::Duration::from_secs(2)))
             .timeout(settings.timeout)
             .build()
-            .map_err(|fault| error::CtlError::Usage {
-                message: format!("cannot start the HTTP client: {fault}"),
+            .map_err(|error| error::CtlError::Usage {
+                message: format!("cannot start the HTTP client: {error}"),
             })?;
         Ok(Self {
             http,
@@ -113,13 +113,13 @@
         })
     }
 
-    /// The entry VMs that are tried, in order.
+    /// Returns the entry VMs in the order in which they are tried.
     #[must_use]
     pub fn entries(&self) -> &[net::SocketAddr] {
         &self.entries
     }
 
-    /// Asks the first entry VM that answers.
+    /// Sends a GET request to the first entry VM that answers.
     ///
     /// # Errors
     /// When none answers, or one refuses.
@@ -130,21 +130,21 @@
         self.first_answer(path, None).await?.parse()
     }
 
-    /// Sends a body to the first entry VM that answers. Only for calls that do no harm twice: an
-    /// answer may be lost after the call took effect, and the next VM is then sent the same.
+    /// Posts a body to the first entry VM that answers. Only for idempotent calls: an answer may be
+    /// lost after the call took effect, and the same call is then sent to the next VM.
     ///
     /// # Errors
     /// When none answers, or one refuses.
     pub async fn post<A: serde::Serialize, T: serde::de::DeserializeOwned>(
         &self,
         path: &str,
-        ask: &A,
+        request: &A,
     ) -> Result<T, error::CtlError> {
-        let body = to_json(ask)?;
+        let body = to_json(request)?;
         self.first_answer(path, Some(&body)).await?.parse()
     }
 
-    /// Sends a body to this entry VM and no other.
+    /// Posts a body to this entry VM only.
     ///
     /// # Errors
     /// When it does not answer, or refuses.
@@ -152,14 +152,14 @@
         &self,
         entry: &str,
         path: &str,
-        ask: &A,
+        request: &A,
     ) -> Result<T, error::CtlError> {
-        let body = to_json(ask)?;
+        let body = to_json(request)?;
         match self.call(entry, path, Some(&body)).await {
             Ok(answer) if answer.is_success() => answer.parse(),
             Ok(answer) => Err(answer.into_refusal()),
-            Err(fault) => {
-                let attempts = vec![format!("{entry}: {fault}")];
+            Err(error) => {
+                let attempts = vec![format!("{entry}: {error}")];
                 error::UnreachableSnafu { attempts }.fail()
             }
         }
@@ -168,13 +168,13 @@
     /// Calls one entry VM, with a body or without one.
     ///
     /// # Errors
-    /// When no whole answer came.
+    /// When no complete answer was received.
     pub async fn call(
         &self,
         entry: &str,
         path: &str,
         body: Option<&str>,
-    ) -> Result<RawAnswer, CallFault> {
+    ) -> Result<RawAnswer, CallError> {
         let url = format!("http://{entry}{path}");
         let request = match body {
             Some(body) => self
@@ -185,9 +185,9 @@
             None => self.http.get(url),
         };
         let response = request.bearer_auth(&self.key).send().await;
-        let response = response.map_err(|fault| call_fault(&fault))?;
+        let response = response.map_err(|error| call_error(&error))?;
         let status = response.status().as_u16();
-        let body = response.bytes().await.map_err(|fault| call_fault(&fault))?;
+        let body = response.bytes().await.map_err(|error| call_error(&error))?;
         Ok(RawAnswer {
             entry: entry.to_owned(),
             status,
@@ -204,44 +204,44 @@
         for entry in &self.entries {
             match self.call(&entry.to_string(), path, body).await {
                 Ok(answer) if answer.is_success() => return Ok(answer),
-                Ok(answer) if !answer.is_other_worth_trying() => return Err(answer.into_refusal()),
+                Ok(answer) if !answer.is_retryable_elsewhere() => return Err(answer.into_refusal()),
                 Ok(answer) => {
                     attempts.push(format!("{entry}: {} {}", answer.status, answer.message()));
                 }
-                Err(fault) => attempts.push(format!("{entry}: {fault}")),
+                Err(error) => attempts.push(format!("{entry}: {error}")),
             }
         }
         error::UnreachableSnafu { attempts }.fail()
     }
 }
 
-/// `value` as JSON.
+/// Serialises `value` as JSON.
 ///
 /// # Errors
-/// When it cannot be written so.
+/// When it cannot be represented as JSON.
 pub fn to_json<T: serde::Serialize>(value: &T) -> Result<String, error::CtlError> {
     serde_json::to_string(value).context(error::JsonSnafu { what: "a request" })
 }
 
-fn call_fault(fault: &reqwest::Error) -> CallFault {
-    let reason = if fault.is_timeout() {
+fn call_error(error: &reqwest::Error) -> CallError {
+    let reason = if error.is_timeout() {
         "no answer in time".to_owned()
     } else {
-        innermost(fault).to_string()
+        root_cause(error).to_string()
     };
-    CallFault {
+    CallError {
         reason,
-        is_unsent: fault.is_connect(),
+        is_not_run: error.is_connect(),
     }
 }
 
-/// The cause at the bottom: `connection refused` and not `error sending request`.
-fn innermost<'a>(
-    fault: &'a (dyn std::error::Error + 'static),
+/// Returns the innermost source of an error: `connection refused`, not `error sending request`.
+fn root_cause<'a>(
+    error: &'a (dyn std::error::Error + 'static),
 ) -> &'a (dyn std::error::Error + 'static) {
-    let mut cause = fault;
-    while let Some(deeper) = cause.source() {
-        cause = deeper;
+    let mut cause = error;
+    while let Some(source) = cause.source() {
+        cause = source;
     }
     cause
 }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,11 +1,11 @@
-//! Runs one command.
+//! Dispatch of one command.
 
 use crate::{
     args, capacity, client, completions, configuration, error, operate, publish, saved_logs,
     settings, status, timeline,
 };
 
-/// Runs what the command line asks for.
+/// Runs the command given on the command line.
 pub async fn run(
     args: args::CtlArgs,
     environment: &settings::CallEnvironment,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Commands that call entry VMs.
+/// Runs a command that calls entry VMs.
 async fn remote(
     command: args::CtlCommand,
     client: &client::OpsClient,
--- a/crates/ctl/src/completions.rs
+++ b/crates/ctl/src/completions.rs
@@ -1,4 +1,4 @@
-//! Completions for bash, made from the command line's own description.
+//! Bash completions, generated from the command line definition.
 
 use std::fmt::Write as _;
 
@@ -7,7 +7,7 @@
 
 use crate::args;
 
-/// The script.
+/// Generates the completion script.
 #[must_use]
 pub fn bash_script() -> String {
     let info = args::CtlArgs::get_args_info();
@@ -44,10 +44,10 @@
     )
 }
 
-/// One case for each command: which word leads there from which path.
+/// Adds one case per command, which maps a path and the next word to the path of the command.
 fn add_cases(info: &argh::CommandInfoWithArgs, path: &str, out: &mut String) {
     for command in &info.commands {
-        let inner = joined(path, command.name);
+        let inner = join_path(path, command.name);
         let _ = writeln!(
             out,
             r#"            "{path} {}") path="{inner}" ;;"#,
@@ -57,7 +57,7 @@
     }
 }
 
-/// One case for each path: the words that may follow.
+/// Builds one case per path with the words that may follow it.
 fn words(info: &argh::CommandInfoWithArgs, path: &str) -> String {
     let flags = info
         .flags
@@ -68,12 +68,12 @@
     let all: Vec<&str> = commands.chain(flags).collect();
     let mut out = format!("        \"{path}\") words=\"{}\" ;;\n", all.join(" "));
     for command in &info.commands {
-        out.push_str(&words(&command.command, &joined(path, command.name)));
+        out.push_str(&words(&command.command, &join_path(path, command.name)));
     }
     out
 }
 
-fn joined(path: &str, name: &str) -> String {
+fn join_path(path: &str, name: &str) -> String {
     if path.is_empty() {
         name.to_owned()
     } else {
--- a/crates/ctl/src/configuration.rs
+++ b/crates/ctl/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Files of inventory and rules: checking them, comparing them with what is in force.
+//! Inventory and rules files: checking them and comparing them with the configuration in force.
 
 use std::{fmt::Write as _, fs};
 
@@ -8,10 +8,10 @@
 
 use crate::{args, client, error, table};
 
-/// Reads both files.
+/// Reads and checks both files.
 ///
 /// # Errors
-/// When one cannot be read, or with all faults of both.
+/// When one cannot be read, or with all faults of both files.
 pub fn read(inventory: &str, rules: &str) -> Result<document::Configuration, error::CtlError> {
     let inventory_text =
         fs::read_to_string(inventory).context(error::ReadFileSnafu { file: inventory })?;
@@ -27,10 +27,10 @@
     document::parse(inventory, rules).map_err(|faults| error::CtlError::Faulty { faults })
 }
 
-/// The configuration as the JSON that changes are made of.
+/// Converts the configuration to the JSON state that changes are computed from.
 ///
 /// # Errors
-/// When it cannot be written so.
+/// When it cannot be represented as JSON.
 pub fn to_state(
     configuration: &document::Configuration,
 ) -> Result<serde_json::Value, error::CtlError> {
@@ -39,10 +39,10 @@
     })
 }
 
-/// The configuration that is in force, or an older one.
+/// Fetches the configuration in force, or an older revision.
 ///
 /// # Errors
-/// When no entry VM answers, or it does not know the revision.
+/// When no entry VM answers, or the one that answers does not know the revision.
 pub async fn fetch(
     client: &client::OpsClient,
     revision: Option<u64>,
@@ -52,17 +52,17 @@
         |revision| format!("/ops/configuration?revision={revision}"),
     );
     match client.get(&path).await {
-        // Before the first change there is nothing that a VM could show.
-        Err(error::CtlError::Refused { status: 404, .. }) if revision.is_none() => first(),
+        // Before the first change, entry VMs have no configuration and answer 404.
+        Err(error::CtlError::Refused { status: 404, .. }) if revision.is_none() => initial(),
         answer => answer,
     }
 }
 
-/// Revision 0: the empty configuration before the first change, which every VM starts from.
+/// Returns revision 0, the empty configuration before the first change, with which every VM starts.
 ///
 /// # Errors
-/// When it cannot be written as JSON.
-pub fn first() -> Result<ops::ConfigurationBody, error::CtlError> {
+/// When it cannot be represented as JSON.
+pub fn initial() -> Result<ops::ConfigurationBody, error::CtlError> {
     Ok(ops::ConfigurationBody {
         revision: 0,
         offset: 0,
@@ -71,7 +71,7 @@
     })
 }
 
-/// `pollenctl check`.
+/// Runs `pollenctl check`.
 ///
 /// # Errors
 /// With all faults of the files.
@@ -89,10 +89,10 @@
     Ok(error::CommandOutput::success(text))
 }
 
-/// `pollenctl diff`.
+/// Runs `pollenctl diff`.
 ///
 /// # Errors
-/// When the files are faulty or no entry VM answers.
+/// When the files are invalid or no entry VM answers.
 pub async fn diff(
     args: &args::DiffArgs,
     client: &client::OpsClient,
@@ -116,7 +116,7 @@
     Ok(error::CommandOutput::success(text))
 }
 
-/// One line for each path that `patch` touches in `state`; empty when it touches none.
+/// Describes `patch` with one line per path that it changes in `state`; empty if it changes none.
 #[must_use]
 pub fn describe(state: &serde_json::Value, patch: &serde_json::Value) -> String {
     let mut out = String::new();
@@ -125,7 +125,7 @@
     }
     let mut paths: Vec<Vec<String>> = change::touched_paths(patch)
         .into_iter()
-        .map(|path| up_to_new(state, path))
+        .map(|path| truncate_at_new(state, path))
         .collect();
     paths.dedup();
     for path in paths {
@@ -146,8 +146,9 @@
     path.iter().try_fold(value, |value, name| value.get(name))
 }
 
-/// `path` up to the first name that `state` does not have: what is new is shown as one thing.
-fn up_to_new(state: &serde_json::Value, mut path: Vec<String>) -> Vec<String> {
+/// Truncates `path` after the first name missing in `state`, so that a new subtree is shown as one
+/// change.
+fn truncate_at_new(state: &serde_json::Value, mut path: Vec<String>) -> Vec<String> {
     let is_new = |length: &usize| find(state, &path[..*length]).is_none();
     let length = (1..=path.len()).find(is_new).unwrap_or(path.len());
     path.truncate(length);
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,24 +1,24 @@
-//! What can go wrong, and how a program that called us sees it.
+//! Errors of commands, their output and their exit status.
 
 use std::{io, process};
 
 use base::id;
 use snafu::Snafu;
 
-/// How a command ended, for the shell.
+/// Exit status of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     Success = 0,
-    /// Refused: a faulty file, a conflict, an unknown name. Nothing took effect.
+    /// Refused because of an invalid file, a conflict or an unknown name. Nothing took effect.
     Refused = 1,
-    /// The command line or the settings make no sense.
+    /// The command line or the settings are invalid.
     Usage = 2,
     /// No entry VM answered. Nothing took effect.
     Unreachable = 3,
-    /// It may have taken effect or not; the message says how to find out.
+    /// The change may or may not have taken effect; the message says how to find out.
     Undecided = 4,
-    /// What was waited for had not come when the time was up.
+    /// The timeout expired before the awaited condition held.
     TimedOut = 5,
 }
 
@@ -28,86 +28,86 @@
     }
 }
 
-/// What a command prints, and how it ended.
+/// Output and exit status of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommandOutput {
-    /// For the standard output.
+    /// Text for standard output.
     pub text: String,
-    /// For the standard error output.
-    pub complaint: String,
-    /// How it ended.
+    /// Text for standard error.
+    pub error_text: String,
+    /// Exit status.
     pub status: ExitStatus,
 }
 
 impl CommandOutput {
-    /// A command that did what it should.
+    /// Creates the output of a successful command.
     #[must_use]
     pub const fn success(text: String) -> Self {
         Self {
             text,
-            complaint: String::new(),
+            error_text: String::new(),
             status: ExitStatus::Success,
         }
     }
 
-    /// A command that ended early.
+    /// Creates the output of a failed command.
     #[must_use]
     pub fn failure(error: &CtlError) -> Self {
         Self {
             text: String::new(),
-            complaint: format!("pollenctl: {error}\n"),
+            error_text: format!("pollenctl: {error}\n"),
             status: error.status(),
         }
     }
 }
 
-/// Why a command ended early.
+/// Reason why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CtlError {
-    /// A file of ours could not be read.
+    /// A local file could not be read.
     #[snafu(display("cannot read {file}: {source}; check the name and its permissions"))]
     ReadFile {
         /// The file.
         file: String,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A file of ours could not be written.
+    /// A local file could not be written.
     #[snafu(display("cannot write {file}: {source}; check the directory and its permissions"))]
     WriteFile {
         /// The file.
         file: String,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A settings file is faulty.
+    /// The settings file is invalid.
     #[snafu(display("the settings are faulty:\n{faults}"))]
     Settings {
-        /// All its faults.
+        /// All faults of the file.
         faults: conf::fault::FaultList,
     },
-    /// Inventory or rules are faulty.
+    /// Inventory or rules are invalid.
     #[snafu(display("{} found, nothing was published:\n{faults}", count_text(faults.faults.len(), "fault")))]
     Faulty {
         /// All faults of both files.
         faults: conf::fault::FaultList,
     },
-    /// No entry VM is known.
+    /// No entry VM is configured.
     #[snafu(display(
         "no entry VM is known; pass --entry IP:PORT, or --config FILE with \"entries\""
     ))]
     NoEntries,
-    /// No operator key is known.
+    /// No operator key is configured.
     #[snafu(display(
         "no operator key; set {} or \"operator_key_file\" in the settings",
         crate::settings::KEY_VARIABLE
     ))]
     NoKey,
-    /// The command line asks for something that makes no sense.
+    /// The command line is invalid.
     #[snafu(display("{message}"))]
     Usage {
-        /// What, and what to do.
+        /// The problem and its remedy.
         message: String,
     },
     /// No entry VM answered.
@@ -116,34 +116,34 @@
         indented(attempts)
     ))]
     Unreachable {
-        /// What came of each.
+        /// The failure of each attempt.
         attempts: Vec<String>,
     },
-    /// An entry VM refused.
+    /// An entry VM refused the call.
     #[snafu(display("{entry} refused ({status}): {message}"))]
     Refused {
         /// The entry VM.
         entry: String,
         /// The HTTP status.
         status: u16,
-        /// What it says, with the remedy.
+        /// The message of the refusal, with its remedy.
         message: String,
     },
-    /// An answer or a state of ours cannot be handled as JSON.
+    /// A value could not be parsed from or written as JSON.
     #[snafu(display("cannot handle {what} as JSON: {source}; is pollenctl older than the VMs?"))]
     Json {
-        /// What.
+        /// The value.
         what: String,
-        /// How it fails.
+        /// The JSON error.
         source: serde_json::Error,
     },
-    /// Another change was first.
+    /// A concurrent change was accepted first.
     #[snafu(display("{message}"))]
     Conflict {
-        /// Who changed what, and what to do.
+        /// The conflicting changes and the remedy.
         message: String,
     },
-    /// The changed configuration would be faulty.
+    /// The changed configuration would be invalid.
     #[snafu(display(
         "the configuration would be faulty, nothing was published:\n{}",
         indented(faults)
@@ -158,21 +158,21 @@
          again with --record {record}, which is safe, or look for it in `pollenctl history`"
     ))]
     Undecided {
-        /// What happened last.
+        /// The last attempt without a decision.
         reason: String,
-        /// Id of the record.
+        /// Id of the record on the log.
         record: id::RecordId,
     },
-    /// Nothing is known of what was asked for.
+    /// The requested item was not found.
     #[snafu(display("{message}"))]
     NotFound {
-        /// What, and what to do.
+        /// The problem and its remedy.
         message: String,
     },
 }
 
 impl CtlError {
-    /// How the shell sees it.
+    /// Returns the exit status for the error.
     #[must_use]
     pub const fn status(&self) -> ExitStatus {
         match self {
@@ -194,7 +194,7 @@
     }
 }
 
-/// `1 fault`, `2 faults`.
+/// Formats a count with its noun, such as `1 fault` or `2 faults`.
 #[must_use]
 pub fn count_text(count: usize, noun: &str) -> String {
     let ending = if count == 1 { "" } else { "s" };
--- a/crates/ctl/src/in_force.rs
+++ b/crates/ctl/src/in_force.rs
@@ -1,4 +1,4 @@
-//! Waiting until every entry VM acts by a revision.
+//! Waiting until a revision is in force on every entry VM.
 
 use std::{collections, fmt::Write as _};
 
@@ -9,43 +9,44 @@
 
 use crate::{client, error, table};
 
-/// First pause between two looks; it doubles up to [`LONGEST_PAUSE`].
-const POLL_PAUSE: time::Duration = time::Duration::from_millis(125);
-const LONGEST_PAUSE: time::Duration = time::Duration::from_secs(1);
-/// Entry VMs that are asked at once.
-const CALLS_AT_ONCE: usize = 32;
+/// Initial interval between two polls; it doubles up to [`MAX_POLL_INTERVAL`].
+const INITIAL_POLL_INTERVAL: time::Duration = time::Duration::from_millis(125);
+const MAX_POLL_INTERVAL: time::Duration = time::Duration::from_secs(1);
+/// Maximum number of concurrent calls to entry VMs.
+const MAX_CONCURRENT_CALLS: usize = 32;
 
-/// What is waited for.
+/// The revision to wait for, the VMs considered, and the timeout.
 #[derive(Clone, Copy, Debug)]
-pub struct ForceGoal {
-    /// The revision, or a later one; absent: the newest that any VM knows at the start.
+pub struct InForceGoal {
+    /// The revision, which a later one satisfies too; absent: the newest known to any VM at the
+    /// start.
     pub revision: Option<u64>,
-    /// Whether VMs that are taken to be dead are passed over.
+    /// Whether VMs considered dead are ignored.
     pub is_live_only: bool,
-    /// How long to wait.
-    pub limit: time::Duration,
+    /// Maximum time to wait.
+    pub timeout: time::Duration,
 }
 
-/// An entry VM that has not said that it acts by the revision.
+/// An entry VM that has not reported the revision as in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LaggingVm {
-    /// Its name.
+    /// Name of the entry VM.
     pub vm: String,
-    /// Where it is asked directly.
+    /// Address for direct queries.
     pub address: String,
-    /// How it is, in the eyes of the VM that answered.
+    /// Health state in the view of the VM that answered.
     pub state: ops::HealthState,
-    /// What it last said.
+    /// The revision that it last reported, if any.
     pub revision: Option<u64>,
-    /// When, in milliseconds before the answer.
+    /// Age of the last message from it, in milliseconds before the answer.
     pub heard_ms_ago: Option<u64>,
 }
 
-/// The entry VMs that have not said that they act by `wanted` or a later revision.
+/// Returns the entry VMs that have not reported `wanted` or a later revision as in force.
 ///
-/// What a VM said once stays true for as long as it runs, because a configuration in force never
-/// reverts; so a late report may only make the wait longer, never end it too early. `direct`
-/// holds what VMs answered when asked themselves.
+/// A report stays valid for as long as its VM runs, because a configuration in force never reverts;
+/// a late report may therefore prolong the wait but never end it too early. `direct` holds the
+/// revisions that VMs reported in answer to direct queries.
 #[must_use]
 pub fn lagging(
     status: &ops::StatusBody,
@@ -55,51 +56,51 @@
 ) -> Vec<LaggingVm> {
     let mut lagging = Vec::new();
     for member in &status.members {
-        let said = member.revision.max(direct.get(&member.vm).copied());
-        let is_passed_over = is_live_only && member.state == ops::HealthState::Dead;
-        if is_passed_over || said.is_some_and(|revision| revision >= wanted) {
+        let reported = member.revision.max(direct.get(&member.vm).copied());
+        let is_ignored = is_live_only && member.state == ops::HealthState::Dead;
+        if is_ignored || reported.is_some_and(|revision| revision >= wanted) {
             continue;
         }
         lagging.push(LaggingVm {
             vm: member.vm.clone(),
             address: member.address.clone(),
             state: member.state,
-            revision: said,
+            revision: reported,
             heard_ms_ago: member.heard_ms_ago,
         });
     }
     lagging
 }
 
-/// The newest revision that the answering VM or any member has in force.
+/// Returns the newest revision in force on the answering VM or any member.
 #[must_use]
-pub fn newest(status: &ops::StatusBody) -> u64 {
+pub fn newest_revision(status: &ops::StatusBody) -> u64 {
     let members = status.members.iter().filter_map(|member| member.revision);
     members.fold(status.configuration.revision, u64::max)
 }
 
-/// Waits for the goal and says what came of it.
+/// Waits for the goal and reports the result.
 ///
 /// # Errors
 /// When no entry VM answers.
 pub async fn wait(
-    goal: &ForceGoal,
+    goal: &InForceGoal,
     client: &client::OpsClient,
 ) -> Result<error::CommandOutput, error::CtlError> {
-    let begin = time::Instant::now();
+    let started_at = time::Instant::now();
     let mut direct = collections::BTreeMap::new();
     let mut wanted = goal.revision;
-    let mut pause = POLL_PAUSE;
+    let mut interval = INITIAL_POLL_INTERVAL;
     loop {
         let status: ops::StatusBody = client.get("/ops/status?only=members").await?;
-        let revision = *wanted.get_or_insert_with(|| newest(&status));
+        let revision = *wanted.get_or_insert_with(|| newest_revision(&status));
         let mut laggards = lagging(&status, revision, goal.is_live_only, &direct);
         if !laggards.is_empty() {
-            // Gossip may be cut between the VM that answers and others that we reach.
-            ask_directly(&laggards, client, &mut direct).await;
+            // The answering VM may receive no gossip from VMs that the client can reach.
+            query_directly(&laggards, client, &mut direct).await;
             laggards = lagging(&status, revision, goal.is_live_only, &direct);
         }
-        let waited_ms = u64::try_from(begin.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let waited_ms = u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
         if laggards.is_empty() {
             let count = error::count_text(status.members.len(), "entry VM");
             let waited = moment::span_text(waited_ms);
@@ -107,15 +108,15 @@
                 format!("revision {revision} is in force on {count}, seen within {waited}\n");
             return Ok(error::CommandOutput::success(text));
         }
-        if begin.elapsed() >= goal.limit {
+        if started_at.elapsed() >= goal.timeout {
             return Ok(timed_out(revision, &laggards, status.members.len()));
         }
-        time::sleep(pause.min(goal.limit.saturating_sub(begin.elapsed()))).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        time::sleep(interval.min(goal.timeout.saturating_sub(started_at.elapsed()))).await;
+        interval = (interval * 2).min(MAX_POLL_INTERVAL);
     }
 }
 
-async fn ask_directly(
+async fn query_directly(
     laggards: &[LaggingVm],
     client: &client::OpsClient,
     direct: &mut collections::BTreeMap<String, u64>,
@@ -129,7 +130,7 @@
         (status.vm == laggard.vm).then_some((status.vm, status.configuration.revision))
     });
     let answers: Vec<_> = futures_util::stream::iter(calls)
-        .buffer_unordered(CALLS_AT_ONCE)
+        .buffer_unordered(MAX_CONCURRENT_CALLS)
         .collect()
         .await;
     direct.extend(answers.into_iter().flatten());
@@ -148,24 +149,24 @@
             laggard
                 .revision
                 .map_or_else(|| "nothing".to_owned(), |number| number.to_string()),
-            heard_text(laggard.heard_ms_ago),
+            age_text(laggard.heard_ms_ago),
             laggard.address.clone(),
         ]);
     }
     let _ = write!(text, "{}", table.render());
     error::CommandOutput {
         text,
-        complaint: "pollenctl: time is up; wait longer with --timeout, or pass over dead VMs with \
+        error_text: "pollenctl: time is up; wait longer with --timeout, or ignore dead VMs with \
                     --live-only\n"
             .to_owned(),
         status: error::ExitStatus::TimedOut,
     }
 }
 
-/// `2.0 s ago`, or `never`.
+/// Formats an age as `2.0 s ago`, or `never`.
 #[must_use]
-pub fn heard_text(heard_ms_ago: Option<u64>) -> String {
-    heard_ms_ago.map_or_else(
+pub fn age_text(age_ms: Option<u64>) -> String {
+    age_ms.map_or_else(
         || "never".to_owned(),
         |age_ms| format!("{} ago", moment::span_text(age_ms)),
     )
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operators' client.
 //!
-//! Talks to the operators' face of any entry VM; when one does not answer it tries the next.
+//! Calls the operators' API of any entry VM; when one does not answer, it tries the next.
 
 pub mod args;
 pub mod attention;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! Thin front; the work is in the library.
+//! Entry point of `pollenctl`: parses the command line and calls the library.
 
 use std::{env, io, io::Write as _, process, time};
 
@@ -28,8 +28,9 @@
     }
 }
 
-/// A reader that stops early, such as `head`, is no fault: what could not be written is left.
+/// Prints the output. Write errors are ignored, because a reader such as `head` may close the pipe
+/// early.
 fn print(output: &error::CommandOutput) {
     let _ = io::stdout().write_all(output.text.as_bytes());
-    let _ = io::stderr().write_all(output.complaint.as_bytes());
+    let _ = io::stderr().write_all(output.error_text.as_bytes());
 }
--- a/crates/ctl/src/operate.rs
+++ b/crates/ctl/src/operate.rs
@@ -9,19 +9,19 @@
 
 use crate::{args, client, error, table};
 
-const POLL_PAUSE: time::Duration = time::Duration::from_millis(500);
-/// Digits of a fingerprint in a table; commands take them in place of the whole.
-const SHORT_DIGITS: usize = 12;
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(500);
+/// Digits of a fingerprint shown in a table; commands accept them in place of the complete one.
+const SHORT_FINGERPRINT_DIGITS: usize = 12;
 
-/// `pollenctl drain`.
+/// Runs `pollenctl drain`.
 ///
 /// # Errors
-/// When nobody answers, or nothing has that name.
+/// When no entry VM answers, or nothing has that name.
 pub async fn drain(
     args: &args::DrainArgs,
     client: &client::OpsClient,
 ) -> Result<error::CommandOutput, error::CtlError> {
-    let ask = match (&args.server, &args.vm) {
+    let request = match (&args.server, &args.vm) {
         (Some(server), None) => ops::DrainAsk::Server(server.clone()),
         (None, Some(vm)) => ops::DrainAsk::Vm(vm.clone()),
         _ => {
@@ -29,7 +29,7 @@
             return error::UsageSnafu { message }.fail();
         }
     };
-    let answer = mark(&ask, client).await?;
+    let answer = mark_leaving(&request, client).await?;
     let subject = text::clean(&answer.subject);
     let already = if answer.already { " already" } else { "" };
     let running = error::count_text(answer.running as usize, "request");
@@ -40,31 +40,31 @@
     let deadline = time::Instant::now() + time::Duration::from_secs(args.timeout);
     loop {
         let status: ops::StatusBody = client.get("/ops/status?only=members,servers").await?;
-        if is_drained(&status, &ask) {
+        if is_drained(&status, &request) {
             let _ = writeln!(text, "nothing runs there any more");
             return Ok(error::CommandOutput::success(text));
         }
-        if time::Instant::now() + POLL_PAUSE >= deadline {
+        if time::Instant::now() + POLL_INTERVAL >= deadline {
             return Ok(error::CommandOutput {
                 text,
-                complaint: "pollenctl: time is up and requests still run there; wait longer with \
+                error_text: "pollenctl: time is up and requests still run there; wait longer with \
                             --timeout\n"
                     .to_owned(),
                 status: error::ExitStatus::TimedOut,
             });
         }
-        time::sleep(POLL_PAUSE).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Marks as leaving. Any entry VM can do so for a backend server; an entry VM must hear it
-/// itself, since only it can close its own door.
-async fn mark(
-    ask: &ops::DrainAsk,
+/// Marks a backend server or an entry VM as leaving. Any entry VM can mark a backend server; an
+/// entry VM must receive the request itself, because only it can stop accepting its calls.
+async fn mark_leaving(
+    request: &ops::DrainAsk,
     client: &client::OpsClient,
 ) -> Result<ops::DrainAnswer, error::CtlError> {
-    let ops::DrainAsk::Vm(name) = ask else {
-        return client.post("/ops/drain", ask).await;
+    let ops::DrainAsk::Vm(name) = request else {
+        return client.post("/ops/drain", request).await;
     };
     let status: ops::StatusBody = client.get("/ops/status?only=members").await?;
     let member = status.members.iter().find(|member| member.vm == *name);
@@ -74,16 +74,16 @@
         let message = format!("no entry VM is called {name:?}; there are: {known}");
         error::NotFoundSnafu { message }
     })?;
-    client.post_to(&member.address, "/ops/drain", ask).await
+    client.post_to(&member.address, "/ops/drain", request).await
 }
 
-/// Whether nothing runs any more on what was drained, as far as one VM sees.
+/// Returns whether the drained server or VM has no running work, in the view of one entry VM.
 ///
-/// A backend server is empty when its own report says so; an entry VM ends its process when its
-/// last answer is out, so it is done when it no longer answers gossip.
+/// A backend server is idle when its own report says so. An entry VM ends its process after its
+/// last answer, so it is drained when it no longer answers gossip.
 #[must_use]
-pub fn is_drained(status: &ops::StatusBody, ask: &ops::DrainAsk) -> bool {
-    match ask {
+pub fn is_drained(status: &ops::StatusBody, request: &ops::DrainAsk) -> bool {
+    match request {
         ops::DrainAsk::Server(name) => status
             .servers
             .iter()
@@ -101,10 +101,10 @@
     }
 }
 
-/// `pollenctl placement`.
+/// Runs `pollenctl placement`.
 ///
 /// # Errors
-/// When nobody answers, or no model has that name.
+/// When no entry VM answers, or no model has that name.
 pub async fn placement(
     args: &args::PlacementArgs,
     client: &client::OpsClient,
@@ -166,7 +166,7 @@
     fitted.collect()
 }
 
-/// `names` after `head`, on as many lines as they need.
+/// Wraps `names` after `head` into as many lines as needed.
 fn wrapped(head: &str, names: &[String]) -> Vec<String> {
     let mut lines = Vec::new();
     let mut line = head.to_owned();
@@ -184,10 +184,10 @@
     lines
 }
 
-/// `pollenctl quarantine`.
+/// Runs `pollenctl quarantine`.
 ///
 /// # Errors
-/// When nobody answers, or nothing has that fingerprint.
+/// When no entry VM answers, or nothing has that fingerprint.
 pub async fn quarantine(
     args: &args::QuarantineArgs,
     client: &client::OpsClient,
@@ -200,10 +200,10 @@
         args::QuarantineCommand::List(_) => Ok(error::CommandOutput::success(list_text(&body))),
         args::QuarantineCommand::Lift(lift) => {
             let found = find(&body, &lift.fingerprint)?;
-            let ask = ops::LiftAsk {
+            let request = ops::LiftAsk {
                 fingerprint: found.fingerprint,
             };
-            let answer: ops::LiftAnswer = client.post("/ops/quarantine/lift", &ask).await?;
+            let answer: ops::LiftAnswer = client.post("/ops/quarantine/lift", &request).await?;
             let what = if answer.lifted {
                 "lifted"
             } else {
@@ -220,10 +220,10 @@
     digits: &str,
 ) -> Result<&'a ops::QuarantineStatus, error::CtlError> {
     let digits = digits.to_ascii_lowercase();
-    let is_it = |entry: &&ops::QuarantineStatus| {
+    let is_match = |entry: &&ops::QuarantineStatus| {
         !digits.is_empty() && entry.fingerprint.to_string().starts_with(&digits)
     };
-    let mut matches = body.entries.iter().filter(is_it);
+    let mut matches = body.entries.iter().filter(is_match);
     let found = matches.next().with_context(|| error::NotFoundSnafu {
         message: format!(
             "nothing in quarantine has a fingerprint that begins with {digits:?}; see `pollenctl \
@@ -253,7 +253,7 @@
             ops::QuarantineState::Quarantined => "refused",
         };
         let mut digits = entry.fingerprint.to_string();
-        digits.truncate(SHORT_DIGITS);
+        digits.truncate(SHORT_FINGERPRINT_DIGITS);
         table.row(vec![
             digits,
             state.to_owned(),
--- a/crates/ctl/src/overview.rs
+++ b/crates/ctl/src/overview.rs
@@ -1,4 +1,4 @@
-//! One VM's view of the whole, at a glance in 80 columns.
+//! Overview of the system in the view of one VM, in 80 columns.
 
 use std::collections;
 
@@ -7,7 +7,7 @@
 
 use crate::{attention, error, in_force, table};
 
-/// The whole view.
+/// Renders the complete overview.
 #[must_use]
 pub fn render(status: &ops::StatusBody) -> String {
     let mut out = String::new();
@@ -44,9 +44,9 @@
 }
 
 fn head(status: &ops::StatusBody) -> [String; 3] {
-    let newest = in_force::newest(status);
-    let is_there = |member: &&ops::MemberStatus| member.revision.is_some_and(|it| it >= newest);
-    let there = status.members.iter().filter(is_there).count();
+    let newest = in_force::newest_revision(status);
+    let is_current = |member: &&ops::MemberStatus| member.revision.is_some_and(|it| it >= newest);
+    let current = status.members.iter().filter(is_current).count();
     let readiness = match status.readiness {
         ops::ReadyState::Starting => "starting",
         ops::ReadyState::Ready => "ready",
@@ -62,14 +62,14 @@
             moment::full_text(status.now_ms)
         ),
         format!(
-            "revision {newest} in force on {there} of {}",
+            "revision {newest} in force on {current} of {}",
             error::count_text(status.members.len(), "entry VM"),
         ),
-        here(&status.configuration),
+        local_line(&status.configuration),
     ]
 }
 
-fn here(configuration: &ops::ConfigurationStatus) -> String {
+fn local_line(configuration: &ops::ConfigurationStatus) -> String {
     if configuration.revision == 0 {
         return "here: no configuration yet".to_owned();
     }
@@ -80,7 +80,7 @@
     format!("here: revision {revision} for {span}, from {source}")
 }
 
-/// How many of a group are in each state.
+/// Number of members of a group in each state.
 #[derive(Clone, Copy, Debug, Default)]
 struct StateCounts {
     up: usize,
@@ -105,12 +105,12 @@
     fn cells(self) -> impl Iterator<Item = String> {
         [self.up, self.suspect, self.dead, self.leaving, self.unknown]
             .into_iter()
-            .map(shown)
+            .map(count_cell)
     }
 }
 
-/// A zero is left out, so that what is not zero stands out.
-fn shown(count: usize) -> String {
+/// Formats a count, with `-` for zero so that other numbers stand out.
+fn count_cell(count: usize) -> String {
     if count == 0 {
         "-".to_owned()
     } else {
@@ -119,7 +119,7 @@
 }
 
 fn members(status: &ops::StatusBody) -> table::TextTable {
-    let newest = in_force::newest(status);
+    let newest = in_force::newest_revision(status);
     let mut groups: collections::BTreeMap<(&str, &str), (StateCounts, usize)> =
         collections::BTreeMap::new();
     for member in &status.members {
@@ -146,12 +146,12 @@
             format!("{region}/{domain}")
         };
         let cells = std::iter::once(name).chain(counts.cells());
-        table.row(cells.chain(std::iter::once(shown(behind))).collect());
+        table.row(cells.chain(std::iter::once(count_cell(behind))).collect());
     }
     table
 }
 
-/// Backend servers that serve the same.
+/// Totals of the backend servers that serve the same model or service.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerGroup {
     counts: StateCounts,
@@ -225,8 +225,8 @@
             placement.wanted_version.clone(),
             placement.ready.len().to_string(),
             placement.min_engines.to_string(),
-            shown(placement.loading.len()),
-            shown(placement.outdated.len()),
+            count_cell(placement.loading.len()),
+            count_cell(placement.outdated.len()),
         ]);
     }
     table
@@ -258,14 +258,15 @@
         table.row(vec![
             stream.stream.clone(),
             log_state(stream).to_owned(),
-            in_force::heard_text(stream.answered_ms_ago),
+            in_force::age_text(stream.answered_ms_ago),
             stream.next_offset.to_string(),
         ]);
     }
     table
 }
 
-/// A process that just began has not been answered yet, which is no outage.
+/// Returns the state shown for a log stream. A process that has just started has no answer yet,
+/// which is not an outage.
 const fn log_state(stream: &ops::LogStatus) -> &'static str {
     match (stream.reachable, stream.answered_ms_ago) {
         (true, _) => "answers",
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration: publishing, bringing back, history.
+//! Configuration changes: publishing, rollback and history.
 
 use std::fmt::Write as _;
 
@@ -10,17 +10,17 @@
 
 use crate::{args, client, configuration, error, in_force, table};
 
-/// A change whose base moved under it this often is left to its operator.
+/// Maximum number of rebases of one change; after that the operator has to retry.
 const MAX_REBASES: u32 = 5;
-/// Paths of one change that the history shows; the first change of all has thousands.
-const PATHS_SHOWN: usize = 8;
-/// Pause before all entry VMs are tried again.
-const ROUND_PAUSE: time::Duration = time::Duration::from_millis(500);
+/// Maximum number of paths of one change in the history; the first change has thousands.
+const MAX_HISTORY_PATHS: usize = 8;
+/// Interval before all entry VMs are tried again.
+const RETRY_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// `pollenctl publish`.
+/// Runs `pollenctl publish`.
 ///
 /// # Errors
-/// When the files are faulty, another change was first, or nobody answers.
+/// When the files are invalid, another change was accepted first, or no entry VM answers.
 pub async fn publish(
     args: &args::PublishArgs,
     client: &client::OpsClient,
@@ -37,25 +37,27 @@
         );
         return Ok(error::CommandOutput::success(text));
     }
-    let ask = ops::PublishAsk {
+    let request = ops::PublishAsk {
         record: record_id(args.record.as_deref())?,
         base_revision: base.revision,
         change: patch,
         author: String::new(),
         comment: args.comment.clone(),
     };
-    let plan = ChangePlan {
-        is_rebased: args.rebase,
-        is_awaited: args.wait,
-        limit: time::Duration::from_secs(args.timeout),
+    let options = PublishOptions {
+        is_rebase_allowed: args.rebase,
+        is_in_force_awaited: args.wait,
+        timeout: time::Duration::from_secs(args.timeout),
     };
-    decide(ask, &plan, changes, client).await
+    decide(request, &options, changes, client).await
 }
 
-/// `pollenctl rollback`: the difference from what is in force to the older state, as a change.
+/// Runs `pollenctl rollback`, which publishes the difference from the revision in force to an older
+/// state as a change.
 ///
 /// # Errors
-/// When no entry VM knows the older state, another change was first, or nobody answers.
+/// When no entry VM knows the older state, another change was accepted first, or no entry VM
+/// answers.
 pub async fn rollback(
     args: &args::RollbackArgs,
     client: &client::OpsClient,
@@ -72,25 +74,25 @@
     if !args.comment.is_empty() {
         let _ = write!(comment, ": {}", args.comment);
     }
-    let ask = ops::PublishAsk {
+    let request = ops::PublishAsk {
         record: record_id(None)?,
         base_revision: current.revision,
         change: patch,
         author: String::new(),
         comment,
     };
-    let plan = ChangePlan {
-        is_rebased: false,
-        is_awaited: args.wait,
-        limit: time::Duration::from_secs(args.timeout),
+    let options = PublishOptions {
+        is_rebase_allowed: false,
+        is_in_force_awaited: args.wait,
+        timeout: time::Duration::from_secs(args.timeout),
     };
-    decide(ask, &plan, changes, client).await
+    decide(request, &options, changes, client).await
 }
 
-/// `pollenctl history`.
+/// Runs `pollenctl history`.
 ///
 /// # Errors
-/// When nobody answers.
+/// When no entry VM answers.
 pub async fn history(
     args: &args::HistoryArgs,
     client: &client::OpsClient,
@@ -114,18 +116,18 @@
     Ok(error::CommandOutput::success(text))
 }
 
-/// How a change is to be brought through.
+/// Options for publishing a change.
 #[derive(Clone, Copy, Debug)]
-struct ChangePlan {
-    is_rebased: bool,
-    is_awaited: bool,
-    limit: time::Duration,
+struct PublishOptions {
+    is_rebase_allowed: bool,
+    is_in_force_awaited: bool,
+    timeout: time::Duration,
 }
 
-/// The state that the files were made from.
+/// Returns the state that the files were made from.
 ///
-/// Files that were made from revision 40 and are published as a difference to revision 41 would
-/// undo, without a word, what another operator did in 41. So the base must be named.
+/// Files made from revision 40 but published as a difference to revision 41 would silently undo
+/// another operator's change in 41. The base must therefore be given.
 async fn base_state(
     base: Option<&str>,
     current: ops::ConfigurationBody,
@@ -159,7 +161,7 @@
     client: &client::OpsClient,
 ) -> Result<ops::ConfigurationBody, error::CtlError> {
     if revision == 0 {
-        return configuration::first();
+        return configuration::initial();
     }
     let found = configuration::fetch(client, Some(revision)).await;
     found.map_err(|error| match error {
@@ -183,31 +185,31 @@
 }
 
 async fn decide(
-    mut ask: ops::PublishAsk,
-    plan: &ChangePlan,
+    mut request: ops::PublishAsk,
+    options: &PublishOptions,
     mut text: String,
     client: &client::OpsClient,
 ) -> Result<error::CommandOutput, error::CtlError> {
     for _ in 0..=MAX_REBASES {
-        match send(&ask, plan.limit, client).await? {
+        match send(&request, options.timeout, client).await? {
             ops::PublishAnswer::Accepted { revision, offset } => {
                 let _ = writeln!(text, "accepted as revision {revision} (offset {offset})");
-                return finish(text, revision, plan, client).await;
+                return finish(text, revision, options, client).await;
             }
             ops::PublishAnswer::Conflict {
                 current_revision,
                 overlapping,
                 ..
-            } if plan.is_rebased && overlapping.is_empty() => {
-                let base = ask.base_revision;
+            } if options.is_rebase_allowed && overlapping.is_empty() => {
+                let base = request.base_revision;
                 let _ = writeln!(
                     text,
                     "revision {base} has moved to {current_revision}: rebased"
                 );
-                ask.base_revision = current_revision;
-                ask.record = record_id(None)?;
+                request.base_revision = current_revision;
+                request.record = record_id(None)?;
             }
-            refused => return Err(refusal(refused, &ask)),
+            refused => return Err(refusal(refused, &request)),
         }
     }
     let message = "others change the configuration faster than this change can follow; try again";
@@ -217,105 +219,109 @@
 async fn finish(
     mut text: String,
     revision: u64,
-    plan: &ChangePlan,
+    options: &PublishOptions,
     client: &client::OpsClient,
 ) -> Result<error::CommandOutput, error::CtlError> {
-    if !plan.is_awaited {
+    if !options.is_in_force_awaited {
         text.push_str("see where it is in force with `pollenctl status --in-force`\n");
         return Ok(error::CommandOutput::success(text));
     }
-    let goal = in_force::ForceGoal {
+    let goal = in_force::InForceGoal {
         revision: Some(revision),
         is_live_only: false,
-        limit: plan.limit,
+        timeout: options.timeout,
     };
     let mut output = in_force::wait(&goal, client).await?;
     output.text.insert_str(0, &text);
     Ok(output)
 }
 
-/// Sends one ask until it is decided or the time is up.
+/// Sends one request until it is decided or the timeout expires.
 ///
-/// The answer may be lost after the append took effect. The same ask then goes to the next entry
-/// VM: its record id is the same, so the change takes effect once, and whoever answers says what
-/// the log decided about it.
+/// The answer may be lost after the append took effect. The same request is then sent to the next
+/// entry VM: its record id is the same, so the change takes effect once, and the VM that answers
+/// reports the decision of the log.
 async fn send(
-    ask: &ops::PublishAsk,
-    limit: time::Duration,
+    request: &ops::PublishAsk,
+    timeout: time::Duration,
     client: &client::OpsClient,
 ) -> Result<ops::PublishAnswer, error::CtlError> {
-    let body = client::to_json(ask)?;
-    let deadline = time::Instant::now() + limit;
+    let body = client::to_json(request)?;
+    let deadline = time::Instant::now() + timeout;
     let mut undecided = None;
     loop {
         let mut attempts = Vec::new();
         for entry in client.entries() {
             let entry = entry.to_string();
             let called = client.call(&entry, "/ops/publish", Some(&body)).await;
-            let fault = match called.map(|answer| read_answer(&answer)) {
-                Ok(PublishStep::Decided(answer)) => return Ok(answer),
-                Ok(PublishStep::Refused(error)) => return Err(after(undecided, ask, error)),
-                Ok(PublishStep::Open(fault)) | Err(fault) => fault,
+            let error = match called.map(|answer| read_answer(&answer)) {
+                Ok(PublishAttempt::Decided(answer)) => return Ok(answer),
+                Ok(PublishAttempt::Refused(error)) => {
+                    return Err(undecided_or(undecided, request, error));
+                }
+                Ok(PublishAttempt::Undecided(error)) | Err(error) => error,
             };
-            attempts.push(format!("{entry}: {fault}"));
-            if !fault.is_unsent {
+            attempts.push(format!("{entry}: {error}"));
+            if !error.is_not_run {
                 undecided = attempts.last().cloned();
             }
         }
-        if time::Instant::now() + ROUND_PAUSE >= deadline {
-            return Err(after(
+        if time::Instant::now() + RETRY_INTERVAL >= deadline {
+            return Err(undecided_or(
                 undecided,
-                ask,
+                request,
                 error::CtlError::Unreachable { attempts },
             ));
         }
-        time::sleep(ROUND_PAUSE).await;
+        time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// How a publish ends without a decision: once some try may have taken effect, no refusal of a
-/// later try proves that nothing did.
-fn after(
+/// Returns the error of a publish without a decision. Once an attempt may have taken effect, the
+/// refusal of a later attempt does not prove that nothing did.
+fn undecided_or(
     undecided: Option<String>,
-    ask: &ops::PublishAsk,
+    request: &ops::PublishAsk,
     error: error::CtlError,
 ) -> error::CtlError {
-    let record = ask.record;
+    let record = request.record;
     match undecided {
         Some(reason) => error::CtlError::Undecided { reason, record },
         None => error,
     }
 }
 
-/// What one answer to a publish means.
-enum PublishStep {
+/// Result of one attempt to publish.
+enum PublishAttempt {
     Decided(ops::PublishAnswer),
-    /// This VM will not do it, and asking others is no use.
+    /// The VM refused, and other VMs would refuse too.
     Refused(error::CtlError),
-    /// Nothing is decided; another try may.
-    Open(client::CallFault),
+    /// No decision; another attempt may get one.
+    Undecided(client::CallError),
 }
 
-fn read_answer(answer: &client::RawAnswer) -> PublishStep {
+fn read_answer(answer: &client::RawAnswer) -> PublishAttempt {
     match serde_json::from_slice(&answer.body) {
-        Ok(ops::PublishAnswer::Undecided { reason }) => PublishStep::Open(client::CallFault {
-            reason,
-            is_unsent: false,
-        }),
-        Ok(decided) => PublishStep::Decided(decided),
-        Err(_) if answer.status < 500 => PublishStep::Refused(error::CtlError::Refused {
+        Ok(ops::PublishAnswer::Undecided { reason }) => {
+            PublishAttempt::Undecided(client::CallError {
+                reason,
+                is_not_run: false,
+            })
+        }
+        Ok(decided) => PublishAttempt::Decided(decided),
+        Err(_) if answer.status < 500 => PublishAttempt::Refused(error::CtlError::Refused {
             entry: answer.entry.clone(),
             status: answer.status,
             message: answer.message(),
         }),
-        Err(_) => PublishStep::Open(client::CallFault {
+        Err(_) => PublishAttempt::Undecided(client::CallError {
             reason: format!("{} {}", answer.status, answer.message()),
-            is_unsent: answer.is_not_run(),
+            is_not_run: answer.is_not_run(),
         }),
     }
 }
 
-fn refusal(answer: ops::PublishAnswer, ask: &ops::PublishAsk) -> error::CtlError {
+fn refusal(answer: ops::PublishAnswer, request: &ops::PublishAsk) -> error::CtlError {
     match answer {
         ops::PublishAnswer::Invalid { faults } => error::CtlError::Invalid { faults },
         ops::PublishAnswer::Conflict {
@@ -329,7 +335,7 @@
         ops::PublishAnswer::Accepted { .. } | ops::PublishAnswer::Undecided { .. } => {
             error::CtlError::Undecided {
                 reason: "no decision".to_owned(),
-                record: ask.record,
+                record: request.record,
             }
         }
     }
@@ -384,11 +390,11 @@
         let line = format!("    because {reason}");
         let _ = writeln!(lines, "{}", table::fit(&line, table::TERMINAL_COLUMNS));
     }
-    for path in entry.paths.iter().take(PATHS_SHOWN) {
+    for path in entry.paths.iter().take(MAX_HISTORY_PATHS) {
         let line = format!("    {path}");
         let _ = writeln!(lines, "{}", table::fit(&line, table::TERMINAL_COLUMNS));
     }
-    let more = entry.paths.len().saturating_sub(PATHS_SHOWN);
+    let more = entry.paths.len().saturating_sub(MAX_HISTORY_PATHS);
     if more > 0 {
         let _ = writeln!(lines, "    and {more} more; see --json");
     }
--- a/crates/ctl/src/saved_logs.rs
+++ b/crates/ctl/src/saved_logs.rs
@@ -1,4 +1,4 @@
-//! One request in saved logs of entry VMs, with what its VMs believed meanwhile.
+//! Explanation of one request from saved logs of entry VMs, with the state its VMs assumed then.
 
 use std::{collections, fs, path};
 
@@ -6,8 +6,8 @@
 
 use crate::{args, error};
 
-/// Messages that are told for their own sake: what a VM believes, or that it started or stopped.
-const BELIEFS: [&str; 8] = [
+/// Messages shown as context: changes of the state a VM assumes, and its start and stop.
+const CONTEXT_MESSAGES: [&str; 8] = [
     "store changed",
     "configuration in force",
     "server changed",
@@ -17,24 +17,24 @@
     "stopping",
     "stopped",
 ];
-/// Lines of one kind of belief that are shown; the rest are counted.
-const MOST_BELIEFS: usize = 12;
+/// Maximum number of lines shown per context message; the rest are only counted.
+const MAX_LINES_PER_MESSAGE: usize = 12;
 
-/// One line of a log.
+/// A parsed line of a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// Time as written: lines of all VMs sort by it.
+    /// Timestamp as written, by which the lines of all VMs are sorted.
     pub time: String,
-    /// The file's name without its ending: the VM.
+    /// Name of the VM, taken from the file name without its extension.
     pub vm: String,
-    /// What happened.
+    /// The log message.
     pub message: String,
-    /// What it was decided by, in the order of writing.
+    /// Keys and values of the line, in the order written.
     pub fields: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads one line; absent when it is none of ours.
+    /// Parses one line; returns `None` when it is not in the format of pollenedge's log.
     #[must_use]
     pub fn parse(vm: &str, line: &str) -> Option<Self> {
         let (head, rest) = line.strip_prefix('[')?.split_once("] ")?;
@@ -54,7 +54,7 @@
         })
     }
 
-    /// The value of a field.
+    /// Returns the value of a field.
     #[must_use]
     pub fn field(&self, key: &str) -> Option<&str> {
         let field = self.fields.iter().find(|(known, _)| known == key);
@@ -78,9 +78,10 @@
     }
 }
 
-/// Where fields begin: a word, then `=`. Values may hold spaces.
+/// Returns the positions where fields begin: a key of lower-case letters and `_`, then `=`. Values
+/// may contain spaces.
 fn field_starts(text: &str) -> Vec<usize> {
-    let word = |part: &str| {
+    let is_key = |part: &str| {
         !part.is_empty()
             && part
                 .bytes()
@@ -89,7 +90,7 @@
     let mut starts = Vec::new();
     let mut at = 0;
     for part in text.split(' ') {
-        if part.split_once('=').is_some_and(|(key, _)| word(key)) {
+        if part.split_once('=').is_some_and(|(key, _)| is_key(key)) {
             starts.push(at);
         }
         at += part.len() + 1;
@@ -97,10 +98,10 @@
     starts
 }
 
-/// `pollenctl explain --logs`.
+/// Runs `pollenctl explain --logs`.
 ///
 /// # Errors
-/// When a file cannot be read, or no line or several requests fit.
+/// When a file cannot be read, or no request or several requests match.
 pub fn explain(args: &args::ExplainArgs) -> Result<error::CommandOutput, error::CtlError> {
     let mut lines = Vec::new();
     for file in &args.logs {
@@ -109,9 +110,11 @@
         let vm = vm.to_string_lossy().into_owned();
         lines.extend(text.lines().filter_map(|line| LogLine::parse(&vm, line)));
     }
-    lines.sort_by(|one, other| one.time.cmp(&other.time));
+    lines.sort_by(|left, right| left.time.cmp(&right.time));
     let request = find_request(&lines, &args.request)?;
-    Ok(error::CommandOutput::success(tell(&lines, &request)))
+    Ok(error::CommandOutput::success(render_explanation(
+        &lines, &request,
+    )))
 }
 
 fn find_request(lines: &[LogLine], wanted: &str) -> Result<String, error::CtlError> {
@@ -134,9 +137,9 @@
     }
 }
 
-/// What happened to a request, what its VM believed meanwhile, and what that means.
+/// Renders the lines of a request, the context lines of its VMs and servers, and the outcome.
 #[must_use]
-pub fn tell(lines: &[LogLine], request: &str) -> String {
+pub fn render_explanation(lines: &[LogLine], request: &str) -> String {
     let own: Vec<_> = lines
         .iter()
         .filter(|line| line.field("request") == Some(request))
@@ -148,21 +151,22 @@
     for line in &own {
         text += &format!("  {}\n", line.render());
     }
-    text += &beliefs(lines, &own, &first.time, &last.time);
-    text += &format!("ended: {}\n", verdict(&own));
+    text += &context_lines(lines, &own, &first.time, &last.time);
+    text += &format!("ended: {}\n", outcome_text(&own));
     text
 }
 
-/// Lines on what its VMs believed, and on the servers that it met, while it was under way.
-fn beliefs(lines: &[LogLine], own: &[&LogLine], from: &str, to: &str) -> String {
+/// Renders the context lines of the VMs and servers that handled the request, while it was in
+/// progress.
+fn context_lines(lines: &[LogLine], own: &[&LogLine], from: &str, to: &str) -> String {
     let vms: collections::BTreeSet<_> = own.iter().map(|line| line.vm.as_str()).collect();
     let servers: collections::BTreeSet<_> = own
         .iter()
         .flat_map(|line| ["server", "from", "to"].map(|key| line.field(key)))
         .flatten()
         .collect();
-    let mut text = String::from("meanwhile, on its VM and of the servers that it met:\n");
-    for message in BELIEFS {
+    let mut text = String::from("meanwhile, on its entry VM and about its servers:\n");
+    for message in CONTEXT_MESSAGES {
         let of_server = message.starts_with("server");
         let matching: Vec<_> = lines
             .iter()
@@ -173,19 +177,19 @@
                 None => !of_server && vms.contains(line.vm.as_str()),
             })
             .collect();
-        for line in matching.iter().take(MOST_BELIEFS) {
+        for line in matching.iter().take(MAX_LINES_PER_MESSAGE) {
             text += &format!("  {}\n", line.render());
         }
-        if matching.len() > MOST_BELIEFS {
-            let more = matching.len() - MOST_BELIEFS;
+        if matching.len() > MAX_LINES_PER_MESSAGE {
+            let more = matching.len() - MAX_LINES_PER_MESSAGE;
             text += &format!("  and {more} more of \"{message}\"\n");
         }
     }
     text
 }
 
-/// What the last word on a request means.
-fn verdict(own: &[&LogLine]) -> String {
+/// Describes the outcome of a request from its last log lines.
+fn outcome_text(own: &[&LogLine]) -> String {
     let count = |message: &str| own.iter().filter(|line| line.message == message).count();
     let last_of = |message: &str| own.iter().rev().find(|line| line.message == message);
     if let Some(line) = last_of("stream whole") {
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the client: a file in JSON with comments, the environment, the command line.
+//! Settings of the client, from a JSON file with comments, the environment and the command line.
 
 use std::{fs, net, path, time};
 
@@ -60,32 +60,32 @@
     }
 }
 
-/// What a command takes from around it.
+/// Inputs of a command other than its arguments.
 #[derive(Clone, Debug, Default)]
 pub struct CallEnvironment {
     /// Value of [`KEY_VARIABLE`].
     pub operator_key: Option<String>,
     /// Value of [`SETTINGS_VARIABLE`].
     pub settings_file: Option<String>,
-    /// The wall clock, milliseconds since 1970.
+    /// Wall clock, in milliseconds since 1970.
     pub now_ms: u64,
 }
 
-/// Whom to call, with which key.
+/// Entry VMs to call, the operator key and the timeout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallSettings {
-    /// Entry VMs, never empty.
+    /// Addresses of entry VMs, never empty.
     pub entries: Vec<net::SocketAddr>,
     /// The operator key.
     pub key: String,
-    /// How long one call may take.
+    /// Timeout of one call.
     pub timeout: time::Duration,
 }
 
 /// Reads the settings file that the command line or the environment names, if any.
 ///
 /// # Errors
-/// When the file cannot be read or has faults.
+/// When the file cannot be read or is invalid.
 pub fn read(
     args: &args::CtlArgs,
     environment: &CallEnvironment,
@@ -96,14 +96,17 @@
     let text = fs::read_to_string(file).context(error::ReadFileSnafu { file })?;
     let mut settings: CtlSettings = conf::settings::parse(file, &text)
         .map_err(|faults| error::CtlError::Settings { faults })?;
-    settings.operator_key_file = settings.operator_key_file.map(|name| beside(file, &name));
+    settings.operator_key_file = settings
+        .operator_key_file
+        .map(|name| resolve_relative(file, &name));
     Ok(settings)
 }
 
-/// Whom to call: the command line goes before the environment, that before the file.
+/// Resolves the settings of calls. The command line takes precedence over the environment, and the
+/// environment over the file.
 ///
 /// # Errors
-/// When no entry VM or no key is known.
+/// When no entry VM or no operator key is given.
 pub fn resolve(
     args: &args::CtlArgs,
     environment: &CallEnvironment,
@@ -128,8 +131,8 @@
     })
 }
 
-/// `name` as seen from the directory of `file`.
-fn beside(file: &str, name: &str) -> String {
+/// Resolves `name` relative to the directory of `file`.
+fn resolve_relative(file: &str, name: &str) -> String {
     let directory = path::Path::new(file)
         .parent()
         .unwrap_or_else(|| path::Path::new(""));
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,23 +1,23 @@
-//! `pollenctl status`.
+//! The command `pollenctl status`.
 
 use base::ops;
 use tokio::time;
 
 use crate::{args, client, error, in_force, overview};
 
-/// `pollenctl status`.
+/// Runs `pollenctl status`.
 ///
 /// # Errors
-/// When nobody answers.
+/// When no entry VM answers.
 pub async fn status(
     args: &args::StatusArgs,
     client: &client::OpsClient,
 ) -> Result<error::CommandOutput, error::CtlError> {
     if args.in_force {
-        let goal = in_force::ForceGoal {
+        let goal = in_force::InForceGoal {
             revision: args.revision,
             is_live_only: args.live_only,
-            limit: time::Duration::from_secs(args.timeout),
+            timeout: time::Duration::from_secs(args.timeout),
         };
         return in_force::wait(&goal, client).await;
     }
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,16 +1,16 @@
-//! Tables that fit a terminal of 80 columns, whatever stands in them.
+//! Tables that fit a terminal of 80 columns, whatever their content.
 
 use trace::text;
 use unicode_width::UnicodeWidthChar as _;
 
-/// Columns of a terminal.
+/// Width of a terminal in columns.
 pub const TERMINAL_COLUMNS: usize = 80;
 
-const GAP: &str = "  ";
-/// A column is never made narrower than this to make room.
-const MIN_COLUMNS: usize = 5;
+const COLUMN_SEPARATOR: &str = "  ";
+/// Minimum width to which a column of the table is narrowed.
+const MIN_COLUMN_WIDTH: usize = 5;
 
-/// A table. The first column is text and flush left, the others flush right.
+/// A text table. The first column is left-aligned, the others are right-aligned.
 #[derive(Clone, Debug)]
 pub struct TextTable {
     head: Vec<String>,
@@ -18,7 +18,7 @@
 }
 
 impl TextTable {
-    /// An empty table with these headings.
+    /// Creates an empty table with these headings.
     #[must_use]
     pub fn new(head: &[&str]) -> Self {
         Self {
@@ -32,13 +32,13 @@
         self.rows.push(cells);
     }
 
-    /// Whether it has no rows.
+    /// Returns whether the table has no rows.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The table as lines of at most [`TERMINAL_COLUMNS`].
+    /// Renders the table as lines of at most [`TERMINAL_COLUMNS`].
     #[must_use]
     pub fn render(&self) -> String {
         let widths = self.widths();
@@ -47,7 +47,7 @@
             let mut line = String::new();
             for (index, (cell, width)) in row.iter().zip(&widths).enumerate() {
                 if index > 0 {
-                    line.push_str(GAP);
+                    line.push_str(COLUMN_SEPARATOR);
                 }
                 line.push_str(&padded(cell, *width, index > 0));
             }
@@ -57,7 +57,7 @@
         out
     }
 
-    /// Widths that fit: the widest column gives way first.
+    /// Computes column widths that fit the terminal, narrowing the widest column first.
     fn widths(&self) -> Vec<usize> {
         let mut widths: Vec<usize> = self.head.iter().map(|cell| columns(cell)).collect();
         for row in &self.rows {
@@ -65,12 +65,12 @@
                 *width = (*width).max(columns(cell));
             }
         }
-        let gaps = GAP.len() * widths.len().saturating_sub(1);
-        while widths.iter().sum::<usize>() + gaps > TERMINAL_COLUMNS {
+        let separators = COLUMN_SEPARATOR.len() * widths.len().saturating_sub(1);
+        while widths.iter().sum::<usize>() + separators > TERMINAL_COLUMNS {
             let Some(widest) = widths.iter_mut().max() else {
                 break;
             };
-            if *widest <= MIN_COLUMNS {
+            if *widest <= MIN_COLUMN_WIDTH {
                 break;
             }
             *widest -= 1;
@@ -79,13 +79,13 @@
     }
 }
 
-/// Columns that `text` takes in a terminal.
+/// Returns the number of terminal columns that `text` occupies.
 #[must_use]
 pub fn columns(text: &str) -> usize {
-    text::clean(text).chars().map(letter_columns).sum()
+    text::clean(text).chars().map(char_columns).sum()
 }
 
-/// `text` in at most `width` columns, with an ellipsis where something was cut, and without
+/// Truncates `text` to at most `width` columns, with an ellipsis if it was cut, and replaces
 /// control characters.
 #[must_use]
 pub fn fit(text: &str, width: usize) -> String {
@@ -96,7 +96,7 @@
     let mut out = String::new();
     let mut used = 0;
     for letter in text.chars() {
-        used += letter_columns(letter);
+        used += char_columns(letter);
         if used + 1 > width {
             break;
         }
@@ -108,16 +108,16 @@
     out
 }
 
-fn padded(cell: &str, width: usize, is_right: bool) -> String {
+fn padded(cell: &str, width: usize, is_right_aligned: bool) -> String {
     let cell = fit(cell, width);
     let padding = " ".repeat(width.saturating_sub(columns(&cell)));
-    if is_right {
+    if is_right_aligned {
         format!("{padding}{cell}")
     } else {
         format!("{cell}{padding}")
     }
 }
 
-fn letter_columns(letter: char) -> usize {
+fn char_columns(letter: char) -> usize {
     letter.width().unwrap_or(0)
 }
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Time lines: fetching from every entry VM, merging, writing.
+//! Fetching time lines from every entry VM, merging and writing them.
 
 use std::{collections, fs};
 
@@ -9,29 +9,29 @@
 
 use crate::{args, client, error};
 
-/// Entry VMs that are asked at once.
-const CALLS_AT_ONCE: usize = 32;
-/// Events of all VMs together that are asked for when no limit is given: what an operator's
-/// machine holds with ease, and more than anybody reads.
-const DEFAULT_EVENTS: usize = 100_000;
+/// Maximum number of concurrent calls to entry VMs.
+const MAX_CONCURRENT_CALLS: usize = 32;
+/// Maximum number of events requested from all VMs together when no limit is given. An operator's
+/// machine holds this many easily, and it is more than anybody reads.
+const DEFAULT_MAX_EVENTS: usize = 100_000;
 
-/// `pollenctl timeline`.
+/// Runs `pollenctl timeline`.
 ///
 /// # Errors
-/// When the filter makes no sense, nobody answers, or the output cannot be written.
+/// When the filter is invalid, no entry VM answers, or the output cannot be written.
 pub async fn timeline(
     args: &args::TimelineArgs,
     client: &client::OpsClient,
     now_ms: u64,
 ) -> Result<error::CommandOutput, error::CtlError> {
     let filter = TimelineFilter::of(args, now_ms)?;
-    write(&fetch(&filter, client).await?, args)
+    write_output(&fetch(&filter, client).await?, args)
 }
 
-/// `pollenctl timeline --from`: the same from a saved time line.
+/// Runs `pollenctl timeline --from`, which reads a saved time line.
 ///
 /// # Errors
-/// When the filter makes no sense, or a file cannot be read or written.
+/// When the filter is invalid, or a file cannot be read or written.
 pub fn saved_timeline(
     args: &args::TimelineArgs,
     now_ms: u64,
@@ -41,13 +41,13 @@
     timeline
         .events
         .retain(|event| query.matches(event.stamp, event.request, &event.kind));
-    write(&timeline, args)
+    write_output(&timeline, args)
 }
 
-/// `pollenctl explain`.
+/// Runs `pollenctl explain`.
 ///
 /// # Errors
-/// When nobody answers, or no event of the request is kept.
+/// When no entry VM answers, or no event of the request is retained.
 pub async fn explain(
     args: &args::ExplainArgs,
     client: &client::OpsClient,
@@ -57,17 +57,17 @@
         ..TimelineFilter::default()
     };
     let own = fetch(&own, client).await?;
-    let request = only_request(&own, &args.request)?;
+    let request = single_request(&own, &args.request)?;
     let servers = TimelineFilter {
         since_ms: own.events.first().map(|event| event.stamp.wall_ms()),
         kind: Some("server,clock".to_owned()),
         ..TimelineFilter::default()
     };
     let context = fetch(&servers, client).await?;
-    told(&joined(own, context), request)
+    render_explanation(&merge_timelines(own, context), request)
 }
 
-/// `pollenctl explain --from`: the same from a saved time line.
+/// Runs `pollenctl explain --from`, which reads a saved time line.
 ///
 /// # Errors
 /// When the file cannot be read, or has no event of the request.
@@ -81,11 +81,11 @@
     let mut own = timeline.clone();
     own.events
         .retain(|event| query.matches(event.stamp, event.request, &event.kind));
-    let request = only_request(&own, &args.request)?;
-    told(&timeline, request)
+    let request = single_request(&own, &args.request)?;
+    render_explanation(&timeline, request)
 }
 
-fn told(
+fn render_explanation(
     timeline: &merge::MergedTimeline,
     request: id::RequestId,
 ) -> Result<error::CommandOutput, error::CtlError> {
@@ -94,7 +94,7 @@
     Ok(error::CommandOutput::success(text))
 }
 
-fn write(
+fn write_output(
     timeline: &merge::MergedTimeline,
     args: &args::TimelineArgs,
 ) -> Result<error::CommandOutput, error::CtlError> {
@@ -120,16 +120,16 @@
     })
 }
 
-/// Which events are fetched.
+/// Filter of the events to fetch.
 #[derive(Clone, Debug, Default)]
 pub struct TimelineFilter {
-    /// The beginning of a request's id.
+    /// Prefix of a request id.
     pub request: Option<String>,
-    /// Milliseconds since 1970.
+    /// Earliest time, in milliseconds since 1970.
     pub since_ms: Option<u64>,
-    /// Kinds or areas, with commas.
+    /// Kinds or areas, separated by commas.
     pub kind: Option<String>,
-    /// Events of one VM at the most.
+    /// Maximum number of events per VM.
     pub limit: Option<usize>,
 }
 
@@ -147,14 +147,14 @@
     fn query(&self) -> Result<query::EventQuery, error::CtlError> {
         let (request, kind) = (self.request.as_deref(), self.kind.as_deref());
         let query = query::EventQuery::from_parts(request, self.since_ms, kind, self.limit);
-        query.map_err(|fault| error::CtlError::Usage {
-            message: fault.to_string(),
+        query.map_err(|error| error::CtlError::Usage {
+            message: error.to_string(),
         })
     }
 
-    /// The path to ask for; every part is checked first, so that nothing needs escaping.
+    /// Builds the request path; every part is validated first, so that nothing needs escaping.
     fn path(&self, limit: usize) -> Result<String, error::CtlError> {
-        let checked = self.query()?;
+        let query = self.query()?;
         let mut parts = Vec::new();
         parts.extend(self.since_ms.map(|since_ms| format!("since_ms={since_ms}")));
         parts.extend(
@@ -162,8 +162,8 @@
                 .as_ref()
                 .map(|request| format!("request={request}")),
         );
-        if !checked.kinds.is_empty() {
-            let kinds: Vec<&str> = checked.kinds.iter().map(query::KindFilter::name).collect();
+        if !query.kinds.is_empty() {
+            let kinds: Vec<&str> = query.kinds.iter().map(query::KindFilter::name).collect();
             parts.push(format!("kind={}", kinds.join(",")));
         }
         parts.push(format!("limit={}", limit.min(query::MAX_LIMIT)));
@@ -171,10 +171,10 @@
     }
 }
 
-/// What all entry VMs kept, merged; those that do not answer are told as gaps.
+/// Fetches and merges the retained events of all entry VMs; VMs that do not answer become gaps.
 ///
 /// # Errors
-/// When the filter makes no sense, or not one VM answers.
+/// When the filter is invalid, or no entry VM answers.
 pub async fn fetch(
     filter: &TimelineFilter,
     client: &client::OpsClient,
@@ -192,14 +192,14 @@
             .map(|it| (it.to_string(), it.to_string()));
         targets.extend(entries);
     }
-    let share = DEFAULT_EVENTS / targets.len().max(1);
-    let path = filter.path(filter.limit.unwrap_or(share))?;
+    let limit_per_vm = DEFAULT_MAX_EVENTS / targets.len().max(1);
+    let path = filter.path(filter.limit.unwrap_or(limit_per_vm))?;
     let calls = targets.into_iter().map(|(vm, address)| {
         let path = &path;
         async move { (vm, fetch_one(&address, path, client).await) }
     });
     let answers: Vec<_> = futures_util::stream::iter(calls)
-        .buffer_unordered(CALLS_AT_ONCE)
+        .buffer_unordered(MAX_CONCURRENT_CALLS)
         .collect()
         .await;
     let (mut bodies, mut silent) = (Vec::new(), Vec::new());
@@ -223,14 +223,14 @@
     let answer = client
         .call(address, path, None)
         .await
-        .map_err(|fault| fault.to_string())?;
+        .map_err(|error| error.to_string())?;
     if answer.status != 200 {
         return Err(format!("{} {}", answer.status, answer.message()));
     }
-    answer.parse().map_err(|fault| fault.to_string())
+    answer.parse().map_err(|error| error.to_string())
 }
 
-/// The moment that `30s`, `10m`, `2h`, `1d`, a UTC moment or unix milliseconds name.
+/// Parses `30s`, `10m`, `2h` or `1d` before now, a UTC timestamp or unix milliseconds.
 fn parse_since(text: &str, now_ms: u64) -> Result<u64, error::CtlError> {
     let span = |letter, unit_ms: u64| {
         let number: u64 = text.strip_suffix(letter)?.parse().ok()?;
@@ -250,8 +250,8 @@
     })
 }
 
-/// The one request that the time line tells of.
-fn only_request(
+/// Returns the request of the time line, which must have events of exactly one.
+fn single_request(
     timeline: &merge::MergedTimeline,
     digits: &str,
 ) -> Result<id::RequestId, error::CtlError> {
@@ -273,13 +273,17 @@
 fn not_found(digits: &str) -> error::NotFoundSnafu<String> {
     let message = format!(
         "no entry VM keeps an event of request {digits:?}; rings are bounded and end with their \
-         process, so ask soon, and check the id (response header x-request-id)"
+         process, so run this soon after the request, and check the id (response header \
+         x-request-id)"
     );
     error::NotFoundSnafu { message }
 }
 
-/// One time line of two, in order; what both have stands once.
-fn joined(own: merge::MergedTimeline, context: merge::MergedTimeline) -> merge::MergedTimeline {
+/// Merges two time lines in order, without duplicates.
+fn merge_timelines(
+    own: merge::MergedTimeline,
+    context: merge::MergedTimeline,
+) -> merge::MergedTimeline {
     let mut events = own.events;
     events.extend(context.events);
     events.sort_by(|left, right| {
--- a/crates/ctl/tests/fake/mod.rs
+++ b/crates/ctl/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! A tiny operators' face: several addresses before one state, with faults on demand.
+//! A stand-in for the operators' API: several entry VMs with one shared state and injected faults.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::{collections, net, sync};
@@ -10,10 +10,10 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use trace::{journal, query};
 
-/// The key that the face takes.
+/// The operator key that the stand-in accepts.
 pub const KEY: &str = "operator-key";
 
-/// What goes wrong with the next publish call.
+/// A fault injected into the next publish call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PublishFault {
     /// The change takes effect and the answer is lost.
@@ -24,7 +24,7 @@
     KeyUnknown,
 }
 
-/// What stands behind all addresses.
+/// State shared by all entry VMs.
 #[derive(Default)]
 pub struct FakeSystem {
     pub state: state::ConfigState,
@@ -40,29 +40,29 @@
 }
 
 impl FakeSystem {
-    fn publish(&mut self, ask: ops::PublishAsk) -> ops::PublishAnswer {
-        if let Some(verdict) = self.verdicts.get(&ask.record) {
+    fn publish(&mut self, request: ops::PublishAsk) -> ops::PublishAnswer {
+        if let Some(verdict) = self.verdicts.get(&request.record) {
             return verdict.clone();
         }
         let change = change::ConfigChange {
-            id: ask.record,
-            base_revision: ask.base_revision,
+            id: request.record,
+            base_revision: request.base_revision,
             author: "linh".to_owned(),
-            comment: ask.comment,
-            patch: ask.change,
+            comment: request.comment,
+            patch: request.change,
         };
         let offset = self.state.offset();
         let verdict = self
             .state
             .apply(offset, &serde_json::to_vec(&change).unwrap());
-        let answer = to_answer(verdict, offset, ask.base_revision);
-        self.verdicts.insert(ask.record, answer.clone());
+        let answer = to_answer(verdict, offset, request.base_revision);
+        self.verdicts.insert(request.record, answer.clone());
         self.states.insert(self.state.revision(), self.current());
         answer
     }
 
-    /// What the caller sees of it; `None` when the answer is lost.
-    fn published(&mut self, ask: ops::PublishAsk) -> Option<(u16, serde_json::Value)> {
+    /// Returns status and body of the answer; `None` when the answer is lost.
+    fn publish_response(&mut self, request: ops::PublishAsk) -> Option<(u16, serde_json::Value)> {
         self.publish_calls += 1;
         let answer = match self.faults.pop_front() {
             Some(PublishFault::KeyUnknown) => return Some(unauthenticated()),
@@ -70,16 +70,16 @@
                 reason: "the log does not answer".to_owned(),
             },
             Some(PublishFault::AnswerLost) => {
-                self.publish(ask);
+                self.publish(request);
                 return None;
             }
-            None => self.publish(ask),
+            None => self.publish(request),
         };
         Some((answer.status(), serde_json::to_value(answer).unwrap()))
     }
 
-    fn configuration(&self, asked: Option<u64>) -> Option<serde_json::Value> {
-        let revision = asked.unwrap_or_else(|| self.state.revision());
+    fn configuration(&self, requested: Option<u64>) -> Option<serde_json::Value> {
+        let revision = requested.unwrap_or_else(|| self.state.revision());
         let is_current = revision > 0 && revision == self.state.revision();
         let current = is_current.then(|| self.current());
         let state = current.or_else(|| self.states.get(&revision).cloned())?;
@@ -146,8 +146,8 @@
     }
 }
 
-/// One entry VM's face.
-pub struct FakeFace {
+/// A stand-in for one entry VM.
+pub struct FakeEntryVm {
     pub vm: String,
     pub address: net::SocketAddr,
     pub journal: sync::Arc<journal::EventJournal>,
@@ -155,8 +155,8 @@
 
 pub type SharedSystem = sync::Arc<sync::Mutex<FakeSystem>>;
 
-impl FakeFace {
-    /// Starts one on a free port and makes it a member.
+impl FakeEntryVm {
+    /// Starts an entry VM on a free port and adds it to the members.
     pub async fn start(vm: &str, system: &SharedSystem) -> Self {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -168,7 +168,7 @@
         );
         let journal = sync::Arc::new(journal);
         system.lock().unwrap().members.push(member(vm, address));
-        let face = Self {
+        let entry = Self {
             vm: vm.to_owned(),
             address,
             journal: sync::Arc::clone(&journal),
@@ -182,11 +182,11 @@
                 tokio::spawn(async move { serve(stream, &vm, &system, &journal).await });
             }
         });
-        face
+        entry
     }
 }
 
-/// A member that is up and has said nothing of its revision.
+/// Returns the status of a member that is up and has reported no revision.
 pub fn member(vm: &str, address: net::SocketAddr) -> ops::MemberStatus {
     ops::MemberStatus {
         vm: vm.to_owned(),
@@ -275,7 +275,7 @@
         return Some(unauthenticated());
     }
     if path == "POST /ops/publish" {
-        return system.published(serde_json::from_str(&call.body).unwrap());
+        return system.publish_response(serde_json::from_str(&call.body).unwrap());
     }
     let body = match path {
         "GET /ops/status" => {
@@ -284,8 +284,8 @@
             serde_json::to_value(status.only(parts)).unwrap()
         }
         "GET /ops/configuration" => {
-            let asked = parameter("revision").map(|text| text.parse().unwrap());
-            let Some(body) = system.configuration(asked) else {
+            let requested = parameter("revision").map(|text| text.parse().unwrap());
+            let Some(body) = system.configuration(requested) else {
                 return Some(refused(
                     404,
                     refusal::RefusalCode::NotFound,
@@ -305,11 +305,11 @@
         "POST /ops/drain" => json!({"subject": "engine-4", "already": false, "running": 2}),
         "GET /ops/quarantine" => json!({"entries": system.quarantine}),
         "POST /ops/quarantine/lift" => {
-            let ask: ops::LiftAsk = serde_json::from_str(&call.body).unwrap();
+            let request: ops::LiftAsk = serde_json::from_str(&call.body).unwrap();
             let before = system.quarantine.len();
             system
                 .quarantine
-                .retain(|entry| entry.fingerprint != ask.fingerprint);
+                .retain(|entry| entry.fingerprint != request.fingerprint);
             json!({"lifted": system.quarantine.len() < before})
         }
         other => panic!("no such call: {other}"),
@@ -333,7 +333,7 @@
     )
 }
 
-/// Runs one command line, split at blanks, against these addresses.
+/// Runs one command line, split at white space, against these addresses.
 pub async fn run(entries: &[net::SocketAddr], line: &str) -> error::CommandOutput {
     let entries: Vec<String> = entries.iter().map(ToString::to_string).collect();
     let mut words: Vec<&str> = entries
@@ -352,20 +352,20 @@
     }
 }
 
-/// An address where nothing listens.
-pub async fn dead_address() -> net::SocketAddr {
+/// Returns an address without a listener.
+pub async fn unreachable_address() -> net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap()
 }
 
-/// A directory for one test's files.
+/// Creates a directory for the files of one test.
 pub fn directory(test: &str) -> std::path::PathBuf {
     let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&directory).unwrap();
     directory
 }
 
-/// Inventory and rules files in `directory`, the rules with this text.
+/// Writes inventory and rules files to `directory` and returns their paths as arguments.
 pub fn files(directory: &std::path::Path, rules: &str) -> String {
     let inventory = directory.join("inventory.jsonc");
     let rules_file = directory.join("rules.jsonc");
--- a/crates/ctl/tests/operate.rs
+++ b/crates/ctl/tests/operate.rs
@@ -1,18 +1,18 @@
-//! Everyday commands against a tiny operators' face.
+//! Status, drain, quarantine and time line commands against a stand-in for the operators' API.
 
 mod fake;
 
 use base::{fingerprint, id, ops};
 use ctl::error;
-use fake::{FakeFace, SharedSystem};
+use fake::{FakeEntryVm, SharedSystem};
 use trace::kind;
 
 #[tokio::test]
-async fn next_vm_is_asked_when_one_does_not_answer() {
+async fn next_vm_is_called_when_one_does_not_answer() {
     let system = SharedSystem::default();
-    let face = FakeFace::start("hall-a-1", &system).await;
-    let dead = fake::dead_address().await;
-    let output = fake::run(&[dead, face.address], "status").await;
+    let entry = FakeEntryVm::start("hall-a-1", &system).await;
+    let dead = fake::unreachable_address().await;
+    let output = fake::run(&[dead, entry.address], "status").await;
     assert_eq!(output.status, error::ExitStatus::Success, "{output:?}");
     assert!(
         output.text.starts_with("hall-a-1 (hall-a, hcmc), ready"),
@@ -21,19 +21,19 @@
     );
     let output = fake::run(&[dead], "status").await;
     assert_eq!(output.status, error::ExitStatus::Unreachable);
-    assert!(output.complaint.contains(&dead.to_string()), "{output:?}");
+    assert!(output.error_text.contains(&dead.to_string()), "{output:?}");
 }
 
 #[tokio::test]
-async fn refusal_is_told_with_its_remedy() {
+async fn refusal_is_reported_with_its_remedy() {
     let system = SharedSystem::default();
-    let face = FakeFace::start("hall-a-1", &system).await;
+    let entry = FakeEntryVm::start("hall-a-1", &system).await;
     let directory = fake::directory("key");
     std::fs::write(directory.join("wrong.key"), "other-key\n").unwrap();
     let settings = directory.join("settings.jsonc");
     let text = format!(
         "{{ // comment\n \"entries\": [\"{}\"], \"operator_key_file\": \"wrong.key\" }}",
-        face.address
+        entry.address
     );
     std::fs::write(&settings, text).unwrap();
     let settings = settings.display().to_string();
@@ -44,7 +44,7 @@
     let output = run(&["--config", &settings, "status"]).await;
     assert_eq!(output.status, error::ExitStatus::Refused);
     assert!(
-        output.complaint.contains("(401): use a known key"),
+        output.error_text.contains("(401): use a known key"),
         "{output:?}"
     );
     let output = run(&["--config", &settings, "--check"]).await;
@@ -62,24 +62,23 @@
         "settings.jsonc:3:3: timeout_ms",
     ] {
         assert!(
-            output.complaint.contains(part),
+            output.error_text.contains(part),
             "no {part} in {}",
-            output.complaint
+            output.error_text
         );
     }
 }
 
 #[tokio::test]
-async fn in_force_names_the_vms_that_lag() {
-    // Symptom: an operator believes that a change is in force where it is not.
-    // Sequence: a change is accepted; one VM is cut off from gossip, another is dead.
-    // Cause: silence was taken for consent.
+async fn in_force_lists_lagging_vms() {
+    // Guards against reporting a change as in force where it is not: a change is accepted while one
+    // VM receives no gossip and another is dead, and a missing report is taken as confirmation.
     let system = SharedSystem::default();
-    let face = FakeFace::start("hall-a-1", &system).await;
-    let cut_off = FakeFace::start("hall-a-2", &system).await;
+    let entry = FakeEntryVm::start("hall-a-1", &system).await;
+    let without_gossip = FakeEntryVm::start("hall-a-2", &system).await;
     let files = fake::files(&fake::directory("in-force"), "{}");
-    fake::run(&[face.address], &format!("publish {files}")).await;
-    let output = fake::run(&[face.address], "status --in-force --timeout 0").await;
+    fake::run(&[entry.address], &format!("publish {files}")).await;
+    let output = fake::run(&[entry.address], "status --in-force --timeout 0").await;
     assert_eq!(output.status, error::ExitStatus::Success, "{output:?}");
     assert!(
         output
@@ -89,11 +88,11 @@
         output.text
     );
 
-    let dead = fake::dead_address().await;
+    let dead = fake::unreachable_address().await;
     let mut member = fake::member("hall-b-1", dead);
     member.state = ops::HealthState::Dead;
     system.lock().unwrap().members.push(member);
-    let output = fake::run(&[cut_off.address], "status --in-force --timeout 0").await;
+    let output = fake::run(&[without_gossip.address], "status --in-force --timeout 0").await;
     assert_eq!(output.status, error::ExitStatus::TimedOut, "{output:?}");
     assert!(
         output.text.contains("in force on 2 of 3 entry VMs"),
@@ -106,18 +105,18 @@
         output.text
     );
     let live = "status --in-force --timeout 0 --live-only";
-    let output = fake::run(&[face.address], live).await;
+    let output = fake::run(&[entry.address], live).await;
     assert_eq!(output.status, error::ExitStatus::Success, "{output:?}");
     let later = "status --in-force --timeout 0 --live-only --revision 2";
-    let output = fake::run(&[face.address], later).await;
+    let output = fake::run(&[entry.address], later).await;
     assert_eq!(output.status, error::ExitStatus::TimedOut, "{output:?}");
 }
 
-/// Two VMs that answer, with an event each, and one that does not.
-async fn two_of_three(system: &SharedSystem) -> (FakeFace, FakeFace) {
-    let first = FakeFace::start("hall-a-1", system).await;
-    let second = FakeFace::start("hall-a-2", system).await;
-    let dead = fake::dead_address().await;
+/// Starts two VMs with one event each, and adds a third member that does not answer.
+async fn two_of_three_vms(system: &SharedSystem) -> (FakeEntryVm, FakeEntryVm) {
+    let first = FakeEntryVm::start("hall-a-1", system).await;
+    let second = FakeEntryVm::start("hall-a-2", system).await;
+    let dead = fake::unreachable_address().await;
     system
         .lock()
         .unwrap()
@@ -138,9 +137,9 @@
 }
 
 #[tokio::test]
-async fn timeline_merges_vms_and_names_the_silent_one() {
+async fn timeline_merges_vms_and_reports_the_unreachable_one() {
     let system = SharedSystem::default();
-    let (first, _second) = two_of_three(&system).await;
+    let (first, _second) = two_of_three_vms(&system).await;
     let output = fake::run(&[first.address], "timeline --since 10m").await;
     let lines: Vec<&str> = output.text.lines().collect();
     assert!(
@@ -162,16 +161,16 @@
         output.text
     );
     assert!(!output.text.contains("request_taken"), "{}", output.text);
-    for wrong in ["--kind sever", "--since yesterday", "--request xyz"] {
-        let output = fake::run(&[first.address], &format!("timeline {wrong}")).await;
+    for invalid in ["--kind sever", "--since yesterday", "--request xyz"] {
+        let output = fake::run(&[first.address], &format!("timeline {invalid}")).await;
         assert_eq!(output.status, error::ExitStatus::Usage, "{output:?}");
     }
 }
 
 #[tokio::test]
-async fn picture_is_written_and_request_is_explained_from_any_vm() {
+async fn diagram_is_written_and_request_is_explained_from_any_vm() {
     let system = SharedSystem::default();
-    let (_first, second) = two_of_three(&system).await;
+    let (_first, second) = two_of_three_vms(&system).await;
     let file = fake::directory("timeline").join("out.svg");
     let line = format!(
         "timeline --request 3f2a --format svg --output {}",
@@ -212,9 +211,9 @@
 }
 
 #[tokio::test]
-async fn quarantine_is_lifted_by_the_beginning_of_a_fingerprint() {
+async fn quarantine_is_lifted_by_a_fingerprint_prefix() {
     let system = SharedSystem::default();
-    let face = FakeFace::start("hall-a-1", &system).await;
+    let entry = FakeEntryVm::start("hall-a-1", &system).await;
     for number in 0..40_u8 {
         system
             .lock()
@@ -230,16 +229,16 @@
             });
     }
     let wanted = fingerprint::ContentHash::of(&[7]).to_string();
-    let output = fake::run(&[face.address], "quarantine list").await;
+    let output = fake::run(&[entry.address], "quarantine list").await;
     assert!(output.text.contains(&wanted[..12]), "{}", output.text);
     let output = fake::run(
-        &[face.address],
+        &[entry.address],
         &format!("quarantine lift {}", &wanted[..12]),
     )
     .await;
     assert_eq!(output.text, format!("{wanted} lifted\n"), "{output:?}");
     assert_eq!(system.lock().unwrap().quarantine.len(), 39);
-    let output = fake::run(&[face.address], &format!("quarantine lift {wanted}")).await;
+    let output = fake::run(&[entry.address], &format!("quarantine lift {wanted}")).await;
     assert_eq!(output.status, error::ExitStatus::Refused, "{output:?}");
     let shared: Vec<String> = (0..40)
         .map(|number| fingerprint::ContentHash::of(&[number]).to_string())
@@ -256,15 +255,15 @@
         .find(digit)
         .copied()
         .unwrap();
-    let output = fake::run(&[face.address], &format!("quarantine lift {digit}")).await;
-    assert!(output.complaint.contains("give more digits"), "{output:?}");
+    let output = fake::run(&[entry.address], &format!("quarantine lift {digit}")).await;
+    assert!(output.error_text.contains("give more digits"), "{output:?}");
 }
 
 #[tokio::test]
 async fn drain_waits_until_nothing_runs() {
     let system = SharedSystem::default();
-    let face = FakeFace::start("hall-a-1", &system).await;
-    let output = fake::run(&[face.address], "drain").await;
+    let entry = FakeEntryVm::start("hall-a-1", &system).await;
+    let output = fake::run(&[entry.address], "drain").await;
     assert_eq!(output.status, error::ExitStatus::Usage);
     let mut server = ops::ServerStatus {
         server: "engine-4".to_owned(),
@@ -281,35 +280,35 @@
     };
     system.lock().unwrap().servers = vec![server.clone()];
     let line = "drain --server engine-4 --wait --timeout 0";
-    let output = fake::run(&[face.address], line).await;
+    let output = fake::run(&[entry.address], line).await;
     assert_eq!(output.status, error::ExitStatus::TimedOut, "{output:?}");
     assert!(
         output.text.contains("2 requests still run there"),
         "{output:?}"
     );
-    let other = FakeFace::start("hall-a-2", &system).await;
-    let output = fake::run(&[face.address], "drain --vm hall-a-2").await;
+    let other = FakeEntryVm::start("hall-a-2", &system).await;
+    let output = fake::run(&[entry.address], "drain --vm hall-a-2").await;
     assert_eq!(output.status, error::ExitStatus::Success, "{output:?}");
-    let asked = system.lock().unwrap().calls.last().cloned();
+    let last_call = system.lock().unwrap().calls.last().cloned();
     assert_eq!(
-        asked.as_deref(),
+        last_call.as_deref(),
         Some("hall-a-2 POST /ops/drain"),
         "{}",
         other.vm
     );
-    let output = fake::run(&[face.address], "drain --vm hall-z-9").await;
+    let output = fake::run(&[entry.address], "drain --vm hall-z-9").await;
     assert!(
-        output.complaint.contains("there are: hall-a-1, hall-a-2"),
+        output.error_text.contains("there are: hall-a-1, hall-a-2"),
         "{output:?}"
     );
     server.running = 0;
     system.lock().unwrap().servers = vec![server];
-    let output = fake::run(&[face.address], line).await;
+    let output = fake::run(&[entry.address], line).await;
     assert_eq!(output.status, error::ExitStatus::Success, "{output:?}");
 }
 
 #[test]
-fn completions_know_every_command_and_mistakes_are_answered() {
+fn completions_list_every_command_and_typos_get_suggestions() {
     let script = ctl::completions::bash_script();
     let commands = <ctl::args::CtlArgs as argh::ArgsInfo>::get_subcommands();
     assert_eq!(commands.len(), 13);
@@ -325,14 +324,14 @@
     }
     let output = ctl::args::parse(&["statsu"]).unwrap_err();
     assert!(
-        output.complaint.contains("Did you mean \"status\"?"),
+        output.error_text.contains("Did you mean \"status\"?"),
         "{}",
-        output.complaint
+        output.error_text
     );
     let output = ctl::args::parse(&["status", "--in-forse"]).unwrap_err();
     assert!(
-        output.complaint.contains("--in-force"),
+        output.error_text.contains("--in-force"),
         "{}",
-        output.complaint
+        output.error_text
     );
 }
--- a/crates/ctl/tests/overview.rs
+++ b/crates/ctl/tests/overview.rs
@@ -1,4 +1,4 @@
-//! The overview fits a terminal, whatever the VMs are called.
+//! The overview fits a terminal of 80 columns, whatever the names in it.
 
 use arbtest::arbitrary;
 use base::{class, id, ops};
@@ -9,7 +9,7 @@
 type Source<'a> = arbitrary::Unstructured<'a>;
 
 fn text(source: &mut Source<'_>) -> arbitrary::Result<String> {
-    const LETTERS: [&str; 9] = [
+    const CHARACTERS: [&str; 9] = [
         "a",
         "-",
         "é",
@@ -22,7 +22,7 @@
     ];
     let mut text = String::new();
     for _ in 0..source.int_in_range(0..=60)? {
-        text.push_str(source.choose(&LETTERS)?);
+        text.push_str(source.choose(&CHARACTERS)?);
     }
     Ok(text)
 }
@@ -139,9 +139,9 @@
 
 #[test]
 fn overview_fits_80_columns_for_odd_input() {
-    // Symptom: the overview wraps into an unreadable heap, or clears the terminal.
-    // Sequence: a name is very long, of wide letters, or holds an escape sequence.
-    // Cause: text was measured in bytes or letters and printed as it came.
+    // Guards against an overview that wraps its lines or clears the terminal: a name is very long,
+    // has wide characters or contains an escape sequence, and text is measured in bytes or
+    // characters and printed unchanged.
     for seed in 0..200 {
         let mut bytes = vec![0; 65_536];
         rand_chacha::ChaCha8Rng::seed_from_u64(seed).fill_bytes(&mut bytes);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn table_gives_way_at_its_widest_column() {
+fn table_narrows_its_widest_column() {
     let mut table = table::TextTable::new(&["name", "state", "count"]);
     table.row(vec!["x".repeat(200), "up".to_owned(), "17".to_owned()]);
     let shown = table.render();
--- a/crates/ctl/tests/pages.rs
+++ b/crates/ctl/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The pages say what the sources do: metrics, commands, kinds of events, links.
+//! The documentation matches the sources: metrics, commands, kinds of events and links.
 
 use std::{collections, fs, path};
 
@@ -32,9 +32,9 @@
     pages
 }
 
-/// Names of metrics in the sources, with the macro that counts them.
-fn counted() -> collections::BTreeMap<String, String> {
-    let mut counted = collections::BTreeMap::new();
+/// Returns the names of the metrics in the sources, with the macro that records each.
+fn source_metrics() -> collections::BTreeMap<String, String> {
+    let mut metrics = collections::BTreeMap::new();
     let crates = fs::read_dir(root().join("crates")).unwrap();
     let folders = crates.map(|entry| entry.unwrap().path());
     for folder in folders.chain([root().join("platform")]) {
@@ -55,18 +55,18 @@
                 let is_metric = ["counter", "gauge", "histogram"].contains(&kind);
                 assert!(
                     is_metric,
-                    "{}: {name} stands outside a metric",
+                    "{}: {name} is used outside a metric macro",
                     source.display()
                 );
-                counted.insert(name.to_owned(), kind.to_owned());
+                metrics.insert(name.to_owned(), kind.to_owned());
             }
         }
     }
-    counted
+    metrics
 }
 
 #[test]
-fn every_metric_stands_on_the_page_with_its_kind() {
+fn every_metric_is_documented_with_its_kind() {
     let page = fs::read_to_string(root().join("docs/METRICS.md")).unwrap();
     let rows = page
         .lines()
@@ -81,12 +81,12 @@
         let name = cells[1].trim_matches('`').to_owned();
         assert!(
             listed.insert(name, cells[2].to_owned()).is_none(),
-            "twice: {row}"
+            "documented twice: {row}"
         );
     }
     assert_eq!(
         listed,
-        counted(),
+        source_metrics(),
         "left: docs/METRICS.md, right: the sources"
     );
     for (name, kind) in listed {
@@ -99,22 +99,22 @@
 }
 
 #[test]
-fn pages_name_no_metric_that_is_gone() {
-    let counted = counted();
+fn pages_name_only_existing_metrics() {
+    let metrics = source_metrics();
     for page in pages() {
         let text = fs::read_to_string(&page).unwrap();
         for (start, _) in text.match_indices("`pollenchute_") {
             let rest = &text[start + 1..];
             let name = &rest[..rest.find(['`', '{']).unwrap()];
             let is_pattern = name.contains(['<', '*']);
-            let known = is_pattern || counted.contains_key(name);
+            let known = is_pattern || metrics.contains_key(name);
             assert!(known, "{}: {name}", page.display());
         }
     }
 }
 
 #[test]
-fn commands_on_the_pages_are_understood() {
+fn commands_on_the_pages_parse() {
     let mut seen = 0;
     for page in pages() {
         let text = fs::read_to_string(&page).unwrap();
@@ -136,7 +136,7 @@
             let words: Vec<&str> = words.iter().map(String::as_str).collect();
             let is_name = matches!(words[..], ["publish" | "diff" | "explain" | "rollback"]);
             let refused = ctl::args::parse(&words).err();
-            let refused = refused.filter(|output| !output.complaint.is_empty() && !is_name);
+            let refused = refused.filter(|output| !output.error_text.is_empty() && !is_name);
             assert!(refused.is_none(), "{}: {line}: {refused:?}", page.display());
             seen += 1;
         }
@@ -144,7 +144,7 @@
     assert!(seen > 30, "{seen}");
 }
 
-/// The words of a line as a shell sees them: quotes, placeholders, comments, redirections.
+/// Splits a line into words as a shell does, with quotes, placeholders, comments and redirections.
 fn words(command: &str) -> Vec<String> {
     let mut words = Vec::new();
     for (index, part) in command.split('\'').enumerate() {
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn every_kind_of_event_stands_on_the_page() {
+fn every_kind_of_event_is_documented() {
     let page = fs::read_to_string(root().join("docs/operators/timeline.md")).unwrap();
     let table = page.split("## Kinds").nth(1).unwrap();
     for name in kind::EventKind::NAMES {
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn links_between_pages_lead_somewhere() {
+fn links_between_pages_resolve() {
     for page in pages() {
         let text = fs::read_to_string(&page).unwrap();
         for link in text
@@ -224,13 +224,14 @@
     }
 }
 
-/// The anchor of a heading, as code hosts make it.
+/// Returns the anchor of a heading, as code hosts generate it.
 fn slug(heading: &str) -> String {
     let heading = heading.trim_start_matches('#').trim().to_lowercase();
-    let kept = heading
+    let letters = heading
         .chars()
         .filter(|letter| letter.is_alphanumeric() || " -_".contains(*letter));
-    kept.map(|letter| if letter == ' ' { '-' } else { letter })
+    letters
+        .map(|letter| if letter == ' ' { '-' } else { letter })
         .collect()
 }
 
@@ -269,7 +270,7 @@
 }
 
 #[test]
-fn the_table_of_capacity_is_what_its_command_prints() {
+fn capacity_table_on_the_page_is_current() {
     let text = fs::read_to_string(root().join("docs/capacity.jsonc")).unwrap();
     let file: ctl::capacity::CapacityFile =
         conf::settings::parse("docs/capacity.jsonc", &text).unwrap();
@@ -277,6 +278,6 @@
     let table = ctl::capacity::table(&file);
     assert!(
         page.contains(&table),
-        "copy what pollenctl capacity prints:\n{table}"
+        "docs/CAPACITY.md is outdated, copy the output of pollenctl capacity:\n{table}"
     );
 }
--- a/crates/ctl/tests/saved_logs.rs
+++ b/crates/ctl/tests/saved_logs.rs
@@ -1,11 +1,11 @@
-//! `pollenctl explain --logs`: from a failed request's id to its cause, from files alone.
+//! `pollenctl explain --logs`: finds the cause of a failed request in saved log files.
 
 use std::fs;
 use std::sync::atomic;
 
 use ctl::{args, command, error, saved_logs, settings};
 
-/// Logs of two VMs: a stream that its server's end cut, and a request that found no room.
+/// Logs of two VMs: a stream cut when its server ended, and a request refused for lack of memory.
 const FIRST: &str = "\
 [2026-12-02T05:05:50.100Z INFO  platform::run] started vm=edge-1 domain=hall-a entry=10.1.0.1:80
 [2026-12-02T05:05:56.010Z INFO  exchange::serve_stream] stream sent request=b7320cd4734e347d server=i-55 backup=None waited_ms=3 size=Some((1971, 2196, Some(1354)))
@@ -26,17 +26,17 @@
 [2026-12-02T05:05:59.000Z INFO  platform::ingress] refused request=26aa route=r-1 cause=patience ran=No ms=2000 retry_after=Some(499.2ms)
 ";
 
-/// Threads that ask at once: enough to meet a half-written file within some calls.
-const CALLERS_SIDE_BY_SIDE: usize = 8;
-/// Calls of each thread.
-const CALLS_OF_ONE: usize = 25;
+/// Number of concurrent threads, enough to read a partly written file within a few calls.
+const THREADS: usize = 8;
+/// Number of calls per thread.
+const CALLS_PER_THREAD: usize = 25;
 
-/// Calls so far: names the folder of the next one.
-static CALLS_BEGUN: atomic::AtomicUsize = atomic::AtomicUsize::new(0);
+/// Number of calls so far, used to name the directory of the next one.
+static CALL_COUNT: atomic::AtomicUsize = atomic::AtomicUsize::new(0);
 
-/// What the command says of `request`, from two files that no other call writes.
+/// Explains `request` from two log files in a directory that no other call uses.
 fn explain(request: &str) -> error::CommandOutput {
-    let call = CALLS_BEGUN.fetch_add(1, atomic::Ordering::Relaxed);
+    let call = CALL_COUNT.fetch_add(1, atomic::Ordering::Relaxed);
     let name = format!("ctl-saved-logs-{}-{call}", std::process::id());
     let folder = std::env::temp_dir().join(name);
     fs::create_dir_all(&folder).expect("folder");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_cut_stream_is_led_back_to_its_server() {
+fn a_cut_stream_is_traced_to_its_server() {
     let output = explain("b7320c");
     assert_eq!(output.status, error::ExitStatus::Success, "{output:?}");
     let text = output.text;
@@ -69,7 +69,10 @@
         text.contains("server changed server=i-55 standing=Some(Leaving)"),
         "{text}"
     );
-    assert!(!text.contains("i-99"), "a server that it never met: {text}");
+    assert!(
+        !text.contains("i-99"),
+        "a server that did not handle the request: {text}"
+    );
     assert!(
         text.ends_with("cause=server_lost, ran=Yes: its server ended in mid-stream, and 1 copies did not help\n"),
         "{text}"
@@ -77,7 +80,7 @@
 }
 
 #[test]
-fn a_refused_request_shows_its_rank_and_what_its_vm_believed() {
+fn a_refused_request_shows_its_rank_and_the_context_of_its_vm() {
     let text = explain("26aa").text;
     assert!(
         text.contains("waits for a place service=llm rank=5"),
@@ -91,20 +94,20 @@
 }
 
 #[test]
-fn a_long_answer_that_was_cut_is_no_answer() {
+fn a_cut_long_answer_is_not_reported_as_answered() {
     let text = explain("31ce").text;
     assert!(text.contains("ended: its long answer was cut"), "{text}");
 }
 
-/// The symptom: one run of many found no line of a request that the files name. Tests of one
-/// program run side by side; all wrote the same two files, and a write empties a file before
-/// it fills it, so that another test read an empty one. Each call now has files of its own.
+/// Guards against concurrent tests that share log files: a write truncates a file before it fills
+/// it, so that another test could read an empty file and find no line of its request. Each call
+/// therefore writes its own files.
 #[test]
-fn calls_side_by_side_read_whole_files() {
-    let threads: Vec<std::thread::JoinHandle<()>> = (0..CALLERS_SIDE_BY_SIDE)
+fn concurrent_calls_read_complete_files() {
+    let threads: Vec<std::thread::JoinHandle<()>> = (0..THREADS)
         .map(|_| {
             std::thread::spawn(|| {
-                for _ in 0..CALLS_OF_ONE {
+                for _ in 0..CALLS_PER_THREAD {
                     let output = explain("26aa");
                     assert_eq!(output.status, error::ExitStatus::Success, "{output:?}");
                 }
@@ -117,14 +120,14 @@
 }
 
 #[test]
-fn an_unknown_id_is_told_with_the_remedy() {
+fn an_unknown_id_is_reported_with_a_remedy() {
     let output = explain("ffff");
     assert_eq!(output.status, error::ExitStatus::Usage);
-    assert!(output.complaint.contains("files of all VMs"), "{output:?}");
+    assert!(output.error_text.contains("files of all VMs"), "{output:?}");
 }
 
 #[test]
-fn lines_that_are_none_of_ours_are_passed_over() {
+fn lines_in_other_formats_have_no_fields() {
     for line in ["", "[", "[x] ", "panic at 3", "[2026 INFO a] message"] {
         if let Some(parsed) = saved_logs::LogLine::parse("vm", line) {
             assert!(parsed.fields.is_empty(), "{line}");
