--- a/crates/ctl/benches/sizes.rs
+++ b/crates/ctl/benches/sizes.rs
@@ -1,6 +1,6 @@
-//! What an operator's look costs an entry VM: bytes of the status and of time line events.
+//! Size of the status and of time line events that an entry VM sends to an operator, in bytes.
 //!
-//! `cargo bench -p ctl --bench sizes` prints bytes for growing deployments, and the slopes.
+//! `cargo bench -p ctl --bench sizes` prints sizes for growing deployments, and the slopes.
 
 use std::time;
 
@@ -18,9 +18,9 @@
         let shown = ctl::overview::render(&status);
         let render_us = begin.elapsed().as_micros();
         let lines = shown.lines().count();
-        let whole = json_bytes(&status);
+        let complete = json_bytes(&status);
         let members = json_bytes(&status.only("members"));
-        println!("{vms:>6} {servers:>8} {whole:>12} {members:>12} {render_us:>12} {lines:>10}");
+        println!("{vms:>6} {servers:>8} {complete:>12} {members:>12} {render_us:>12} {lines:>10}");
     }
     let empty = json_bytes(&status(0, 0));
     println!(
@@ -119,19 +119,20 @@
     }
 }
 
-/// Mean over the events of a request that is taken, classified, sent, answered; and a refusal.
+/// Returns the mean size of the events of a request that is received, classified, dispatched and
+/// answered, and of a refusal.
 fn event_bytes() -> usize {
     let limits = ring::RingLimits::default();
     let journal = journal::EventJournal::new("entry-001".to_owned(), id::Incarnation(1), limits);
     let request = id::RequestId(u128::MAX);
-    for kind in usual_kinds() {
+    for kind in typical_kinds() {
         journal.record_for(1_772_000_000_000, request, kind);
     }
     let body = journal.timeline(&query::EventQuery::default());
     json_bytes(&body.events) / body.events.len()
 }
 
-fn usual_kinds() -> [kind::EventKind; 6] {
+fn typical_kinds() -> [kind::EventKind; 6] {
     [
         kind::EventKind::RequestTaken {
             organisation: "troupe-river-opera".to_owned(),
