--- a/crates/ctl/src/saved_logs.rs
+++ b/crates/ctl/src/saved_logs.rs
@@ -195,7 +195,7 @@
     if let Some(line) = last_of("stream whole") {
         let value = |key| line.field(key).unwrap_or("?");
         return format!(
-            "whole; first event after {} ms, longest pause {} ms, moved {} times",
+            "complete; first event after {} ms, longest pause {} ms, moved {} times",
             value("first_ms"),
             value("worst_pause_ms"),
             value("passed")
@@ -209,7 +209,7 @@
     }
     if let Some(line) = last_of("long answer ended") {
         return match line.field("end") {
-            Some("whole") => String::from("whole; it was passed on as it came"),
+            Some("whole") => String::from("complete; the answer was relayed as received"),
             Some("left") => String::from("its caller left in the middle of a long answer"),
             _ => String::from(
                 "its long answer was cut: its server broke off, or the time of its route was up",
@@ -222,17 +222,19 @@
                 "answered with status {}",
                 line.field("status").unwrap_or("?")
             ),
-            None => String::from("not told; its VM may have ended, look for \"started\" there"),
+            None => {
+                String::from("no outcome logged; its VM may have ended, look for \"started\" there")
+            }
         };
     };
     let cause = line.field("cause").unwrap_or("?");
     let why = match cause {
         "patience" => format!(
-            "it waited for memory; {} servers that were asked had no room",
+            "it waited for memory; {} servers that were asked had no free memory",
             count("no room")
         ),
         "overload" => String::from("more waited than could be served in time"),
-        "rejected" => String::from("servers turned it away, and it may go to no more of them"),
+        "rejected" => String::from("servers rejected it, and no further attempt is allowed"),
         "server_lost" if count("stream broke off") > 0 => format!(
             "its server ended in mid-stream, and {} copies did not help",
             count("copied")
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -23,7 +23,7 @@
     /// File that holds the operator key and nothing else; the environment goes before it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub operator_key_file: Option<String>,
-    /// How long one call to one entry VM may take, in milliseconds.
+    /// Timeout of one call to one entry VM, in milliseconds.
     pub timeout_ms: u64,
 }
 
@@ -52,7 +52,7 @@
         for (index, entry) in self.entries.iter().enumerate() {
             if self.entries[..index].contains(entry) {
                 let path = ["entries", &index.to_string()];
-                let message = format!("{entry} stands twice");
+                let message = format!("{entry} is listed twice");
                 faults.push(conf::fault::ConfigFault::at(&path, message, "remove one"));
             }
         }
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -35,7 +35,7 @@
     Omitted {
         /// The VM.
         vm: String,
-        /// Matching events that were left out.
+        /// Number of matching events omitted.
         omitted: u64,
     },
     /// A VM did not answer, so its events are missing.
--- a/crates/trace/src/query.rs
+++ b/crates/trace/src/query.rs
@@ -16,7 +16,7 @@
 pub enum QueryError {
     /// The filter names no known kind or area.
     #[snafu(display(
-        "no kind of event is called {name:?}; use an area ({areas}) or a whole name such as lease_lost"
+        "no kind of event is called {name:?}; use an area ({areas}) or a complete name such as lease_lost"
     ))]
     UnknownKind {
         /// The given name.
