--- a/crates/base/src/class.rs
+++ b/crates/base/src/class.rs
@@ -1,4 +1,4 @@
-//! Traffic classes: how long a request may wait, and whom it must never wait behind.
+//! Traffic classes: how long a request may wait, and which requests it must never wait behind.
 
 use std::fmt;
 
@@ -9,9 +9,9 @@
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TrafficClass {
-    /// Somebody stands and waits, for instance at a gate.
+    /// A person is blocked until the answer arrives, for instance at a gate.
     Urgent,
-    /// Interactive, without a hard bound.
+    /// Interactive, without a hard latency bound.
     Normal,
     /// May wait for minutes, but once accepted is never dropped.
     Deferrable,
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -13,7 +13,7 @@
     pub struct ModelKey;
 }
 
-/// The text is not 32 lower-case hexadecimal digits.
+/// Parse error of an identifier that is not 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdError;
 
@@ -32,7 +32,7 @@
         pub struct $name(pub u128);
 
         impl $name {
-            /// A fresh identifier; two processes do not draw the same one.
+            /// Draws a random identifier; 128 bits make a collision between processes negligible.
             pub fn draw<R: rand::Rng + ?Sized>(rng: &mut R) -> Self {
                 let high = u128::from(rng.next_u64());
                 Self((high << 64) | u128::from(rng.next_u64()))
@@ -72,22 +72,22 @@
 }
 
 wide_id! {
-    /// One caller's request, drawn by the entry VM that took it.
+    /// Identifies one caller's request; drawn by the entry VM that received it.
     RequestId
 }
 
 wide_id! {
-    /// One generation on one model engine; a second try of a request gets another.
+    /// Identifies one generation on one model engine; each attempt of a request gets its own.
     GenerationId
 }
 
 wide_id! {
-    /// One record of the log, drawn by its writer, so that an append whose answer was lost is
-    /// recognised when it is read back.
+    /// Identifies one record of the log. The writer draws it, so that a record whose append answer
+    /// was lost is recognised when it is read back.
     RecordId
 }
 
 wide_id! {
-    /// One life of one process; a restarted process draws a new one.
+    /// Identifies one run of a process; a restarted process draws a new one.
     Incarnation
 }
--- a/crates/base/src/ops.rs
+++ b/crates/base/src/ops.rs
@@ -1,4 +1,4 @@
-//! Bodies of the operators' face (`/ops/...`): what an entry VM serves and `pollenctl` reads.
+//! Bodies of the operators' API (`/ops/...`), which an entry VM serves and `pollenctl` reads.
 //!
 //! Fields are only ever added, each with a default, so that a client and VMs of neighbouring
 //! versions understand one another.
@@ -23,11 +23,11 @@
 pub struct TimelineBody<E> {
     /// The VM that answers.
     pub vm: String,
-    /// The life of its process; what an earlier one recorded is gone.
+    /// Incarnation of its process; events of earlier incarnations are not kept.
     pub incarnation: id::Incarnation,
-    /// Events that its ring dropped since the process began.
+    /// Events that its ring buffer dropped since the process started.
     pub lost: u64,
-    /// Wall clock of the newest dropped one, milliseconds since 1970.
+    /// Wall-clock time of the newest dropped event, milliseconds since 1970.
     #[serde(default)]
     pub lost_up_to_ms: Option<u64>,
     /// Older matching events left out of this answer by `limit`.
@@ -48,15 +48,15 @@
     Vm(String),
 }
 
-/// Answer of `POST /ops/drain`. Asking again is harmless.
+/// Answer of `POST /ops/drain`, which is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct DrainAnswer {
-    /// What takes no new work now.
+    /// The server or VM that takes no new work from now on.
     pub subject: String,
-    /// Whether it was leaving already.
+    /// Whether the subject was leaving already.
     pub already: bool,
-    /// Requests that still run there, as far as this VM knows.
+    /// Requests still running on the subject, as far as this VM knows.
     #[serde(default)]
     pub running: u32,
 }
@@ -81,6 +81,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct LiftAnswer {
-    /// Whether there was something to lift.
+    /// Whether the fingerprint was in quarantine.
     pub lifted: bool,
 }
--- a/crates/base/src/ops/change.rs
+++ b/crates/base/src/ops/change.rs
@@ -1,4 +1,4 @@
-//! Configuration: reading it, changing it, what was changed.
+//! Bodies for reading and changing the configuration, and for its history.
 
 use crate::{fingerprint, id};
 
@@ -9,9 +9,9 @@
 pub struct ConfigurationBody {
     /// The revision.
     pub revision: u64,
-    /// Offset of the record that made it.
+    /// Log offset of the record that created the revision.
     pub offset: u64,
-    /// Hash of the whole state.
+    /// Hash of the complete state.
     #[serde(default)]
     pub state_hash: Option<fingerprint::ContentHash>,
     /// `{"inventory": …, "rules": …}` (crate `conf`).
@@ -22,53 +22,53 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct PublishAsk {
-    /// Drawn by the client. The same ask sent twice, to one VM or two, takes effect once and has
-    /// the same answer: whoever reads the log applies the first record with this id only.
+    /// Drawn by the client. The same request sent twice, to one VM or two, takes effect once and
+    /// has the same answer: readers of the log apply only the first record with this id.
     pub record: id::RecordId,
     /// The revision that the change was made against.
     pub base_revision: u64,
     /// The difference between the two states as a JSON merge patch (RFC 7396).
     pub change: serde_json::Value,
-    /// The operator, as the VM knows them by their key; what the client sends is not believed.
+    /// The operator whom the VM authenticated by their key; a value from the client is ignored.
     #[serde(default)]
     pub author: String,
-    /// Why, for the history.
+    /// Reason for the change, for the history.
     #[serde(default)]
     pub comment: String,
 }
 
-/// Answer of `POST /ops/publish`: what the log decided.
+/// Answer of `POST /ops/publish`: the outcome decided by the order of the log.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "verdict", rename_all = "snake_case")]
 pub enum PublishAnswer {
-    /// The change stands (`200`).
+    /// The change was accepted (`200`).
     Accepted {
         /// The revision that it made.
         revision: u64,
         /// Offset of its record.
         offset: u64,
     },
-    /// Another change was first (`409`); nothing of this one takes effect.
+    /// A concurrent change was accepted first (`409`); this one has no effect.
     Conflict {
         /// The revision that it was made against.
         base_revision: u64,
         /// The revision in force.
         current_revision: u64,
-        /// The changes in between, oldest first, as far as they are remembered.
+        /// The changes between the two revisions, oldest first, as far as they are retained.
         since: Vec<ConflictEntry>,
         /// Paths that this change and one of `since` both touch; empty when the same change can
         /// be published again on the revision in force.
         #[serde(default)]
         overlapping: Vec<String>,
     },
-    /// The state that it would make is faulty (`422`); nothing of it takes effect.
+    /// The resulting state would be invalid (`422`); the change has no effect.
     Invalid {
-        /// All faults, each with its remedy.
+        /// All validation errors, each with its remedy.
         faults: Vec<String>,
     },
-    /// The log did not answer in time (`503`): the change may yet take effect. Sending the same
-    /// ask again is safe and tells.
+    /// The log did not answer in time (`503`): the change may still take effect. Sending the same
+    /// request again is safe and returns the outcome.
     Undecided {
         /// What happened.
         reason: String,
@@ -76,7 +76,7 @@
 }
 
 impl PublishAnswer {
-    /// The HTTP status that carries it.
+    /// The HTTP status of the outcome.
     #[must_use]
     pub const fn status(&self) -> u16 {
         match self {
@@ -88,7 +88,7 @@
     }
 }
 
-/// An accepted change that a refused one did not know of.
+/// An accepted change that a conflicting change was not based on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ConflictEntry {
@@ -99,24 +99,24 @@
     /// Why it was made.
     #[serde(default)]
     pub comment: String,
-    /// Paths that it touched, names with dots between them.
+    /// Paths that the change touched, as dot-separated names.
     #[serde(default)]
     pub paths: Vec<String>,
 }
 
-/// One change that was on the log.
+/// One configuration change read from the log.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct HistoryEntry {
     /// Offset of its record.
     pub offset: u64,
-    /// The log's clock at its append, milliseconds since 1970.
+    /// Time of the append by the log's clock, milliseconds since 1970.
     pub at_ms: u64,
     /// Id of its record.
     pub record: id::RecordId,
     /// The revision that it was made against.
     pub base_revision: u64,
-    /// The revision that it made; absent: it was refused.
+    /// The revision that it created; absent when it was refused.
     #[serde(default)]
     pub revision: Option<u64>,
     /// Why it was refused.
@@ -132,7 +132,7 @@
     pub paths: Vec<String>,
 }
 
-/// Answer of `GET /ops/history`, oldest first, as far back as the VM knows.
+/// Answer of `GET /ops/history`, oldest first, as far back as the VM retains.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct HistoryBody {
--- a/crates/base/src/ops/status.rs
+++ b/crates/base/src/ops/status.rs
@@ -1,8 +1,8 @@
-//! The whole view of one entry VM.
+//! Status of the system as one entry VM sees it.
 
 use crate::{class, fingerprint, id};
 
-/// Answer of `GET /ops/status`: one VM's whole view.
+/// Answer of `GET /ops/status`: the system as one VM sees it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct StatusBody {
@@ -12,17 +12,17 @@
     pub region: String,
     /// Its failure domain.
     pub failure_domain: String,
-    /// The life of its process.
+    /// Incarnation of its process.
     pub incarnation: id::Incarnation,
-    /// Version of its program.
+    /// Software version.
     pub version: String,
     /// Its wall clock, milliseconds since 1970.
     pub now_ms: u64,
     /// Whether it takes requests.
     pub readiness: ReadyState,
-    /// The configuration that it acts by.
+    /// The configuration in force on this VM.
     pub configuration: ConfigurationStatus,
-    /// Streams of the log as it last found them.
+    /// Streams of the log as last observed.
     #[serde(default)]
     pub log: Vec<LogStatus>,
     /// Entry VMs, itself included.
@@ -43,16 +43,16 @@
     /// Suspected and refused content.
     #[serde(default)]
     pub quarantine: Vec<QuarantineStatus>,
-    /// This process's ring of events.
+    /// This process's ring buffer of events.
     #[serde(default)]
     pub journal: JournalStatus,
 }
 
 impl StatusBody {
-    /// The same with only the lists that `parts` names, as in `GET /ops/status?only=members,log`.
+    /// Keeps only the lists that `parts` names, as in `GET /ops/status?only=members,log`.
     ///
-    /// The whole body of a large deployment is hundreds of kilobytes; a client that asks again
-    /// and again for one part of it would cost the VM more than its share of control.
+    /// The complete body of a large deployment is hundreds of kilobytes; a client that polls for
+    /// one part of it would cost the VM more than its budget for control traffic.
     #[must_use]
     pub fn only(mut self, parts: &str) -> Self {
         keep(parts, "log", &mut self.log);
@@ -81,11 +81,11 @@
     Starting,
     /// It takes requests.
     Ready,
-    /// It finishes what runs and takes nothing new.
+    /// It finishes running requests and takes no new ones.
     Leaving,
 }
 
-/// The configuration that one VM acts by.
+/// The configuration in force on one VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ConfigurationStatus {
@@ -93,10 +93,10 @@
     pub revision: u64,
     /// Offset up to which the VM applied the stream `configuration`.
     pub offset: u64,
-    /// Hash of the whole state; equal on all VMs at one revision.
+    /// Hash of the complete state; equal on all VMs at one revision.
     #[serde(default)]
     pub state_hash: Option<fingerprint::ContentHash>,
-    /// How long it has been in force here, in milliseconds.
+    /// Time since it came into force on this VM, in milliseconds.
     #[serde(default)]
     pub in_force_ms: u64,
     /// Where it came from: `log`, `checkpoint`, or `peer <vm>`.
@@ -104,7 +104,7 @@
     pub source: String,
 }
 
-/// One stream of the log as a VM last found it.
+/// One stream of the log as a VM last observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct LogStatus {
@@ -119,18 +119,18 @@
     pub next_offset: u64,
 }
 
-/// State of an entry VM or backend server in the eyes of the VM that answers.
+/// State of an entry VM or backend server as observed by the VM that answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HealthState {
-    /// Nothing has been heard of it yet.
+    /// No report of it has been received yet.
     Unknown,
     /// It answers.
     Up,
     /// It may be dead.
     Suspect,
-    /// It is taken to be dead.
+    /// It is considered dead.
     Dead,
     /// It takes no new work.
     Leaving,
@@ -150,7 +150,7 @@
     }
 }
 
-/// One entry VM in the eyes of another.
+/// One entry VM as observed by another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct MemberStatus {
@@ -163,9 +163,9 @@
     pub failure_domain: String,
     /// Where callers and operators reach it, `IP:port`.
     pub address: String,
-    /// How it is.
+    /// Its health.
     pub state: HealthState,
-    /// The life of its process, when one was heard of.
+    /// Incarnation of its process, when known.
     #[serde(default)]
     pub incarnation: Option<id::Incarnation>,
     /// The newest revision that it said is in force there.
@@ -198,29 +198,29 @@
     pub server: String,
     /// Its failure domain.
     pub failure_domain: String,
-    /// What it is.
+    /// Its role.
     pub role: ServerRole,
-    /// How it is.
+    /// Its health.
     pub state: HealthState,
     /// Models that it has ready, or the service that it serves.
     #[serde(default)]
     pub serves: Vec<LoadedModel>,
-    /// Requests that run there, by its own last report.
+    /// Requests running on it, by its own last report.
     #[serde(default)]
     pub running: u32,
-    /// Requests that wait there, by its own last report.
+    /// Requests waiting on it, by its own last report.
     #[serde(default)]
     pub waiting: u32,
     /// Free KV blocks by its own last report; 0 for a plain service.
     #[serde(default)]
     pub free_blocks: u32,
-    /// All its KV blocks; 0 for a plain service.
+    /// Total KV blocks; 0 for a plain service.
     #[serde(default)]
     pub total_blocks: u32,
-    /// Generations that it preempted, as it counts them.
+    /// Generations that it preempted, by its own count.
     #[serde(default)]
     pub preemptions: u64,
-    /// Age of the report, in milliseconds; absent: none came yet.
+    /// Age of the report, in milliseconds; absent when none has arrived yet.
     #[serde(default)]
     pub report_age_ms: Option<u64>,
 }
@@ -234,12 +234,12 @@
     /// The version; empty for a service.
     #[serde(default)]
     pub version: String,
-    /// Adapters beside it.
+    /// Adapters loaded with it.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
 
-/// One model: what is wanted and what there is.
+/// Wanted and actual placement of one model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct PlacementStatus {
@@ -257,12 +257,12 @@
     /// Engines that are loading it.
     #[serde(default)]
     pub loading: Vec<String>,
-    /// What holds the rollout up; absent: nothing.
+    /// What blocks the rollout; absent when nothing does.
     #[serde(default)]
     pub blocked: Option<String>,
 }
 
-/// One class's queue in one VM.
+/// The queue of one traffic class in one VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct QueueStatus {
@@ -270,15 +270,15 @@
     pub class: class::TrafficClass,
     /// Requests that wait here.
     pub waiting: u32,
-    /// Requests that run on backend servers on this VM's behalf.
+    /// Requests of this VM that are running on backend servers.
     pub running: u32,
-    /// How long the oldest has waited, in milliseconds.
+    /// Waiting time of the oldest request, in milliseconds.
     #[serde(default)]
     pub oldest_ms: u64,
-    /// Requests taken since the process began.
+    /// Requests taken since the process started.
     #[serde(default)]
     pub taken: u64,
-    /// Requests refused since the process began.
+    /// Requests refused since the process started.
     #[serde(default)]
     pub refused: u64,
 }
@@ -287,43 +287,43 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct LeaseStatus {
-    /// What it is on, for instance a backend server.
+    /// What the lease is on, for instance a backend server.
     pub subject: String,
-    /// The VM that holds it; absent: nobody.
+    /// The VM that holds it; absent when the lease is free.
     #[serde(default)]
     pub holder: Option<String>,
     /// Its fencing number.
     pub fencing: u64,
-    /// Time until it lapses, in milliseconds, as the answering VM reckons.
+    /// Time until it expires, in milliseconds, by the answering VM's clock.
     #[serde(default)]
     pub left_ms: u64,
 }
 
-/// How far content has come towards being refused.
+/// Quarantine state of a content fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QuarantineState {
-    /// It was there at a death; it runs alone or not at all.
+    /// The content was running on a server that died; it runs alone or not at all.
     Suspect,
-    /// It is refused.
+    /// The content is refused.
     Quarantined,
 }
 
-/// One content fingerprint that is watched or refused.
+/// One content fingerprint that is suspected or refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct QuarantineStatus {
     /// The fingerprint.
     pub fingerprint: fingerprint::ContentHash,
-    /// How far it has come.
+    /// Its quarantine state.
     pub state: QuarantineState,
-    /// Deaths of backend servers at which it was there.
+    /// Deaths of backend servers on which it was running.
     pub deaths: u32,
     /// Backend servers that died.
     #[serde(default)]
     pub servers: Vec<String>,
-    /// Who sent it last.
+    /// Organisation that sent it last.
     #[serde(default)]
     pub organisation: String,
     /// Time until it expires, in milliseconds.
@@ -331,7 +331,7 @@
     pub left_ms: u64,
 }
 
-/// How full a process's ring of events is.
+/// Fill level of a process's ring buffer of events.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct JournalStatus {
@@ -339,6 +339,6 @@
     pub events: u64,
     /// Bytes kept.
     pub bytes: u64,
-    /// Events dropped since the process began.
+    /// Events dropped since the process started.
     pub lost: u64,
 }
--- a/crates/base/src/outcome.rs
+++ b/crates/base/src/outcome.rs
@@ -1,22 +1,22 @@
-//! The three-valued outcome of a try, and how a request ended.
+//! The three-valued outcome of an attempt, and how a request ended.
 
 /// Whether a request ran on a backend server, as far as this process can prove.
 ///
-/// `No` is a promise, `Unknown` is the honest answer to a lost reply.
+/// `No` is a guarantee; `Unknown` is reported when a reply was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RanState {
-    /// It is proved that no backend server ran any part of it.
+    /// Provably no backend server ran any part of the request.
     No,
-    /// It ran.
+    /// The request ran.
     Yes,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl RanState {
-    /// The state of a request after two tries: `No` only when both are `No`.
+    /// Combines the states of two attempts of a request: `No` only when both are `No`.
     #[must_use]
     pub const fn and(self, other: Self) -> Self {
         match (self, other) {
@@ -27,19 +27,19 @@
     }
 }
 
-/// How a request ended, as the field `end` of its last log line says it.
+/// How a request ended, as written in the field `end` of its last log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndKind {
-    /// The caller had all of it.
+    /// The caller received the complete answer.
     Whole,
-    /// The caller left before.
+    /// The caller disconnected before the end of the answer.
     Left,
-    /// Refused, cut, or answered with a server's fault.
+    /// The request was refused, its answer was cut off, or the server answered with an error.
     Failed,
 }
 
 impl EndKind {
-    /// As written.
+    /// The value of the field `end`.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
--- a/crates/base/src/prefix.rs
+++ b/crates/base/src/prefix.rs
@@ -4,8 +4,8 @@
 
 /// The hash of each full block of `prompt`, each covering everything before it too.
 ///
-/// A token is a word. Equal in every process: the hashes that a model engine publishes in its
-/// cache events compare with those that an entry VM works out for a request.
+/// A token is a word. The hashes are equal in every process, so that those in a model engine's
+/// cache events can be compared with those that an entry VM computes for a request.
 #[must_use]
 pub fn chain(model: &str, adapter: Option<&str>, prompt: &str, block_tokens: u32) -> Vec<u64> {
     let mut hasher = xxh3::Xxh3::new();
--- a/crates/base/src/refusal.rs
+++ b/crates/base/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The one typed error that callers receive.
+//! The typed error body that callers receive.
 
 use crate::outcome;
 
@@ -11,9 +11,9 @@
     BadRequest,
     /// The body is larger than the limit.
     TooLarge,
-    /// No API key, or one that is not known.
+    /// The API key is missing or unknown.
     Unauthenticated,
-    /// The key is known but may not do this.
+    /// The key is known but not authorised for this operation.
     Forbidden,
     /// No such model, service, request or generation.
     NotFound,
@@ -35,11 +35,11 @@
     DeadlineExceeded,
     /// The generation was lost after its first token and cannot be continued.
     GenerationLost,
-    /// The backend server's answer was lost or was nonsense.
+    /// The backend server's answer was lost or malformed.
     BackendFault,
     /// This entry VM has no accepted configuration yet, or is leaving.
     NotReady,
-    /// A fault of the system itself.
+    /// An internal error.
     Internal,
 }
 
@@ -68,13 +68,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct RefusalBody {
-    /// What happened, for programs.
+    /// Machine-readable reason.
     pub code: RefusalCode,
-    /// What happened and what to do about it, for people.
+    /// Human-readable reason and remedy.
     pub message: String,
-    /// Whether the request ran; `no` is a promise.
+    /// Whether the request ran; `no` is a guarantee.
     pub ran: outcome::RanState,
-    /// When to ask again, in milliseconds from now; absent when asking again is no use.
+    /// Delay before a retry, in milliseconds; absent when a retry cannot succeed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
 }
@@ -90,14 +90,14 @@
         }
     }
 
-    /// The same refusal with the time after which asking again makes sense.
+    /// Sets the delay after which a retry may succeed.
     #[must_use]
     pub fn retry_after_ms(mut self, delay_ms: u64) -> Self {
         self.retry_after_ms = Some(delay_ms);
         self
     }
 
-    /// The same refusal with another outcome.
+    /// Sets whether the request ran.
     #[must_use]
     pub fn ran(mut self, ran: outcome::RanState) -> Self {
         self.ran = ran;
@@ -105,10 +105,10 @@
     }
 }
 
-/// The JSON envelope on the wire, in the shape that client libraries of the field expect.
+/// The JSON envelope on the wire, in the shape that common client libraries expect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct RefusalEnvelope {
-    /// The refusal itself.
+    /// The refusal.
     pub error: RefusalBody,
 }
--- a/crates/base/src/rendezvous.rs
+++ b/crates/base/src/rendezvous.rs
@@ -1,5 +1,5 @@
-//! Rendezvous hashing: every process ranks the same members the same way without agreement, and
-//! a member that comes or goes moves only what it gains or held.
+//! Rendezvous hashing: every process ranks the same members the same way without coordination,
+//! and a member that joins or leaves moves only the subjects that it gains or held.
 
 use xxhash_rust::xxh3;
 
