--- a/crates/carry/src/logging.rs
+++ b/crates/carry/src/logging.rs
@@ -137,7 +137,7 @@
 
 fn count(left_out: sampling::LeftOut) {
     let order = atomic::Ordering::Relaxed;
-    REQUESTS_LEFT_OUT.fetch_add(left_out.whole, order);
+    REQUESTS_LEFT_OUT.fetch_add(left_out.succeeded, order);
     FAILURES_LEFT_OUT.fetch_add(left_out.failed, order);
     LINES_LEFT_OUT.fetch_add(left_out.lines, order);
 }
@@ -145,7 +145,7 @@
 fn notice(left_out: sampling::LeftOut, share: f64) -> String {
     format!(
         "log lines left out whole_requests={} failed_requests={} other_lines={} share={share:.3}\n",
-        left_out.whole, left_out.failed, left_out.lines
+        left_out.succeeded, left_out.failed, left_out.lines
     )
 }
 
@@ -155,7 +155,7 @@
 pub fn left_out() -> sampling::LeftOut {
     let order = atomic::Ordering::Relaxed;
     sampling::LeftOut {
-        whole: REQUESTS_LEFT_OUT.load(order),
+        succeeded: REQUESTS_LEFT_OUT.load(order),
         failed: FAILURES_LEFT_OUT.load(order),
         lines: LINES_LEFT_OUT.load(order),
     }
--- a/crates/carry/src/output.rs
+++ b/crates/carry/src/output.rs
@@ -96,7 +96,7 @@
 }
 
 /// Writes one last line past the queue, for a process that can't go on.
-pub fn last_word(message: &str) {
+pub fn write_fatal(message: &str) {
     let mut out = io::stderr();
     let _ = writeln!(out, "{message}");
 }
--- a/crates/carry/src/pool.rs
+++ b/crates/carry/src/pool.rs
@@ -24,7 +24,7 @@
 
 /// Why there is no connection.
 #[derive(Debug, Snafu)]
-pub enum ConnectFault {
+pub enum ConnectError {
     /// The server did not answer in time.
     #[snafu(display("no connection to {address} within {} ms", within.as_millis()))]
     Slow {
@@ -45,7 +45,7 @@
 
 /// Which kept connections may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeptRule {
+pub enum ReuseRule {
     /// Any that is not known to be closed.
     Any,
     /// Only one that carried an answer this short a time ago.
@@ -88,7 +88,7 @@
 
 /// Why a request got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum SendFault {
+pub enum SendError {
     /// Nothing of it was written.
     #[snafu(display("the connection was closed before anything was sent"))]
     Unsent,
@@ -106,20 +106,20 @@
     pub async fn get(
         &self,
         address: net::SocketAddr,
-        rule: KeptRule,
+        rule: ReuseRule,
         within: time::Duration,
-    ) -> Result<LiveConnection, ConnectFault> {
+    ) -> Result<LiveConnection, ConnectError> {
         if let Some(connection) = self.take_kept(address, rule) {
             return Ok(connection);
         }
         match time::timeout(within, connect(address)).await {
             Ok(Ok(connection)) => Ok(connection),
-            Ok(Err(source)) => Err(ConnectFault::Refused { address, source }),
-            Err(_) => Err(ConnectFault::Slow { address, within }),
+            Ok(Err(source)) => Err(ConnectError::Refused { address, source }),
+            Err(_) => Err(ConnectError::Slow { address, within }),
         }
     }
 
-    fn take_kept(&self, address: net::SocketAddr, rule: KeptRule) -> Option<LiveConnection> {
+    fn take_kept(&self, address: net::SocketAddr, rule: ReuseRule) -> Option<LiveConnection> {
         let now = time::Instant::now();
         let mut kept = self.kept.borrow_mut();
         let connections = kept.get_mut(&address)?;
@@ -129,8 +129,8 @@
                 return false;
             };
             let fresh = match rule {
-                KeptRule::Any => true,
-                KeptRule::Within(span) => idle <= span,
+                ReuseRule::Any => true,
+                ReuseRule::Within(span) => idle <= span,
             };
             fresh && kept.connection.sender.is_ready()
         };
@@ -148,7 +148,7 @@
     }
 
     /// Keeps a connection that may carry another request at once.
-    pub fn put_rested(&self, connection: LiveConnection, named: Option<time::Duration>) {
+    pub fn put_reusable(&self, connection: LiveConnection, named: Option<time::Duration>) {
         let now = time::Instant::now();
         self.put_since(connection, named, now, now);
     }
@@ -213,18 +213,18 @@
     pub async fn send(
         &mut self,
         request: http::Request<Full<Bytes>>,
-    ) -> Result<http::Response<body::Incoming>, SendFault> {
+    ) -> Result<http::Response<body::Incoming>, SendError> {
         if self.sender.ready().await.is_err() {
-            return Err(SendFault::Unsent);
+            return Err(SendError::Unsent);
         }
         self.sender
             .try_send_request(request)
             .await
             .map_err(|mut fault| {
                 if fault.take_message().is_some() {
-                    SendFault::Unsent
+                    SendError::Unsent
                 } else {
-                    SendFault::Broken
+                    SendError::Broken
                 }
             })
     }
@@ -238,7 +238,7 @@
 
 /// The idle timeout that a server states in its answer.
 #[must_use]
-pub fn named_timeout(headers: &http::HeaderMap) -> Option<time::Duration> {
+pub fn keep_alive_timeout(headers: &http::HeaderMap) -> Option<time::Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = value
         .split(',')
--- a/crates/carry/src/sampling.rs
+++ b/crates/carry/src/sampling.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeftOut {
     /// Requests that ended well and were not written.
-    pub whole: u64,
+    pub succeeded: u64,
     /// Requests that failed, of which lines are missing.
     pub failed: u64,
     /// Lines on beliefs, and of requests that had begun to be written.
@@ -203,7 +203,7 @@
             RequestEnd::Open => Vec::new(),
             RequestEnd::Well => {
                 self.kept.pop(id);
-                self.left_out.whole += 1;
+                self.left_out.succeeded += 1;
                 Vec::new()
             }
             RequestEnd::Badly => self.tell_failed(id),
@@ -234,7 +234,7 @@
     fn keep(&mut self, id: &str, line: Vec<u8>) {
         if !self.kept.contains(id) {
             let evicted = self.kept.push(id.to_owned(), KeptRequest::default());
-            self.left_out.whole += u64::from(evicted.is_some());
+            self.left_out.succeeded += u64::from(evicted.is_some());
         }
         if let Some(kept) = self.kept.get_mut(id) {
             if kept.lines.len() < MOST_LINES {
--- a/crates/carry/tests/connections.rs
+++ b/crates/carry/tests/connections.rs
@@ -61,7 +61,7 @@
         ));
         let pool = pool::ConnectionPool::default();
         let mut connection = pool
-            .get(address, pool::KeptRule::Any, WAIT)
+            .get(address, pool::ReuseRule::Any, WAIT)
             .await
             .expect("connected");
         let sent =
@@ -90,7 +90,7 @@
         }));
         let pool = pool::ConnectionPool::default();
         let mut connection = pool
-            .get(address, pool::KeptRule::Any, WAIT)
+            .get(address, pool::ReuseRule::Any, WAIT)
             .await
             .expect("connected");
         let (answer, ()) = tokio::join!(connection.send(request()), async {
@@ -107,7 +107,7 @@
         assert_eq!(body, "whole");
         serving.await.expect("ended");
         assert!(
-            pool.get(address, pool::KeptRule::Any, WAIT).await.is_err(),
+            pool.get(address, pool::ReuseRule::Any, WAIT).await.is_err(),
             "nobody listens"
         );
     });
@@ -151,15 +151,15 @@
         }));
         let pool = pool::ConnectionPool::default();
         let mut connection = pool
-            .get(address, pool::KeptRule::Any, WAIT)
+            .get(address, pool::ReuseRule::Any, WAIT)
             .await
             .expect("connected");
         let answer = connection.send(request()).await.expect("answered");
         answer.into_body().collect().await.expect("whole");
-        pool.put_rested(connection, None);
+        pool.put_reusable(connection, None);
         switch.stop();
         tokio::time::sleep(time::Duration::from_millis(30)).await;
-        let again = pool.get(address, pool::KeptRule::Any, WAIT).await;
+        let again = pool.get(address, pool::ReuseRule::Any, WAIT).await;
         assert!(
             again.is_err(),
             "a new connection is tried, and nobody listens"
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -80,7 +80,7 @@
     match output::LineWriter::stdout() {
         Ok(writer) => logging::SampledLog::new(logger, writer).install(),
         Err(error) => {
-            output::last_word(&format!("no thread for the log: {error}"));
+            output::write_fatal(&format!("no thread for the log: {error}"));
             return ExitCode::Failure.into();
         }
     }
