--- a/crates/carry/src/lib.rs
+++ b/crates/carry/src/lib.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 between processes, for one thread.
 //!
-//! [`pool`] keeps connections to servers and never trusts one that may have gone silent;
-//! [`listen`] serves callers until it is told to stop; [`logging`] is the log, which [`output`]
-//! writes without ever waiting for whoever reads it, after [`sampling`] has chosen its lines;
-//! [`signals`] are what stops a daemon; [`transfer`] limits the time of what may be large.
+//! [`pool`] keeps connections to servers alive and reuses only those that are not stale;
+//! [`listen`] serves callers until it is stopped; [`logging`] is the log, whose lines are chosen by
+//! [`sampling`] and written by [`output`], which never blocks on the reader; [`signals`] handles
+//! the signals that stop a daemon; [`transfer`] limits the time of transfers of unknown size.
 
 pub mod listen;
 pub mod logging;
--- a/crates/carry/src/listen.rs
+++ b/crates/carry/src/listen.rs
@@ -8,24 +8,24 @@
 
 use crate::socket;
 
-/// Pause after the system gave no connection, for instance for want of descriptors.
-const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(20);
+/// Delay after a failed accept, for instance when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(20);
 
-/// Time between two looks whether all connections are closed.
-const CLOSE_LOOK: time::Duration = time::Duration::from_millis(10);
+/// Interval at which [`StopSwitch::closed`] checks for open connections.
+const CLOSE_POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
-/// What a listener accepts.
+/// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenRule {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Time in which a head must have come, counted from the end of the answer before it.
+    /// Timeout for receiving a request head, counted from the end of the previous answer.
     pub idle: time::Duration,
-    /// Connections at a time; more are closed at once.
+    /// Maximum number of open connections; further ones are closed immediately.
     pub connections: usize,
 }
 
-/// Tells listeners to stop. Connections that carry a request finish it first.
+/// Stops listeners gracefully: connections with a request in progress finish it first.
 #[derive(Clone, Debug)]
 pub struct StopSwitch {
     sender: rc::Rc<sync::watch::Sender<bool>>,
@@ -33,7 +33,7 @@
     open: rc::Rc<cell::Cell<usize>>,
 }
 
-/// A connection that counts as open.
+/// Counts a connection as open until dropped.
 #[derive(Debug)]
 struct OpenConnection(rc::Rc<cell::Cell<usize>>);
 
@@ -66,24 +66,24 @@
         self.sender.send_replace(true);
     }
 
-    /// Waits, after a stop, until every connection is closed: one that carries an answer is when
-    /// its caller has all of it. Gives up after `most`.
-    pub async fn closed(&self, most: time::Duration) {
-        let until = time::Instant::now() + most;
-        while self.open.get() > 0 && time::Instant::now() < until {
-            time::sleep(CLOSE_LOOK).await;
+    /// Waits, after a stop, until every connection is closed. A connection that carries an answer
+    /// closes once its caller has received all of it. Gives up after `timeout`.
+    pub async fn closed(&self, timeout: time::Duration) {
+        let deadline = time::Instant::now() + timeout;
+        while self.open.get() > 0 && time::Instant::now() < deadline {
+            time::sleep(CLOSE_POLL_INTERVAL).await;
         }
     }
 
     async fn stopped(&self) {
         let mut receiver = self.sender.subscribe();
-        // The sender lives in `self`, so this ends by a stop only.
+        // The sender is owned by `self`, so the wait cannot end because the channel closed.
         let _ = receiver.wait_for(|stopped| *stopped).await;
     }
 }
 
-/// Serves callers until stopped. `rule` is asked for each connection, so that a configuration
-/// counts for the next one.
+/// Serves callers until stopped. `rule` is evaluated for each connection, so that a new
+/// configuration applies to the next one.
 pub async fn serve<S, F, B>(
     listener: tokio::net::TcpListener,
     rule: impl Fn() -> ListenRule,
@@ -104,7 +104,7 @@
         };
         let Ok((stream, _)) = accepted else {
             metrics::counter!("pollenchute_carry_accept_failures_total").increment(1);
-            time::sleep(ACCEPT_PAUSE).await;
+            time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let rule = rule();
@@ -136,7 +136,7 @@
     B::Data: 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    socket::tune(&stream, socket::CALLER_SILENCE)?;
+    socket::tune(&stream, socket::CALLER_ACK_TIMEOUT)?;
     let answer = service::service_fn(move |request| {
         let answer = service(request);
         async move { Ok::<_, convert::Infallible>(answer.await) }
@@ -161,7 +161,7 @@
 ///
 /// # Errors
 ///
-/// When the address is taken or not this VM's.
+/// When the address is in use or does not belong to this VM.
 pub async fn bind(address: net::SocketAddr) -> io::Result<tokio::net::TcpListener> {
     tokio::net::TcpListener::bind(address).await
 }
--- a/crates/carry/src/logging.rs
+++ b/crates/carry/src/logging.rs
@@ -1,7 +1,8 @@
-//! The log of a process: structured lines on standard output, bounded and never in the way.
+//! The log of a process: structured lines on standard output, bounded in rate and non-blocking.
 //!
-//! `env_logger` filters and formats, [`sampling`] chooses, [`output`] writes on a thread of its
-//! own. A record with the key `request` is about that request; with `end` it is its last.
+//! `env_logger` filters and formats, [`sampling`] chooses lines, [`output`] writes them on a
+//! separate thread. A record with the key `request` belongs to that request; a record that also
+//! has `end` is the last of that request.
 
 use std::{
     io::{self, Write as _},
@@ -20,14 +21,14 @@
 /// Key of the [`outcome::EndKind`] of a request that has ended.
 const END_KEY: &str = "end";
 
-/// Requests that ended well and were not written, in this process.
+/// Requests that succeeded and were not logged, in this process.
 static REQUESTS_LEFT_OUT: atomic::AtomicU64 = atomic::AtomicU64::new(0);
-/// Failed requests of which lines are missing, in this process.
+/// Failed requests with lines missing, in this process.
 static FAILURES_LEFT_OUT: atomic::AtomicU64 = atomic::AtomicU64::new(0);
-/// Other lines beyond the budget, in this process.
+/// Other lines omitted beyond the budget, in this process.
 static LINES_LEFT_OUT: atomic::AtomicU64 = atomic::AtomicU64::new(0);
 
-/// Where `env_logger` puts a line, for the sampler to take.
+/// Buffer through which `env_logger` hands a formatted line to the sampler.
 #[derive(Clone, Debug, Default)]
 struct LineSlot(sync::Arc<sync::Mutex<Vec<u8>>>);
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// What a log call works on.
+/// The sampler and writer that log calls share.
 #[derive(Debug)]
 struct SampledOutput {
     sampler: sampling::LineSampler,
@@ -58,12 +59,12 @@
 }
 
 impl SampledLog {
-    /// A log with the filters of `builder`, to `writer`.
+    /// Creates a log with the filters of `builder` that writes to `writer`.
     #[must_use]
     pub fn new(mut builder: env_logger::Builder, writer: output::LineWriter) -> Self {
         let slot = LineSlot::default();
         let formatter = builder
-            // Lines of several VMs are put in order by their time.
+            // Lines of several VMs are merged by their timestamps.
             .format_timestamp_millis()
             .write_style(env_logger::WriteStyle::Never)
             .target(env_logger::Target::Pipe(Box::new(slot.clone())))
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Makes it the log of this process. A second call changes nothing.
+    /// Installs it as the log of this process. A second call has no effect.
     pub fn install(self) {
         let level = self.formatter.filter();
         if log::set_boxed_logger(Box::new(self)).is_ok() {
@@ -102,11 +103,11 @@
         let request = request.map(|id| id.to_string());
         let subject = match &request {
             Some(id) => sampling::LineSubject::Request(id, end_of(keys)),
-            None => sampling::LineSubject::Belief,
+            None => sampling::LineSubject::Process,
         };
         let now = time::Instant::now();
         for line in output.sampler.take(line, subject, now) {
-            // The writer counts what it can't take.
+            // The writer counts the lines that it drops.
             let _ = output.writer.write(&line);
         }
         if let Some(left_out) = output.sampler.end_period(now) {
@@ -119,7 +120,7 @@
     fn flush(&self) {}
 }
 
-/// A panic elsewhere is no reason to lose the log.
+/// Ignores poisoning, so that a panic in another thread does not stop the log.
 fn lock<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
@@ -129,9 +130,9 @@
         return sampling::RequestEnd::Open;
     };
     if word.to_string() == outcome::EndKind::Failed.name() {
-        sampling::RequestEnd::Badly
+        sampling::RequestEnd::Failed
     } else {
-        sampling::RequestEnd::Well
+        sampling::RequestEnd::Succeeded
     }
 }
 
@@ -149,8 +150,7 @@
     )
 }
 
-/// What the budget has left out so far in this process: requests that ended well, requests that
-/// failed, other lines.
+/// Requests and lines that the budget has left out so far in this process.
 #[must_use]
 pub fn left_out() -> sampling::LeftOut {
     let order = atomic::Ordering::Relaxed;
--- a/crates/carry/src/output.rs
+++ b/crates/carry/src/output.rs
@@ -1,8 +1,8 @@
-//! Log lines that never make a request wait.
+//! Non-blocking output of log lines.
 //!
-//! A reader that stops reading the pipe would block whoever writes to it, and with it every request
-//! of the process. So lines go through a bounded queue to a thread of their own; what does not fit
-//! is dropped, counted, and said as soon as there is room again.
+//! A reader that stops reading the pipe would block the writer, and with it every request of the
+//! process. So lines go through a bounded queue to a separate thread; lines that do not fit are
+//! dropped and counted, and the count is logged as soon as the queue has free slots again.
 
 use std::{
     io::{self, Write as _},
@@ -10,36 +10,36 @@
     thread, time,
 };
 
-/// Lines that wait for the reader; 200 bytes each.
-const MOST_LINES: usize = 4_096;
+/// Capacity of the queue, in lines of about 200 bytes each.
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Time for the last lines of a process; writing a full queue of them takes a few milliseconds.
-const LAST_LINES: time::Duration = time::Duration::from_millis(30);
+/// Time to write the last lines of a process; writing a full queue takes a few milliseconds.
+const FLUSH_DELAY: time::Duration = time::Duration::from_millis(30);
 
 /// Lines dropped so far.
 static DROPPED: atomic::AtomicU64 = atomic::AtomicU64::new(0);
 
-/// A writer that never blocks.
+/// A writer that never blocks: it drops lines when its queue is full.
 #[derive(Debug)]
 pub struct LineWriter {
     lines: mpsc::SyncSender<Vec<u8>>,
-    /// Lines dropped since the reader was last told.
-    untold: u64,
+    /// Dropped lines not reported in the log yet.
+    unreported: u64,
 }
 
 impl LineWriter {
-    /// Writes to `out` on a thread of its own.
+    /// Creates a writer to `out` with its own thread.
     ///
     /// # Errors
     ///
-    /// When the system gives no thread.
+    /// When the thread cannot be created.
     pub fn new(mut out: impl io::Write + Send + 'static) -> io::Result<Self> {
-        let (lines, queue) = mpsc::sync_channel::<Vec<u8>>(MOST_LINES);
+        let (lines, queue) = mpsc::sync_channel::<Vec<u8>>(MAX_QUEUED_LINES);
         thread::Builder::new()
             .name(String::from("log"))
             .spawn(move || {
                 while let Ok(line) = queue.recv() {
-                    // Nobody is left to tell when the log itself can't be written.
+                    // An error of the log itself cannot be reported anywhere.
                     let _ = out.write_all(&line);
                     while let Ok(line) = queue.try_recv() {
                         let _ = out.write_all(&line);
@@ -47,23 +47,26 @@
                     let _ = out.flush();
                 }
             })?;
-        Ok(Self { lines, untold: 0 })
+        Ok(Self {
+            lines,
+            unreported: 0,
+        })
     }
 
-    /// Writes to standard output.
+    /// Creates a writer to standard output.
     ///
     /// # Errors
     ///
-    /// When the system gives no thread.
+    /// When the thread cannot be created.
     pub fn stdout() -> io::Result<Self> {
         Self::new(io::stdout())
     }
 
-    fn tell_dropped(&mut self) {
-        if self.untold > 0 {
-            let line = format!("log lines dropped={}\n", self.untold).into_bytes();
+    fn report_dropped(&mut self) {
+        if self.unreported > 0 {
+            let line = format!("log lines dropped={}\n", self.unreported).into_bytes();
             if self.lines.try_send(line).is_ok() {
-                self.untold = 0;
+                self.unreported = 0;
             }
         }
     }
@@ -71,9 +74,9 @@
 
 impl io::Write for LineWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        self.tell_dropped();
+        self.report_dropped();
         if self.lines.try_send(line.to_vec()).is_err() {
-            self.untold += 1;
+            self.unreported += 1;
             DROPPED.fetch_add(1, atomic::Ordering::Relaxed);
         }
         Ok(line.len())
@@ -84,18 +87,18 @@
     }
 }
 
-/// Lines dropped in this process.
+/// Number of lines dropped in this process.
 #[must_use]
 pub fn dropped_lines() -> u64 {
     DROPPED.load(atomic::Ordering::Relaxed)
 }
 
-/// Gives the writer time for what is queued: its thread ends with the process.
+/// Gives the writer thread, which ends with the process, time to write the queued lines.
 pub fn finish() {
-    thread::sleep(LAST_LINES);
+    thread::sleep(FLUSH_DELAY);
 }
 
-/// Writes one last line past the queue, for a process that can't go on.
+/// Writes a fatal error to standard error, bypassing the queue.
 pub fn write_fatal(message: &str) {
     let mut out = io::stderr();
     let _ = writeln!(out, "{message}");
--- a/crates/carry/src/pool.rs
+++ b/crates/carry/src/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to servers.
+//! Pool of keep-alive connections to servers.
 
 use std::{cell, collections, io, net, rc};
 
@@ -11,26 +11,27 @@
 
 use crate::socket;
 
-/// Idle time after which a connection is not used again, unless its server names another. Servers
-/// close idle connections after a timeout of their own; a request that crosses the close is lost.
-const KEPT: time::Duration = time::Duration::from_secs(8);
-/// Part of the idle timeout that a server names within which its connection is used again.
-const KEPT_PART: f64 = 0.7;
-/// Time that a connection rests after an answer before it carries another request. Surplus bytes of
-/// a faulty server that follow its answer arrive within this, and close it.
-const REST: time::Duration = time::Duration::from_millis(4);
-/// Kept connections to one server; more are closed.
-const MOST_KEPT: usize = 8;
+/// Maximum idle time of a connection that is reused, unless its server states a shorter timeout.
+/// Servers close idle connections after a timeout of their own, and a request that crosses the
+/// close is lost.
+const MAX_IDLE: time::Duration = time::Duration::from_secs(8);
+/// Fraction of a server's stated idle timeout within which its connection is reused.
+const SERVER_TIMEOUT_FRACTION: f64 = 0.7;
+/// Delay after an answer before its connection is reused. Surplus bytes that a faulty server sends
+/// after its answer arrive within this time and close the connection.
+const REUSE_DELAY: time::Duration = time::Duration::from_millis(4);
+/// Maximum idle connections to one server; further ones are closed.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// Why there is no connection.
+/// Errors of connecting to a server.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// The server did not answer in time.
+    /// The connection was not established in time.
     #[snafu(display("no connection to {address} within {} ms", within.as_millis()))]
-    Slow {
+    TimedOut {
         /// The server.
         address: net::SocketAddr,
-        /// Time that was allowed.
+        /// The timeout.
         within: time::Duration,
     },
     /// The server refused, or the system has no socket left.
@@ -38,36 +39,36 @@
     Refused {
         /// The server.
         address: net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Which kept connections may be used.
+/// Which idle connections may be reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReuseRule {
     /// Any that is not known to be closed.
     Any,
-    /// Only one that carried an answer this short a time ago.
+    /// Only one that has been idle for at most this time.
     Within(time::Duration),
 }
 
-/// Connections to servers, by address.
+/// Idle connections to servers, by address.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionPool {
-    kept: rc::Rc<cell::RefCell<collections::HashMap<net::SocketAddr, Vec<KeptConnection>>>>,
+    kept: rc::Rc<cell::RefCell<collections::HashMap<net::SocketAddr, Vec<IdleConnection>>>>,
 }
 
 #[derive(Debug)]
-struct KeptConnection {
+struct IdleConnection {
     connection: LiveConnection,
-    /// When it had rested after its last answer.
+    /// Time from which it may be reused, the reuse delay after its last answer included.
     since: time::Instant,
-    /// Until when it may be used again.
+    /// Time until which it may be reused.
     until: time::Instant,
 }
 
-/// A connection; closed at once when dropped, whatever it carries.
+/// A connection; closed immediately when dropped, even with a request in progress.
 #[derive(Debug)]
 pub struct LiveConnection {
     sender: http1::SendRequest<Full<Bytes>>,
@@ -76,7 +77,7 @@
     _driver: DriverGuard,
 }
 
-/// Ends a connection's task, and so the connection.
+/// Aborts a connection's task when dropped, and so closes the connection.
 #[derive(Debug)]
 struct DriverGuard(task::AbortHandle);
 
@@ -86,85 +87,89 @@
     }
 }
 
-/// Why a request got no answer.
+/// Errors of sending a request and waiting for the head of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum SendError {
-    /// Nothing of it was written.
+    /// Nothing of the request was written.
     #[snafu(display("the connection was closed before anything was sent"))]
     Unsent,
-    /// Some of it may have been written.
+    /// Part of the request may have been written.
     #[snafu(display("the connection broke without an answer"))]
     Broken,
 }
 
 impl ConnectionPool {
-    /// A connection to `address`: a kept one that `rule` allows, or a new one.
+    /// Returns a connection to `address`: an idle one that `rule` allows, or a new one.
     ///
     /// # Errors
     ///
-    /// When none comes about within `within`.
+    /// When no connection is established within `within`.
     pub async fn get(
         &self,
         address: net::SocketAddr,
         rule: ReuseRule,
         within: time::Duration,
     ) -> Result<LiveConnection, ConnectError> {
-        if let Some(connection) = self.take_kept(address, rule) {
+        if let Some(connection) = self.take_idle(address, rule) {
             return Ok(connection);
         }
         match time::timeout(within, connect(address)).await {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(source)) => Err(ConnectError::Refused { address, source }),
-            Err(_) => Err(ConnectError::Slow { address, within }),
+            Err(_) => Err(ConnectError::TimedOut { address, within }),
         }
     }
 
-    fn take_kept(&self, address: net::SocketAddr, rule: ReuseRule) -> Option<LiveConnection> {
+    fn take_idle(&self, address: net::SocketAddr, rule: ReuseRule) -> Option<LiveConnection> {
         let now = time::Instant::now();
         let mut kept = self.kept.borrow_mut();
         let connections = kept.get_mut(&address)?;
         connections.retain(|kept| now < kept.until && !kept.connection.sender.is_closed());
-        let usable = |kept: &KeptConnection| {
+        let usable = |kept: &IdleConnection| {
             let Some(idle) = now.checked_duration_since(kept.since) else {
                 return false;
             };
             let fresh = match rule {
                 ReuseRule::Any => true,
-                ReuseRule::Within(span) => idle <= span,
+                ReuseRule::Within(max_idle) => idle <= max_idle,
             };
             fresh && kept.connection.sender.is_ready()
         };
-        let place = connections.iter().rposition(usable)?;
-        let mut connection = connections.remove(place).connection;
+        let index = connections.iter().rposition(usable)?;
+        let mut connection = connections.remove(index).connection;
         connection.reused = true;
         Some(connection)
     }
 
-    /// Keeps a connection whose answer was read whole. `named` is the idle timeout that the server
-    /// stated.
-    pub fn put(&self, connection: LiveConnection, named: Option<time::Duration>) {
+    /// Returns a connection whose answer was read completely to the pool, for use after the reuse
+    /// delay. `server_timeout` is the idle timeout that the server stated.
+    pub fn put(&self, connection: LiveConnection, server_timeout: Option<time::Duration>) {
         let now = time::Instant::now();
-        self.put_since(connection, named, now + REST, now);
+        self.put_since(connection, server_timeout, now + REUSE_DELAY, now);
     }
 
-    /// Keeps a connection that may carry another request at once.
-    pub fn put_reusable(&self, connection: LiveConnection, named: Option<time::Duration>) {
+    /// Returns a connection to the pool that may be reused immediately.
+    pub fn put_reusable(&self, connection: LiveConnection, server_timeout: Option<time::Duration>) {
         let now = time::Instant::now();
-        self.put_since(connection, named, now, now);
+        self.put_since(connection, server_timeout, now, now);
     }
 
     fn put_since(
         &self,
         connection: LiveConnection,
-        named: Option<time::Duration>,
+        server_timeout: Option<time::Duration>,
         since: time::Instant,
         now: time::Instant,
     ) {
-        let keep = named.map_or(KEPT, |named| named.mul_f64(KEPT_PART).min(KEPT));
+        let keep = server_timeout.map_or(MAX_IDLE, |server_timeout| {
+            server_timeout
+                .mul_f64(SERVER_TIMEOUT_FRACTION)
+                .min(MAX_IDLE)
+        });
         let mut kept = self.kept.borrow_mut();
         let connections = kept.entry(connection.address).or_default();
-        if connections.len() < MOST_KEPT {
-            connections.push(KeptConnection {
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(IdleConnection {
                 connection,
                 since,
                 until: now + keep,
@@ -172,7 +177,7 @@
         }
     }
 
-    /// Closes what is kept for longer than it may be used.
+    /// Closes idle connections that may no longer be reused.
     pub fn sweep(&self) {
         let now = time::Instant::now();
         self.kept.borrow_mut().retain(|_, connections| {
@@ -184,7 +189,7 @@
 
 async fn connect(address: net::SocketAddr) -> io::Result<LiveConnection> {
     let stream = tokio::net::TcpStream::connect(address).await?;
-    socket::tune(&stream, socket::SERVER_SILENCE)?;
+    socket::tune(&stream, socket::SERVER_ACK_TIMEOUT)?;
     metrics::counter!("pollenchute_carry_connections_opened_total").increment(1);
     let handshake = http1::Builder::new()
         .max_buf_size(64 * 1_024)
@@ -192,7 +197,7 @@
         .await;
     let (sender, driver) = handshake.map_err(io::Error::other)?;
     let task = task::spawn_local(async move {
-        // Its end is seen by whoever holds the sender or reads the body.
+        // The holder of the sender or the reader of the body observes the end of the connection.
         let _ = driver.await;
     });
     Ok(LiveConnection {
@@ -205,11 +210,11 @@
 
 impl LiveConnection {
     /// Sends a request and waits for the head of its answer. Dropping the future and the
-    /// connection gives the request up.
+    /// connection cancels the request.
     ///
     /// # Errors
     ///
-    /// When the connection breaks first.
+    /// When the connection is closed first.
     pub async fn send(
         &mut self,
         request: http::Request<Full<Bytes>>,
@@ -220,8 +225,8 @@
         self.sender
             .try_send_request(request)
             .await
-            .map_err(|mut fault| {
-                if fault.take_message().is_some() {
+            .map_err(|mut error| {
+                if error.take_message().is_some() {
                     SendError::Unsent
                 } else {
                     SendError::Broken
@@ -229,14 +234,14 @@
             })
     }
 
-    /// Whether it carried a request before this one.
+    /// Whether the connection was taken from the pool and so carried a request before.
     #[must_use]
     pub const fn is_reused(&self) -> bool {
         self.reused
     }
 }
 
-/// The idle timeout that a server states in its answer.
+/// Returns the idle timeout that a server states in the `keep-alive` header of its answer.
 #[must_use]
 pub fn keep_alive_timeout(headers: &http::HeaderMap) -> Option<time::Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
@@ -246,7 +251,7 @@
     timeout.trim().parse().ok().map(time::Duration::from_secs)
 }
 
-/// Whether a message says that its connection will be closed behind it.
+/// Whether a message has `connection: close`.
 #[must_use]
 pub fn closes(headers: &http::HeaderMap) -> bool {
     headers
--- a/crates/carry/src/sampling.rs
+++ b/crates/carry/src/sampling.rs
@@ -1,75 +1,76 @@
-//! Which log lines are written when there are more than a reader can keep up with.
+//! Samples log lines when there are more than a reader can keep up with.
 //!
-//! A calm process writes every line at once. Under load each line costs processor time that
-//! requests need, and a flood buries the lines that matter. So there is a budget a second:
+//! Under low load every line is written immediately. Under high load each line costs processor
+//! time that requests need, and a flood hides the important lines. So there is a budget per second,
+//! spent in this order:
 //!
-//! - what the process believes or found out about others comes first,
-//! - then requests that failed, each with all its lines, also those from before it failed,
-//! - then a share of the requests that ended well, chosen by id, each whole or not at all.
+//! - lines about the process and its view of the system,
+//! - failed requests, each with all its lines, also those from before the failure,
+//! - a share of the requests that succeeded, sampled by id, each with all its lines or none.
 //!
-//! Lines of a request that is not in the share are kept until it ends: thrown away when it ended
-//! well, written when it did not. What was left out is counted, and said once a second.
+//! Lines of a request outside the share are buffered until it ends: dropped when it succeeded,
+//! written when it failed. Omitted lines are counted, and the counts are logged once a second.
 
 use std::{
     hash::{self, Hash as _, Hasher as _},
     num, time,
 };
 
-/// Lines a second. At the size of the brief a VM has 5 requests a second, with two to six lines
-/// each: room for more than ten times that, and little beside what requests carry.
-const LINES_A_SECOND: f64 = 400.0;
-/// Bytes a second: 200 for a line, and as much again for long ones.
-const BYTES_A_SECOND: f64 = 160_000.0;
-/// Part of the budget that requests which end well leave to beliefs and failures.
-const FIRST_PART: f64 = 0.5;
-/// Requests whose lines are kept back, and as many that are being written; 8 lines of 200 bytes
-/// each make 3 MB of them.
-const MOST_REQUESTS: num::NonZeroUsize = num::NonZeroUsize::new(2_048).unwrap();
-/// Lines of one request that are kept back; a stream that moves five times writes twenty.
-const MOST_LINES: usize = 32;
-/// Requests that failed lately, whose late lines are written too: the head of a stream may be
-/// told after its end.
-const MOST_FAILED: num::NonZeroUsize = num::NonZeroUsize::new(64).unwrap();
-/// Time over which demand is measured and after which what was left out is said.
+/// Budget of lines per second. At the target size a VM has 5 requests a second with two to six
+/// lines each: the budget allows more than ten times that, and is small beside request traffic.
+const LINES_PER_SECOND: f64 = 400.0;
+/// Budget of bytes per second: 200 for each line, doubled to allow for long ones.
+const BYTES_PER_SECOND: f64 = 160_000.0;
+/// Fraction of the budget reserved for lines about the process and for failed requests.
+const PRIORITY_FRACTION: f64 = 0.5;
+/// Maximum number of requests whose lines are buffered, and of those being written. With 8 lines of
+/// 200 bytes each the buffers hold 3 MB.
+const MAX_REQUESTS: num::NonZeroUsize = num::NonZeroUsize::new(2_048).unwrap();
+/// Maximum buffered lines of one request; a stream that moves five times writes twenty.
+const MAX_REQUEST_LINES: usize = 32;
+/// Number of recently failed requests that are remembered so that their late lines are written
+/// too: the line about the head of a stream may follow the line about its end.
+const MAX_FAILED_REQUESTS: num::NonZeroUsize = num::NonZeroUsize::new(64).unwrap();
+/// Interval over which demand is measured and after which the omissions are logged.
 const PERIOD: time::Duration = time::Duration::from_secs(1);
 
-/// How the request that a line is about has ended, if it has.
+/// Whether and how the request of a line has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// It goes on.
+    /// The request is still in progress.
     Open,
-    /// Its caller had all of it, or left.
-    Well,
-    /// It was refused, cut or answered with a fault.
-    Badly,
+    /// The caller received the complete answer, or disconnected.
+    Succeeded,
+    /// The request was refused, cut off or answered with an error.
+    Failed,
 }
 
-/// What a line is about.
+/// The subject of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineSubject<'line> {
-    /// What the process believes, or itself.
-    Belief,
+    /// The process itself, or its view of the system.
+    Process,
     /// A request, by its id.
     Request(&'line str, RequestEnd),
 }
 
-/// What was left out in a period.
+/// Numbers of requests and lines left out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeftOut {
-    /// Requests that ended well and were not written.
+    /// Requests that succeeded and were not written.
     pub succeeded: u64,
-    /// Requests that failed, of which lines are missing.
+    /// Failed requests with lines missing.
     pub failed: u64,
-    /// Lines on beliefs, and of requests that had begun to be written.
+    /// Lines about the process, and of requests with earlier lines written.
     pub lines: u64,
 }
 
-/// Lines and bytes that may be written now.
+/// Token buckets of the lines and bytes that may be written now.
 #[derive(Clone, Copy, Debug)]
 struct LineBudget {
-    /// Between 0 and [`LINES_A_SECOND`].
+    /// Between 0 and [`LINES_PER_SECOND`].
     lines: f64,
-    /// Between 0 and [`BYTES_A_SECOND`].
+    /// Between 0 and [`BYTES_PER_SECOND`].
     bytes: f64,
     filled: time::Instant,
 }
@@ -77,8 +78,8 @@
 impl LineBudget {
     const fn new(now: time::Instant) -> Self {
         Self {
-            lines: LINES_A_SECOND,
-            bytes: BYTES_A_SECOND,
+            lines: LINES_PER_SECOND,
+            bytes: BYTES_PER_SECOND,
             filled: now,
         }
     }
@@ -86,14 +87,14 @@
     fn fill(&mut self, now: time::Instant) {
         let passed = now.saturating_duration_since(self.filled).as_secs_f64();
         self.filled = now.max(self.filled);
-        self.lines = (self.lines + passed * LINES_A_SECOND).min(LINES_A_SECOND);
-        self.bytes = (self.bytes + passed * BYTES_A_SECOND).min(BYTES_A_SECOND);
+        self.lines = (self.lines + passed * LINES_PER_SECOND).min(LINES_PER_SECOND);
+        self.bytes = (self.bytes + passed * BYTES_PER_SECOND).min(BYTES_PER_SECOND);
     }
 
-    /// Takes lines out, if so much stays that `left` of a second's budget is there afterwards.
+    /// Takes lines out if at least the fraction `left` of a second's budget remains afterwards.
     fn take(&mut self, lines: usize, bytes: usize, left: f64) -> bool {
         let (lines, bytes) = (self.lines - lines as f64, self.bytes - bytes as f64);
-        let enough = lines >= left * LINES_A_SECOND && bytes >= left * BYTES_A_SECOND;
+        let enough = lines >= left * LINES_PER_SECOND && bytes >= left * BYTES_PER_SECOND;
         if enough {
             (self.lines, self.bytes) = (lines, bytes);
         }
@@ -101,41 +102,41 @@
     }
 }
 
-/// A request that is not written, or not yet.
+/// Buffered lines of a request that is outside the share.
 #[derive(Debug, Default)]
-struct KeptRequest {
+struct BufferedRequest {
     lines: Vec<Vec<u8>>,
-    /// Lines beyond [`MOST_LINES`].
+    /// Lines beyond [`MAX_REQUEST_LINES`].
     missing: u64,
 }
 
-/// Chooses lines. Holds no clock: each call says what time it is.
+/// Chooses the lines to write. Reads no clock: the caller passes the current time.
 #[derive(Debug)]
 pub struct LineSampler {
     budget: LineBudget,
-    /// Open requests whose lines are written as they come.
+    /// Open requests whose lines are written immediately.
     written: lru::LruCache<String, ()>,
-    /// Open requests whose lines are kept back.
-    kept: lru::LruCache<String, KeptRequest>,
-    /// Requests that failed lately.
+    /// Open requests whose lines are buffered.
+    buffered: lru::LruCache<String, BufferedRequest>,
+    /// Recently failed requests.
     failed: lru::LruCache<String, ()>,
-    /// Part of all requests that is written: those whose hash is below it.
+    /// Fraction of all requests that is written: those whose hash is below it.
     share: f64,
-    /// Lines on requests in this period.
+    /// Lines of requests in this period.
     demand: f64,
     period: time::Instant,
     left_out: LeftOut,
 }
 
 impl LineSampler {
-    /// Begins with a whole budget and every request written.
+    /// Starts with a full budget and every request written.
     #[must_use]
     pub fn new(now: time::Instant) -> Self {
         Self {
             budget: LineBudget::new(now),
-            written: lru::LruCache::new(MOST_REQUESTS),
-            kept: lru::LruCache::new(MOST_REQUESTS),
-            failed: lru::LruCache::new(MOST_FAILED),
+            written: lru::LruCache::new(MAX_REQUESTS),
+            buffered: lru::LruCache::new(MAX_REQUESTS),
+            failed: lru::LruCache::new(MAX_FAILED_REQUESTS),
             share: 1.0,
             demand: 0.0,
             period: now,
@@ -143,13 +144,13 @@
         }
     }
 
-    /// Part of the requests that end well which is written now.
+    /// Current fraction of the successful requests that is written.
     #[must_use]
     pub const fn share(&self) -> f64 {
         self.share
     }
 
-    /// Takes one line; gives what is to be written now, in order.
+    /// Takes one line; returns the lines to write now, in order.
     pub fn take(
         &mut self,
         line: Vec<u8>,
@@ -158,30 +159,30 @@
     ) -> Vec<Vec<u8>> {
         self.budget.fill(now);
         match subject {
-            LineSubject::Belief => self.write(line),
+            LineSubject::Process => self.write(line),
             LineSubject::Request(id, end) => {
                 self.demand += 1.0;
-                self.take_of_request(line, id, end)
+                self.take_request_line(line, id, end)
             }
         }
     }
 
-    /// What was left out in a period that is over, once.
+    /// Ends a period that is over and starts the next; returns what was left out in it, if anything.
     pub fn end_period(&mut self, now: time::Instant) -> Option<LeftOut> {
         let passed = now.saturating_duration_since(self.period);
         if passed < PERIOD {
             return None;
         }
-        let a_second = self.demand / passed.as_secs_f64();
-        let for_requests = LINES_A_SECOND * (1.0 - FIRST_PART);
-        self.share = (for_requests / a_second.max(1.0)).min(1.0);
+        let lines_per_second = self.demand / passed.as_secs_f64();
+        let for_requests = LINES_PER_SECOND * (1.0 - PRIORITY_FRACTION);
+        self.share = (for_requests / lines_per_second.max(1.0)).min(1.0);
         self.demand = 0.0;
         self.period = now;
         let left_out = std::mem::take(&mut self.left_out);
         (left_out != LeftOut::default()).then_some(left_out)
     }
 
-    /// A line that is not kept back: written, or lost when there is no budget at all.
+    /// Writes a line without buffering, or drops it when the budget is used up.
     fn write(&mut self, line: Vec<u8>) -> Vec<Vec<u8>> {
         if self.budget.take(1, line.len(), 0.0) {
             return vec![line];
@@ -190,76 +191,80 @@
         Vec::new()
     }
 
-    fn take_of_request(&mut self, line: Vec<u8>, id: &str, end: RequestEnd) -> Vec<Vec<u8>> {
+    fn take_request_line(&mut self, line: Vec<u8>, id: &str, end: RequestEnd) -> Vec<Vec<u8>> {
         if self.failed.contains(id) {
             return self.write(line);
         }
-        if self.written.contains(id) || self.begins_written(id, line.len()) {
-            self.note_written(id, end);
+        if self.written.contains(id) || self.starts_written(id, line.len()) {
+            self.record_written(id, end);
             return self.write(line);
         }
-        self.keep(id, line);
+        self.buffer(id, line);
         match end {
             RequestEnd::Open => Vec::new(),
-            RequestEnd::Well => {
-                self.kept.pop(id);
+            RequestEnd::Succeeded => {
+                self.buffered.pop(id);
                 self.left_out.succeeded += 1;
                 Vec::new()
             }
-            RequestEnd::Badly => self.tell_failed(id),
+            RequestEnd::Failed => self.flush_failed(id),
         }
     }
 
-    /// Whether a request of which nothing is known is written as it goes on.
-    fn begins_written(&self, id: &str, bytes: usize) -> bool {
+    /// Whether the lines of a new request are written immediately.
+    fn starts_written(&self, id: &str, bytes: usize) -> bool {
         let mut budget = self.budget;
-        !self.kept.contains(id) && part_of(id) < self.share && budget.take(1, bytes, FIRST_PART)
+        !self.buffered.contains(id)
+            && hash_fraction(id) < self.share
+            && budget.take(1, bytes, PRIORITY_FRACTION)
     }
 
-    fn note_written(&mut self, id: &str, end: RequestEnd) {
+    fn record_written(&mut self, id: &str, end: RequestEnd) {
         match end {
             RequestEnd::Open => {
                 self.written.put(id.to_owned(), ());
             }
-            RequestEnd::Well => {
+            RequestEnd::Succeeded => {
                 self.written.pop(id);
             }
-            RequestEnd::Badly => {
+            RequestEnd::Failed => {
                 self.written.pop(id);
                 self.failed.put(id.to_owned(), ());
             }
         }
     }
 
-    fn keep(&mut self, id: &str, line: Vec<u8>) {
-        if !self.kept.contains(id) {
-            let evicted = self.kept.push(id.to_owned(), KeptRequest::default());
+    fn buffer(&mut self, id: &str, line: Vec<u8>) {
+        if !self.buffered.contains(id) {
+            let evicted = self
+                .buffered
+                .push(id.to_owned(), BufferedRequest::default());
             self.left_out.succeeded += u64::from(evicted.is_some());
         }
-        if let Some(kept) = self.kept.get_mut(id) {
-            if kept.lines.len() < MOST_LINES {
-                kept.lines.push(line);
+        if let Some(buffered) = self.buffered.get_mut(id) {
+            if buffered.lines.len() < MAX_REQUEST_LINES {
+                buffered.lines.push(line);
             } else {
-                kept.missing += 1;
+                buffered.missing += 1;
             }
         }
     }
 
-    /// All lines of a request that failed, or none.
-    fn tell_failed(&mut self, id: &str) -> Vec<Vec<u8>> {
+    /// Returns all buffered lines of a failed request, or none if the budget does not suffice.
+    fn flush_failed(&mut self, id: &str) -> Vec<Vec<u8>> {
         self.failed.put(id.to_owned(), ());
-        let kept = self.kept.pop(id).unwrap_or_default();
-        let bytes = kept.lines.iter().map(Vec::len).sum();
-        let told = self.budget.take(kept.lines.len(), bytes, 0.0);
-        if !told || kept.missing > 0 {
+        let buffered = self.buffered.pop(id).unwrap_or_default();
+        let bytes = buffered.lines.iter().map(Vec::len).sum();
+        let written = self.budget.take(buffered.lines.len(), bytes, 0.0);
+        if !written || buffered.missing > 0 {
             self.left_out.failed += 1;
         }
-        if told { kept.lines } else { Vec::new() }
+        if written { buffered.lines } else { Vec::new() }
     }
 }
 
-/// Where an id stands between 0 and 1; the same on every VM.
-fn part_of(id: &str) -> f64 {
+/// Hashes an id to a value between 0 and 1 that is the same on every VM.
+fn hash_fraction(id: &str) -> f64 {
     let mut hasher = hash::DefaultHasher::new();
     id.hash(&mut hasher);
     hasher.finish() as f64 / u64::MAX as f64
--- a/crates/carry/src/signals.rs
+++ b/crates/carry/src/signals.rs
@@ -1,15 +1,16 @@
-//! Signals that a daemon takes.
+//! Handling of the signals that stop a daemon.
 
 use std::io;
 
 use nix::sys::signal;
 use tokio::signal::unix;
 
-/// Blocks SIGTERM, SIGINT and SIGHUP until [`StopSignals::catch`]; one that comes meanwhile waits.
+/// Blocks SIGTERM, SIGINT and SIGHUP until [`StopSignals::catch`]; signals sent meanwhile stay
+/// pending.
 ///
-/// A daemon calls it from a constructor, which runs before the language's runtime and `main`: until a
-/// signal is caught, the system's default ends the process, SIGHUP too. A daemon that calls it and then
-/// never [`StopSignals::catch`] can be ended by SIGKILL only.
+/// A daemon calls it from a constructor, which runs before the Rust runtime and `main`: until a
+/// handler is installed, the default action of these signals, SIGHUP included, ends the process. A
+/// daemon that calls it and never calls [`StopSignals::catch`] can be ended by SIGKILL only.
 ///
 /// # Errors
 ///
@@ -28,7 +29,7 @@
     .collect()
 }
 
-/// SIGTERM, SIGINT and SIGHUP, caught.
+/// Handlers of SIGTERM, SIGINT and SIGHUP.
 #[derive(Debug)]
 pub struct StopSignals {
     terminate: unix::Signal,
@@ -37,8 +38,8 @@
 }
 
 impl StopSignals {
-    /// Catches them from now on, and those that [`hold`] held back. To be called in the context of a
-    /// runtime, by the thread that called `hold`.
+    /// Installs the handlers and unblocks the signals that [`hold`] blocked. Must be called within a
+    /// Tokio runtime, on the thread that called `hold`.
     ///
     /// # Errors
     ///
@@ -53,8 +54,8 @@
         Ok(signals)
     }
 
-    /// Ends at SIGTERM or SIGINT, also one that came before. SIGHUP is noted: nothing that settings
-    /// hold can change while a process runs, what changes comes from the store.
+    /// Waits for SIGTERM or SIGINT, including one received earlier. SIGHUP is only logged: settings
+    /// cannot change while a process runs, and the configuration comes from the store.
     pub async fn wait(mut self) {
         loop {
             tokio::select! {
--- a/crates/carry/src/socket.rs
+++ b/crates/carry/src/socket.rs
@@ -1,30 +1,33 @@
-//! Options of sockets that both sides share.
+//! Socket options shared by the client and server sides.
 
 use std::{io, time};
 
 use tokio::net;
 
 /// Time that bytes sent to a server may stay unacknowledged. A server that lost power, or a path
-/// that is cut, answers nothing: without this a write to it waits for many minutes, and its request
-/// has another server to go to.
-pub(crate) const SERVER_SILENCE: time::Duration = time::Duration::from_millis(1_500);
-/// The same for a caller, who has no other place to get its answer from: poor links lose some
-/// seconds, and a caller that reads nothing for a while counts as silent too. What a caller that is
-/// really gone costs is bounded by the limit of its route.
-pub(crate) const CALLER_SILENCE: time::Duration = time::Duration::from_secs(8);
-/// Idle time before a connection is probed, and between probes: whole seconds, the least there is.
-const PROBE_GAP: time::Duration = time::Duration::from_secs(1);
-/// Probes without an answer after which a connection is closed.
+/// that is cut, sends nothing: without this limit a write to it waits for many minutes although
+/// another server could take the request.
+pub(crate) const SERVER_ACK_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
+/// Time that bytes sent to a caller may stay unacknowledged. It is longer because a caller has no
+/// other source for its answer: poor links stall for seconds, and a caller that pauses reading
+/// counts as silent too. The cost of a caller that has disconnected is bounded by the limit of its
+/// route.
+pub(crate) const CALLER_ACK_TIMEOUT: time::Duration = time::Duration::from_secs(8);
+/// Idle time before the first keep-alive probe, and interval between probes. One second is the
+/// minimum that the system supports.
+const PROBE_INTERVAL: time::Duration = time::Duration::from_secs(1);
+/// Unanswered probes after which a connection is closed.
 const PROBES: u32 = 2;
 
-/// Makes a peer noticed that is silent for longer than `most`, and small writes leave at once.
-pub(crate) fn tune(stream: &net::TcpStream, most: time::Duration) -> io::Result<()> {
+/// Makes the connection fail when its peer is silent for longer than `timeout`, and disables
+/// Nagle's algorithm so that small writes are sent immediately.
+pub(crate) fn tune(stream: &net::TcpStream, timeout: time::Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(most))?;
+    socket.set_tcp_user_timeout(Some(timeout))?;
     let probes = socket2::TcpKeepalive::new()
-        .with_time(PROBE_GAP)
-        .with_interval(PROBE_GAP)
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
         .with_retries(PROBES);
     socket.set_tcp_keepalive(&probes)
 }
--- a/crates/carry/src/transfer.rs
+++ b/crates/carry/src/transfer.rs
@@ -1,49 +1,49 @@
 //! Time limits of transfers whose size is not known.
 //!
-//! Whether a limit on the whole of a transfer is kept follows from its size: beyond what the link carries
-//! within the limit nothing is ever received whole, and each try begins anew. So what is limited is the
-//! time in which no byte comes.
+//! A limit on the total time of a transfer limits its size: content larger than the link carries
+//! within that time never arrives completely, and each attempt starts from the beginning. So the
+//! limit applies to the time without a received byte.
 
 use std::{cell, future, rc, task};
 
 use snafu::Snafu;
 use tokio::time;
 
-/// Time without a byte from which on a transfer does not count as moving.
-const MOVING_GAP: time::Duration = time::Duration::from_millis(300);
+/// Time without a byte after which a transfer no longer counts as moving.
+const MOVING_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
-/// How long a transfer may take.
+/// Time limits of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransferLimit {
-    /// Until its first byte.
+    /// Maximum time until the first byte.
     pub first: time::Duration,
-    /// Between two bytes after that.
+    /// Maximum time between two later bytes.
     pub silence: time::Duration,
-    /// The whole. Far beyond what any transfer needs: it ends those that only trickle.
+    /// Maximum total time. Far more than any transfer needs: it ends those that only trickle.
     pub whole: time::Duration,
 }
 
-/// A transfer that came to a halt.
+/// Error of a transfer that stalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{received} bytes within {} ms, then none", waited.as_millis()))]
 pub struct StalledTransfer {
-    /// Bytes that had moved.
+    /// Bytes received before the stall.
     pub received: usize,
-    /// Time from the begin until it was given up.
+    /// Time from the start of the transfer until it was abandoned.
     pub waited: time::Duration,
 }
 
-/// What has moved of a transfer; clones are of the same one.
+/// Progress of the newest transfer; clones share it.
 #[derive(Clone, Debug)]
 pub struct TransferMeter(rc::Rc<cell::Cell<MeterState>>);
 
 #[derive(Clone, Copy, Debug)]
 struct MeterState {
-    /// Begin of the newest transfer.
+    /// Start of the newest transfer.
     began: time::Instant,
-    /// Bytes of it.
+    /// Bytes received so far.
     bytes: usize,
-    /// When the newest of them moved; its begin if there are none.
+    /// Time of the last byte; the start if there is none.
     moved_at: time::Instant,
 }
 
@@ -63,19 +63,19 @@
         }
     }
 
-    /// When the transfer counts as halted.
+    /// Time at which the transfer counts as stalled if no further byte arrives.
     fn due(&self, limit: &TransferLimit) -> time::Instant {
-        let gap = if self.bytes == 0 {
+        let timeout = if self.bytes == 0 {
             limit.first
         } else {
             limit.silence
         };
-        (self.moved_at + gap).min(self.began + limit.whole)
+        (self.moved_at + timeout).min(self.began + limit.whole)
     }
 }
 
 impl TransferMeter {
-    /// Notes bytes that moved.
+    /// Records received bytes.
     pub fn note(&self, bytes: usize) {
         let mut state = self.0.get();
         state.bytes += bytes;
@@ -83,18 +83,18 @@
         self.0.set(state);
     }
 
-    /// Whether a transfer has begun to move and goes on.
+    /// Whether a transfer has received bytes and is still progressing.
     #[must_use]
     pub fn is_moving(&self) -> bool {
         let state = self.0.get();
-        state.bytes > 0 && state.moved_at.elapsed() < MOVING_GAP
+        state.bytes > 0 && state.moved_at.elapsed() < MOVING_TIMEOUT
     }
 
-    /// Waits for a transfer, which notes here what moves, as long as it keeps to `limit`.
+    /// Runs a transfer, which records its bytes here, as long as it stays within `limit`.
     ///
     /// # Errors
     ///
-    /// When it does not; the transfer is dropped.
+    /// When the transfer exceeds `limit`; it is dropped.
     pub async fn limit<T>(
         &self,
         limit: &TransferLimit,
@@ -108,7 +108,7 @@
             if let task::Poll::Ready(output) = transfer.as_mut().poll(context) {
                 return task::Poll::Ready(Ok(output));
             }
-            // What the transfer has just noted moves the moment at which it counts as halted.
+            // Bytes that the transfer has just recorded postpone its deadline.
             let state = self.0.get();
             halt.as_mut().reset(state.due(limit));
             halt.as_mut().poll(context).map(|()| {
@@ -123,7 +123,7 @@
         ended
     }
 
-    /// What ended moves no more.
+    /// Resets the meter, so that a transfer that ended does not count as moving.
     fn end(&self) {
         self.0.set(MeterState::begin());
     }
--- a/crates/carry/tests/connections.rs
+++ b/crates/carry/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections and log lines under trouble.
+//! Connections and log output under faults.
 
 use std::{io, sync, time};
 
@@ -40,9 +40,8 @@
 
 #[test]
 fn a_caller_that_leaves_ends_its_request_at_once() {
-    // Symptom: work goes on for callers that are gone.
-    // Sequence: a caller closes its connection while its request waits.
-    // Cause: a server that notices only when it writes.
+    // Guards against work for callers that have disconnected: a caller closes its connection while
+    // its request waits, and a server that detects this only on a write goes on.
     run(async {
         let (listener, address) = listener().await;
         let (ended, mut told) = tokio::sync::mpsc::unbounded_channel::<()>();
@@ -53,7 +52,7 @@
             move |_| {
                 let ended = ended.clone();
                 async move {
-                    // Dropped with the request.
+                    // Dropped when the request is cancelled.
                     let _ended = ended;
                     std::future::pending::<http::Response<Full<Bytes>>>().await
                 }
@@ -69,7 +68,7 @@
         assert!(sent.await.is_err());
         drop(connection);
         let left = tokio::time::timeout(WAIT, async {
-            // The listener's own sender lives on; only the request's clone is counted here.
+            // The listener keeps its own sender; the count drops to 1 with the request's clone.
             while told.sender_strong_count() > 1 {
                 tokio::time::sleep(time::Duration::from_millis(5)).await;
             }
@@ -140,9 +139,8 @@
 
 #[test]
 fn a_kept_connection_that_was_closed_is_not_used() {
-    // Symptom: a call is lost on a connection that its server closed long ago.
-    // Sequence: an answer, then the server closes the idle connection.
-    // Cause: the close not looked for before the next request.
+    // Guards against a request lost on a connection that its server has closed: after an answer the
+    // server closes the idle connection, and the pool must check for that before it reuses it.
     run(async {
         let (listener, address) = listener().await;
         let switch = listen::StopSwitch::default();
@@ -169,9 +167,8 @@
 
 #[test]
 fn a_reader_that_stops_reading_costs_lines_not_time() {
-    // Symptom: all requests of a VM stand still while its log is not read.
-    // Sequence: the reader of the log blocks for ever, lines go on.
-    // Cause: lines written by whoever has something to say.
+    // Guards against requests that stall while the log is not read: the reader of the log blocks
+    // forever while lines are still written, and the threads of requests must not write to it.
     struct StuckReader(sync::Arc<sync::Barrier>);
     impl io::Write for StuckReader {
         fn write(&mut self, line: &[u8]) -> io::Result<usize> {
@@ -193,6 +190,6 @@
     }
     assert!(
         output::dropped_lines() - before >= 5_000,
-        "what does not fit is counted"
+        "lines that do not fit the queue are counted as dropped"
     );
 }
--- a/crates/carry/tests/sampling.rs
+++ b/crates/carry/tests/sampling.rs
@@ -1,27 +1,27 @@
-//! Which log lines are written under a flood.
+//! Sampling of log lines under a flood.
 
 use std::{collections, time};
 
 use arbtest::arbitrary;
 use carry::sampling::{LineSampler, LineSubject, RequestEnd};
 
-/// Lines that one second may bring at most: a whole budget that was saved, and one that is earned.
-const MOST_LINES_IN_A_SECOND: usize = 800;
-/// The same in bytes.
-const MOST_BYTES_IN_A_SECOND: usize = 320_000;
+/// Maximum lines within one second: a full saved budget and the budget of that second.
+const MAX_LINES_PER_SECOND: usize = 800;
+/// Maximum bytes within one second, by the same rule.
+const MAX_BYTES_PER_SECOND: usize = 320_000;
 
-/// Floods that are played.
+/// Number of random floods.
 const FLOODS: u64 = 60;
-/// Random bytes for one: a line draws a dozen.
+/// Random bytes for one flood; a line consumes about a dozen.
 const FLOOD_BYTES: u64 = 16_384;
 
-/// One line as it was given to the sampler.
+/// One line passed to the sampler.
 struct GivenLine {
     request: Option<String>,
     end: RequestEnd,
 }
 
-/// Plays a flood, and keeps what came out and when.
+/// Feeds a flood to a sampler and records the lines written and their times.
 struct FloodPlay {
     sampler: LineSampler,
     began: time::Instant,
@@ -54,11 +54,11 @@
         self.count += 1;
         let text = format!("{}{}", self.count, " ".repeat(bytes));
         let subject = match &line.request {
-            None => LineSubject::Belief,
+            None => LineSubject::Process,
             Some(id) => {
                 let lines = self.given.entry(id.clone()).or_default();
                 lines.push(text.clone());
-                if line.end == RequestEnd::Badly {
+                if line.end == RequestEnd::Failed {
                     self.failed.insert(id.clone());
                 }
                 LineSubject::Request(id, line.end)
@@ -76,7 +76,7 @@
         }
     }
 
-    /// One request of some lines, all at once.
+    /// Feeds all lines of one request at the same time.
     fn request(&mut self, id: usize, lines: usize, end: RequestEnd) {
         for index in 1..=lines {
             let end = if index == lines {
@@ -98,7 +98,7 @@
         self.written.iter().map(|(_, line)| line.as_str()).collect()
     }
 
-    /// Lines of a request that are among `written`, and all of them.
+    /// Number of lines of a request that are in `written`, and number of all its lines.
     fn parts(&self, id: &str, written: &collections::HashSet<&str>) -> (usize, usize) {
         let given = &self.given[id];
         let told = given.iter().filter(|line| written.contains(line.as_str()));
@@ -114,16 +114,13 @@
                 bytes -= self.written[first].1.len();
                 first += 1;
             }
-            assert!(
-                last + 1 - first <= MOST_LINES_IN_A_SECOND,
-                "lines at {at:?}"
-            );
-            assert!(bytes <= MOST_BYTES_IN_A_SECOND, "bytes at {at:?}");
+            assert!(last + 1 - first <= MAX_LINES_PER_SECOND, "lines at {at:?}");
+            assert!(bytes <= MAX_BYTES_PER_SECOND, "bytes at {at:?}");
         }
     }
 }
 
-/// Any lines, of any length, of any subject, at any times.
+/// Random lines of random lengths, subjects and times.
 fn any_flood(random: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
     let mut play = FloodPlay::new();
     for _ in 0..random.int_in_range(1..=3_000)? {
@@ -132,8 +129,8 @@
             .then(|| random.int_in_range(0..=40_u32).map(|id| id.to_string()))
             .transpose()?;
         let end = match random.int_in_range(0..=5_u8)? {
-            0 => RequestEnd::Well,
-            1 => RequestEnd::Badly,
+            0 => RequestEnd::Succeeded,
+            1 => RequestEnd::Failed,
             _ => RequestEnd::Open,
         };
         let bytes = random.int_in_range(0..=2_000)?;
@@ -150,28 +147,27 @@
 
 #[test]
 fn no_second_brings_more_than_the_budget() {
-    // Symptom: a flood of lines takes the processor time of requests, and fills the reader's disk.
-    // Sequence: any lines, of any length, of any subject, at any times.
-    // Cause: logs whose volume follows the load.
+    // Guards against a log whose volume grows with the load, which takes processor time from
+    // requests and fills the reader's disk.
     for seed in 0..FLOODS {
-        // The low half of a seed says how many bytes there are to draw from.
+        // The low half of a seed is the number of random bytes.
         arbtest::arbtest(any_flood)
             .seed((seed.wrapping_mul(0x9E37_79B9) << 32) | FLOOD_BYTES)
             .run();
     }
     let mut play = FloodPlay::new();
     for id in 0..20_000 {
-        play.request(id, 4, RequestEnd::Badly);
+        play.request(id, 4, RequestEnd::Failed);
         play.pass(time::Duration::from_micros(300));
     }
     play.check_bound();
 }
 
 #[test]
-fn a_calm_process_writes_every_line_at_once() {
+fn every_line_is_written_immediately_under_low_load() {
     let mut play = FloodPlay::new();
     for id in 0..1_000 {
-        play.request(id, 5, RequestEnd::Well);
+        play.request(id, 5, RequestEnd::Succeeded);
         play.pass(time::Duration::from_millis(40));
     }
     assert_eq!(play.written.len(), 5_000);
@@ -179,11 +175,11 @@
 }
 
 #[test]
-fn a_request_is_written_whole_or_not_at_all() {
+fn a_request_is_written_completely_or_not_at_all() {
     // Load: ten times the lines that the budget allows for requests, interleaved.
     let mut play = FloodPlay::new();
     for id in 0..30_000 {
-        play.request(id, 4, RequestEnd::Well);
+        play.request(id, 4, RequestEnd::Succeeded);
         play.pass(time::Duration::from_millis(2));
     }
     let written = play.written();
@@ -193,27 +189,27 @@
         assert!(told == 0 || told == all, "request {id}: {told} of {all}");
         whole += usize::from(told == all);
     }
-    // 60 seconds of 200 lines, 4 to a request, and what the first second had saved.
+    // 60 seconds of 200 lines, 4 to a request, and the budget saved before the first second.
     assert!((2_300..=3_200).contains(&whole), "{whole} whole requests");
-    assert_eq!(play.missing, 0, "nothing was lost beside them");
+    assert_eq!(play.missing, 0, "no other line is lost");
 }
 
 #[test]
-fn failures_and_beliefs_come_first() {
-    // Symptom: the failed request's lines are the ones that are missing.
-    // Load: ten times the budget of requests that end well, some that fail, some beliefs.
+fn failures_and_process_lines_come_first() {
+    // Guards against losing the lines of failed requests under load: ten times the budget of
+    // requests that succeed, with some failed requests and some lines about the process.
     let mut play = FloodPlay::new();
-    let mut beliefs = 0;
+    let mut process_lines = 0;
     for id in 0..30_000 {
         let end = if id % 50 == 7 {
-            RequestEnd::Badly
+            RequestEnd::Failed
         } else {
-            RequestEnd::Well
+            RequestEnd::Succeeded
         };
         play.request(id, 4, end);
         if id % 25 == 0 {
             play.give(&GivenLine { request: None, end }, 150);
-            beliefs += 1;
+            process_lines += 1;
         }
         play.pass(time::Duration::from_millis(2));
     }
@@ -226,20 +222,20 @@
     assert_eq!(
         (play.missing, play.failed_missing),
         (0, 0),
-        "{beliefs} beliefs"
+        "{process_lines} process_lines"
     );
 }
 
 #[test]
 fn a_late_line_of_a_failed_request_is_written() {
-    // Symptom: the last line of a refused stream is missing. Its stream tells that it was given
-    // up, then the part that speaks to its caller tells what it was told.
+    // Guards against losing the last line of a refused stream: the stream logs that it was
+    // abandoned, then the handler of the caller logs the answer.
     let mut play = FloodPlay::new();
     for id in 0..2_000 {
-        play.request(id, 4, RequestEnd::Well);
+        play.request(id, 4, RequestEnd::Succeeded);
         play.pass(time::Duration::from_micros(200));
     }
-    play.request(5_000, 4, RequestEnd::Badly);
-    play.request(5_000, 1, RequestEnd::Badly);
+    play.request(5_000, 4, RequestEnd::Failed);
+    play.request(5_000, 1, RequestEnd::Failed);
     assert_eq!(play.parts("request-5000", &play.written()), (5, 5));
 }
--- a/crates/carry/tests/starting/mod.rs
+++ b/crates/carry/tests/starting/mod.rs
@@ -1,25 +1,25 @@
-//! What the system says of a daemon's signals while it starts.
+//! Checks, by `/proc`, that a starting daemon blocks or catches its stop signals.
 
 use std::{env, fs, path, process, time};
 
 use rustix::process::Signal;
 
-/// Starts of one test.
+/// Number of starts in one test.
 const STARTS: usize = 100;
-/// Time in which a start must catch the signals.
-const CAUGHT_WITHIN: time::Duration = time::Duration::from_secs(20);
-/// Signals that must not end a daemon that has begun to run.
+/// Timeout for a started process to catch the signals.
+const CATCH_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+/// Signals that must not end a daemon once its own code runs.
 const HELD: [Signal; 3] = [Signal::TERM, Signal::INT, Signal::HUP];
 
-/// Signals of a process, a bit for each.
+/// Signal masks of a process, one bit per signal.
 #[derive(Clone, Copy, Debug)]
 struct SignalMasks {
     caught: u64,
     blocked: u64,
 }
 
-/// Starts `program` again and again, each time until it waits for its settings, and gives how many
-/// processes ran code of their own while a signal would have ended them.
+/// Starts `program` repeatedly, each time until it waits for its settings, and returns how many
+/// processes ran their own code while a signal would have ended them.
 ///
 /// # Panics
 ///
@@ -35,7 +35,7 @@
     unprotected
 }
 
-/// Whether one start had a moment in which a signal would have ended it.
+/// Whether a signal would have ended the process at some point of one start.
 fn is_unprotected(program: &str, pipe: &path::Path) -> bool {
     let held = HELD
         .iter()
@@ -48,7 +48,7 @@
     let began = time::Instant::now();
     let mut unprotected = false;
     loop {
-        assert!(began.elapsed() < CAUGHT_WITHIN, "signals are not caught");
+        assert!(began.elapsed() < CATCH_TIMEOUT, "signals are not caught");
         let text = fs::read_to_string(&status).unwrap_or_default();
         let Some(masks) = signal_masks(&text) else {
             continue;
@@ -63,8 +63,8 @@
     unprotected
 }
 
-/// The signals of a process; absent until the language's runtime has caught its own, as long as the
-/// system's loader is at work.
+/// Parses the signal masks of a process; `None` while the dynamic loader runs, until the Rust
+/// runtime has installed its own handlers.
 fn signal_masks(status: &str) -> Option<SignalMasks> {
     let mask = |name| {
         let line = status.lines().find_map(|line| line.strip_prefix(name))?;
--- a/crates/carry/tests/transfer.rs
+++ b/crates/carry/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfers at any pace, on the paused clock.
+//! Transfers at various speeds, on the paused clock.
 
 use std::time;
 
@@ -19,7 +19,7 @@
     runtime.block_on(test);
 }
 
-/// Moves a byte after each gap, then ends.
+/// Records a byte after each gap, then ends.
 async fn bytes(meter: &transfer::TransferMeter, gaps: &[u64]) {
     for gap in gaps {
         tokio::time::sleep(time::Duration::from_millis(*gap)).await;
@@ -27,7 +27,7 @@
     }
 }
 
-/// How a transfer with these gaps ends: bytes and milliseconds when it came to a halt.
+/// Runs a transfer with these gaps; returns the bytes and milliseconds at which it stalled, if it did.
 async fn halted(gaps: &[u64]) -> Option<(usize, u128)> {
     let meter = transfer::TransferMeter::default();
     let ended = meter.limit(&LIMIT, bytes(&meter, gaps)).await;
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_transfer_that_moves_is_waited_for() {
-    // Guards against a limit that only small transfers keep.
+    // Guards against a limit that large transfers cannot meet however steadily they progress.
     run(async {
         assert_eq!(halted(&[]).await, None);
         assert_eq!(halted(&[900]).await, None);
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_transfer_that_halts_or_trickles_is_given_up() {
-    // Guards against a reader that is held by a connection that went silent.
+    // Guards against a reader blocked by a connection that has gone silent.
     run(async {
         assert_eq!(halted(&[1_100]).await, Some((0, 1_000)));
         assert_eq!(halted(&[100, 400]).await, Some((1, 400)));
@@ -58,23 +58,23 @@
 }
 
 #[test]
-fn only_what_goes_on_counts_as_moving() {
-    // Guards against a second transfer over the same link beside one that is on its way, and against
-    // waiting for one that is over.
+fn only_a_transfer_in_progress_counts_as_moving() {
+    // Guards against starting a second transfer over the same link while one is in progress, and
+    // against waiting for one that has ended.
     run(async {
         let meter = transfer::TransferMeter::default();
         assert!(!meter.is_moving());
         let watched = meter.clone();
         let watch = async {
             tokio::time::sleep(time::Duration::from_millis(50)).await;
-            assert!(!watched.is_moving(), "nothing came yet");
+            assert!(!watched.is_moving(), "no byte has arrived yet");
             tokio::time::sleep(time::Duration::from_millis(100)).await;
             assert!(watched.is_moving());
         };
         let transfer = meter.limit(&LIMIT, bytes(&meter, &[100, 100]));
         let (ended, ()) = tokio::join!(transfer, watch);
         assert_eq!(ended, Ok(()));
-        assert!(!meter.is_moving(), "it is over");
+        assert!(!meter.is_moving(), "the transfer has ended");
         let ended = meter.limit(&LIMIT, bytes(&meter, &[100, 1_000])).await;
         assert!(ended.is_err() && !meter.is_moving());
     });
