--- a/crates/entry/src/adapt/claims.rs
+++ b/crates/entry/src/adapt/claims.rs
@@ -46,18 +46,18 @@
 }
 
 impl port::ClaimStore for LogClaims {
-    async fn claim(&self, ask: port::ClaimRequest) -> port::ClaimAnswer {
+    async fn claim(&self, request: port::ClaimRequest) -> port::ClaimAnswer {
         let call = permit::ClaimCall {
-            organisation: ask.organisation.clone(),
-            key: ask.key.clone(),
-            content: ask.content,
+            organisation: request.organisation.clone(),
+            key: request.key.clone(),
+            content: request.content,
         };
         match self.router.claim(call).await {
             permit::ClaimAnswer::Fresh(permit) => {
                 let hold = port::ClaimHold {
                     record: permit.claim(),
                     deadline: permit.deadline(),
-                    claim: ask,
+                    claim: request,
                 };
                 self.permits().insert(hold.record, permit);
                 port::ClaimAnswer::Fresh(hold)
--- a/crates/entry/src/adapt/identity.rs
+++ b/crates/entry/src/adapt/identity.rs
@@ -2,7 +2,7 @@
 
 use base::id;
 
-use crate::wall;
+use crate::clock;
 
 /// Draws identifiers from the operating system's randomness.
 #[derive(Clone, Copy, Debug, Default)]
@@ -20,6 +20,6 @@
 
 impl flow::port::WallClock for SystemClock {
     fn unix_ms(&self) -> u64 {
-        wall::unix_ms()
+        clock::unix_ms()
     }
 }
--- a/crates/entry/src/adapt/jobs.rs
+++ b/crates/entry/src/adapt/jobs.rs
@@ -10,7 +10,7 @@
 use crate::{adapt::peers, configure};
 
 /// Pause between two rounds over the partitions when there was nothing to do.
-const ROUND_PAUSE: Duration = Duration::from_millis(250);
+const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 /// How soon work that the log could not take should be sent again.
 const LOG_DOWN_RETRY_MS: u64 = 2_000;
 
@@ -110,7 +110,7 @@
             if let Some(lease) = self.take_round().await {
                 return lease;
             }
-            time::sleep(ROUND_PAUSE).await;
+            time::sleep(ROUND_INTERVAL).await;
         }
     }
 
--- a/crates/entry/src/adapt/peers.rs
+++ b/crates/entry/src/adapt/peers.rs
@@ -18,7 +18,7 @@
 pub const SUSPECTS: &str = "suspects";
 
 /// Longest wait for a note to be taken.
-const NOTE_LIMIT: time::Duration = time::Duration::from_millis(800);
+const NOTE_TIMEOUT: time::Duration = time::Duration::from_millis(800);
 
 /// The router through which this daemon uses the log.
 pub type EntryRouter = route::LedgerRouter<ledger::http::HttpLog, PeerLedger>;
@@ -45,12 +45,12 @@
     /// # Errors
     ///
     /// Whether the call may have had an effect.
-    pub async fn ask(
+    pub async fn call_extension(
         &self,
         vm: &str,
         name: &str,
         body: Vec<u8>,
-        within: time::Duration,
+        timeout: time::Duration,
     ) -> Result<Vec<u8>, outcome::RanState> {
         let address = self.members.peer_address(vm).ok_or(outcome::RanState::No)?;
         let request = peer::request::Kind::Extension(peer::Extension {
@@ -58,7 +58,7 @@
             body,
         });
         let options = wire::client::CallOptions {
-            timeout: within,
+            timeout,
             repeatable: true,
         };
         match self.client.call(address, request, options).await {
@@ -73,17 +73,17 @@
         &self,
         vm: &str,
         from_byte: u64,
-        within: time::Duration,
+        timeout: time::Duration,
     ) -> Option<peer::ConfigurationAnswer> {
         let address = self.members.peer_address(vm)?;
-        let ask = peer::FetchConfiguration {
+        let fetch = peer::FetchConfiguration {
             have_revision: 0,
             have_offset: 0,
             from_byte,
         };
-        let request = peer::request::Kind::FetchConfiguration(ask);
+        let request = peer::request::Kind::FetchConfiguration(fetch);
         let options = wire::client::CallOptions {
-            timeout: within,
+            timeout,
             repeatable: true,
         };
         match self.client.call(address, request, options).await {
@@ -96,7 +96,11 @@
     pub fn note(&self, vm: &str, name: &'static str, body: Vec<u8>) {
         let (caller, vm) = (self.clone(), vm.to_owned());
         tokio::spawn(async move {
-            if caller.ask(&vm, name, body, NOTE_LIMIT).await.is_err() {
+            if caller
+                .call_extension(&vm, name, body, NOTE_TIMEOUT)
+                .await
+                .is_err()
+            {
                 metrics::counter!("pollenchute_entry_notes_lost_total").increment(1);
             }
         });
@@ -127,10 +131,10 @@
         &self,
         vm: &str,
         request: &host::LedgerRequest,
-        limit: time::Duration,
+        timeout: time::Duration,
     ) -> Result<host::LedgerReply, route::PeerFault> {
         let body = serde_json::to_vec(request).map_err(|_| route::PeerFault::NotDelivered)?;
-        match self.0.ask(vm, LEDGER, body, limit).await {
+        match self.0.call_extension(vm, LEDGER, body, timeout).await {
             Ok(body) => serde_json::from_slice(&body).map_err(|_| route::PeerFault::Lost),
             Err(outcome::RanState::No) => Err(route::PeerFault::NotDelivered),
             Err(_) => Err(route::PeerFault::Lost),
--- a/crates/entry/src/adapt/schedule.rs
+++ b/crates/entry/src/adapt/schedule.rs
@@ -12,7 +12,7 @@
 use crate::{adapt::service_pool, configure, roster};
 
 /// Longest wait for a place on a plain service server between two looks at the candidates.
-const POOL_RECHECK: Duration = Duration::from_millis(20);
+const POOL_RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Places generations and calls.
 #[derive(Clone, Debug)]
@@ -50,45 +50,46 @@
 
     async fn admit_generation(
         &self,
-        ask: request::GenerationRequest,
+        generation: request::GenerationRequest,
     ) -> Result<PlaneGrant, refusal::RefusalBody> {
-        let grant = self.driver.admit(ask).await.map_err(refused_body)?;
+        let grant = self.driver.admit(generation).await.map_err(refused_body)?;
         Ok(PlaneGrant::Engine(grant))
     }
 
-    fn generation_ask(
+    fn generation_request(
         &self,
-        asked: &port::AdmissionRequest,
+        admission: &port::AdmissionRequest,
     ) -> Result<request::GenerationRequest, refusal::RefusalBody> {
         let port::RequestedWork::Generation {
             model: name,
             adapter,
             prompt_tokens,
             max_tokens,
-        } = &asked.work
+        } = &admission.work
         else {
             return Err(no_server("a plain service call has no model"));
         };
         let Some(model) = self.roster.model_key(name) else {
             return Err(no_server("no engine is known for this model; ask again"));
         };
-        let mut ask = request::GenerationRequest::new(
-            asked.organisation,
-            asked.class,
+        let mut generation = request::GenerationRequest::new(
+            admission.organisation,
+            admission.class,
             model,
             *prompt_tokens,
             *max_tokens,
         );
         if let Some(block_tokens) = self.block_tokens(name) {
-            ask.prefix = prefix_chain(name, adapter.as_deref(), &asked.prompt, block_tokens);
+            generation.prefix =
+                prefix_chain(name, adapter.as_deref(), &admission.prompt, block_tokens);
         }
-        ask.deadline = Some(asked.deadline);
-        ask.buffered = asked.buffered;
-        ask.retry = asked.retry;
-        for server in &asked.avoid {
-            ask.avoid.push(*server);
+        generation.deadline = Some(admission.deadline);
+        generation.buffered = admission.buffered;
+        generation.retry = admission.retry;
+        for server in &admission.avoid {
+            generation.avoid.push(*server);
         }
-        Ok(ask)
+        Ok(generation)
     }
 
     /// Tokens in one KV block of the engines that may serve a model.
@@ -104,10 +105,10 @@
     async fn admit_call(
         &self,
         service: &str,
-        asked: &port::AdmissionRequest,
+        admission: &port::AdmissionRequest,
     ) -> Result<PlaneGrant, refusal::RefusalBody> {
         loop {
-            let candidates = self.candidates(service, &asked.avoid);
+            let candidates = self.candidates(service, &admission.avoid);
             if let Some(slot) = self.pool.try_take(&candidates, time::Instant::now()) {
                 return Ok(PlaneGrant::Service(slot));
             }
@@ -116,14 +117,14 @@
                     "no server of this service takes work now; ask again",
                 ));
             }
-            if time::Instant::now() >= asked.deadline {
+            if time::Instant::now() >= admission.deadline {
                 return Err(refusal::RefusalBody::not_run(
                     refusal::RefusalCode::Overloaded,
                     "all servers of this service are busy; ask again after the time given",
                 )
                 .retry_after_ms(500));
             }
-            let _ = time::timeout(POOL_RECHECK, self.pool.freed()).await;
+            let _ = time::timeout(POOL_RECHECK_INTERVAL, self.pool.freed()).await;
         }
     }
 
@@ -180,11 +181,11 @@
 impl port::Scheduler for PlaneScheduler {
     type Grant = PlaneGrant;
 
-    fn early_refusal(&self, ask: &port::AdmissionRequest) -> Option<refusal::RefusalBody> {
-        match &ask.work {
-            port::RequestedWork::Generation { .. } => self.generation_ask(ask).err(),
+    fn early_refusal(&self, admission: &port::AdmissionRequest) -> Option<refusal::RefusalBody> {
+        match &admission.work {
+            port::RequestedWork::Generation { .. } => self.generation_request(admission).err(),
             port::RequestedWork::Service { service } => self
-                .candidates(service, &ask.avoid)
+                .candidates(service, &admission.avoid)
                 .is_empty()
                 .then(|| no_server("no server of this service takes work now; ask again")),
         }
@@ -192,13 +193,14 @@
 
     async fn admit(
         &self,
-        ask: &port::AdmissionRequest,
+        admission: &port::AdmissionRequest,
     ) -> Result<PlaneGrant, refusal::RefusalBody> {
-        match &ask.work {
+        match &admission.work {
             port::RequestedWork::Generation { .. } => {
-                self.admit_generation(self.generation_ask(ask)?).await
+                self.admit_generation(self.generation_request(admission)?)
+                    .await
             }
-            port::RequestedWork::Service { service } => self.admit_call(service, ask).await,
+            port::RequestedWork::Service { service } => self.admit_call(service, admission).await,
         }
     }
 }
--- a/crates/entry/src/adapt/service_pool.rs
+++ b/crates/entry/src/adapt/service_pool.rs
@@ -11,7 +11,7 @@
 /// Health checks of most entry VMs come every ten seconds only. Without this, a dead server, which
 /// is always the least busy one, would draw every call until then, and the budget of retries
 /// would be used up within a second: callers see `overloaded` while two of three servers idle.
-const FAILED_TIME: time::Duration = time::Duration::from_secs(2);
+const FAILURE_PENALTY: time::Duration = time::Duration::from_secs(2);
 
 /// Calls that run on each plain service server on this VM's behalf.
 #[derive(Debug, Default)]
@@ -70,7 +70,9 @@
     pub fn failed(self, now: time::Instant) {
         let mut state = self.pool.lock();
         state.failed_until.retain(|_, until| now < *until);
-        state.failed_until.insert(self.server, now + FAILED_TIME);
+        state
+            .failed_until
+            .insert(self.server, now + FAILURE_PENALTY);
     }
 }
 
@@ -111,8 +113,8 @@
             .filter(|candidate| state.load(candidate.server) < candidate.max_concurrency)
             .min_by_key(|candidate| {
                 let server = candidate.server;
-                let is_bad = candidate.suspected || state.has_failed(server, now);
-                (is_bad, state.load(server))
+                let is_unhealthy = candidate.suspected || state.has_failed(server, now);
+                (is_unhealthy, state.load(server))
             })?;
         *state.running.entry(best.server).or_insert(0) += 1;
         Some(ServiceSlot {
--- a/crates/entry/src/assemble.rs
+++ b/crates/entry/src/assemble.rs
@@ -14,8 +14,8 @@
 
 use crate::{
     adapt::{claims, identity as identity_port, jobs, peers, quota, schedule},
-    chronicle, configure, daemon, digests, follow, members, membership, peer_service, placement,
-    ports, roster, settings, sight, state, vm_list, watch,
+    chronicle, configure, daemon, digests, follow, members, membership, observation, peer_service,
+    placement, ports, roster, settings, state, vm_list, watch,
 };
 
 /// Largest part of the time line's ring, in bytes.
@@ -24,7 +24,7 @@
 const LEDGER_INTERVAL: Duration = Duration::from_secs(2);
 
 /// What the pieces of a daemon are made of.
-struct Foundation {
+struct DaemonParts {
     settings: settings::DaemonSettings,
     identity: identity::ProcessIdentity,
     keys: key::KeyHandle,
@@ -37,7 +37,7 @@
     members: sync::Arc<members::MemberTable>,
 }
 
-impl Foundation {
+impl DaemonParts {
     fn new(
         settings: settings::DaemonSettings,
         token_keys: token::TokenKeys,
@@ -126,8 +126,8 @@
         )
     }
 
-    fn own_place(&self) -> sight::OwnPlace {
-        sight::OwnPlace {
+    fn own_place(&self) -> observation::OwnPlace {
+        observation::OwnPlace {
             vm: self.settings.vm.clone(),
             region: self.settings.region.clone(),
             failure_domain: self.settings.failure_domain.clone(),
@@ -142,11 +142,11 @@
 
 /// Time between two appends of a partition of deferrable work. Nobody waits for it at a gate, and
 /// the log's appends are few.
-const JOB_APPEND_GAP: Duration = Duration::from_millis(100);
+const JOB_APPEND_INTERVAL: Duration = Duration::from_millis(100);
 
 fn ledger_settings() -> host::HostSettings {
     let mut settings = host::HostSettings::default();
-    settings.jobs.append.min_gap = JOB_APPEND_GAP;
+    settings.jobs.append.min_gap = JOB_APPEND_INTERVAL;
     settings
 }
 
@@ -174,7 +174,7 @@
     metrics: Option<metrics_exporter_prometheus::PrometheusHandle>,
     controllers: &mut task::JoinSet<()>,
 ) -> Result<state::EntryState, daemon::StartError> {
-    let base = Foundation::new(settings, token_keys)?;
+    let base = DaemonParts::new(settings, token_keys)?;
     let (listener, peers_address) = listen_for_peers(base.settings.peers).await?;
     let stamper = base.chronicle.stamper();
     let gossip = gossip::start_stamped(
@@ -209,7 +209,7 @@
         base.own_place(),
         views,
     ));
-    let (leases, board) = spawn_placing(&base, controllers)?;
+    let (leases, board) = spawn_placement(&base, controllers)?;
     Ok(state::EntryState {
         settings: base.settings,
         incarnation: base.identity.incarnation,
@@ -230,7 +230,7 @@
 
 /// Starts what works for the request plane.
 fn spawn_plane(
-    base: &Foundation,
+    base: &DaemonParts,
     plane: &Plane,
     host: sync::Arc<LedgerHost>,
     caller: peers::PeerCaller,
@@ -247,7 +247,7 @@
 }
 
 fn spawn_watchers(
-    base: &Foundation,
+    base: &DaemonParts,
     gossip: &gossip::handle::GossipHandle,
     caller: &peers::PeerCaller,
     controllers: &mut task::JoinSet<()>,
@@ -298,13 +298,13 @@
 }
 
 type LeaseDriver = lease::driver::LeaseDriver<ledger::http::HttpLog>;
-type PlacingParts = (sync::Arc<LeaseDriver>, sync::Arc<placement::PlacementBoard>);
+type PlacementParts = (sync::Arc<LeaseDriver>, sync::Arc<placement::PlacementBoard>);
 
 /// Starts to hold leases and to place models.
-fn spawn_placing(
-    base: &Foundation,
+fn spawn_placement(
+    base: &DaemonParts,
     controllers: &mut task::JoinSet<()>,
-) -> Result<PlacingParts, daemon::StartError> {
+) -> Result<PlacementParts, daemon::StartError> {
     let leases = start_leases(base)?;
     let board = sync::Arc::new(placement::PlacementBoard::default());
     let placing = placement::PlacementController {
@@ -322,7 +322,7 @@
     Ok((leases, board))
 }
 
-fn start_leases(base: &Foundation) -> Result<sync::Arc<LeaseDriver>, daemon::StartError> {
+fn start_leases(base: &DaemonParts) -> Result<sync::Arc<LeaseDriver>, daemon::StartError> {
     let limits = lease::limits::LeaseLimits::default();
     let started = lease::driver::LeaseDriver::start(base.log.clone(), &base.settings.vm, limits);
     let leases = started.map_err(|error| daemon::StartError::Settings {
@@ -371,21 +371,21 @@
 async fn follow_views(
     book: sync::Arc<configure::ConfigBook>,
     roster: sync::Arc<roster::ServerRoster>,
-    own: sight::OwnPlace,
+    own: observation::OwnPlace,
     views: channel::Sender<sync::Arc<view::PlaneView>>,
 ) {
     let mut snapshots = book.subscribe();
     let mut leaving = roster.subscribe_leaving();
     loop {
         let snapshot = snapshots.borrow_and_update().clone();
-        let left = leaving.borrow_and_update().clone();
+        let leaving_now = leaving.borrow_and_update().clone();
         let known = views.borrow().config.revision();
         if known != snapshot.revision() {
             roster.configure(&snapshot, &own);
         }
         views.send_replace(sync::Arc::new(view::PlaneView {
             config: snapshot,
-            leaving: left,
+            leaving: leaving_now,
         }));
         tokio::select! {
             changed = snapshots.changed() => if changed.is_err() { return },
--- a/crates/entry/src/chronicle.rs
+++ b/crates/entry/src/chronicle.rs
@@ -5,7 +5,7 @@
 use base::id;
 use trace::{journal, kind, stamper};
 
-use crate::wall;
+use crate::clock;
 
 /// Handle to the journal of this process; clones share it.
 #[derive(Clone, Debug)]
@@ -31,18 +31,18 @@
     /// What stamps messages to other entry VMs by the clock of this journal.
     #[must_use]
     pub fn stamper(&self) -> stamper::MessageStamper {
-        stamper::MessageStamper::new(sync::Arc::clone(&self.journal), wall::unix_ms)
+        stamper::MessageStamper::new(sync::Arc::clone(&self.journal), clock::unix_ms)
     }
 
     /// Records an event about no request in particular.
     pub fn record(&self, kind: kind::EventKind) {
-        self.journal.record(wall::unix_ms(), kind);
+        self.journal.record(clock::unix_ms(), kind);
     }
 
     /// Records an event about one request, when there is one.
     pub fn record_for(&self, request: Option<id::RequestId>, kind: kind::EventKind) {
         match request {
-            Some(request) => self.journal.record_for(wall::unix_ms(), request, kind),
+            Some(request) => self.journal.record_for(clock::unix_ms(), request, kind),
             None => self.record(kind),
         }
     }
--- a/crates/entry/src/configure.rs
+++ b/crates/entry/src/configure.rs
@@ -1,4 +1,4 @@
-//! The configuration in force in this process, for whoever reads it.
+//! The configuration in force in this process, shared by its readers.
 
 use std::sync;
 
@@ -6,21 +6,21 @@
 use conf::{event, history, offer, snapshot, state, transfer};
 use tokio::sync::watch;
 
-use crate::wall;
+use crate::clock;
 
 /// Stream of the log that carries the configuration.
 pub const STREAM: &str = "configuration";
 
-/// What the log decided of one change.
+/// Outcome of one change, as decided by the order of the log.
 #[derive(Clone, Debug)]
 pub struct DecidedChange {
     /// Offset of the record that decided it.
     pub offset: u64,
-    /// What became of it.
+    /// Whether the change was accepted, or why not.
     pub verdict: state::ApplyVerdict,
 }
 
-/// The stream as it was last found.
+/// Reachability of the stream as last observed.
 #[derive(Clone, Copy, Debug, Default)]
 struct LogView {
     reachable: bool,
@@ -30,9 +30,9 @@
 
 #[derive(Debug, Default)]
 struct BookState {
-    /// The state in force; absent until there is one that was proved to be the newest.
+    /// The state in force; absent until one is proved to be the newest.
     state: Option<state::ConfigState>,
-    /// What other entry VMs are handed of it.
+    /// The encoded form of the state that other entry VMs fetch.
     transfer: Option<sync::Arc<transfer::StateTransfer>>,
     ready: Option<event::ReadyState>,
     in_force_since_ms: u64,
@@ -41,13 +41,13 @@
     log: LogView,
 }
 
-/// The configuration in force in this process, and how it came to be.
+/// The configuration in force in this process, with its history and source.
 #[derive(Debug)]
 pub struct ConfigBook {
     state: sync::Mutex<BookState>,
     /// Revision 0 until a state is in force.
     snapshot: watch::Sender<sync::Arc<snapshot::ConfigSnapshot>>,
-    /// Grows with each decision, so that publishers notice also those that change no revision.
+    /// Number of decisions, so that publishers also observe those that change no revision.
     decisions: watch::Sender<u64>,
 }
 
@@ -68,19 +68,19 @@
         self.snapshot.borrow().clone()
     }
 
-    /// Follows the snapshots that come into force.
+    /// Subscribes to the snapshots that come into force.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<sync::Arc<snapshot::ConfigSnapshot>> {
         self.snapshot.subscribe()
     }
 
-    /// Follows the number of decisions.
+    /// Subscribes to the number of decisions.
     #[must_use]
     pub fn decisions(&self) -> watch::Receiver<u64> {
         self.decisions.subscribe()
     }
 
-    /// What the log decided of the change with this id, as far as it is remembered.
+    /// Returns the outcome of the change with this id, if it is still retained.
     #[must_use]
     pub fn decided(&self, change: id::RecordId) -> Option<DecidedChange> {
         let book = self.lock();
@@ -95,7 +95,7 @@
         Some(DecidedChange { offset, verdict })
     }
 
-    /// All decided changes that are remembered, in the order of the log.
+    /// Returns all retained changes that were decided, in the order of the log.
     #[must_use]
     pub fn history(&self) -> ops::HistoryBody {
         let book = self.lock();
@@ -115,7 +115,7 @@
         ops::HistoryBody { entries }
     }
 
-    /// A revision whole, as far as it is remembered.
+    /// Returns the complete configuration of a revision, if it is still retained.
     #[must_use]
     pub fn configuration(&self, revision: u64) -> Option<ops::ConfigurationBody> {
         let book = self.lock();
@@ -133,7 +133,7 @@
         })
     }
 
-    /// The configuration in force for the operators' face.
+    /// Status of the configuration in force for the operators' API.
     #[must_use]
     pub fn status(&self, now_ms: u64) -> ops::ConfigurationStatus {
         let book = self.lock();
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The stream for the operators' face.
+    /// Status of the stream for the operators' API.
     #[must_use]
     pub fn log_status(&self, now_ms: u64) -> ops::LogStatus {
         let book = self.lock();
@@ -162,16 +162,17 @@
         }
     }
 
-    /// What other entry VMs are handed.
+    /// The state that other entry VMs fetch, as it was last encoded.
     #[must_use]
     pub fn transfer(&self) -> Option<sync::Arc<transfer::StateTransfer>> {
         self.lock().transfer.clone()
     }
 
-    /// What other entry VMs are handed, renewed when the log went on since it was made.
+    /// The state that other entry VMs fetch, refreshed if the log has advanced since it was encoded.
     ///
-    /// Without it, a VM that was cut off until the log dropped what it lacks is handed a state as
-    /// old as the last change, from which it cannot read on, and fetches it again and again.
+    /// Without the refresh, a VM that was disconnected until the log dropped the records that it
+    /// lacks would receive a state as old as the last change, from whose offset it cannot read on,
+    /// and would fetch it repeatedly.
     #[must_use]
     pub fn renewed_transfer(&self) -> Option<sync::Arc<transfer::StateTransfer>> {
         let mut book = self.lock();
@@ -185,13 +186,13 @@
         Some(renewed)
     }
 
-    /// What other entry VMs are told is in force here.
+    /// Revision, offset and hash of the state in force, as announced to other entry VMs.
     #[must_use]
     pub fn offer(&self) -> Option<offer::StateOffer> {
         self.lock().state.as_ref().map(state::ConfigState::offer)
     }
 
-    /// Whether a state is in force, and if not, what is missing.
+    /// Whether a state is in force, and if not, why not.
     #[must_use]
     pub fn ready(&self) -> event::ReadyState {
         self.lock().ready.unwrap_or(event::ReadyState::NoState)
@@ -211,7 +212,7 @@
         source: &str,
     ) {
         let mut book = self.lock();
-        book.in_force_since_ms = wall::unix_ms();
+        book.in_force_since_ms = clock::unix_ms();
         source.clone_into(&mut book.source);
         book.transfer = transfer.map(sync::Arc::new);
         let next = state.snapshot(&self.snapshot.borrow());
@@ -222,7 +223,8 @@
         self.snapshot.send_replace(sync::Arc::new(next));
     }
 
-    /// Takes in what came after the state was put in force: refused changes and checkpoints.
+    /// Applies records after the state in force that change no revision: refused changes and
+    /// checkpoints.
     pub(crate) fn advance(&self, state: &state::ConfigState, ready: event::ReadyState) {
         let mut book = self.lock();
         book.ready = Some(ready);
@@ -235,14 +237,15 @@
         }
     }
 
-    /// Wakes publishers.
+    /// Wakes the publishers that wait for a decision.
     pub(crate) fn note_decision(&self) {
         self.decisions.send_modify(|count| *count += 1);
     }
 
-    /// Notes an answer of the log; returns for how long it had not answered, in milliseconds.
+    /// Records an answer of the log; returns the duration of the outage that it ended, in
+    /// milliseconds.
     pub(crate) fn note_answer(&self) -> Option<u64> {
-        let now_ms = wall::unix_ms();
+        let now_ms = clock::unix_ms();
         let mut book = self.lock();
         book.log.reachable = true;
         book.log.answered_ms = Some(now_ms);
@@ -252,13 +255,13 @@
             .map(|since_ms| now_ms.saturating_sub(since_ms))
     }
 
-    /// Notes that the log does not answer; returns whether that is news.
+    /// Records that the log does not answer; returns whether the outage has just started.
     pub(crate) fn note_outage(&self) -> bool {
         let mut book = self.lock();
         book.log.reachable = false;
-        let is_news = book.log.down_since_ms.is_none();
-        book.log.down_since_ms.get_or_insert_with(wall::unix_ms);
-        is_news
+        let is_new = book.log.down_since_ms.is_none();
+        book.log.down_since_ms.get_or_insert_with(clock::unix_ms);
+        is_new
     }
 }
 
@@ -280,7 +283,7 @@
     }
 }
 
-/// A verdict in words, for operators.
+/// Describes a verdict for operators.
 #[must_use]
 pub fn describe(verdict: &state::ApplyVerdict) -> String {
     match verdict {
--- a/crates/entry/src/configure/tests.rs
+++ b/crates/entry/src/configure/tests.rs
@@ -1,16 +1,16 @@
-//! What other entry VMs are handed.
+//! Tests of the state transfer to other entry VMs.
 
 use base::id;
 use conf::{change, document, event, keeper, sample, state, transfer};
 
 use super::ConfigBook;
 
-/// Symptom: a VM that was cut off fetches 5 MB every second and is never up to date.
-/// Sequence: the log goes on without a change of revision (checkpoints, refused changes) until
-/// retention drops all that the VM lacks; it asks another VM for the state.
-/// Cause: the state was handed over as of the last change, from whose offset the log is gone.
+/// Guards against a VM that was disconnected fetching 5 MB every second without catching up. The log
+/// advances without a change of revision (checkpoints, refused changes) until retention drops the
+/// records that the VM lacks. A state as of the last change is then useless to it, because the log
+/// no longer has the records after that offset.
 #[test]
-fn a_state_is_handed_over_as_of_now_and_not_as_of_the_last_change() {
+fn a_transferred_state_is_as_of_now_and_not_as_of_the_last_change() {
     let mut state = state::ConfigState::new();
     let patch = change::difference(
         &document::Configuration::default(),
@@ -41,6 +41,6 @@
         })
     };
     assert_eq!(offsets(book.renewed_transfer()), Some((40, 40)));
-    // The parts of a fetch that is under way come from the same state.
+    // The parts of a fetch in progress come from the same state.
     assert_eq!(offsets(book.transfer()), Some((40, 40)));
 }
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -10,7 +10,7 @@
 use crate::{assemble, http, settings, state};
 
 /// How long streams that are handed over may take to end.
-const HANDOVER: Duration = Duration::from_secs(5);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The daemon cannot start.
 #[derive(Debug, Snafu)]
@@ -102,7 +102,7 @@
             .state
             .plane
             .gate()
-            .drain(self.state.settings.bounds.drain(), HANDOVER)
+            .drain(self.state.settings.bounds.drain(), HANDOVER_TIMEOUT)
             .await;
         if left > 0 {
             log::warn!(left = left; "requests still run after the wait");
--- a/crates/entry/src/digests.rs
+++ b/crates/entry/src/digests.rs
@@ -12,12 +12,12 @@
 use crate::{configure, members, roster};
 
 /// Time between two digests of this VM's work and demands while the region is small.
-const TELL_INTERVAL: Duration = Duration::from_secs(1);
-/// Members of a region for which [`TELL_INTERVAL`] holds; it grows with their number beyond, so
+const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
+/// Members of a region for which [`PUBLISH_INTERVAL`] holds; it grows with their number beyond, so
 /// that the bytes a second stay the same.
-const SMALL_REGION: u32 = 32;
+const SMALL_REGION_MEMBERS: u32 = 32;
 /// Span of the counts in a demand's digest, in seconds.
-const DEMAND_SPAN_S: f32 = 10.0;
+const DEMAND_WINDOW_S: f32 = 10.0;
 
 /// Exchanges digests with the other entry VMs.
 #[derive(Clone, Debug)]
@@ -39,47 +39,48 @@
     pub async fn run(self) {
         let mut events = self.gossip.subscribe();
         let mut subjects = SubjectIndex::default();
-        let mut tell_at = time::Instant::now();
+        let mut publish_at = time::Instant::now();
         loop {
             tokio::select! {
                 event = events.recv() => match event {
-                    Ok(event) => self.take(&event, &mut subjects),
+                    Ok(event) => self.handle(&event, &mut subjects),
                     // Digests that were lost age out and come again.
                     Err(broadcast::error::RecvError::Lagged(lost)) => {
                         metrics::counter!("pollenchute_entry_gossip_events_lost_total").increment(lost);
                     }
                     Err(broadcast::error::RecvError::Closed) => return,
                 },
-                () = time::sleep_until(tell_at) => {
+                () = time::sleep_until(publish_at) => {
                     let peers = self.region_peers();
-                    tell_at = time::Instant::now() + interval(peers.len());
-                    self.tell(peers).await;
+                    publish_at = time::Instant::now() + interval(peers.len());
+                    self.publish(peers).await;
                 }
             }
         }
     }
 
-    fn take(&self, event: &event::GossipEvent, subjects: &mut SubjectIndex) {
+    fn handle(&self, event: &event::GossipEvent, subjects: &mut SubjectIndex) {
         let config = self.book.snapshot();
         let now = time::Instant::now();
         let taken_at = |age: Duration| now.checked_sub(age).unwrap_or(now);
         match event {
-            event::GossipEvent::Load(news) => {
-                if let Some(server) = config.server_key(&news.server) {
-                    self.roster.heard(server, &news.load, taken_at(news.age));
+            event::GossipEvent::Load(update) => {
+                if let Some(server) = config.server_key(&update.server) {
+                    self.roster
+                        .load_received(server, &update.load, taken_at(update.age));
                 }
             }
-            event::GossipEvent::Work(news) => {
-                if let Some(vm) = config.vm_key(&news.vm) {
-                    let at = taken_at(news.age);
-                    self.take_work(vm, news, at);
+            event::GossipEvent::Work(update) => {
+                if let Some(vm) = config.vm_key(&update.vm) {
+                    let at = taken_at(update.age);
+                    self.record_work(vm, update, at);
                 }
             }
-            event::GossipEvent::Demand(news) => {
-                let organisation = subjects.organisation(&config, news.organisation_hash);
-                if let (Some(organisation), Some(vm)) = (organisation, config.vm_key(&news.vm)) {
-                    let demand = rates(&news.demand);
-                    let at = taken_at(news.age);
+            event::GossipEvent::Demand(update) => {
+                let organisation = subjects.organisation(&config, update.organisation_hash);
+                if let (Some(organisation), Some(vm)) = (organisation, config.vm_key(&update.vm)) {
+                    let demand = rates(&update.demand);
+                    let at = taken_at(update.age);
                     self.driver.change(|core, now| {
                         core.demand_reported(organisation, vm, demand, at, now)
                     });
@@ -89,16 +90,16 @@
         }
     }
 
-    fn take_work(&self, vm: id::VmKey, news: &event::WorkUpdate, taken_at: time::Instant) {
+    fn record_work(&self, vm: id::VmKey, update: &event::WorkUpdate, taken_at: time::Instant) {
         let models = self.roster.models();
-        let identity = roster::vm_identity(&news.vm);
+        let identity = roster::vm_identity(&update.vm);
         self.driver.change(|core, _| {
-            for work in &news.work.models {
+            for work in &update.work.models {
                 let known = models.iter().find(|(hash, _)| *hash == work.model_hash);
                 let Some(&(_, model)) = known else { continue };
                 let digest = share::EntryDigest {
                     identity,
-                    weight: news.work.weight,
+                    weight: update.work.weight,
                     firm: work.firm,
                     deferrable: work.deferrable,
                     waiting: work.waiting,
@@ -120,7 +121,7 @@
     }
 
     /// Tells of this VM's work, and each organisation's other entry VMs what it asks of this one.
-    async fn tell(&self, peers: Vec<String>) {
+    async fn publish(&self, peers: Vec<String>) {
         let (work, demands) = self
             .driver
             .change(|core, _| (self.work(core), core.demands().collect::<Vec<_>>()));
@@ -130,10 +131,10 @@
             let Some(view) = config.organisation(organisation) else {
                 continue;
             };
-            let receivers = self.other_entries(&config, organisation);
-            if !receivers.is_empty() {
+            let recipients = self.other_entries(&config, organisation);
+            if !recipients.is_empty() {
                 self.gossip
-                    .publish_demand(view.name.clone(), counts(&demand), receivers)
+                    .publish_demand(view.name.clone(), counts(&demand), recipients)
                     .await;
             }
         }
@@ -177,21 +178,21 @@
 
 fn interval(peers: usize) -> Duration {
     let peers = u32::try_from(peers).unwrap_or(u32::MAX);
-    TELL_INTERVAL * peers.div_ceil(SMALL_REGION).max(1)
+    PUBLISH_INTERVAL * peers.div_ceil(SMALL_REGION_MEMBERS).max(1)
 }
 
 fn rates(demand: &digest::OrganisationDemand) -> limit::LimitDemand {
     limit::LimitDemand {
-        requests_per_second: demand.requests as f32 / DEMAND_SPAN_S,
-        tokens_per_second: demand.tokens as f32 / DEMAND_SPAN_S,
+        requests_per_second: demand.requests as f32 / DEMAND_WINDOW_S,
+        tokens_per_second: demand.tokens as f32 / DEMAND_WINDOW_S,
         generations: demand.running as f32,
     }
 }
 
 fn counts(demand: &limit::LimitDemand) -> digest::OrganisationDemand {
     digest::OrganisationDemand {
-        requests: (demand.requests_per_second * DEMAND_SPAN_S).round() as u32,
-        tokens: (demand.tokens_per_second * DEMAND_SPAN_S).round() as u32,
+        requests: (demand.requests_per_second * DEMAND_WINDOW_S).round() as u32,
+        tokens: (demand.tokens_per_second * DEMAND_WINDOW_S).round() as u32,
         running: demand.generations.round() as u32,
     }
 }
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -5,17 +5,17 @@
 
 use crate::state;
 
-/// Marks what `ask` names as leaving.
+/// Marks the server or VM that `request` names as leaving.
 ///
 /// # Errors
 ///
-/// A refusal when there is no such thing, or it is another VM's to do.
+/// A refusal when the server is unknown, or when the named VM is not this one.
 pub async fn mark(
     entry: &state::EntryState,
-    ask: &ops::DrainAsk,
+    request: &ops::DrainAsk,
     operator: &str,
 ) -> Result<ops::DrainAnswer, refusal::RefusalBody> {
-    let answer = match ask {
+    let answer = match request {
         ops::DrainAsk::Server(name) => mark_server(entry, name)?,
         ops::DrainAsk::Vm(name) => mark_vm(entry, name).await?,
     };
@@ -36,26 +36,26 @@
 ) -> Result<ops::DrainAnswer, refusal::RefusalBody> {
     let snapshot = entry.book.snapshot();
     let Some(key) = snapshot.server_key(name) else {
-        return Err(absent(&format!(
+        return Err(not_found(&format!(
             "there is no backend server \"{name}\" in the inventory"
         )));
     };
-    let fresh = entry.roster.leave(key);
+    let is_new = entry.roster.leave(key);
     Ok(ops::DrainAnswer {
         subject: name.to_owned(),
-        already: !fresh,
+        already: !is_new,
         running: 0,
     })
 }
 
-/// This VM stops being named to callers; it goes on serving until its process is told to stop.
+/// Stops advertising this VM to callers; it continues to serve until its process is stopped.
 async fn mark_vm(
     entry: &state::EntryState,
     name: &str,
 ) -> Result<ops::DrainAnswer, refusal::RefusalBody> {
     if name != entry.settings.vm {
         let message = format!("this is \"{}\"; ask \"{name}\" itself", entry.settings.vm);
-        return Err(absent(&message));
+        return Err(not_found(&message));
     }
     let already = entry.is_leaving();
     entry.gossip.leave().await;
@@ -67,6 +67,6 @@
     })
 }
 
-fn absent(message: &str) -> refusal::RefusalBody {
+fn not_found(message: &str) -> refusal::RefusalBody {
     refusal::RefusalBody::not_run(refusal::RefusalCode::NotFound, message)
 }
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -1,5 +1,5 @@
-//! Drives the follower of the configuration: reads the log, asks other entry VMs, appends
-//! checkpoints, and puts what comes out in force.
+//! Drives the follower of the configuration: reads the log, fetches states from other entry VMs,
+//! appends checkpoints, and puts the resulting configuration in force.
 
 use std::{sync, time::Duration};
 
@@ -13,42 +13,42 @@
 use trace::kind;
 use wire::proto::peer;
 
-use crate::{adapt::peers, chronicle, configure, wall};
+use crate::{adapt::peers, chronicle, clock, configure};
 
-/// Time between two ticks of the follower.
-const TICK: Duration = Duration::from_millis(250);
-/// Events that wait for the follower at the most; each comes from one action.
-const EVENT_BACKLOG: usize = 64;
-/// Longest wait for one part of a state that is fetched.
-const FETCH_LIMIT: Duration = Duration::from_secs(3);
-/// Bytes of one part of a state that is handed over.
+/// Interval between two ticks of the follower.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum events that wait for the follower; each results from one action.
+const MAX_PENDING_EVENTS: usize = 64;
+/// Timeout for fetching one part of a state.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum size of one part of a transferred state, in bytes.
 pub const PART_BYTES: usize = 1 << 20;
-/// Parts that one fetch asks for at the most; a state that changes meanwhile starts anew.
+/// Maximum parts of one fetch; a fetch restarts if the state changes meanwhile.
 const MAX_PARTS: usize = 128;
 
-/// Performs what the follower wants, and tells it what happened.
+/// Performs the follower's actions and feeds it the resulting events.
 #[derive(Clone, Debug)]
 pub struct FollowController<C> {
     /// The platform's log.
     pub log: C,
-    /// Where the outcome goes.
+    /// Receives the configuration in force.
     pub book: sync::Arc<configure::ConfigBook>,
     /// Calls to other entry VMs.
     pub caller: peers::PeerCaller,
-    /// What other entry VMs have in force.
+    /// Announces which revision each other entry VM has in force.
     pub gossip: handle::GossipHandle,
-    /// Told of changes of state.
+    /// Records changes of state.
     pub chronicle: chronicle::Chronicle,
 }
 
 impl<C: LogClient> FollowController<C> {
-    /// Runs for ever.
+    /// Runs until cancelled.
     pub async fn run(self) {
         let vm = self.gossip.identity().name.clone();
         let mut follower = follow::ConfigFollower::new(vm, conf::pace::FollowSettings::default());
-        let (sender, mut events) = mpsc::channel(EVENT_BACKLOG);
+        let (sender, mut events) = mpsc::channel(MAX_PENDING_EVENTS);
         let mut members = self.gossip.members();
-        let mut tick = time::interval(TICK);
+        let mut tick = time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             let happened = tokio::select! {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What the others tell of themselves.
+    /// Returns the states that the other members offer.
     fn offers(
         &self,
         members: &mut watch::Receiver<sync::Arc<gossip::view::MemberSnapshot>>,
@@ -79,9 +79,9 @@
             .map(|member| {
                 let peer = member.name.clone();
                 match &member.configuration {
-                    Some(news) if member.state.is_present() => {
-                        let hash = offer::ChainHash(news.chain_hash);
-                        let (revision, offset) = (news.revision, news.offset);
+                    Some(offered) if member.state.is_present() => {
+                        let hash = offer::ChainHash(offered.chain_hash);
+                        let (revision, offset) = (offered.revision, offered.offset);
                         let offer = offer::StateOffer {
                             revision,
                             offset,
@@ -104,7 +104,7 @@
         let source = self.note(&event);
         let clock = keeper::ClockReading {
             now: time::Instant::now(),
-            unix_ms: wall::unix_ms(),
+            unix_ms: clock::unix_ms(),
         };
         let actions = follower.handle(event, clock);
         let mut decided = false;
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Notes what an event says of the log; returns where a state that follows came from.
+    /// Records whether an event shows the log as reachable; returns the source of a state that the
+    /// event leads to.
     fn note(&self, event: &event::FollowEvent) -> String {
         match event {
             event::FollowEvent::Page { .. } | event::FollowEvent::Dropped { .. } => {
@@ -218,7 +219,7 @@
                 event::FollowAction::Append { record } => controller.append(record).await,
                 _ => return,
             };
-            // The controller ended with its daemon when nobody listens.
+            // A closed channel means that the controller ended with its daemon.
             let _ = events.send(event).await;
         });
     }
@@ -274,14 +275,14 @@
         }
     }
 
-    /// Fetches the parts of one state; `None` when it changed meanwhile or a part did not come.
+    /// Fetches the parts of one state; `None` when the state changed meanwhile or a fetch failed.
     async fn fetch_parts(&self, peer: &str) -> Option<transfer::StateTransfer> {
         let mut bytes = Vec::new();
         let mut offset = None;
         for _ in 0..MAX_PARTS {
             let answer = self
                 .caller
-                .configuration(peer, bytes.len() as u64, FETCH_LIMIT)
+                .configuration(peer, bytes.len() as u64, FETCH_TIMEOUT)
                 .await?;
             let peer::configuration_answer::Kind::State(part) = answer.kind? else {
                 return None;
@@ -304,10 +305,10 @@
     metrics::counter!("pollenchute_entry_configuration_reports_total").increment(1);
     match report {
         event::FollowReport::Refused { reason } => {
-            log::warn!(reason = reason.as_str(); "a state was refused");
+            log::warn!(reason = reason.as_str(); "configuration state was refused");
         }
         event::FollowReport::Contradiction { source } => {
-            log::error!(source = source.as_str(); "another history of the configuration is told");
+            log::error!(source = source.as_str(); "received a conflicting configuration history");
         }
         event::FollowReport::LogLost { next } => {
             log::error!(next = next; "the log ends before the configuration in force");
--- a/crates/entry/src/http/answer.rs
+++ b/crates/entry/src/http/answer.rs
@@ -33,13 +33,13 @@
 
 /// A body that is known whole.
 #[derive(Clone, Debug)]
-pub struct WholeBody(pub Bytes);
+pub struct CompleteBody(pub Bytes);
 
 /// A body that is sent as it comes.
 #[derive(Debug)]
 pub struct StreamBody<S>(pub S);
 
-impl HttpAnswer<WholeBody> {
+impl HttpAnswer<CompleteBody> {
     /// A whole JSON answer.
     pub fn json<T: serde::Serialize>(status: u16, value: &T) -> Self {
         // Our own types always serialize: they hold no maps with keys that are not text.
@@ -49,7 +49,7 @@
             status,
             content_type: JSON.to_owned(),
             headers,
-            body: WholeBody(body.into()),
+            body: CompleteBody(body.into()),
         }
     }
 
@@ -71,7 +71,7 @@
     /// Plain text.
     pub fn text(status: u16, text: impl Into<String>) -> Self {
         let content_type = "text/plain; charset=utf-8".to_owned();
-        let body = WholeBody(Bytes::from(text.into()));
+        let body = CompleteBody(Bytes::from(text.into()));
         Self {
             status,
             content_type,
@@ -91,7 +91,7 @@
     builder
 }
 
-impl<'r> response::Responder<'r, 'static> for HttpAnswer<WholeBody> {
+impl<'r> response::Responder<'r, 'static> for HttpAnswer<CompleteBody> {
     fn respond_to(mut self, _request: &'r rocket::Request<'_>) -> response::Result<'static> {
         let mut builder = start(&mut self);
         let body = self.body.0;
--- a/crates/entry/src/http/caller.rs
+++ b/crates/entry/src/http/caller.rs
@@ -12,14 +12,14 @@
     state,
 };
 
-type WholeAnswer = answer::HttpAnswer<answer::WholeBody>;
+type CompleteAnswer = answer::HttpAnswer<answer::CompleteBody>;
 type StreamAnswer = answer::HttpAnswer<answer::StreamBody<flow::pipe::CallerStream>>;
 
 /// Either kind of answer to a call for a generation.
 #[derive(Debug, rocket::Responder)]
 pub enum GenerationAnswer {
     /// Known whole.
-    Whole(WholeAnswer),
+    Complete(CompleteAnswer),
     /// Sent as it comes.
     Stream(StreamAnswer),
 }
@@ -65,47 +65,43 @@
     head: head::CallHead,
     data: data::Data<'_>,
     entry: &state::EntryState,
-    face: body::CompletionApi,
+    api: body::CompletionApi,
 ) -> GenerationAnswer {
     let bytes = match read_json(&head, data, entry).await {
         Ok(bytes) => bytes,
-        Err(refused) => return GenerationAnswer::Whole(refused),
+        Err(refused) => return GenerationAnswer::Complete(refused),
     };
     if head.respond_async {
-        return GenerationAnswer::Whole(accept(head, face, bytes, entry).await);
+        return GenerationAnswer::Complete(accept(head, api, bytes, entry).await);
     }
-    match entry
-        .plane
-        .generate(caller_headers(head), face, bytes)
-        .await
-    {
+    match entry.plane.generate(caller_headers(head), api, bytes).await {
         Ok(plane::GenerationReply::Complete { request, body }) => {
             let headers = vec![answer::HeaderLine {
                 name: REQUEST_ID,
                 value: request.to_string(),
             }];
-            GenerationAnswer::Whole(answer::HttpAnswer {
+            GenerationAnswer::Complete(answer::HttpAnswer {
                 status: Status::Ok.code,
                 content_type: JSON.to_owned(),
                 headers,
-                body: answer::WholeBody(body),
+                body: answer::CompleteBody(body),
             })
         }
         Ok(plane::GenerationReply::Stream(reply)) => GenerationAnswer::Stream(streamed(reply)),
-        Err(refused) => GenerationAnswer::Whole(refused_answer(refused)),
+        Err(refused) => GenerationAnswer::Complete(refused_answer(refused)),
     }
 }
 
 /// Accepts work to be fetched later.
 async fn accept(
     head: head::CallHead,
-    face: body::CompletionApi,
+    api: body::CompletionApi,
     bytes: Bytes,
     entry: &state::EntryState,
-) -> WholeAnswer {
+) -> CompleteAnswer {
     match entry
         .plane
-        .accept_job(caller_headers(head), face, bytes)
+        .accept_job(caller_headers(head), api, bytes)
         .await
     {
         Ok(request) => {
@@ -143,7 +139,7 @@
     head: head::CallHead,
     id: &str,
     entry: &State<sync::Arc<state::EntryState>>,
-) -> WholeAnswer {
+) -> CompleteAnswer {
     let Ok(job) = id.parse() else {
         return not_run(
             refusal::RefusalCode::NotFound,
@@ -162,7 +158,7 @@
             status: Status::Ok.code,
             content_type: JSON.to_owned(),
             headers: Vec::new(),
-            body: answer::WholeBody(text.into()),
+            body: answer::CompleteBody(text.into()),
         },
         Ok(flow::jobs::JobReply::Refused(body)) => answer::HttpAnswer::refusal(body),
         Err(refused) => refused_answer(refused),
@@ -183,7 +179,7 @@
         .await
     {
         Ok(reply) => GenerationAnswer::Stream(streamed(reply)),
-        Err(refused) => GenerationAnswer::Whole(refused_answer(refused)),
+        Err(refused) => GenerationAnswer::Complete(refused_answer(refused)),
     }
 }
 
@@ -194,7 +190,7 @@
     path: std::path::PathBuf,
     data: data::Data<'_>,
     entry: &State<sync::Arc<state::EntryState>>,
-) -> WholeAnswer {
+) -> CompleteAnswer {
     let body = match read_body(data, entry).await {
         Ok(body) => body,
         Err(refused) => return refused,
@@ -214,7 +210,7 @@
                 name: REQUEST_ID,
                 value: reply.request.to_string(),
             }],
-            body: answer::WholeBody(reply.answer.body),
+            body: answer::CompleteBody(reply.answer.body),
         },
         Err(refused) => refused_answer(refused),
     }
@@ -239,14 +235,14 @@
     }
 }
 
-fn refused_answer(refused: plane::RefusedRequest) -> WholeAnswer {
-    let mut whole = answer::HttpAnswer::refusal(refused.body);
+fn refused_answer(refused: plane::RefusedRequest) -> CompleteAnswer {
+    let mut answer = answer::HttpAnswer::refusal(refused.body);
     let value = refused.request.to_string();
-    whole.headers.push(answer::HeaderLine {
+    answer.headers.push(answer::HeaderLine {
         name: REQUEST_ID,
         value,
     });
-    whole
+    answer
 }
 
 fn caller_headers(head: head::CallHead) -> request::CallerHeaders {
@@ -263,7 +259,7 @@
     head: &head::CallHead,
     data: data::Data<'_>,
     entry: &state::EntryState,
-) -> Result<Bytes, WholeAnswer> {
+) -> Result<Bytes, CompleteAnswer> {
     if head
         .content_type
         .as_deref()
@@ -279,7 +275,7 @@
 pub(crate) async fn read_body(
     data: data::Data<'_>,
     entry: &state::EntryState,
-) -> Result<Bytes, WholeAnswer> {
+) -> Result<Bytes, CompleteAnswer> {
     let limit = entry.settings.bounds.body_bytes;
     let read = data.open(limit.bytes()).into_bytes().await;
     match read {
@@ -295,7 +291,7 @@
     }
 }
 
-fn not_run(code: refusal::RefusalCode, message: impl Into<String>) -> WholeAnswer {
+fn not_run(code: refusal::RefusalCode, message: impl Into<String>) -> CompleteAnswer {
     answer::HttpAnswer::refusal(refusal::RefusalBody::not_run(code, message))
 }
 
@@ -321,7 +317,7 @@
 fn models(
     head: head::CallHead,
     entry: &State<sync::Arc<state::EntryState>>,
-) -> Result<WholeAnswer, WholeAnswer> {
+) -> Result<CompleteAnswer, CompleteAnswer> {
     let snapshot = entry.book.snapshot();
     entry
         .organisation(&head, &snapshot)
@@ -374,7 +370,7 @@
 fn entries(
     head: head::CallHead,
     entry: &State<sync::Arc<state::EntryState>>,
-) -> Result<WholeAnswer, WholeAnswer> {
+) -> Result<CompleteAnswer, CompleteAnswer> {
     let snapshot = entry.book.snapshot();
     let organisation = entry
         .organisation(&head, &snapshot)
--- a/crates/entry/src/http/catch.rs
+++ b/crates/entry/src/http/catch.rs
@@ -4,7 +4,7 @@
 
 use crate::http::answer;
 
-type WholeAnswer = answer::HttpAnswer<answer::WholeBody>;
+type CompleteAnswer = answer::HttpAnswer<answer::CompleteBody>;
 
 /// The catchers for every status that rocket raises itself.
 #[must_use]
@@ -13,7 +13,7 @@
 }
 
 #[rocket::catch(404)]
-fn not_found(request: &rocket::Request<'_>) -> WholeAnswer {
+fn not_found(request: &rocket::Request<'_>) -> CompleteAnswer {
     let message = format!(
         "{} {} is not served here; see docs/INTERFACES.md",
         request.method(),
@@ -26,7 +26,7 @@
 }
 
 #[rocket::catch(default)]
-fn any(status: rocket::http::Status, _request: &rocket::Request<'_>) -> WholeAnswer {
+fn any(status: rocket::http::Status, _request: &rocket::Request<'_>) -> CompleteAnswer {
     let code = match status.code {
         500.. => refusal::RefusalCode::Internal,
         413 => refusal::RefusalCode::TooLarge,
@@ -38,7 +38,7 @@
         // A handler that failed may have started something.
         body = body.ran(base::outcome::RanState::Unknown);
     }
-    let mut whole = answer::HttpAnswer::refusal(body);
-    whole.status = status.code;
-    whole
+    let mut answer = answer::HttpAnswer::refusal(body);
+    answer.status = status.code;
+    answer
 }
--- a/crates/entry/src/http/health.rs
+++ b/crates/entry/src/http/health.rs
@@ -7,7 +7,7 @@
 
 use crate::{http::answer, state};
 
-type WholeAnswer = answer::HttpAnswer<answer::WholeBody>;
+type CompleteAnswer = answer::HttpAnswer<answer::CompleteBody>;
 
 /// Routes of health and metrics.
 #[must_use]
@@ -16,12 +16,12 @@
 }
 
 #[rocket::get("/healthz")]
-fn healthz() -> WholeAnswer {
+fn healthz() -> CompleteAnswer {
     answer::HttpAnswer::text(Status::Ok.code, "ok\n")
 }
 
 #[rocket::get("/readyz")]
-fn readyz(entry: &State<sync::Arc<state::EntryState>>) -> WholeAnswer {
+fn readyz(entry: &State<sync::Arc<state::EntryState>>) -> CompleteAnswer {
     match entry.readiness() {
         ops::ReadyState::Ready => answer::HttpAnswer::text(Status::Ok.code, "ready\n"),
         ops::ReadyState::Starting => answer::HttpAnswer::text(
@@ -36,7 +36,7 @@
 }
 
 #[rocket::get("/metrics")]
-fn metrics(entry: &State<sync::Arc<state::EntryState>>) -> WholeAnswer {
+fn metrics(entry: &State<sync::Arc<state::EntryState>>) -> CompleteAnswer {
     match &entry.metrics {
         Some(handle) => answer::HttpAnswer::text(Status::Ok.code, handle.render()),
         None => answer::HttpAnswer::text(
--- a/crates/entry/src/http/ops.rs
+++ b/crates/entry/src/http/ops.rs
@@ -10,8 +10,8 @@
     publish, state, status,
 };
 
-type WholeAnswer = answer::HttpAnswer<answer::WholeBody>;
-type OpsAnswer = Result<WholeAnswer, WholeAnswer>;
+type CompleteAnswer = answer::HttpAnswer<answer::CompleteBody>;
+type OpsAnswer = Result<CompleteAnswer, CompleteAnswer>;
 type Entry = State<sync::Arc<state::EntryState>>;
 
 /// Routes of the face towards operators.
@@ -29,7 +29,7 @@
     ]
 }
 
-fn allow(entry: &state::EntryState, head: &head::CallHead) -> Result<String, WholeAnswer> {
+fn allow(entry: &state::EntryState, head: &head::CallHead) -> Result<String, CompleteAnswer> {
     entry.operator(head).map_err(answer::HttpAnswer::refusal)
 }
 
@@ -37,14 +37,14 @@
     Ok(answer::HttpAnswer::json(Status::Ok.code, value))
 }
 
-fn bad(code: refusal::RefusalCode, message: impl Into<String>) -> WholeAnswer {
+fn bad(code: refusal::RefusalCode, message: impl Into<String>) -> CompleteAnswer {
     answer::HttpAnswer::refusal(refusal::RefusalBody::not_run(code, message))
 }
 
 async fn read<T: serde::de::DeserializeOwned>(
     data: data::Data<'_>,
     entry: &state::EntryState,
-) -> Result<T, WholeAnswer> {
+) -> Result<T, CompleteAnswer> {
     let bytes = caller::read_body(data, entry).await?;
     serde_json::from_slice(&bytes).map_err(|error| {
         let message = format!("the body is not understood ({error}); see docs/INTERFACES.md");
@@ -82,9 +82,9 @@
 #[rocket::post("/ops/publish", data = "<data>")]
 async fn publish_change(head: head::CallHead, data: data::Data<'_>, entry: &Entry) -> OpsAnswer {
     let author = allow(entry, &head)?;
-    let mut ask: ops::PublishAsk = read(data, entry).await?;
-    ask.author = author;
-    match publish::publish(entry, ask).await {
+    let mut request: ops::PublishAsk = read(data, entry).await?;
+    request.author = author;
+    match publish::publish(entry, request).await {
         Ok(answer) => Ok(answer::HttpAnswer::json(answer.status(), &answer)),
         Err(body) => Err(answer::HttpAnswer::refusal(body)),
     }
@@ -108,8 +108,8 @@
 #[rocket::post("/ops/drain", data = "<data>")]
 async fn drain(head: head::CallHead, data: data::Data<'_>, entry: &Entry) -> OpsAnswer {
     let operator = allow(entry, &head)?;
-    let ask: ops::DrainAsk = read(data, entry).await?;
-    match crate::drain::mark(entry, &ask, &operator).await {
+    let request: ops::DrainAsk = read(data, entry).await?;
+    match crate::drain::mark(entry, &request, &operator).await {
         Ok(answer) => ok(&answer),
         Err(body) => Err(answer::HttpAnswer::refusal(body)),
     }
@@ -118,23 +118,23 @@
 #[rocket::get("/ops/quarantine")]
 fn quarantine(head: head::CallHead, entry: &Entry) -> OpsAnswer {
     allow(entry, &head)?;
-    let entries = entry.plane.suspects().list(crate::wall::unix_ms());
+    let entries = entry.plane.suspects().list(crate::clock::unix_ms());
     ok(&ops::QuarantineBody { entries })
 }
 
 #[rocket::post("/ops/quarantine/lift", data = "<data>")]
 async fn lift(head: head::CallHead, data: data::Data<'_>, entry: &Entry) -> OpsAnswer {
     let operator = allow(entry, &head)?;
-    let ask: ops::LiftAsk = read(data, entry).await?;
+    let request: ops::LiftAsk = read(data, entry).await?;
     let lifted = entry
         .plane
         .suspects()
-        .lift(ask.fingerprint, crate::wall::unix_ms());
+        .lift(request.fingerprint, crate::clock::unix_ms());
     if lifted {
         entry
             .chronicle
             .record(trace::kind::EventKind::QuarantineLifted {
-                fingerprint: ask.fingerprint,
+                fingerprint: request.fingerprint,
                 reason: operator,
             });
     }
--- a/crates/entry/src/http/serve.rs
+++ b/crates/entry/src/http/serve.rs
@@ -12,7 +12,7 @@
 };
 
 /// Longest wait for the address to be listened on.
-const START_WAIT: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Starts the HTTP server; returns once it listens, with its bound address.
 ///
@@ -39,7 +39,7 @@
     let mut server =
         task::spawn(async move { rocket.launch().await.map(|_| ()).map_err(describe) });
     let address = tokio::select! {
-        bound = time::timeout(START_WAIT, bound) => match bound {
+        bound = time::timeout(START_TIMEOUT, bound) => match bound {
             Ok(Ok(address)) => address,
             _ => return Err(fail("it did not start in time".to_owned())),
         },
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -18,7 +18,7 @@
 impl KnownMember {
     /// A VM of the inventory that was not heard of.
     #[must_use]
-    pub fn absent(vm: &snapshot::VmView) -> Self {
+    pub fn from_inventory(vm: &snapshot::VmView) -> Self {
         let status = ops::MemberStatus {
             vm: vm.name.clone(),
             region: vm.region.clone(),
@@ -38,7 +38,7 @@
 
     /// A VM that was heard of and is not in the inventory, such as one that was just removed.
     #[must_use]
-    pub fn stranger(name: &str, peers: net::SocketAddr) -> Self {
+    pub fn unlisted(name: &str, peers: net::SocketAddr) -> Self {
         let status = ops::MemberStatus {
             vm: name.to_owned(),
             region: String::new(),
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -1,5 +1,5 @@
-//! Membership in this daemon: starts gossip, keeps the member table in step with it, and spreads
-//! what every entry VM should know within a second.
+//! Membership in this daemon: configures gossip, keeps the member table up to date with it, and
+//! announces state that every entry VM should receive within a second.
 
 use std::{collections, net, sync, time::Duration};
 
@@ -11,12 +11,12 @@
 use trace::kind;
 use wire::identity;
 
-use crate::{adapt::peers, chronicle, configure, members, roster, settings, wall};
+use crate::{adapt::peers, chronicle, clock, configure, members, roster, settings};
 
-/// How often suspects of crashes are looked at for news.
+/// Interval between two checks for changed crash suspects.
 const SUSPECTS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Settings of gossip for this daemon, bound to `address`.
+/// Returns the gossip settings of this daemon, bound to `address`.
 #[must_use]
 pub fn gossip_settings(
     settings: &settings::DaemonSettings,
@@ -31,7 +31,7 @@
     gossip_settings::GossipSettings {
         own: gossip_settings::OwnSettings {
             identity,
-            started_at_ms: wall::unix_ms(),
+            started_at_ms: clock::unix_ms(),
             place,
         },
         bind: address,
@@ -51,23 +51,23 @@
     }
 }
 
-/// Keeps gossip, the member table and the roster in step.
+/// Synchronises gossip, the member table and the roster.
 #[derive(Clone, Debug)]
 pub struct MemberController {
     /// Gossip of this daemon.
     pub gossip: handle::GossipHandle,
     /// The configuration in force.
     pub book: sync::Arc<configure::ConfigBook>,
-    /// Kept in step with gossip.
+    /// Updated from gossip.
     pub members: sync::Arc<members::MemberTable>,
-    /// Told of backend servers that are leaving.
+    /// Receives the backend servers that are leaving.
     pub roster: sync::Arc<roster::ServerRoster>,
-    /// Told of changes of state.
+    /// Records changes of state.
     pub chronicle: chronicle::Chronicle,
 }
 
 impl MemberController {
-    /// Runs for ever.
+    /// Runs until cancelled.
     pub async fn run(self) {
         let mut seen = self.gossip.members();
         let mut snapshots = self.book.subscribe();
@@ -85,13 +85,14 @@
                 }
                 changed = leaving.changed() => {
                     if changed.is_err() { return }
-                    self.spread_leaving().await;
+                    self.announce_leaving().await;
                 }
             }
         }
     }
 
-    /// Tells the others which revision is in force here, and gossip whom to look for.
+    /// Announces the revision in force to the other entry VMs, and gives gossip the seeds and
+    /// servers of the configuration.
     async fn announce(&self) {
         let config = self.book.snapshot();
         let seeds = config
@@ -119,26 +120,26 @@
         let Some(offer) = self.book.offer() else {
             return;
         };
-        let news = update::ConfigurationUpdate {
+        let configuration = update::ConfigurationUpdate {
             vm: self.gossip.identity().name.clone(),
             revision: offer.revision,
             offset: offer.offset,
             chain_hash: offer.hash.0,
         };
         self.gossip
-            .publish(update::ItemUpdate::Configuration(news))
+            .publish(update::ItemUpdate::Configuration(configuration))
             .await;
     }
 
-    /// Tells the others which lives of backend servers are leaving.
-    async fn spread_leaving(&self) {
+    /// Announces the incarnations of backend servers that are leaving.
+    async fn announce_leaving(&self) {
         let config = self.book.snapshot();
         let known = self.gossip.snapshot();
         for key in self.roster.leaving().iter() {
             let Some(server) = config.server(*key) else {
                 continue;
             };
-            let incarnation = life(self.roster.incarnation(*key));
+            let incarnation = incarnation_text(self.roster.incarnation(*key));
             if known.is_server_leaving(&server.name, &incarnation) {
                 continue;
             }
@@ -160,8 +161,10 @@
             let Some(key) = config.server_key(name) else {
                 continue;
             };
-            // A mark of an earlier life says nothing about the one that runs now.
-            if life(self.roster.incarnation(key)) == *incarnation && self.roster.leave(key) {
+            // A mark of an earlier incarnation does not apply to the current one.
+            if incarnation_text(self.roster.incarnation(key)) == *incarnation
+                && self.roster.leave(key)
+            {
                 let source = "another entry VM".to_owned();
                 self.chronicle.record(kind::EventKind::ServerLeaving {
                     server: name.clone(),
@@ -193,8 +196,8 @@
     }
 }
 
-/// A server's life as it is written in marks; a plain service server has only one.
-fn life(incarnation: Option<id::Incarnation>) -> String {
+/// Formats an incarnation for leaving marks; plain service servers have none, written `-`.
+fn incarnation_text(incarnation: Option<id::Incarnation>) -> String {
     incarnation.map_or_else(|| "-".to_owned(), |incarnation| incarnation.to_string())
 }
 
@@ -204,12 +207,12 @@
 ) -> Vec<members::KnownMember> {
     let mut known: collections::BTreeMap<&str, members::KnownMember> = config
         .vms()
-        .map(|(_, vm)| (vm.name.as_str(), members::KnownMember::absent(vm)))
+        .map(|(_, vm)| (vm.name.as_str(), members::KnownMember::from_inventory(vm)))
         .collect();
     for member in seen.members.values() {
         let entry = known
             .entry(member.name.as_str())
-            .or_insert_with(|| members::KnownMember::stranger(&member.name, member.address));
+            .or_insert_with(|| members::KnownMember::unlisted(&member.name, member.address));
         entry.peers = member.address;
         entry.status.state = state_of(member);
         entry.status.region.clone_from(&member.region);
@@ -218,7 +221,7 @@
             .failure_domain
             .clone_from(&member.failure_domain);
         entry.status.incarnation = Some(member.incarnation);
-        entry.status.revision = member.configuration.as_ref().map(|news| news.revision);
+        entry.status.revision = member.configuration.as_ref().map(|update| update.revision);
     }
     known.into_values().collect()
 }
@@ -233,15 +236,16 @@
     }
 }
 
-/// Longest wait for a member to take what is suspected.
-const SUSPECTS_LIMIT: Duration = Duration::from_millis(800);
+/// Timeout for sending crash suspects to one member.
+const SUSPECTS_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Sends what is suspected of crashing backend servers to each member that has not taken it yet.
+/// Sends the content suspected of crashing backend servers to each member that has not
+/// acknowledged it yet.
 ///
-/// A request that crashes a server comes back through another entry VM as soon as its caller
-/// tries again; only what the others learn before that keeps the next server alive. A member
-/// counts as told only once it has answered: one that joined a moment later, or whose message was
-/// lost, would otherwise never learn of the deaths before, and lose two servers of its own.
+/// A request that crashes a server arrives at another entry VM as soon as its caller retries; the
+/// next server survives only if that VM received the suspects before. A member counts as informed
+/// only once it has answered: one that joined later, or whose message was lost, would otherwise
+/// never receive the earlier deaths, and lose two servers of its own.
 pub async fn spread_suspects(
     plane: sync::Arc<flow::plane::RequestPlane<crate::ports::EntryPorts>>,
     caller: peers::PeerCaller,
@@ -249,31 +253,35 @@
 ) {
     let mut tick = time::interval(SUSPECTS_INTERVAL);
     tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-    let mut told: collections::BTreeMap<String, fingerprint::ContentHash> =
+    let mut acknowledged: collections::BTreeMap<String, fingerprint::ContentHash> =
         collections::BTreeMap::new();
     loop {
         tick.tick().await;
-        let digest = plane.suspects().digest(wall::unix_ms());
+        let digest = plane.suspects().digest(clock::unix_ms());
         let Ok(body) = serde_json::to_vec(&digest) else {
             continue;
         };
         let hash = fingerprint::ContentHash::of(&body);
         let peers = members.live_peers();
-        // A member that went and came back is another life that knows nothing.
-        told.retain(|vm, _| peers.contains(vm));
+        // A member that left and returned is a new incarnation without the suspects.
+        acknowledged.retain(|vm, _| peers.contains(vm));
         if digest == flow::suspect::SuspectDigest::default() {
             continue;
         }
-        let untold = peers.into_iter().filter(|vm| told.get(vm) != Some(&hash));
-        let calls = untold.map(|vm| tell_suspects(&caller, vm, body.clone()));
+        let pending = peers
+            .into_iter()
+            .filter(|vm| acknowledged.get(vm) != Some(&hash));
+        let calls = pending.map(|vm| send_suspects(&caller, vm, body.clone()));
         for vm in future::join_all(calls).await.into_iter().flatten() {
-            told.insert(vm, hash);
+            acknowledged.insert(vm, hash);
         }
     }
 }
 
-/// Sends what is suspected to one member; its name when it has taken it.
-async fn tell_suspects(caller: &peers::PeerCaller, vm: String, body: Vec<u8>) -> Option<String> {
-    let answer = caller.ask(&vm, peers::SUSPECTS, body, SUSPECTS_LIMIT).await;
+/// Sends the suspects to one member; returns its name if it acknowledged them.
+async fn send_suspects(caller: &peers::PeerCaller, vm: String, body: Vec<u8>) -> Option<String> {
+    let answer = caller
+        .call_extension(&vm, peers::SUSPECTS, body, SUSPECTS_TIMEOUT)
+        .await;
     answer.ok().map(|_| vm)
 }
--- a/crates/entry/src/sight.rs
+++ b/crates/entry/src/observation.rs
@@ -70,11 +70,11 @@
 /// A backend server as operators are shown it.
 pub(crate) fn server_status(
     server: &snapshot::ServerView,
-    sight: &watch::ServerSight,
+    observation: &watch::ServerObservation,
     leaving: bool,
     now: time::Instant,
 ) -> ops::ServerStatus {
-    let report = sight.report.as_ref();
+    let report = observation.report.as_ref();
     let (role, service) = match &server.entry.kind {
         inventory::ServerKind::ModelEngine(_) => (ops::ServerRole::ModelEngine, None),
         inventory::ServerKind::PlainService { service } => {
@@ -97,7 +97,7 @@
             adapters: Vec::new(),
         }))
         .collect();
-    let report_age_ms = sight.reported_at.map(|at| {
+    let report_age_ms = observation.reported_at.map(|at| {
         let since = u64::try_from(now.duration_since(at).as_millis()).unwrap_or(u64::MAX);
         since + report.map_or(0, |report| report.taken_ms_ago)
     });
@@ -105,7 +105,7 @@
         server: server.name.clone(),
         failure_domain: server.entry.failure_domain.clone(),
         role,
-        state: health(sight, leaving),
+        state: health(observation, leaving),
         serves,
         running: report.map_or(0, |report| report.running),
         waiting: report.map_or(0, |report| report.waiting),
@@ -116,11 +116,11 @@
     }
 }
 
-fn health(sight: &watch::ServerSight, leaving: bool) -> ops::HealthState {
+fn health(observation: &watch::ServerObservation, leaving: bool) -> ops::HealthState {
     if leaving {
         return ops::HealthState::Leaving;
     }
-    match (sight.misses, sight.reported_at) {
+    match (observation.misses, observation.reported_at) {
         (watch::DEAD_MISSES.., _) => ops::HealthState::Dead,
         (watch::SUSPECT_MISSES.., _) => ops::HealthState::Suspect,
         (_, None) => ops::HealthState::Unknown,
--- a/crates/entry/src/peer_service.rs
+++ b/crates/entry/src/peer_service.rs
@@ -99,9 +99,9 @@
     ) -> Result<peer::response::Kind, server::CallFailure> {
         let extension = match request {
             peer::request::Kind::Extension(extension) => extension,
-            peer::request::Kind::FetchConfiguration(ask) => {
+            peer::request::Kind::FetchConfiguration(fetch) => {
                 return self
-                    .configuration(ask.from_byte)
+                    .configuration(fetch.from_byte)
                     .map(peer::response::Kind::Configuration);
             }
             peer::request::Kind::ForwardAppend(_) => {
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -1,5 +1,5 @@
-//! Places models on engines: holds leases with the other entry VMs, reads the engines that this
-//! VM may give orders to, compares them with the inventory, and orders the difference.
+//! Places models on engines: holds leases on engines and models, reads the state of the region's
+//! engines, compares it with the inventory, and orders the changes on the engines that it leases.
 
 use std::{sync, time::Duration};
 
@@ -12,16 +12,17 @@
 
 use crate::{chronicle, configure, members};
 
-/// Time between two comparisons.
+/// Interval between two comparisons.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait for one answer of an engine or of the weight store.
-const CALL_LIMIT: Duration = Duration::from_millis(800);
-/// Bytes that are asked of the weight store before an order, to see whether its rate allows it.
+/// Timeout of one call to an engine or to the weight store.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Bytes requested from the weight store before an order, to check whether its rate limit allows
+/// the load.
 const PROBE_BYTES: u64 = 1;
 
 type EngineClient = lease::http::HttpEngines;
 
-/// What this VM last found of the models.
+/// Placement of the models as this VM last observed it.
 #[derive(Debug, Default)]
 pub struct PlacementBoard {
     rows: sync::Mutex<Vec<ops::PlacementStatus>>,
@@ -51,15 +52,15 @@
     pub leases: sync::Arc<driver::LeaseDriver<ledger::http::HttpLog>>,
     /// The configuration in force.
     pub book: sync::Arc<configure::ConfigBook>,
-    /// Who is live.
+    /// The live members.
     pub members: sync::Arc<members::MemberTable>,
-    /// Told what was found.
+    /// Receives the observed placement.
     pub board: sync::Arc<PlacementBoard>,
-    /// Told of orders.
+    /// Records orders.
     pub chronicle: chronicle::Chronicle,
     /// Connections to the weight store.
     pub http: reqwest::Client,
-    /// Where the weight store is.
+    /// URL of the weight store.
     pub weight_store: String,
     /// Name of this VM.
     pub vm: String,
@@ -76,9 +77,9 @@
 }
 
 impl PlacementController {
-    /// Runs for ever.
+    /// Runs until cancelled.
     pub async fn run(self) {
-        let client = EngineClient::new(CALL_LIMIT);
+        let client = EngineClient::new(CALL_TIMEOUT);
         let mut tick = time::interval(ROUND_INTERVAL);
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
@@ -122,7 +123,7 @@
         driver::LeaseHints { live, servers }
     }
 
-    /// One comparison, if this VM holds anything.
+    /// Compares once and sends orders, if this VM holds the lease of any model.
     async fn round(&self, config: &snapshot::ConfigSnapshot, client: &EngineClient) {
         let models: Vec<placement::WantedModel> = config
             .inventory()
@@ -151,7 +152,7 @@
             let Some(server) = engines.iter().find(|server| server.name == planned.server) else {
                 continue;
             };
-            self.give(server, planned.want, client).await;
+            self.send_order(server, planned.want, client).await;
         }
     }
 
@@ -166,7 +167,7 @@
         }
     }
 
-    /// The same models with what the weight store says of their versions.
+    /// Queries the weight store for the versions of the models whose leases this VM holds.
     async fn probed(&self, mut models: Vec<placement::WantedModel>) -> Vec<placement::WantedModel> {
         for model in models.iter_mut().filter(|model| model.held) {
             model.weights = self.weights(&model.model, &model.version).await;
@@ -179,7 +180,7 @@
             "{}/v1/weights/{model}/{version}?bytes={PROBE_BYTES}",
             self.weight_store
         );
-        let Ok(answer) = self.http.get(url).timeout(CALL_LIMIT).send().await else {
+        let Ok(answer) = self.http.get(url).timeout(CALL_TIMEOUT).send().await else {
             return placement::WeightsState::Missing;
         };
         match answer.status().as_u16() {
@@ -208,7 +209,7 @@
         }
     }
 
-    async fn give(
+    async fn send_order(
         &self,
         server: &snapshot::ServerView,
         want: engine::WantedState,
@@ -222,11 +223,11 @@
             return;
         };
         let fencing = permit.fencing();
-        let told = format!("{} version {}", want.model, want.version);
+        let wanted_text = format!("{} version {}", want.model, want.version);
         self.chronicle.record(kind::EventKind::OrderSent {
             server: server.name.clone(),
             fencing,
-            want: told,
+            want: wanted_text,
         });
         let rollout = Some(rollout);
         let address = server.entry.address;
@@ -276,7 +277,7 @@
     }
 }
 
-/// Answer of the weight store when its rate is used up.
+/// Answer of the weight store when its rate limit is reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Deserialize)]
 #[serde(default)]
--- a/crates/entry/src/publish.rs
+++ b/crates/entry/src/publish.rs
@@ -10,7 +10,7 @@
 use crate::{configure, state};
 
 /// Longest wait for the decision.
-const DECISION_WAIT: Duration = Duration::from_secs(5);
+const DECISION_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Publishes one change. Sending the same ask again is harmless: a record's id counts once.
 ///
@@ -19,18 +19,18 @@
 /// A refusal when it is certain that nothing was appended.
 pub async fn publish(
     entry: &state::EntryState,
-    ask: ops::PublishAsk,
+    request: ops::PublishAsk,
 ) -> Result<ops::PublishAnswer, refusal::RefusalBody> {
     // An ask that was sent before and decided needs no second record.
-    if let Some(decided) = entry.book.decided(ask.record) {
-        return Ok(answer(&ask, decided));
+    if let Some(decided) = entry.book.decided(request.record) {
+        return Ok(answer(&request, decided));
     }
     let change = change::ConfigChange {
-        id: ask.record,
-        base_revision: ask.base_revision,
-        author: ask.author.clone(),
-        comment: ask.comment.clone(),
-        patch: ask.change.clone(),
+        id: request.record,
+        base_revision: request.base_revision,
+        author: request.author.clone(),
+        comment: request.comment.clone(),
+        patch: request.change.clone(),
     };
     let mut decisions = entry.book.decisions();
     let mut appended = false;
@@ -47,13 +47,13 @@
             Err(error) => return Err(not_appended(&error)),
         }
     }
-    let give_up_at = time::Instant::now() + DECISION_WAIT;
+    let deadline = time::Instant::now() + DECISION_TIMEOUT;
     loop {
         decisions.mark_unchanged();
-        if let Some(decided) = entry.book.decided(ask.record) {
-            return Ok(answer(&ask, decided));
+        if let Some(decided) = entry.book.decided(request.record) {
+            return Ok(answer(&request, decided));
         }
-        if time::timeout_at(give_up_at, decisions.changed())
+        if time::timeout_at(deadline, decisions.changed())
             .await
             .is_err()
         {
@@ -73,13 +73,13 @@
         .retry_after_ms(LOG_DOWN_RETRY_MS)
 }
 
-fn answer(ask: &ops::PublishAsk, decided: configure::DecidedChange) -> ops::PublishAnswer {
+fn answer(request: &ops::PublishAsk, decided: configure::DecidedChange) -> ops::PublishAnswer {
     match decided.verdict {
         config_state::ApplyVerdict::Accepted { revision } => ops::PublishAnswer::Accepted {
             revision,
             offset: decided.offset,
         },
-        config_state::ApplyVerdict::Conflict(report) => conflict(ask.base_revision, report),
+        config_state::ApplyVerdict::Conflict(report) => conflict(request.base_revision, report),
         config_state::ApplyVerdict::Invalid(faults) => {
             let faults = faults.faults.iter().map(ToString::to_string).collect();
             ops::PublishAnswer::Invalid { faults }
--- a/crates/entry/src/roster.rs
+++ b/crates/entry/src/roster.rs
@@ -1,5 +1,5 @@
-//! The backend servers as this process sees them: keeps the decision core in step with the
-//! configuration, with load reports and with what is leaving.
+//! The backend servers as this process observes them: keeps the decision core up to date with the
+//! configuration, load reports and the servers that are leaving.
 
 use std::{collections, sync};
 
@@ -9,9 +9,9 @@
 use sched::{driver, request, view};
 use tokio::{sync::watch as channel, time};
 
-use crate::{sight, watch};
+use crate::{observation, watch};
 
-/// Places of names in small numbers: equal names have equal numbers.
+/// Maps names to small numbers; equal names have equal numbers.
 #[derive(Debug, Default)]
 struct NumberTable {
     numbers: collections::HashMap<String, u16>,
@@ -30,7 +30,7 @@
 
 #[derive(Debug, Default)]
 struct RosterState {
-    sights: collections::HashMap<id::ServerKey, watch::ServerSight>,
+    observations: collections::HashMap<id::ServerKey, watch::ServerObservation>,
     models: slotmap::SlotMap<id::ModelKey, String>,
     model_keys: collections::HashMap<String, id::ModelKey>,
     organisations: collections::HashSet<id::OrganisationKey>,
@@ -38,10 +38,11 @@
     domains: NumberTable,
 }
 
-/// The servers known to be leaving; replaced whole, so that requests keep theirs.
+/// The servers known to be leaving. An update replaces the set, so that a request keeps the
+/// version that it started with.
 pub type LeavingSet = sync::Arc<collections::BTreeSet<id::ServerKey>>;
 
-/// What this process knows of the backend servers.
+/// State of the backend servers as this process knows it.
 #[derive(Debug)]
 pub struct ServerRoster {
     state: sync::Mutex<RosterState>,
@@ -73,7 +74,7 @@
         loaded: Option<&[watch::LoadedBody]>,
     ) -> view::EngineSpec {
         let place = self.place(&server.region, &server.entry.failure_domain);
-        // Until an engine has said what it has ready, it is taken to have its first model.
+        // Until an engine has reported its loaded models, assume that it has its first one.
         let names: Vec<String> = match loaded {
             Some(loaded) => loaded.iter().map(|model| model.model.clone()).collect(),
             None => engine.models.iter().take(1).cloned().collect(),
@@ -90,28 +91,28 @@
     }
 }
 
-/// What a report changed.
+/// Effect of a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportEffect {
-    /// The server was not known to be up before.
+    /// Whether the server was not known to be up before.
     pub came_up: bool,
-    /// It was not known to be leaving before.
+    /// Whether the server was not known to be leaving before.
     pub began_leaving: bool,
 }
 
-/// What a missed report changed.
+/// Effect of a missed report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MissEffect {
-    /// Nothing.
+    /// The state of the server did not change.
     None,
-    /// It is suspected from now on.
+    /// The server became suspected.
     Suspected,
-    /// It is taken to be dead from now on.
+    /// The server is considered dead from now on.
     Dead,
 }
 
 impl ServerRoster {
-    /// An empty roster that feeds `driver`.
+    /// Creates an empty roster that updates `driver`.
     #[must_use]
     pub fn new(driver: driver::Driver) -> Self {
         Self {
@@ -127,7 +128,7 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Follows the set of servers that are leaving.
+    /// Subscribes to the set of servers that are leaving.
     #[must_use]
     pub fn subscribe_leaving(&self) -> channel::Receiver<LeavingSet> {
         self.leaving.subscribe()
@@ -157,8 +158,8 @@
         });
     }
 
-    /// Takes in a new snapshot: servers, models, organisations and the policy's settings.
-    pub fn configure(&self, snapshot: &snapshot::ConfigSnapshot, own: &sight::OwnPlace) {
+    /// Applies a new snapshot: servers, models, organisations and the policy's settings.
+    pub fn configure(&self, snapshot: &snapshot::ConfigSnapshot, own: &observation::OwnPlace) {
         let mut state = self.lock();
         let place = state.place(&own.region, &own.failure_domain);
         let engines: Vec<(id::ServerKey, view::EngineSpec)> = snapshot
@@ -166,43 +167,43 @@
             .filter_map(|(key, server)| match &server.entry.kind {
                 inventory::ServerKind::ModelEngine(engine) => {
                     let report = state
-                        .sights
+                        .observations
                         .get(&key)
-                        .and_then(|sight| sight.report.clone());
+                        .and_then(|observation| observation.report.clone());
                     let loaded = report.as_ref().map(|report| report.models.as_slice());
                     Some((key, state.engine_spec(server, engine, loaded)))
                 }
                 inventory::ServerKind::PlainService { .. } => None,
             })
             .collect();
-        let gone: Vec<id::ServerKey> = state
-            .sights
+        let removed: Vec<id::ServerKey> = state
+            .observations
             .keys()
             .copied()
             .filter(|key| snapshot.server(*key).is_none())
             .collect();
-        for key in &gone {
-            state.sights.remove(key);
+        for key in &removed {
+            state.observations.remove(key);
         }
         for (key, _) in snapshot.servers() {
-            state.sights.entry(key).or_default();
+            state.observations.entry(key).or_default();
         }
         let organisations = snapshot.organisations().map(|(key, _)| key).collect();
-        let former = std::mem::replace(&mut state.organisations, organisations);
+        let previous = std::mem::replace(&mut state.organisations, organisations);
         drop(state);
-        let policy = sight::policy_settings(snapshot, place, own);
+        let policy = observation::policy_settings(snapshot, place, own);
         self.driver.change(|core, now| {
             core.settings_changed(policy);
-            for key in gone {
+            for key in removed {
                 core.server_removed(key);
             }
             for (key, spec) in engines {
                 core.server_added(key, spec, now);
             }
             for (key, organisation) in snapshot.organisations() {
-                core.organisation_set(key, sight::plan(&organisation.rule));
+                core.organisation_set(key, observation::plan(&organisation.rule));
             }
-            for key in former {
+            for key in previous {
                 if snapshot.organisation(key).is_none() {
                     core.organisation_removed(key);
                 }
@@ -210,7 +211,7 @@
         });
     }
 
-    /// Takes in a load report of an engine.
+    /// Applies a load report of an engine.
     pub fn reported(
         &self,
         key: id::ServerKey,
@@ -222,22 +223,22 @@
             return ReportEffect::default();
         };
         let mut state = self.lock();
-        let sight = state.sights.entry(key).or_default();
-        let came_up = sight.report.is_none() || sight.misses >= watch::SUSPECT_MISSES;
-        let former = sight.report.replace(report.clone());
-        sight.reported_at = Some(now);
-        sight.misses = 0;
-        sight.in_doubt = false;
-        let restarted = former
+        let observation = state.observations.entry(key).or_default();
+        let came_up = observation.report.is_none() || observation.misses >= watch::SUSPECT_MISSES;
+        let previous = observation.report.replace(report.clone());
+        observation.reported_at = Some(now);
+        observation.misses = 0;
+        observation.in_doubt = false;
+        let restarted = previous
             .as_ref()
             .is_some_and(|it| it.incarnation != report.incarnation);
         if restarted {
-            sight.cache_position = 0;
-            // Leaving is never unlearnt for one life of a server; this is another life.
+            observation.cache_position = 0;
+            // A leaving mark is permanent for one incarnation of a server; this is a new one.
             self.unmark_leaving(key);
         }
         let began_leaving = report.leaving && self.mark_leaving(key);
-        let changed = former.is_none_or(|it| it.models != report.models) || restarted;
+        let changed = previous.is_none_or(|it| it.models != report.models) || restarted;
         let spec = changed.then(|| state.engine_spec(server, engine, Some(&report.models)));
         let is_leaving = self.leaving.borrow().contains(&key);
         drop(state);
@@ -248,7 +249,7 @@
             if restarted {
                 core.server_restarted(key, now);
             }
-            core.server_reported(key, sight::load_report(&report, now));
+            core.server_reported(key, observation::load_report(&report, now));
             core.server_suspected(key, false);
             if is_leaving {
                 core.server_leaving(key);
@@ -260,16 +261,21 @@
         }
     }
 
-    /// Takes in an engine's load as its watcher passed it on.
-    pub fn heard(&self, key: id::ServerKey, load: &digest::EngineLoad, taken_at: time::Instant) {
+    /// Applies an engine's load received from the entry VM that watches it.
+    pub fn load_received(
+        &self,
+        key: id::ServerKey,
+        load: &digest::EngineLoad,
+        taken_at: time::Instant,
+    ) {
         let mut state = self.lock();
-        let sight = state.sights.entry(key).or_default();
-        let Some(report) = sight.report.as_mut() else {
+        let observation = state.observations.entry(key).or_default();
+        let Some(report) = observation.report.as_mut() else {
             return;
         };
         if digest::incarnation_hash(&report.incarnation.to_string()) != load.incarnation_hash {
-            // Another life, of which this process knows nothing: it looks for itself.
-            sight.in_doubt = true;
+            // The load is of an incarnation unknown to this process: poll the engine directly.
+            observation.in_doubt = true;
             return;
         }
         report.free_blocks = load.free_blocks;
@@ -277,34 +283,36 @@
         report.waiting = load.waiting;
         report.preemptions = u64::from(load.preemptions);
         report.taken_ms_ago = 0;
-        let report = sight::load_report(report, taken_at);
-        sight.reported_at = Some(taken_at);
+        let report = observation::load_report(report, taken_at);
+        observation.reported_at = Some(taken_at);
         drop(state);
         self.driver
             .change(|core, _| core.server_reported(key, report));
     }
 
-    /// Number of the last cache event that was read of a server, when it is time to read on.
-    pub fn take_cache_turn(&self, key: id::ServerKey, now: time::Instant) -> Option<u64> {
+    /// Returns the number of the last cache event read from a server if the next read is due, and
+    /// marks that read as started.
+    pub fn claim_cache_read(&self, key: id::ServerKey, now: time::Instant) -> Option<u64> {
         let mut state = self.lock();
-        let sight = state.sights.get_mut(&key)?;
-        let is_early = sight
+        let observation = state.observations.get_mut(&key)?;
+        let is_early = observation
             .cache_read_at
             .is_some_and(|at| now.duration_since(at) < watch::CACHE_INTERVAL);
         if is_early {
             return None;
         }
-        sight.cache_read_at = Some(now);
-        Some(sight.cache_position)
+        observation.cache_read_at = Some(now);
+        Some(observation.cache_position)
     }
 
-    /// Takes in what a server's cache stored (true) and evicted, up to event number `position`.
+    /// Applies the prefixes that a server's cache stored (true) and evicted (false), up to event
+    /// number `position`.
     pub fn cache_changed<I>(&self, key: id::ServerKey, changes: I, position: u64)
     where
         I: Iterator<Item = (request::PrefixHash, bool)>,
     {
-        if let Some(sight) = self.lock().sights.get_mut(&key) {
-            sight.cache_position = position;
+        if let Some(observation) = self.lock().observations.get_mut(&key) {
+            observation.cache_position = position;
         }
         self.driver.change(|core, now| {
             for (prefix, is_stored) in changes {
@@ -313,23 +321,23 @@
         });
     }
 
-    /// Whether a server's last answer is missing or tells less than is known from others.
+    /// Whether a server's last poll failed, or another entry VM reported a different incarnation.
     #[must_use]
     pub fn is_in_doubt(&self, key: id::ServerKey) -> bool {
         let state = self.lock();
-        state
-            .sights
-            .get(&key)
-            .is_none_or(|sight| sight.in_doubt || sight.misses > 0 || sight.reported_at.is_none())
+        state.observations.get(&key).is_none_or(|observation| {
+            observation.in_doubt || observation.misses > 0 || observation.reported_at.is_none()
+        })
     }
 
-    /// Takes in the answer of a plain service server to a health check.
+    /// Applies the answer of a plain service server to a health check.
     pub fn healthy(&self, key: id::ServerKey, leaving: bool, now: time::Instant) -> ReportEffect {
         let mut state = self.lock();
-        let sight = state.sights.entry(key).or_default();
-        let came_up = sight.reported_at.is_none() || sight.misses >= watch::SUSPECT_MISSES;
-        sight.reported_at = Some(now);
-        sight.misses = 0;
+        let observation = state.observations.entry(key).or_default();
+        let came_up =
+            observation.reported_at.is_none() || observation.misses >= watch::SUSPECT_MISSES;
+        observation.reported_at = Some(now);
+        observation.misses = 0;
         let began_leaving = leaving && self.mark_leaving(key);
         ReportEffect {
             came_up,
@@ -337,12 +345,12 @@
         }
     }
 
-    /// Takes in that a server did not answer.
+    /// Counts a poll that a server did not answer.
     pub fn missed(&self, key: id::ServerKey) -> MissEffect {
         let mut state = self.lock();
-        let sight = state.sights.entry(key).or_default();
-        sight.misses = sight.misses.saturating_add(1);
-        let misses = sight.misses;
+        let observation = state.observations.entry(key).or_default();
+        observation.misses = observation.misses.saturating_add(1);
+        let misses = observation.misses;
         drop(state);
         match misses {
             watch::SUSPECT_MISSES => {
@@ -355,11 +363,11 @@
         }
     }
 
-    /// Marks a server as leaving; false when it was known.
+    /// Marks a server as leaving; returns false when it was marked already.
     pub fn leave(&self, key: id::ServerKey) -> bool {
-        let fresh = self.mark_leaving(key);
+        let is_new = self.mark_leaving(key);
         self.driver.change(|core, _| core.server_leaving(key));
-        fresh
+        is_new
     }
 
     /// The servers known to be leaving.
@@ -378,16 +386,16 @@
     #[must_use]
     pub fn is_suspected(&self, key: id::ServerKey) -> bool {
         self.lock()
-            .sights
+            .observations
             .get(&key)
-            .is_some_and(|sight| sight.misses >= watch::SUSPECT_MISSES)
+            .is_some_and(|observation| observation.misses >= watch::SUSPECT_MISSES)
     }
 
-    /// The life of a server's process by its last report.
+    /// Incarnation of a server's process by its last report.
     #[must_use]
     pub fn incarnation(&self, key: id::ServerKey) -> Option<id::Incarnation> {
         let state = self.lock();
-        let report = state.sights.get(&key)?.report.as_ref()?;
+        let report = state.observations.get(&key)?.report.as_ref()?;
         Some(report.incarnation)
     }
 
@@ -407,7 +415,7 @@
         self.lock().model_keys.get(name).copied()
     }
 
-    /// The backend servers for the operators' face.
+    /// Status of the backend servers for the operators' API.
     #[must_use]
     pub fn status(
         &self,
@@ -418,8 +426,13 @@
         let mut servers: Vec<ops::ServerStatus> = snapshot
             .servers()
             .map(|(key, server)| {
-                let sight = state.sights.get(&key).cloned().unwrap_or_default();
-                sight::server_status(server, &sight, self.leaving.borrow().contains(&key), now)
+                let observation = state.observations.get(&key).cloned().unwrap_or_default();
+                observation::server_status(
+                    server,
+                    &observation,
+                    self.leaving.borrow().contains(&key),
+                    now,
+                )
             })
             .collect();
         servers.sort_by(|left, right| left.server.cmp(&right.server));
@@ -427,7 +440,7 @@
     }
 }
 
-/// The number by which the entry VMs order themselves when they divide the engines.
+/// Number that orders the entry VMs when they divide the engines among them.
 #[must_use]
 pub fn vm_identity(name: &str) -> u64 {
     rendezvous::score("vm", name)
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -3,12 +3,12 @@
 use base::{class, ops};
 use tokio::time;
 
-use crate::{state, wall};
+use crate::{clock, state};
 
 /// The whole view of this VM.
 #[must_use]
 pub fn status(entry: &state::EntryState) -> ops::StatusBody {
-    let now_ms = wall::unix_ms();
+    let now_ms = clock::unix_ms();
     let snapshot = entry.book.snapshot();
     let usage = entry.chronicle.journal().usage();
     ops::StatusBody {
--- a/crates/entry/src/watch.rs
+++ b/crates/entry/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watching model engines: asks each for its load and hands the report on.
+//! Polls backend servers for their load and health and shares the loads of engines.
 
 use std::{collections, sync, time::Duration};
 
@@ -14,19 +14,19 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct LoadBody {
-    /// The life of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: id::Incarnation,
-    /// How old the report is, in milliseconds.
+    /// Age of the report, in milliseconds.
     pub taken_ms_ago: u64,
-    /// KV cache blocks that it has.
+    /// Total KV cache blocks.
     pub total_blocks: u32,
-    /// Blocks that no generation holds.
+    /// KV cache blocks that no generation holds.
     pub free_blocks: u32,
     /// Tokens in one block.
     pub block_tokens: u32,
     /// Generations in its batch.
     pub running: u32,
-    /// Generations in its own queue.
+    /// Generations in the engine's queue.
     pub waiting: u32,
     /// Preemptions since its start.
     pub preemptions: u64,
@@ -49,52 +49,53 @@
     /// Its version.
     #[serde(default)]
     pub version: String,
-    /// Adapters beside it.
+    /// Adapters loaded with it.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
 
-/// What this VM last saw of one backend server.
+/// State of one backend server as this VM last observed it.
 #[derive(Clone, Debug, Default)]
-pub struct ServerSight {
-    /// Its last report, when it has answered in this life.
+pub struct ServerObservation {
+    /// Its last report; absent until it answers.
     pub report: Option<LoadBody>,
     /// When the last answer arrived, on this VM's clock.
     pub reported_at: Option<time::Instant>,
-    /// Polls in a row that were not answered.
+    /// Consecutive polls that were not answered.
     pub misses: u32,
-    /// Number of the last cache event that was read in this life.
+    /// Number of the last cache event read from this incarnation.
     pub cache_position: u64,
     /// When the cache events were last read.
     pub cache_read_at: Option<time::Instant>,
-    /// Others told of another life of it than this process knows.
+    /// Whether another entry VM reported an incarnation unknown to this process.
     pub in_doubt: bool,
 }
 
-/// Polls in a row without an answer after which a server is suspected.
+/// Consecutive unanswered polls after which a server is suspected.
 pub const SUSPECT_MISSES: u32 = 2;
-/// Polls in a row without an answer after which a server is taken to be dead.
+/// Consecutive unanswered polls after which a server is considered dead.
 pub const DEAD_MISSES: u32 = 4;
-/// Time between two polls of a server by its first watcher, or while it is in doubt.
+/// Poll interval of a server's first watcher, and of all VMs while its state is in doubt.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two polls of a server by its other watchers.
+/// Poll interval of a server's other watchers.
 pub const STANDBY_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two polls of a server by an entry VM that only uses it.
+/// Poll interval of an entry VM that uses a server but does not watch it.
 pub const USER_INTERVAL: Duration = Duration::from_secs(10);
-/// Servers that one VM uses for which [`USER_INTERVAL`] holds; it grows with their number beyond.
-const FEW_SERVERS: u32 = 12;
-/// Time between two polls of a server that this VM does not use, such as one of another region.
-const STRANGER_INTERVAL: Duration = Duration::from_secs(300);
-/// Time between two readings of an engine's cache events by its first watcher.
+/// Number of used servers up to which [`USER_INTERVAL`] applies; beyond it the interval grows in
+/// proportion.
+const USER_INTERVAL_SERVERS: u32 = 12;
+/// Poll interval of a server that this VM does not use, such as one of another region.
+const UNUSED_SERVER_INTERVAL: Duration = Duration::from_secs(300);
+/// Interval at which an engine's first watcher reads its cache events.
 pub const CACHE_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two looks at which polls are due.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait for the answer to one poll.
+/// Interval between two checks for polls that are due.
+const DUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of one poll.
 const POLL_TIMEOUT: Duration = Duration::from_millis(400);
 
 fn user_interval(servers: usize) -> Duration {
     let servers = u32::try_from(servers).unwrap_or(u32::MAX);
-    USER_INTERVAL * servers.div_ceil(FEW_SERVERS).max(1)
+    USER_INTERVAL * servers.div_ceil(USER_INTERVAL_SERVERS).max(1)
 }
 
 /// Answer of a plain service server to a health check.
@@ -123,7 +124,7 @@
     }
 }
 
-/// Cache events of an engine since the last look.
+/// Cache events of an engine since the last read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize)]
 struct CachePageBody {
@@ -131,31 +132,31 @@
     next: u64,
 }
 
-/// Polls backend servers, feeds the roster, and passes loads on.
+/// Polls backend servers, updates the roster, and shares loads through gossip.
 ///
-/// Were every entry VM to poll every server often, 410 of them before 600 engines would spend
-/// most of their budget on polls. So few watchers of each server poll it often and pass the load
-/// on; those that only use it look for themselves now and then, which also shows them its models.
+/// If every entry VM polled every server often, 410 entry VMs and 600 engines would spend most of
+/// their control budget on polls. So a few watchers of each server poll it often and share its
+/// load; VMs that only use it poll it rarely, which also shows them its models.
 #[derive(Clone, Debug)]
 pub struct LoadWatcher {
-    /// Connections for polls alone, so that no poll waits behind a stream.
+    /// HTTP client used only for polls, so that no poll waits behind a stream.
     pub http: reqwest::Client,
     /// The configuration in force.
     pub book: sync::Arc<configure::ConfigBook>,
-    /// Fed with what was seen.
+    /// Receives the reports.
     pub roster: sync::Arc<roster::ServerRoster>,
-    /// Says who watches what, and carries loads.
+    /// Assigns the watchers and carries loads.
     pub gossip: handle::GossipHandle,
-    /// Told of changes of state.
+    /// Records changes of state.
     pub chronicle: chronicle::Chronicle,
 }
 
 impl LoadWatcher {
-    /// Polls for ever.
+    /// Polls until cancelled.
     pub async fn run(self) {
         let mut due: collections::HashMap<id::ServerKey, time::Instant> =
             collections::HashMap::new();
-        let mut tick = time::interval(LOOK_INTERVAL);
+        let mut tick = time::interval(DUE_CHECK_INTERVAL);
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             tick.tick().await;
@@ -167,7 +168,7 @@
                     continue;
                 }
                 due.insert(key, now + self.interval(key, server));
-                // In a task of its own: a server that does not answer must not delay the others.
+                // A separate task, because a server that does not answer must not delay the others.
                 let (watcher, server) = (self.clone(), server.clone());
                 tokio::spawn(async move { watcher.poll(key, &server).await });
             }
@@ -177,10 +178,10 @@
     fn interval(&self, key: id::ServerKey, server: &snapshot::ServerView) -> Duration {
         let seen = self.gossip.snapshot();
         let candidates = seen.plan.candidates(&self.gossip.identity().name);
-        // Before the first plan everything is looked at; after it, hundreds of servers that this
-        // VM does not use would cost more than its whole budget.
+        // Before the first plan every server is polled. After it, polling the hundreds of servers
+        // that this VM does not use would cost more than its complete budget.
         if !candidates.is_empty() && !candidates.contains(&server.name) {
-            return STRANGER_INTERVAL;
+            return UNUSED_SERVER_INTERVAL;
         }
         if self.roster.is_in_doubt(key) {
             return POLL_INTERVAL;
@@ -217,12 +218,12 @@
         }
     }
 
-    /// Reads what an engine's cache stored and evicted, as its first watcher.
+    /// Reads the cache events of an engine if this VM is its first watcher.
     async fn read_cache_events(&self, key: id::ServerKey, server: &snapshot::ServerView) {
         if self.gossip.watch_duty(&server.name) != watching::WatchDuty::First {
             return;
         }
-        let Some(after) = self.roster.take_cache_turn(key, time::Instant::now()) else {
+        let Some(after) = self.roster.claim_cache_read(key, time::Instant::now()) else {
             return;
         };
         let path = format!("/v1/cache-events?after={after}");
