--- a/crates/entry/src/adapt.rs
+++ b/crates/entry/src/adapt.rs
@@ -1,4 +1,4 @@
-//! Binds the request plane's ports to the scheduler, the log and this VM's clocks.
+//! Implements the request plane's ports with the scheduler, the log and this VM's clocks.
 
 pub mod claims;
 pub mod identity;
--- a/crates/entry/src/adapt/claims.rs
+++ b/crates/entry/src/adapt/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on idempotency keys for the request plane, on the log.
+//! Claims on idempotency keys for the request plane, recorded on the log.
 
 use std::{collections, sync};
 
@@ -8,15 +8,15 @@
 
 use crate::adapt::peers;
 
-/// How soon a repeated call whose first is under way should be asked for again.
+/// Retry delay for a repeated call while the first one is in progress.
 const IN_PROGRESS_RETRY_MS: u64 = 500;
-/// How soon a call that the log could not take should be sent again.
+/// Retry delay for a call whose claim the log could not record.
 const LOG_DOWN_RETRY_MS: u64 = 2_000;
 
-/// Claims on the log, and the permits of those that this process holds.
+/// Claims on the log, with the permits of the claims that this process holds.
 pub struct LogClaims {
     router: peers::EntryRouter,
-    /// One for each claim that is held and not yet settled.
+    /// One permit for each claim that is held and not yet settled.
     permits: sync::Mutex<collections::HashMap<id::RecordId, permit::SendPermit>>,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl LogClaims {
-    /// Claims through `router`.
+    /// Creates a store that makes claims through `router`.
     #[must_use]
     pub fn new(router: peers::EntryRouter) -> Self {
         Self {
@@ -86,11 +86,12 @@
         let outcome = match end {
             port::ClaimEnd::Answered(answer) => claims::SettledOutcome::Ran(stored(answer)),
             port::ClaimEnd::NotRun => claims::SettledOutcome::NotRun,
-            // Without an end the key stays unknown, which is what it is.
+            // Not settling the claim leaves the outcome of the key unknown, as it is.
             port::ClaimEnd::Unknown => return Ok(()),
         };
         if self.router.settle(permit, outcome).await == claim_calls::RecordReply::NotRecorded {
-            // The permit is used up: the key stays unknown to others, which is honest.
+            // The permit is consumed; to other VMs the outcome of the key stays unknown, which is
+            // correct.
             metrics::counter!("pollenchute_entry_claim_ends_lost_total").increment(1);
         }
         Ok(())
@@ -133,18 +134,18 @@
         ),
         Some(claim_calls::RefusalCause::OutsideWindow) => (
             refusal::RefusalCode::IdempotencyKeyExpired,
-            "the idempotency key is too old to tell whether it ran; look the outcome up, then \
+            "the idempotency key is too old to determine whether the call ran; look the outcome up, then \
              draw a new key",
             None,
         ),
         Some(claim_calls::RefusalCause::Withdrawn) => (
             refusal::RefusalCode::Unavailable,
-            "the claim was given up before the call left; send the call again",
+            "the claim was withdrawn before the call was sent; send the call again",
             Some(IN_PROGRESS_RETRY_MS),
         ),
         Some(claim_calls::RefusalCause::Full) => (
             refusal::RefusalCode::Overloaded,
-            "too many idempotency keys are remembered; send the call again later",
+            "too many idempotency keys are stored; send the call again later",
             Some(LOG_DOWN_RETRY_MS),
         ),
         Some(claim_calls::RefusalCause::NotAppended(_) | claim_calls::RefusalCause::Unsettled)
--- a/crates/entry/src/adapt/identity.rs
+++ b/crates/entry/src/adapt/identity.rs
@@ -1,4 +1,4 @@
-//! Identifiers and the wall clock for the request plane.
+//! Identifier source and wall clock of the request plane.
 
 use base::id;
 
--- a/crates/entry/src/adapt/jobs.rs
+++ b/crates/entry/src/adapt/jobs.rs
@@ -1,4 +1,4 @@
-//! Deferrable work for the request plane, on the log.
+//! Deferrable jobs of the request plane, stored on the log.
 
 use std::{collections, sync, time::Duration};
 
@@ -9,18 +9,18 @@
 
 use crate::{adapt::peers, configure};
 
-/// Pause between two rounds over the partitions when there was nothing to do.
+/// Interval between two rounds over the partitions when no job was found.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
-/// How soon work that the log could not take should be sent again.
+/// Retry delay for a job that the log could not record.
 const LOG_DOWN_RETRY_MS: u64 = 2_000;
 
-/// Deferrable work on the log, and the tickets of what this process does.
+/// Deferrable jobs on the log, with the tickets of those that this process runs.
 pub struct LogJobs {
     router: peers::EntryRouter,
     book: sync::Arc<configure::ConfigBook>,
-    /// One for each lease that is held.
+    /// One ticket for each lease that is held.
     tickets: sync::Mutex<collections::HashMap<id::RecordId, permit::JobTicket>>,
-    /// Partition that the next round begins at.
+    /// Partition at which the next round starts.
     next: sync::atomic::AtomicU16,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl LogJobs {
-    /// Deferrable work through `router`; `book` says how long results are kept.
+    /// Creates a store that reaches jobs through `router`; `book` holds the retention of results.
     #[must_use]
     pub fn new(router: peers::EntryRouter, book: sync::Arc<configure::ConfigBook>) -> Self {
         Self {
@@ -50,7 +50,7 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// One round over all partitions.
+    /// Tries to take a job in one round over all partitions.
     async fn take_round(&self) -> Option<port::JobLease> {
         let start = self.next.fetch_add(1, sync::atomic::Ordering::Relaxed);
         for step in 0..partition::JOB_PARTITIONS {
@@ -61,7 +61,7 @@
                 .await;
             let Some(ticket) = taken else { continue };
             let Ok(job) = serde_json::from_slice::<port::JobRecord>(&ticket.grant.body) else {
-                // Written by a version that this one does not read: another VM may.
+                // Written by a version that this one cannot read; another VM may be able to.
                 metrics::counter!("pollenchute_entry_jobs_unread_total").increment(1);
                 self.router.release(ticket).await;
                 continue;
@@ -168,7 +168,7 @@
 }
 
 fn log_down() -> refusal::RefusalBody {
-    let message = "the log does not answer now; ask again after the time given";
+    let message = "the log does not answer now; retry after the given time";
     refusal::RefusalBody::not_run(refusal::RefusalCode::Unavailable, message)
         .retry_after_ms(LOG_DOWN_RETRY_MS)
 }
@@ -177,7 +177,7 @@
     match refused {
         job_calls::AcceptRefusal::Full => refusal::RefusalBody::not_run(
             refusal::RefusalCode::Overloaded,
-            "too much accepted work waits; send this again after the time given",
+            "too many accepted jobs are waiting; retry after the given time",
         )
         .retry_after_ms(LOG_DOWN_RETRY_MS),
         job_calls::AcceptRefusal::NotAppended(_) => log_down(),
--- a/crates/entry/src/adapt/peers.rs
+++ b/crates/entry/src/adapt/peers.rs
@@ -1,5 +1,5 @@
-//! Calls to other entry VMs: the log's partitions through whoever appends them, and notes about
-//! streams that go on elsewhere.
+//! Calls to other entry VMs: requests to the VMs that append to the log's partitions, and
+//! notifications about streams that continue on another VM.
 
 use std::sync;
 
@@ -12,12 +12,12 @@
 
 /// Name of the extension that carries a [`host::LedgerRequest`].
 pub const LEDGER: &str = "ledger";
-/// Name of the extension that tells of a stream that goes on elsewhere.
+/// Name of the extension that announces a stream that continues on another VM.
 pub const ADOPTED: &str = "adopted";
-/// Name of the extension that spreads what is suspected of crashing backend servers.
+/// Name of the extension that sends content suspected of crashing backend servers.
 pub const SUSPECTS: &str = "suspects";
 
-/// Longest wait for a note to be taken.
+/// Timeout for delivering a note.
 const NOTE_TIMEOUT: time::Duration = time::Duration::from_millis(800);
 
 /// The router through which this daemon uses the log.
@@ -31,7 +31,7 @@
 }
 
 impl PeerCaller {
-    /// A caller that finds addresses in `members`.
+    /// Creates a caller that looks up addresses in `members`.
     #[must_use]
     pub const fn new(
         client: wire::client::PeerClient,
@@ -40,11 +40,11 @@
         Self { client, members }
     }
 
-    /// Makes one call of an extension of a member.
+    /// Calls an extension on a member.
     ///
     /// # Errors
     ///
-    /// Whether the call may have had an effect.
+    /// The error says whether the call may have had an effect.
     pub async fn call_extension(
         &self,
         vm: &str,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Asks a member for its configuration, from a byte of the encoded state on.
+    /// Fetches a part of a member's configuration, starting at `from_byte` of the encoded state.
     pub async fn configuration(
         &self,
         vm: &str,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Sends a note to a member by name; nobody waits for it.
+    /// Sends a note to a member by name without waiting for its delivery.
     pub fn note(&self, vm: &str, name: &'static str, body: Vec<u8>) {
         let (caller, vm) = (self.clone(), vm.to_owned());
         tokio::spawn(async move {
@@ -107,7 +107,7 @@
     }
 }
 
-/// Notes to other entry VMs for the request plane.
+/// Sends the request plane's notes to other entry VMs.
 #[derive(Clone, Debug)]
 pub struct PeerNotes(pub PeerCaller);
 
@@ -118,7 +118,7 @@
     }
 }
 
-/// The way of the log's partitions to the entry VMs that append them.
+/// Transport of ledger requests to the entry VMs that append to the log's partitions.
 #[derive(Clone, Debug)]
 pub struct PeerLedger(pub PeerCaller);
 
--- a/crates/entry/src/adapt/quota.rs
+++ b/crates/entry/src/adapt/quota.rs
@@ -1,17 +1,17 @@
 //! Limits of organisations for the request plane.
 //!
 //! Generations are limited inside the decision core, where their tokens are counted; plain
-//! service calls are not held back here.
+//! service calls are not limited.
 
 use base::{id, refusal};
 use conf::rules;
 use tokio::time;
 
-/// Hands every request on to the decision core's limits.
+/// Admits every request, as the decision core enforces the limits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CoreQuota;
 
-/// Nothing is held here.
+/// A permit without state.
 #[derive(Clone, Copy, Debug)]
 pub struct CorePermit;
 
--- a/crates/entry/src/adapt/schedule.rs
+++ b/crates/entry/src/adapt/schedule.rs
@@ -1,5 +1,5 @@
-//! Placement for the request plane: generations through the decision core, plain service calls
-//! through the pool.
+//! Scheduling for the request plane: generations by the decision core, plain service calls by the
+//! pool.
 
 use std::{sync, time::Duration};
 
@@ -11,10 +11,10 @@
 
 use crate::{adapt::service_pool, configure, roster};
 
-/// Longest wait for a place on a plain service server between two looks at the candidates.
+/// Interval at which the candidates are read again while a call waits for a slot.
 const POOL_RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Places generations and calls.
+/// Assigns generations and plain service calls to backend servers.
 #[derive(Clone, Debug)]
 pub struct PlaneScheduler {
     driver: driver::Driver,
@@ -23,7 +23,7 @@
     pool: sync::Arc<service_pool::ServicePool>,
 }
 
-/// A place on a model engine or on a plain service server.
+/// A slot on a model engine or on a plain service server.
 #[derive(Debug)]
 pub enum PlaneGrant {
     /// On a model engine.
@@ -33,7 +33,7 @@
 }
 
 impl PlaneScheduler {
-    /// A scheduler over the decision core behind `driver`.
+    /// Creates a scheduler that uses the decision core behind `driver`.
     #[must_use]
     pub fn new(
         driver: driver::Driver,
@@ -70,7 +70,7 @@
             return Err(no_server("a plain service call has no model"));
         };
         let Some(model) = self.roster.model_key(name) else {
-            return Err(no_server("no engine is known for this model; ask again"));
+            return Err(no_server("no engine is known for this model; retry"));
         };
         let mut generation = request::GenerationRequest::new(
             admission.organisation,
@@ -113,14 +113,12 @@
                 return Ok(PlaneGrant::Service(slot));
             }
             if candidates.is_empty() {
-                return Err(no_server(
-                    "no server of this service takes work now; ask again",
-                ));
+                return Err(no_server("no server of this service takes work now; retry"));
             }
             if time::Instant::now() >= admission.deadline {
                 return Err(refusal::RefusalBody::not_run(
                     refusal::RefusalCode::Overloaded,
-                    "all servers of this service are busy; ask again after the time given",
+                    "all servers of this service are busy; retry after the given time",
                 )
                 .retry_after_ms(500));
             }
@@ -150,7 +148,7 @@
     }
 }
 
-/// Bytes of a prompt that are looked at; the longest prefix that is compared ends before.
+/// Bytes of a prompt that are hashed; the longest prefix that is compared is shorter.
 const PREFIX_BYTES: usize = 4096;
 
 fn prefix_chain(
@@ -187,7 +185,7 @@
             port::RequestedWork::Service { service } => self
                 .candidates(service, &admission.avoid)
                 .is_empty()
-                .then(|| no_server("no server of this service takes work now; ask again")),
+                .then(|| no_server("no server of this service takes work now; retry")),
         }
     }
 
--- a/crates/entry/src/adapt/service_pool.rs
+++ b/crates/entry/src/adapt/service_pool.rs
@@ -1,19 +1,19 @@
-//! Places on plain service servers: the least busy of those that take work, within each
-//! server's bound on concurrency.
+//! Slots on plain service servers: selects the least busy server that takes work, within each
+//! server's concurrency limit.
 
 use std::{collections, sync};
 
 use base::id;
 use tokio::{sync::Notify, time};
 
-/// A server that failed a call is taken last for this long.
+/// Time for which a server that failed a call is selected last.
 ///
-/// Health checks of most entry VMs come every ten seconds only. Without this, a dead server, which
-/// is always the least busy one, would draw every call until then, and the budget of retries
-/// would be used up within a second: callers see `overloaded` while two of three servers idle.
+/// Most entry VMs check the health of a server only every ten seconds. Without this, a dead
+/// server, which is always the least busy one, would receive every call until then and use up the
+/// retry budget within a second: callers get `overloaded` while two of three servers are idle.
 const FAILURE_PENALTY: time::Duration = time::Duration::from_secs(2);
 
-/// Calls that run on each plain service server on this VM's behalf.
+/// Calls of this VM that are running on each plain service server.
 #[derive(Debug, Default)]
 pub struct ServicePool {
     state: sync::Mutex<PoolState>,
@@ -22,11 +22,11 @@
 
 #[derive(Debug, Default)]
 struct PoolState {
-    /// Servers that run nothing are not in it.
+    /// Running calls by server; idle servers have no entry.
     running: collections::HashMap<id::ServerKey, u32>,
-    /// When the servers that failed a call count as good again.
+    /// Time at which each server that failed a call counts as healthy again.
     failed_until: collections::HashMap<id::ServerKey, time::Instant>,
-    /// Turns the order of equally good candidates, else the first would get all calls.
+    /// Rotates the order of equally good candidates, because the first would get all calls otherwise.
     turn: usize,
 }
 
@@ -46,13 +46,13 @@
 pub struct PoolCandidate {
     /// The server.
     pub server: id::ServerKey,
-    /// Calls that it runs at once at the most.
+    /// Maximum concurrent calls on it.
     pub max_concurrency: u32,
-    /// Whether it was seen to fail lately; taken only when nothing else is there.
+    /// Whether it is suspected of having failed; selected only when there is no other.
     pub suspected: bool,
 }
 
-/// A place on a plain service server; dropping it gives the place back.
+/// A slot on a plain service server; released when dropped.
 #[derive(Debug)]
 pub struct ServiceSlot {
     pool: sync::Arc<ServicePool>,
@@ -60,13 +60,13 @@
 }
 
 impl ServiceSlot {
-    /// Where.
+    /// The server of this slot.
     #[must_use]
     pub const fn server(&self) -> id::ServerKey {
         self.server
     }
 
-    /// The call failed there: others go elsewhere for a while.
+    /// Releases the slot after a failed call; other servers are preferred for a while.
     pub fn failed(self, now: time::Instant) {
         let mut state = self.pool.lock();
         state.failed_until.retain(|_, until| now < *until);
@@ -97,8 +97,8 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Takes the least busy candidate that has room; one that failed lately, or is suspected,
-    /// only when there is no other.
+    /// Takes a slot on the least busy candidate with a free one; candidates that failed recently or
+    /// are suspected are used only when there is no other.
     pub fn try_take(
         self: &sync::Arc<Self>,
         candidates: &[PoolCandidate],
@@ -123,7 +123,7 @@
         })
     }
 
-    /// Completes when a place may have become free.
+    /// Waits until a slot may have become free.
     pub async fn freed(&self) {
         self.freed.notified().await;
     }
--- a/crates/entry/src/assemble.rs
+++ b/crates/entry/src/assemble.rs
@@ -1,4 +1,4 @@
-//! Makes the parts of one daemon and ties them together.
+//! Creates the components of one daemon and connects them.
 
 use std::{net, sync, time::Duration};
 
@@ -18,12 +18,12 @@
     placement, ports, roster, settings, state, vm_list, watch,
 };
 
-/// Largest part of the time line's ring, in bytes.
+/// Maximum size of the time line's ring buffer, in bytes.
 const TIMELINE_BYTES: usize = 8 << 20;
-/// Time between two looks at the log's partitions.
+/// Interval between two maintenance runs of the log's partitions.
 const LEDGER_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the pieces of a daemon are made of.
+/// Components from which the others of a daemon are created.
 struct DaemonParts {
     settings: settings::DaemonSettings,
     identity: identity::ProcessIdentity,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// The request plane, with what other entry VMs may ask of it.
+    /// Creates the request plane and the host that serves ledger requests of other entry VMs.
     fn plane(
         &self,
         view: channel::Receiver<sync::Arc<view::PlaneView>>,
@@ -113,7 +113,7 @@
         ))
     }
 
-    /// Calls to other entry VMs.
+    /// Creates the client for calls to other entry VMs.
     fn caller(&self, stamper: &trace::stamper::MessageStamper) -> peers::PeerCaller {
         peers::PeerCaller::new(
             wire::client::PeerClient::new(
@@ -135,13 +135,13 @@
     }
 }
 
-/// A generation none of whose tokens came is started elsewhere after this, when its engine can be
-/// neither reached nor told to cancel; the order to cancel stands. docs/MEASURES.md, "Promises":
-/// with one of 3 engines frozen 60 of 60 requests are answered in place of 57.
+/// Time after which a generation without a first token is started on another engine, if its engine
+/// can be neither reached nor sent a cancellation; the cancellation stays pending. Without it, with
+/// one of 3 engines frozen, 3 of 60 requests get no answer.
 const ABANDON_AFTER: Duration = Duration::from_secs(1);
 
-/// Time between two appends of a partition of deferrable work. Nobody waits for it at a gate, and
-/// the log's appends are few.
+/// Minimum interval between two appends to a partition of deferrable jobs. Deferrable jobs are not
+/// latency-critical, and the log allows only few appends.
 const JOB_APPEND_INTERVAL: Duration = Duration::from_millis(100);
 
 fn ledger_settings() -> host::HostSettings {
@@ -167,7 +167,7 @@
     Ok(key::KeyHandle::new(ring))
 }
 
-/// Makes a daemon's parts and starts its controllers.
+/// Creates a daemon's components and starts its controllers.
 pub(crate) async fn build(
     settings: settings::DaemonSettings,
     token_keys: token::TokenKeys,
@@ -228,7 +228,7 @@
     })
 }
 
-/// Starts what works for the request plane.
+/// Starts the tasks that serve the request plane.
 fn spawn_plane(
     base: &DaemonParts,
     plane: &Plane,
@@ -300,7 +300,7 @@
 type LeaseDriver = lease::driver::LeaseDriver<ledger::http::HttpLog>;
 type PlacementParts = (sync::Arc<LeaseDriver>, sync::Arc<placement::PlacementBoard>);
 
-/// Starts to hold leases and to place models.
+/// Starts holding leases and placing models.
 fn spawn_placement(
     base: &DaemonParts,
     controllers: &mut task::JoinSet<()>,
@@ -332,7 +332,7 @@
     Ok(sync::Arc::new(leases))
 }
 
-/// Listens for frames; datagrams then arrive at the same number.
+/// Listens for frames; gossip then binds its datagrams to the same port number.
 async fn listen_for_peers(
     address: net::SocketAddr,
 ) -> Result<(tokio::net::TcpListener, net::SocketAddr), daemon::StartError> {
@@ -345,7 +345,8 @@
     Ok((listener, bound))
 }
 
-/// Keeps the partitions that this VM ranks for read, and carries work past the log's retention.
+/// Keeps reading the partitions that this VM ranks for, and rewrites jobs before the log's
+/// retention drops them.
 async fn maintain_ledger(host: sync::Arc<LedgerHost>, members: sync::Arc<members::MemberTable>) {
     let mut tick = time::interval(LEDGER_INTERVAL);
     tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -366,8 +367,8 @@
         .context(daemon::ClientSnafu)
 }
 
-/// Keeps the roster and the request plane's view in step with the configuration and with what
-/// is leaving.
+/// Keeps the roster and the request plane's view up to date with the configuration and the servers
+/// that are leaving.
 async fn follow_views(
     book: sync::Arc<configure::ConfigBook>,
     roster: sync::Arc<roster::ServerRoster>,
--- a/crates/entry/src/chronicle.rs
+++ b/crates/entry/src/chronicle.rs
@@ -1,4 +1,4 @@
-//! This process's journal of events, stamped with the wall clock.
+//! Journal of this process's events, stamped with the wall clock.
 
 use std::sync;
 
@@ -14,7 +14,7 @@
 }
 
 impl Chronicle {
-    /// A handle to `journal`.
+    /// Creates a handle to `journal`.
     #[must_use]
     pub fn new(journal: journal::EventJournal) -> Self {
         Self {
@@ -22,24 +22,24 @@
         }
     }
 
-    /// The journal itself.
+    /// The journal.
     #[must_use]
     pub fn journal(&self) -> &journal::EventJournal {
         &self.journal
     }
 
-    /// What stamps messages to other entry VMs by the clock of this journal.
+    /// Creates a stamper that stamps messages to other entry VMs with the clock of this journal.
     #[must_use]
     pub fn stamper(&self) -> stamper::MessageStamper {
         stamper::MessageStamper::new(sync::Arc::clone(&self.journal), clock::unix_ms)
     }
 
-    /// Records an event about no request in particular.
+    /// Records an event that belongs to no request.
     pub fn record(&self, kind: kind::EventKind) {
         self.journal.record(clock::unix_ms(), kind);
     }
 
-    /// Records an event about one request, when there is one.
+    /// Records an event of `request`, or one that belongs to no request.
     pub fn record_for(&self, request: Option<id::RequestId>, kind: kind::EventKind) {
         match request {
             Some(request) => self.journal.record_for(clock::unix_ms(), request, kind),
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,9 +1,9 @@
-//! The wall clock, for stamps that people read and for times that callers write. No deadline
-//! rests on it.
+//! The wall clock, for timestamps that people read and for times that callers send. No deadline
+//! depends on it.
 
 use std::time;
 
-/// Milliseconds since 1970 by this VM's clock.
+/// Returns the milliseconds since 1970 by this VM's clock.
 #[must_use]
 pub fn unix_ms() -> u64 {
     let since = time::SystemTime::now()
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts everything of one entry daemon, and stops it in order.
+//! Starts and gracefully stops one entry daemon.
 
 use std::{net, sync, time::Duration};
 
@@ -9,7 +9,7 @@
 
 use crate::{assemble, http, settings, state};
 
-/// How long streams that are handed over may take to end.
+/// Timeout for streams that are handed over to end.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The daemon cannot start.
@@ -19,9 +19,9 @@
     /// The settings cannot be used.
     #[snafu(display("settings: {what}; {remedy}"))]
     Settings {
-        /// What is wrong.
+        /// The error.
         what: String,
-        /// What to do.
+        /// The remedy.
         remedy: String,
     },
     /// The callers' address cannot be listened on.
@@ -29,7 +29,7 @@
     Serve {
         /// The address.
         address: net::SocketAddr,
-        /// What rocket said.
+        /// The error of Rocket.
         message: String,
     },
     /// The address for other entry VMs cannot be listened on.
@@ -37,19 +37,19 @@
     Peers {
         /// The address.
         address: net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// Gossip cannot start.
     #[snafu(display("{source}"))]
     Gossip {
-        /// Why.
+        /// The cause.
         source: gossip::driver::StartError,
     },
-    /// A connection pool cannot be made.
-    #[snafu(display("cannot make an HTTP client: {source}; check the machine's limits"))]
+    /// An HTTP client cannot be created.
+    #[snafu(display("cannot create an HTTP client: {source}; check the machine's limits"))]
     Client {
-        /// What the library said.
+        /// The error of the HTTP library.
         source: reqwest::Error,
     },
 }
@@ -65,31 +65,31 @@
 }
 
 impl RunningDaemon {
-    /// Where callers and operators connect.
+    /// Address for callers and operators.
     #[must_use]
     pub const fn callers(&self) -> net::SocketAddr {
         self.callers
     }
 
-    /// Where other entry VMs connect.
+    /// Address for other entry VMs.
     #[must_use]
     pub fn peers(&self) -> net::SocketAddr {
         self.state.peers
     }
 
-    /// What its faces and controllers share.
+    /// State shared by the HTTP interfaces and the controllers.
     #[must_use]
     pub const fn state(&self) -> &sync::Arc<state::EntryState> {
         &self.state
     }
 
-    /// Completes when its HTTP server has ended by itself.
+    /// Waits until the HTTP server ends without having been stopped.
     pub async fn ended(&mut self) {
         let _ = (&mut self.server).await;
     }
 
-    /// Stops gracefully: is no longer named to callers, takes requests for the time of notice,
-    /// then nothing new, finishes or hands over what runs, and ends.
+    /// Stops gracefully: is no longer advertised to callers, accepts requests for the notice period,
+    /// then refuses new ones, finishes or hands over the running ones, and ends.
     pub async fn stop(mut self) {
         let chronicle = &self.state.chronicle;
         chronicle.record(kind::EventKind::ProcessStopping {
@@ -105,7 +105,7 @@
             .drain(self.state.settings.bounds.drain(), HANDOVER_TIMEOUT)
             .await;
         if left > 0 {
-            log::warn!(left = left; "requests still run after the wait");
+            log::warn!(left = left; "requests still running after the drain timeout");
         }
         self.state.gossip.depart().await;
         self.shutdown.notify();
@@ -114,7 +114,7 @@
     }
 }
 
-/// Checks what no type can.
+/// Validates the constraints that the types of the settings cannot express.
 ///
 /// # Errors
 ///
@@ -161,7 +161,7 @@
     Ok(token::TokenKeys::new(newest, older))
 }
 
-/// Starts a daemon; returns once it listens.
+/// Starts a daemon; returns once it is listening.
 ///
 /// # Errors
 ///
@@ -170,7 +170,7 @@
     start_with(settings, None).await
 }
 
-/// Like [`start`], with the recorder that renders this process's metrics.
+/// Starts a daemon like [`start`], with the recorder that renders this process's metrics.
 ///
 /// # Errors
 ///
--- a/crates/entry/src/digests.rs
+++ b/crates/entry/src/digests.rs
@@ -1,5 +1,5 @@
-//! Exchanges short-lived digests with the other entry VMs: loads of engines, this VM's work, and
-//! what organisations ask of it.
+//! Exchanges short-lived digests with the other entry VMs: loads of engines, the work of each VM,
+//! and the demand of organisations on it.
 
 use std::{collections, sync, time::Duration};
 
@@ -11,12 +11,12 @@
 
 use crate::{configure, members, roster};
 
-/// Time between two digests of this VM's work and demands while the region is small.
+/// Interval between two digests of this VM's work and demands while the region is small.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
-/// Members of a region for which [`PUBLISH_INTERVAL`] holds; it grows with their number beyond, so
-/// that the bytes a second stay the same.
+/// Number of region members up to which [`PUBLISH_INTERVAL`] applies; beyond it the interval grows
+/// in proportion, so that the bytes per second stay constant.
 const SMALL_REGION_MEMBERS: u32 = 32;
-/// Span of the counts in a demand's digest, in seconds.
+/// Time window of the counts in a demand digest, in seconds.
 const DEMAND_WINDOW_S: f32 = 10.0;
 
 /// Exchanges digests with the other entry VMs.
@@ -26,16 +26,16 @@
     pub gossip: handle::GossipHandle,
     /// The configuration in force.
     pub book: sync::Arc<configure::ConfigBook>,
-    /// Told of loads.
+    /// Receives the loads.
     pub roster: sync::Arc<roster::ServerRoster>,
     /// The members of the region.
     pub members: sync::Arc<members::MemberTable>,
-    /// Told of work and demands, and asked for this VM's.
+    /// Receives the work and demands of other VMs, and provides those of this VM.
     pub driver: driver::Driver,
 }
 
 impl DigestController {
-    /// Runs for ever.
+    /// Runs until cancelled.
     pub async fn run(self) {
         let mut events = self.gossip.subscribe();
         let mut subjects = SubjectIndex::default();
@@ -44,7 +44,7 @@
             tokio::select! {
                 event = events.recv() => match event {
                     Ok(event) => self.handle(&event, &mut subjects),
-                    // Digests that were lost age out and come again.
+                    // Lost digests expire and are replaced by the next ones.
                     Err(broadcast::error::RecvError::Lagged(lost)) => {
                         metrics::counter!("pollenchute_entry_gossip_events_lost_total").increment(lost);
                     }
@@ -120,7 +120,8 @@
         serving.map(|member| member.name.clone()).collect()
     }
 
-    /// Tells of this VM's work, and each organisation's other entry VMs what it asks of this one.
+    /// Publishes this VM's work to the region, and the demand of each organisation on this VM to the
+    /// organisation's other entry VMs.
     async fn publish(&self, peers: Vec<String>) {
         let (work, demands) = self
             .driver
@@ -197,7 +198,7 @@
     }
 }
 
-/// Organisations by the hash under which digests name them, for one revision.
+/// Organisations by the hash that identifies them in digests, for one revision.
 #[derive(Debug, Default)]
 struct SubjectIndex {
     revision: u64,
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -1,6 +1,7 @@
-//! HTTP faces of the entry daemon, on rocket.
+//! HTTP interfaces of the entry daemon, built on Rocket.
 //!
-//! Rocket boxes its handlers' futures; nothing of ours on the request path uses `dyn`.
+//! Rocket boxes the futures of its handlers; the project's own code on the request path uses no
+//! `dyn`.
 
 pub mod answer;
 pub mod caller;
--- a/crates/entry/src/http/answer.rs
+++ b/crates/entry/src/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers as rocket sends them.
+//! HTTP answers as Rocket responders.
 
 use std::io;
 
@@ -31,18 +31,18 @@
     pub value: String,
 }
 
-/// A body that is known whole.
+/// A body that is completely in memory.
 #[derive(Clone, Debug)]
 pub struct CompleteBody(pub Bytes);
 
-/// A body that is sent as it comes.
+/// A body that is streamed.
 #[derive(Debug)]
 pub struct StreamBody<S>(pub S);
 
 impl HttpAnswer<CompleteBody> {
-    /// A whole JSON answer.
+    /// Creates a JSON answer.
     pub fn json<T: serde::Serialize>(status: u16, value: &T) -> Self {
-        // Our own types always serialize: they hold no maps with keys that are not text.
+        // The types passed here always serialize: they hold no maps with non-string keys.
         let body = serde_json::to_vec(value).unwrap_or_default();
         let headers = Vec::new();
         Self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A refusal in its envelope, with `Retry-After` when it names a time.
+    /// Creates the answer of a refusal, with `Retry-After` when the refusal has a retry delay.
     pub fn refusal(body: refusal::RefusalBody) -> Self {
         let retry_after = body.retry_after_ms;
         let status = body.code.status();
@@ -68,7 +68,7 @@
         answer
     }
 
-    /// Plain text.
+    /// Creates a plain-text answer.
     pub fn text(status: u16, text: impl Into<String>) -> Self {
         let content_type = "text/plain; charset=utf-8".to_owned();
         let body = CompleteBody(Bytes::from(text.into()));
@@ -105,7 +105,7 @@
 {
     fn respond_to(mut self, _request: &'r rocket::Request<'_>) -> response::Result<'static> {
         let mut builder = start(&mut self);
-        // A buffering relay between us and the caller would hold tokens back.
+        // A buffering proxy between the daemon and the caller would delay tokens.
         builder.raw_header("cache-control", "no-store");
         builder.raw_header("x-accel-buffering", "no");
         builder
@@ -116,7 +116,7 @@
     }
 }
 
-/// Turns pieces of a body into what rocket's reader takes.
+/// Converts the chunks of a body to the cursors that Rocket's reader takes.
 trait CursorStream: stream::Stream<Item = Bytes> + Sized {
     fn map_cursor(self) -> impl stream::Stream<Item = io::Cursor<Bytes>> {
         futures_util::StreamExt::map(self, io::Cursor::new)
--- a/crates/entry/src/http/caller.rs
+++ b/crates/entry/src/http/caller.rs
@@ -1,4 +1,4 @@
-//! The face towards callers.
+//! The HTTP API for callers.
 
 use std::sync;
 
@@ -15,12 +15,12 @@
 type CompleteAnswer = answer::HttpAnswer<answer::CompleteBody>;
 type StreamAnswer = answer::HttpAnswer<answer::StreamBody<flow::pipe::CallerStream>>;
 
-/// Either kind of answer to a call for a generation.
+/// Answer to a call for a generation.
 #[derive(Debug, rocket::Responder)]
 pub enum GenerationAnswer {
-    /// Known whole.
+    /// A complete answer.
     Complete(CompleteAnswer),
-    /// Sent as it comes.
+    /// A streamed answer.
     Stream(StreamAnswer),
 }
 
@@ -29,7 +29,7 @@
 const EVENT_STREAM: &str = "text/event-stream";
 const JSON: &str = "application/json";
 
-/// Routes of the face towards callers.
+/// Routes of the callers' API.
 #[must_use]
 pub fn routes() -> Vec<rocket::Route> {
     rocket::routes![
@@ -92,7 +92,7 @@
     }
 }
 
-/// Accepts work to be fetched later.
+/// Accepts a job whose result is fetched later.
 async fn accept(
     head: head::CallHead,
     api: body::CompletionApi,
@@ -126,7 +126,7 @@
     }
 }
 
-/// State of work that is not finished.
+/// State of a job that is not finished.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 struct RequestState {
@@ -254,7 +254,7 @@
     }
 }
 
-/// Reads a JSON body within the bound.
+/// Reads a JSON body within the size limit.
 async fn read_json(
     head: &head::CallHead,
     data: data::Data<'_>,
@@ -271,7 +271,7 @@
     read_body(data, entry).await
 }
 
-/// Reads a body within the bound.
+/// Reads a body within the size limit.
 pub(crate) async fn read_body(
     data: data::Data<'_>,
     entry: &state::EntryState,
@@ -295,7 +295,7 @@
     answer::HttpAnswer::refusal(refusal::RefusalBody::not_run(code, message))
 }
 
-/// One model in the list that client libraries read.
+/// One model in the list format of common client libraries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 struct ModelLine {
@@ -305,7 +305,7 @@
     owned_by: &'static str,
 }
 
-/// The list of models that client libraries read.
+/// The list of models in the format of common client libraries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 struct ModelList {
@@ -350,7 +350,7 @@
     ))
 }
 
-/// One entry VM as callers are told it.
+/// One entry VM as advertised to callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 struct EntryLine {
@@ -358,7 +358,7 @@
     address: String,
 }
 
-/// The entry VMs of one organisation.
+/// The entry VMs advertised to one organisation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 struct EntryList {
--- a/crates/entry/src/http/catch.rs
+++ b/crates/entry/src/http/catch.rs
@@ -1,4 +1,4 @@
-//! Typed answers for what rocket refuses on its own.
+//! Refusal bodies for errors that Rocket raises itself.
 
 use base::refusal;
 
@@ -6,7 +6,7 @@
 
 type CompleteAnswer = answer::HttpAnswer<answer::CompleteBody>;
 
-/// The catchers for every status that rocket raises itself.
+/// Catchers for every status that Rocket raises itself.
 #[must_use]
 pub fn catchers() -> Vec<rocket::Catcher> {
     rocket::catchers![not_found, any]
@@ -35,7 +35,7 @@
     let message = format!("the request was refused with status {status}; check its form");
     let mut body = refusal::RefusalBody::not_run(code, message);
     if code == refusal::RefusalCode::Internal {
-        // A handler that failed may have started something.
+        // The failed handler may have started the request.
         body = body.ran(base::outcome::RanState::Unknown);
     }
     let mut answer = answer::HttpAnswer::refusal(body);
--- a/crates/entry/src/http/head.rs
+++ b/crates/entry/src/http/head.rs
@@ -1,22 +1,22 @@
-//! The headers of a caller's request that the system reads.
+//! Headers of a caller's request that the daemon evaluates.
 
 use std::convert;
 
 use base::class;
 use rocket::{http, request};
 
-/// The headers of a caller's request that the system reads.
+/// Headers of a caller's request that the daemon evaluates.
 #[derive(Clone, Debug, Default)]
 pub struct CallHead {
     /// Key of the caller, from `Authorization: Bearer`.
     pub api_key: Option<String>,
-    /// Class asked for in `X-Traffic-Class`; the rules decide.
+    /// Class requested in `X-Traffic-Class`; the rules decide whether it applies.
     pub requested_class: Option<class::TrafficClass>,
-    /// Whether `Prefer: respond-async` asks for an answer to be fetched later.
+    /// Whether `Prefer: respond-async` was sent, so that the answer is fetched later.
     pub respond_async: bool,
     /// The `Idempotency-Key` header.
     pub idempotency_key: Option<String>,
-    /// How long the caller waits, from `X-Time-Limit-Ms`.
+    /// Time limit of the caller, from `X-Time-Limit-Ms`.
     pub time_limit_ms: Option<u64>,
     /// The content type, lower case, without parameters.
     pub content_type: Option<String>,
--- a/crates/entry/src/http/health.rs
+++ b/crates/entry/src/http/health.rs
@@ -1,4 +1,4 @@
-//! Liveness, readiness and metrics.
+//! Liveness, readiness and metrics endpoints.
 
 use std::sync;
 
@@ -9,7 +9,7 @@
 
 type CompleteAnswer = answer::HttpAnswer<answer::CompleteBody>;
 
-/// Routes of health and metrics.
+/// Routes of the health and metrics endpoints.
 #[must_use]
 pub fn routes() -> Vec<rocket::Route> {
     rocket::routes![healthz, readyz, metrics]
--- a/crates/entry/src/http/ops.rs
+++ b/crates/entry/src/http/ops.rs
@@ -1,4 +1,4 @@
-//! The face towards operators.
+//! The HTTP API for operators.
 
 use std::sync;
 
@@ -14,7 +14,7 @@
 type OpsAnswer = Result<CompleteAnswer, CompleteAnswer>;
 type Entry = State<sync::Arc<state::EntryState>>;
 
-/// Routes of the face towards operators.
+/// Routes of the operators' API.
 #[must_use]
 pub fn routes() -> Vec<rocket::Route> {
     rocket::routes![
@@ -47,7 +47,7 @@
 ) -> Result<T, CompleteAnswer> {
     let bytes = caller::read_body(data, entry).await?;
     serde_json::from_slice(&bytes).map_err(|error| {
-        let message = format!("the body is not understood ({error}); see docs/INTERFACES.md");
+        let message = format!("the body cannot be parsed ({error}); see docs/INTERFACES.md");
         bad(refusal::RefusalCode::BadRequest, message)
     })
 }
@@ -67,7 +67,7 @@
     allow(entry, &head)?;
     let wanted = revision.unwrap_or_else(|| entry.book.snapshot().revision());
     let Some(body) = entry.book.configuration(wanted) else {
-        let message = format!("revision {wanted} is not remembered here; see GET /ops/history");
+        let message = format!("revision {wanted} is not retained here; see GET /ops/history");
         return Err(bad(refusal::RefusalCode::NotFound, message));
     };
     ok(&body)
--- a/crates/entry/src/http/serve.rs
+++ b/crates/entry/src/http/serve.rs
@@ -1,4 +1,4 @@
-//! Runs rocket on the callers' address.
+//! Runs the Rocket server on the callers' address.
 
 use std::{net, sync, time::Duration};
 
@@ -11,7 +11,7 @@
     state,
 };
 
-/// Longest wait for the address to be listened on.
+/// Timeout for the server to start listening.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Starts the HTTP server; returns once it listens, with its bound address.
@@ -60,7 +60,7 @@
     Ok((server, address, shutdown))
 }
 
-/// Rocket's error type panics when it is dropped unseen; its text counts as seen.
+/// Formats an error, because Rocket's error type panics if it is dropped without being inspected.
 fn describe(error: rocket::Error) -> String {
     error.to_string()
 }
@@ -92,7 +92,7 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
             .take();
         if let Some(sender) = sender {
-            // Nobody listens any more when the start was given up.
+            // The receiver is dropped when the start has failed or timed out.
             let _ = sender.send(address);
         }
         Box::pin(async {})
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry daemon: HTTP faces, controllers and the wiring of the other crates.
+//! The entry daemon: HTTP interfaces, controllers and the wiring of the other crates.
 //!
 //! Every entry VM runs the same daemon. `daemon` starts everything and stops it in order,
-//! `http` holds the faces towards callers and operators, `adapt` binds the request plane's ports
-//! to the scheduler and to the log.
+//! `http` holds the APIs for callers and operators, `adapt` implements the request plane's ports
+//! with the scheduler and the log.
 
 pub mod adapt;
 pub mod assemble;
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -4,11 +4,11 @@
 
 use carry::{logging, output, signals};
 use entry::{daemon, settings};
-// Linked for its constructor: signals are held until `start_runtime` catches them.
+// Linked for its constructor: signals are blocked until `start_runtime` catches them.
 use startup as _;
 use tokio::runtime;
 
-/// The entry daemon of pollenchute: takes callers' requests, decides, relays.
+/// The entry daemon of pollenchute: accepts, schedules and relays the requests of callers.
 ///
 /// Examples:
 ///   pollenchuted --config entry-1.jsonc
@@ -26,17 +26,17 @@
     log_level: Option<String>,
 }
 
-/// Libraries whose lines tell of single requests; `_` is rocket's target for indented ones.
+/// Libraries that log single requests; `_` is Rocket's target for indented lines.
 const QUIET_MODULES: [&str; 4] = ["rocket", "_", "hyper", "reqwest"];
 
-/// How the program ends.
+/// Exit codes of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ExitCode {
-    /// It did what was asked.
+    /// The program completed normally.
     Success = 0,
-    /// It could not start or run.
+    /// The daemon could not start or run.
     Failure = 1,
-    /// The settings are wrong.
+    /// The settings are invalid.
     BadSettings = 2,
 }
 
@@ -80,7 +80,7 @@
     match output::LineWriter::stdout() {
         Ok(writer) => logging::SampledLog::new(logger, writer).install(),
         Err(error) => {
-            output::write_fatal(&format!("no thread for the log: {error}"));
+            output::write_fatal(&format!("cannot create the log thread: {error}"));
             return ExitCode::Failure.into();
         }
     }
@@ -98,7 +98,7 @@
     Ok(settings)
 }
 
-/// A runtime, and the signals that it catches from now on.
+/// Creates the runtime and installs its signal handlers.
 fn start_runtime() -> io::Result<(runtime::Runtime, signals::StopSignals)> {
     let runtime = runtime::Builder::new_multi_thread().enable_all().build()?;
     let entered = runtime.enter();
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -1,4 +1,5 @@
-//! The entry VMs as this process sees them. Hints of liveness; nothing safe rests on them.
+//! The entry VMs as this process observes them. Their liveness is only a hint; no safety property
+//! depends on it.
 
 use std::{collections, net, sync};
 
@@ -6,17 +7,17 @@
 use conf::snapshot;
 use lease::choice;
 
-/// One entry VM as this process sees it.
+/// One entry VM as this process observes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownMember {
-    /// What operators are shown.
+    /// Status for the operators' API.
     pub status: ops::MemberStatus,
-    /// Where it takes frames and datagrams of other entry VMs.
+    /// Address for frames and datagrams of other entry VMs.
     pub peers: net::SocketAddr,
 }
 
 impl KnownMember {
-    /// A VM of the inventory that was not heard of.
+    /// Creates a VM of the inventory that gossip has not reported yet.
     #[must_use]
     pub fn from_inventory(vm: &snapshot::VmView) -> Self {
         let status = ops::MemberStatus {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// A VM that was heard of and is not in the inventory, such as one that was just removed.
+    /// Creates a VM that gossip reports but the inventory lacks, such as one that was just removed.
     #[must_use]
     pub fn unlisted(name: &str, peers: net::SocketAddr) -> Self {
         let status = ops::MemberStatus {
@@ -59,11 +60,11 @@
 pub struct MemberChange {
     /// Its name.
     pub vm: String,
-    /// Its state now.
+    /// Its new state.
     pub state: ops::HealthState,
 }
 
-/// What is known of the entry VMs.
+/// Known entry VMs by name.
 #[derive(Debug)]
 pub struct MemberTable {
     /// Name of this VM.
@@ -72,7 +73,7 @@
 }
 
 impl MemberTable {
-    /// A table that knows nobody but `own`.
+    /// Creates an empty table for the VM named `own`.
     #[must_use]
     pub fn new(own: String) -> Self {
         Self {
@@ -87,7 +88,7 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Replaces what is known; returns whose state changed.
+    /// Replaces all members; returns those whose state changed.
     pub fn replace(&self, members: Vec<KnownMember>) -> Vec<MemberChange> {
         let next: collections::BTreeMap<String, KnownMember> = members
             .into_iter()
@@ -112,10 +113,10 @@
             .collect()
     }
 
-    /// Whether callers may be told this entry VM.
+    /// Whether this entry VM is advertised to callers.
     ///
-    /// One that is not heard of is named all the same: a caller that finds it dead asks the
-    /// next, while one that is never named serves nobody.
+    /// A VM that gossip has not reported is advertised too: a caller that finds it dead tries the
+    /// next one, while a VM that is never advertised receives no requests.
     #[must_use]
     pub fn is_named(&self, snapshot: &snapshot::ConfigSnapshot, vm: id::VmKey) -> bool {
         let Some(view) = snapshot.vm(vm) else {
@@ -129,13 +130,13 @@
         })
     }
 
-    /// Where another entry VM takes frames.
+    /// Address at which another entry VM takes frames.
     #[must_use]
     pub fn peer_address(&self, vm: &str) -> Option<net::SocketAddr> {
         self.read().get(vm).map(|member| member.peers)
     }
 
-    /// Names of the members that answer, this VM among them.
+    /// Names of the live members, this VM included.
     #[must_use]
     pub fn live_names(&self) -> Vec<String> {
         let mut names = self.live_peers();
@@ -143,7 +144,7 @@
         names
     }
 
-    /// Names of the other members that answer.
+    /// Names of the other live members.
     #[must_use]
     pub fn live_peers(&self) -> Vec<String> {
         self.read()
@@ -159,7 +160,7 @@
             .collect()
     }
 
-    /// The other members that answer, with their regions.
+    /// The other live members, with their regions.
     #[must_use]
     pub fn live_regions(&self) -> Vec<choice::RegionMember> {
         let table = self.read();
@@ -178,7 +179,7 @@
             .collect()
     }
 
-    /// All that is known, by name.
+    /// Status of all known members, sorted by name.
     #[must_use]
     pub fn list(&self) -> Vec<ops::MemberStatus> {
         self.read()
--- a/crates/entry/src/observation.rs
+++ b/crates/entry/src/observation.rs
@@ -1,5 +1,5 @@
-//! What was seen of backend servers and of the rules, in the words of the decision core and of the
-//! operators' face.
+//! Converts the observed state of backend servers and the rules to the types of the decision core
+//! and of the operators' API.
 
 use base::{class, ops};
 use conf::{inventory, snapshot};
@@ -8,7 +8,7 @@
 
 use crate::{roster, watch};
 
-/// Where this process stands.
+/// Location of this process.
 #[derive(Clone, Debug)]
 pub struct OwnPlace {
     /// Name of this VM.
@@ -19,7 +19,7 @@
     pub failure_domain: String,
 }
 
-/// The decision core's settings by the rules in force.
+/// Creates the decision core's settings from the rules in force.
 pub(crate) fn policy_settings(
     snapshot: &snapshot::ConfigSnapshot,
     place: view::ServerLocation,
@@ -43,7 +43,7 @@
     }
 }
 
-/// An organisation's limits and weight as the decision core takes them.
+/// Converts an organisation's limits and weight for the decision core.
 pub(crate) fn plan(rule: &conf::rules::OrganisationRule) -> settings::OrganisationPlan {
     settings::OrganisationPlan {
         weight: rule.weight,
@@ -53,7 +53,7 @@
     }
 }
 
-/// An engine's report as the decision core takes it.
+/// Converts an engine's report for the decision core.
 pub(crate) fn load_report(report: &watch::LoadBody, now: time::Instant) -> view::LoadReport {
     let age = std::time::Duration::from_millis(report.taken_ms_ago);
     view::LoadReport {
@@ -67,7 +67,7 @@
     }
 }
 
-/// A backend server as operators are shown it.
+/// Status of a backend server for the operators' API.
 pub(crate) fn server_status(
     server: &snapshot::ServerView,
     observation: &watch::ServerObservation,
--- a/crates/entry/src/peer_service.rs
+++ b/crates/entry/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! What this daemon does for other entry VMs.
+//! Serves the calls of other entry VMs.
 
 use std::sync;
 
@@ -33,7 +33,9 @@
 }
 
 fn malformed(error: impl std::fmt::Display) -> server::CallFailure {
-    let message = format!("the body is not understood ({error}); compare releases");
+    let message = format!(
+        "the body cannot be parsed ({error}); check that all entry VMs run compatible releases"
+    );
     failure(peer::FailureKind::Refused, message)
 }
 
@@ -45,7 +47,7 @@
             .map_err(|error| failure(peer::FailureKind::Unknown, error.to_string()))
     }
 
-    /// A part of the state in force.
+    /// Returns a part of the encoded state in force.
     fn configuration(
         &self,
         from_byte: u64,
@@ -114,7 +116,9 @@
             peers::ADOPTED => self.adopted(&extension.body)?,
             peers::SUSPECTS => self.suspects(&extension.body)?,
             name => {
-                let message = format!("there is no extension \"{name}\"; compare releases");
+                let message = format!(
+                    "there is no extension \"{name}\"; check that all entry VMs run compatible releases"
+                );
                 return Err(failure(peer::FailureKind::Unsupported, message));
             }
         };
--- a/crates/entry/src/publish.rs
+++ b/crates/entry/src/publish.rs
@@ -1,4 +1,4 @@
-//! Appends an operator's change to the log and waits for what the log decides.
+//! Appends an operator's change to the log and waits for its outcome.
 
 use std::time::Duration;
 
@@ -9,10 +9,11 @@
 
 use crate::{configure, state};
 
-/// Longest wait for the decision.
+/// Timeout for the decision.
 const DECISION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Publishes one change. Sending the same ask again is harmless: a record's id counts once.
+/// Publishes one change. Repeating a request is harmless, because only the first record with an id
+/// is applied.
 ///
 /// # Errors
 ///
@@ -21,7 +22,7 @@
     entry: &state::EntryState,
     request: ops::PublishAsk,
 ) -> Result<ops::PublishAnswer, refusal::RefusalBody> {
-    // An ask that was sent before and decided needs no second record.
+    // A repeated request that was decided already needs no second record.
     if let Some(decided) = entry.book.decided(request.record) {
         return Ok(answer(&request, decided));
     }
@@ -37,7 +38,7 @@
     for record in change.records() {
         match entry.log.append(configure::STREAM, record.into()).await {
             Ok(_) => appended = true,
-            // The record may be on the log all the same; reading on tells.
+            // The record may be on the log nevertheless; reading the log shows it.
             Err(error) if error.may_have_taken_effect() => appended = true,
             Err(error) if appended => {
                 return Ok(ops::PublishAnswer::Undecided {
@@ -57,7 +58,7 @@
             .await
             .is_err()
         {
-            let reason = "the log did not show the change in time; send the same ask again";
+            let reason = "the log did not show the change in time; send the same request again";
             return Ok(ops::PublishAnswer::Undecided {
                 reason: reason.to_owned(),
             });
@@ -65,7 +66,7 @@
     }
 }
 
-/// How soon a change that the log did not take should be published again.
+/// Retry delay for a change that the log did not accept.
 const LOG_DOWN_RETRY_MS: u64 = 2_000;
 
 fn not_appended(error: &client::AppendError) -> refusal::RefusalBody {
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -4,7 +4,7 @@
 
 use std::{net, time};
 
-/// Bytes of a cluster key.
+/// Length of a cluster key, in bytes.
 pub const CLUSTER_KEY_BYTES: usize = 32;
 
 /// Settings of one entry daemon, read once at start.
@@ -12,32 +12,32 @@
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSettings {
-    /// Name of this VM; the inventory uses the same.
+    /// Name of this VM, as in the inventory.
     pub vm: String,
     /// Region of this VM.
     pub region: String,
     /// Failure domain of this VM.
     pub failure_domain: String,
-    /// Where callers and operators connect; port 0 takes a free one.
+    /// Listen address for callers and operators; port 0 selects a free port.
     #[schemars(extend("format" = "socket-address"))]
     pub callers: net::SocketAddr,
-    /// Where the other entry VMs connect, TCP and UDP; port 0 takes a free one.
+    /// Listen address for other entry VMs, TCP and UDP; port 0 selects a free port.
     #[schemars(extend("format" = "socket-address"))]
     pub peers: net::SocketAddr,
-    /// Where the platform's services listen.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
     /// Keys shared by all entry VMs, the current one first; two while a key is rotated.
     pub cluster_keys: Vec<ClusterKey>,
-    /// Other entry VMs to ask while no configuration is known, so that a fresh VM finds the rest
-    /// also while the log is down; a few suffice.
+    /// Other entry VMs to contact while no configuration is known, so that a new VM finds the
+    /// others even while the log is down; a few suffice.
     #[serde(default)]
     pub seeds: Vec<SeedSettings>,
-    /// Bounds on what this daemon takes.
+    /// Limits of this daemon.
     #[serde(default)]
     pub bounds: BoundSettings,
 }
 
-/// One entry VM to ask while no configuration is known.
+/// One entry VM to contact while no configuration is known.
 #[derive(Clone, Debug)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -48,12 +48,12 @@
     pub region: String,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Where other entry VMs connect.
+    /// Its address for other entry VMs.
     #[schemars(extend("format" = "socket-address"))]
     pub peers: net::SocketAddr,
 }
 
-/// Where the platform's services listen.
+/// Addresses of the platform's services.
 #[derive(Clone, Debug)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -74,7 +74,7 @@
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterKey {
-    /// Number that names the key in frames and tokens.
+    /// Number that identifies the key in frames and tokens.
     pub id: u8,
     /// 32 bytes in hexadecimal.
     pub secret: String,
@@ -89,30 +89,30 @@
     }
 }
 
-/// Bounds on what one daemon takes.
+/// Limits of one daemon.
 #[derive(Clone, Debug)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BoundSettings {
-    /// Largest request body in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Events kept for the time line.
+    /// Maximum number of events kept for the time line.
     pub timeline_events: usize,
-    /// How long a stopping daemon goes on taking requests after it stopped being named to
-    /// callers, in milliseconds; callers that keep its address longer are refused and told so.
+    /// Time for which a stopping daemon still accepts requests after it is no longer advertised to
+    /// callers, in milliseconds. Callers that use its address for longer get a refusal that says so.
     pub notice_ms: u64,
-    /// How long a stopping daemon then waits for what runs, in milliseconds.
+    /// Time for which a stopping daemon then waits for running requests, in milliseconds.
     pub drain_ms: u64,
 }
 
 impl BoundSettings {
-    /// How long a stopping daemon goes on taking requests.
+    /// Time for which a stopping daemon still accepts requests.
     #[must_use]
     pub const fn notice(&self) -> time::Duration {
         time::Duration::from_millis(self.notice_ms)
     }
 
-    /// How long a stopping daemon then waits for what runs.
+    /// Time for which a stopping daemon then waits for running requests.
     #[must_use]
     pub const fn drain(&self) -> time::Duration {
         time::Duration::from_millis(self.drain_ms)
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What the HTTP faces and the controllers of one daemon share.
+//! State shared by the HTTP interfaces and the controllers of one daemon.
 
 use std::sync;
 
@@ -8,23 +8,23 @@
 
 use crate::{chronicle, configure, http::head, members, placement, ports, roster, settings};
 
-/// Everything that runs in one daemon.
+/// Shared components of one daemon.
 pub struct EntryState {
-    /// The daemon's own settings; the same for its whole life.
+    /// The daemon's own settings; constant while the process runs.
     pub settings: settings::DaemonSettings,
-    /// This life of this process.
+    /// Incarnation of this process.
     pub incarnation: id::Incarnation,
     /// The configuration in force.
     pub book: sync::Arc<configure::ConfigBook>,
-    /// The backend servers as this process sees them.
+    /// The backend servers as this process observes them.
     pub roster: sync::Arc<roster::ServerRoster>,
-    /// The other entry VMs as this process sees them.
+    /// The other entry VMs as this process observes them.
     pub members: sync::Arc<members::MemberTable>,
     /// The time line of this process.
     pub chronicle: chronicle::Chronicle,
     /// Leases on engines and models.
     pub leases: sync::Arc<lease::driver::LeaseDriver<ledger::http::HttpLog>>,
-    /// Models on engines, as this VM last found them while it placed them.
+    /// Placement of the models, as this VM last observed it.
     pub placement: sync::Arc<placement::PlacementBoard>,
     /// The decision core.
     pub driver: sched::driver::Driver,
@@ -34,7 +34,7 @@
     pub log: ledger::http::HttpLog,
     /// Membership of this daemon.
     pub gossip: gossip::handle::GossipHandle,
-    /// Where other entry VMs connect.
+    /// Address for other entry VMs.
     pub peers: std::net::SocketAddr,
     /// Renders the metrics of this process.
     pub metrics: Option<metrics_exporter_prometheus::PrometheusHandle>,
@@ -62,7 +62,7 @@
         ops::ReadyState::Ready
     }
 
-    /// Whether this life of this VM is known to be leaving, from any source.
+    /// Whether this incarnation of this VM is known to be leaving, from any source.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         let seen = self.gossip.snapshot();
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// A refusal without a configuration, without a key or with one that is not known.
+    /// A refusal when there is no configuration, or when the key is missing or unknown.
     pub fn organisation(
         &self,
         head: &head::CallHead,
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// A refusal without a key or with one that is not known.
+    /// A refusal when the key is missing or unknown.
     pub fn operator(&self, head: &head::CallHead) -> Result<String, refusal::RefusalBody> {
         let key = head
             .api_key
@@ -107,8 +107,9 @@
             .ok_or_else(|| unauthenticated("there is no operator key"))?;
         let snapshot = self.book.snapshot();
         if snapshot.revision() == 0 {
-            // The first configuration brings the operators' keys; whoever can reach the log can
-            // write it, so refusing here would protect nothing and make the start impossible.
+            // The operators' keys come with the first configuration. Anyone who can reach the log
+            // can write that configuration, so a refusal here would protect nothing and make the
+            // first start impossible.
             return Ok("bootstrap".to_owned());
         }
         snapshot
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -1,11 +1,11 @@
-//! One VM's whole view for the operators' face.
+//! Status of the system as this VM sees it, for the operators' API.
 
 use base::{class, ops};
 use tokio::time;
 
 use crate::{clock, state};
 
-/// The whole view of this VM.
+/// Returns the status of the system as this VM sees it.
 #[must_use]
 pub fn status(entry: &state::EntryState) -> ops::StatusBody {
     let now_ms = clock::unix_ms();
--- a/crates/entry/src/vm_list.rs
+++ b/crates/entry/src/vm_list.rs
@@ -1,4 +1,5 @@
-//! The platform's lagging list of live and leaving VMs: one more source of what is leaving.
+//! The platform's eventually consistent list of live and leaving VMs, a further source of leaving
+//! VMs.
 
 use std::{sync, time::Duration};
 
@@ -9,9 +10,9 @@
 
 use crate::{chronicle, configure, roster};
 
-/// Time between two looks at the list.
+/// Interval between two polls of the list.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait for the list.
+/// Timeout of one poll.
 const POLL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// One VM of the list.
@@ -29,9 +30,9 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// It runs, or ran when the list was made.
+    /// The VM is running, or was when the list was made.
     Live,
-    /// It will be taken away.
+    /// The VM will be removed.
     Leaving,
 }
 
@@ -43,30 +44,30 @@
     pub vms: Vec<ListedVm>,
 }
 
-/// Reads the list and believes what is leaving.
+/// Polls the list and marks the VMs that it lists as leaving.
 ///
-/// What the list calls live is not believed of a server known to be leaving: the list lags, and
-/// leaving is never unlearnt for one life.
+/// A server known to be leaving stays so even if the list shows it as live: the list lags, and a
+/// leaving mark is permanent for one incarnation.
 #[derive(Clone, Debug)]
 pub struct ListController {
-    /// Connections for the list alone.
+    /// HTTP client used only for the list.
     pub http: reqwest::Client,
-    /// Where the list is.
+    /// URL of the list.
     pub url: String,
     /// The configuration in force.
     pub book: sync::Arc<configure::ConfigBook>,
-    /// Told of backend servers that are leaving.
+    /// Receives the backend servers that are leaving.
     pub roster: sync::Arc<roster::ServerRoster>,
-    /// Told when this VM is leaving.
+    /// Announces that this VM is leaving.
     pub gossip: handle::GossipHandle,
-    /// This life of this process.
+    /// Incarnation of this process.
     pub incarnation: id::Incarnation,
-    /// Told of changes of state.
+    /// Records changes of state.
     pub chronicle: chronicle::Chronicle,
 }
 
 impl ListController {
-    /// Runs for ever.
+    /// Runs until cancelled.
     pub async fn run(self) {
         let mut tick = time::interval(POLL_INTERVAL);
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -116,7 +117,7 @@
         }
     }
 
-    /// This VM stops being named to callers; it goes on serving until its process is told to stop.
+    /// Stops advertising this VM to callers; it continues to serve until its process is stopped.
     async fn leave_self(&self) {
         let name = self.gossip.identity().name.clone();
         log::info!(vm = name.as_str(), source = "VM list"; "this entry VM is leaving");
--- a/crates/entry/tests/early_signals.rs
+++ b/crates/entry/tests/early_signals.rs
@@ -1,4 +1,4 @@
-//! The program while it starts.
+//! Signals sent to the program while it starts.
 
 #[path = "../../carry/tests/starting/mod.rs"]
 mod starting;
@@ -7,10 +7,9 @@
 
 #[test]
 fn a_signal_while_settings_are_read_does_not_end_the_process() {
-    // Symptom: an entry VM is gone, with nothing in its log.
-    // Sequence: it is told of new settings, or to stop, before it has read its first ones.
-    // Cause: signals asked for only once all else was set up, and SIGHUP never: until then a signal
-    // ends a process by the system's default.
+    // Guards against an entry daemon that ends without a log line: it receives SIGHUP or SIGTERM
+    // before it has read its settings. Until handlers are installed, the default action of a signal
+    // ends the process, so handlers must be installed first, also for SIGHUP.
     for (number, signal) in [rustix::process::Signal::HUP, rustix::process::Signal::TERM]
         .into_iter()
         .enumerate()
@@ -26,7 +25,7 @@
             .stderr(process::Stdio::null())
             .spawn()
             .expect("pollenchuted starts");
-        // Opening it waits for the process to open it too; that then waits for the text.
+        // Opening the pipe blocks until the process opens it too and waits for the text.
         let mut pipe = fs::OpenOptions::new()
             .write(true)
             .open(&path)
@@ -34,7 +33,7 @@
         let id = rustix::process::Pid::from_child(&child);
         rustix::process::kill_process(id, signal).expect("signal");
         thread::sleep(time::Duration::from_millis(100));
-        // Were the process gone, nobody would read this.
+        // The write fails if the process has ended.
         let read = pipe.write_all(b"no settings");
         drop(pipe);
         let status = child.wait().expect("ended");
@@ -45,7 +44,11 @@
 
 #[test]
 fn no_signal_ends_a_process_that_has_begun() {
-    // Guards against a signal that comes after the process has begun and before it catches signals.
+    // Guards against a signal that arrives after the start of the process and before its handlers
+    // are installed.
     let unprotected = starting::unprotected_starts(env!("CARGO_BIN_EXE_pollenchuted"));
-    assert_eq!(unprotected, 0, "starts");
+    assert_eq!(
+        unprotected, 0,
+        "starts during which a signal ends the process"
+    );
 }
--- a/crates/entry/tests/reference.rs
+++ b/crates/entry/tests/reference.rs
@@ -1,6 +1,6 @@
-//! The committed schema, the operators' page and the example settings are those of the type.
+//! Checks that the committed schema, the operators' page and the example settings match the type.
 //!
-//! `POLLENCHUTE_WRITE_REFERENCE=1 cargo test -p entry --test reference` writes the first two anew.
+//! `POLLENCHUTE_WRITE_REFERENCE=1 cargo test -p entry --test reference` regenerates the first two.
 
 use std::{env, fs, path};
 
@@ -49,18 +49,18 @@
         let file = format!("examples/pass-works/{vm}.jsonc");
         let text = fs::read_to_string(path_of(&file)).expect("the example is committed");
         let settings: settings::DaemonSettings =
-            conf::settings::parse(&file, &text).expect("the example has no fault");
+            conf::settings::parse(&file, &text).expect("the example is valid");
         daemon::check(&settings).expect("its keys can be used");
         assert_eq!(settings.vm, vm);
     }
 }
 
 #[test]
-fn a_wrong_setting_is_told_with_its_line_and_a_remedy() {
+fn a_wrong_setting_is_reported_with_its_line_and_a_remedy() {
     let text = "{\n  \"vm\": \"entry-1\",\n  \"regoin\": \"hcmc\",\n}";
     let faults = conf::settings::parse::<settings::DaemonSettings>("entry.jsonc", text)
         .expect_err("the settings are wrong");
-    let told = faults.to_string();
-    assert!(told.contains("entry.jsonc:3:"), "{told}");
-    assert!(told.contains("region"), "{told}");
+    let message = faults.to_string();
+    assert!(message.contains("entry.jsonc:3:"), "{message}");
+    assert!(message.contains("region"), "{message}");
 }
--- a/crates/entry/tests/service_pool.rs
+++ b/crates/entry/tests/service_pool.rs
@@ -1,4 +1,4 @@
-//! Which plain service server gets a call.
+//! Selection of the plain service server for a call.
 
 use std::{collections, sync, time::Duration};
 
@@ -21,13 +21,13 @@
     candidates: &[service_pool::PoolCandidate],
 ) -> service_pool::ServiceSlot {
     let slot = pool.try_take(candidates, time::Instant::now());
-    slot.expect("there is room")
+    slot.expect("a slot is free")
 }
 
-/// Symptom: callers of a service are told `overloaded` for seconds while two of its three servers
-/// idle.
-/// Sequence: one server dies; calls that it refuses end at once, so it stays the least busy one.
-/// Cause: a failed call did not count against its server, and health checks come every ten seconds.
+/// Guards against answering `overloaded` for seconds while two of a service's three servers are
+/// idle. Calls refused by a dead server end at once, so it stays the least busy one; unless a failed
+/// call counts against its server, it is selected until the next health check, up to ten seconds
+/// later.
 #[tokio::test(start_paused = true)]
 async fn a_server_that_failed_a_call_is_taken_last_for_a_while() {
     let pool = sync::Arc::new(service_pool::ServicePool::default());
@@ -43,12 +43,16 @@
         .copied()
         .filter(|candidate| candidate.server == dead)
         .collect();
-    assert_eq!(take(&pool, &alone).server(), dead, "better than none");
+    assert_eq!(
+        take(&pool, &alone).server(),
+        dead,
+        "the failed server is used when there is no other"
+    );
     time::advance(Duration::from_secs(2)).await;
     let taken = (0..3).map(|_| take(&pool, &candidates).server());
     assert!(
         taken.collect::<Vec<_>>().contains(&dead),
-        "it is tried again"
+        "the failed server is used again after the penalty"
     );
 }
 
--- a/crates/protogen/src/lib.rs
+++ b/crates/protogen/src/lib.rs
@@ -1,11 +1,11 @@
-//! Turns `.proto` files into Rust, without a compiler for protocol buffers on the machine.
+//! Generates Rust code from `.proto` files without a `protoc` installation.
 
 use std::{collections, io, path};
 
-/// Packages, each in a `.proto` file of that name.
+/// Protocol buffer packages, each in a `.proto` file of the same name.
 pub const PACKAGES: [&str; 3] = ["envelope", "gossip", "peer"];
 
-/// The generated files by name, from the `.proto` files in the directory `proto`.
+/// Generates the Rust files, by name, from the `.proto` files in the directory `proto`.
 ///
 /// # Errors
 /// When a file cannot be read or is not valid.
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -1,13 +1,13 @@
-//! What a daemon does before `main`.
+//! Blocks the stop signals of a daemon before `main`.
 //!
-//! A program that links this crate holds back its stop signals from its first instructions on, and must
-//! catch them with [`carry::signals::StopSignals::catch`].
+//! A program that links this crate blocks its stop signals from its first instructions on, and must
+//! unblock them with [`carry::signals::StopSignals::catch`].
 
 use carry::signals;
 
-/// A signal that comes before `main` has set up its handlers waits for them.
+/// Blocks the stop signals, so that one sent before `main` has installed its handlers stays pending.
 #[ctor::ctor(unsafe)]
 fn hold_signals() {
-    // Refused, a signal at the start ends the process, as it would without this.
+    // If this fails, a signal during the start ends the process, as it would without this crate.
     let _ = signals::hold();
 }
