--- a/crates/carry/tests/sampling.rs
+++ b/crates/carry/tests/sampling.rs
@@ -222,7 +222,7 @@
     assert_eq!(
         (play.missing, play.failed_missing),
         (0, 0),
-        "{process_lines} process_lines"
+        "{process_lines} lines about the process"
     );
 }
 
--- a/crates/entry/src/assemble.rs
+++ b/crates/entry/src/assemble.rs
@@ -14,8 +14,8 @@
 
 use crate::{
     adapt::{claims, identity as identity_port, jobs, peers, quota, schedule},
-    chronicle, configure, daemon, digests, follow, members, membership, observation, peer_service,
-    placement, ports, roster, settings, state, vm_list, watch,
+    configure, daemon, digests, follow, members, membership, observation, peer_service, placement,
+    ports, recorder, roster, settings, state, vm_list, watch,
 };
 
 /// Maximum size of the time line's ring buffer, in bytes.
@@ -29,7 +29,7 @@
     identity: identity::ProcessIdentity,
     keys: key::KeyHandle,
     token_keys: token::TokenKeys,
-    chronicle: chronicle::Chronicle,
+    recorder: recorder::EventRecorder,
     log: ledger::http::HttpLog,
     book: sync::Arc<configure::ConfigBook>,
     driver: driver::Driver,
@@ -61,7 +61,7 @@
             },
             keys: wire_keys(&settings)?,
             token_keys,
-            chronicle: chronicle::Chronicle::new(journal),
+            recorder: recorder::EventRecorder::new(journal),
             log: ledger::http::HttpLog::new(ledger::http::HttpSettings::at(log_url)),
             book: sync::Arc::default(),
             roster: sync::Arc::new(roster::ServerRoster::new(driver.clone())),
@@ -99,7 +99,7 @@
             quotas: quota::CoreQuota,
             claims: claims::LogClaims::new(router.clone()),
             jobs: jobs::LogJobs::new(router, sync::Arc::clone(&self.book)),
-            events: self.chronicle.clone(),
+            events: self.recorder.clone(),
             clock: identity_port::SystemClock,
             ids: identity_port::RandomIds,
             peers: peers::PeerNotes(caller),
@@ -176,7 +176,7 @@
 ) -> Result<state::EntryState, daemon::StartError> {
     let base = DaemonParts::new(settings, token_keys)?;
     let (listener, peers_address) = listen_for_peers(base.settings.peers).await?;
-    let stamper = base.chronicle.stamper();
+    let stamper = base.recorder.stamper();
     let gossip = gossip::start_stamped(
         membership::gossip_settings(&base.settings, base.identity.clone(), peers_address),
         base.keys.clone(),
@@ -216,7 +216,7 @@
         book: base.book,
         roster: base.roster,
         members: base.members,
-        chronicle: base.chronicle,
+        recorder: base.recorder,
         leases,
         placement: board,
         driver: base.driver,
@@ -257,7 +257,7 @@
         book: sync::Arc::clone(&base.book),
         roster: sync::Arc::clone(&base.roster),
         gossip: gossip.clone(),
-        chronicle: base.chronicle.clone(),
+        recorder: base.recorder.clone(),
     };
     controllers.spawn(watcher.run());
     let digests = digests::DigestController {
@@ -273,7 +273,7 @@
         book: sync::Arc::clone(&base.book),
         members: sync::Arc::clone(&base.members),
         roster: sync::Arc::clone(&base.roster),
-        chronicle: base.chronicle.clone(),
+        recorder: base.recorder.clone(),
     };
     controllers.spawn(member_controller.run());
     let follower = follow::FollowController {
@@ -281,7 +281,7 @@
         book: sync::Arc::clone(&base.book),
         caller: caller.clone(),
         gossip: gossip.clone(),
-        chronicle: base.chronicle.clone(),
+        recorder: base.recorder.clone(),
     };
     controllers.spawn(follower.run());
     let list = vm_list::ListController {
@@ -291,7 +291,7 @@
         roster: sync::Arc::clone(&base.roster),
         gossip: gossip.clone(),
         incarnation: base.identity.incarnation,
-        chronicle: base.chronicle.clone(),
+        recorder: base.recorder.clone(),
     };
     controllers.spawn(list.run());
     Ok(())
@@ -312,7 +312,7 @@
         book: sync::Arc::clone(&base.book),
         members: sync::Arc::clone(&base.members),
         board: sync::Arc::clone(&board),
-        chronicle: base.chronicle.clone(),
+        recorder: base.recorder.clone(),
         http: client()?,
         weight_store: format!("http://{}", base.settings.platform.weight_store),
         vm: base.settings.vm.clone(),
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -91,8 +91,8 @@
     /// Stops gracefully: is no longer advertised to callers, accepts requests for the notice period,
     /// then refuses new ones, finishes or hands over the running ones, and ends.
     pub async fn stop(mut self) {
-        let chronicle = &self.state.chronicle;
-        chronicle.record(kind::EventKind::ProcessStopping {
+        let recorder = &self.state.recorder;
+        recorder.record(kind::EventKind::ProcessStopping {
             reason: "told to stop".to_owned(),
         });
         log::info!(vm = self.state.settings.vm.as_str(); "stopping");
@@ -186,7 +186,7 @@
     let (server, callers, shutdown) = http::serve::serve(sync::Arc::clone(&state)).await?;
     let version = env!("CARGO_PKG_VERSION").to_owned();
     state
-        .chronicle
+        .recorder
         .record(kind::EventKind::ProcessStarted { version });
     log::info!(vm = state.settings.vm.as_str(), callers = callers.to_string().as_str(); "started");
     Ok(RunningDaemon {
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -24,7 +24,7 @@
         log::info!(subject = subject.as_str(), operator = operator; "drain started");
         let source = format!("operator {operator}");
         entry
-            .chronicle
+            .recorder
             .record(kind::EventKind::DrainStarted { subject, source });
     }
     Ok(answer)
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -13,7 +13,7 @@
 use trace::kind;
 use wire::proto::peer;
 
-use crate::{adapt::peers, chronicle, clock, configure};
+use crate::{adapt::peers, clock, configure, recorder};
 
 /// Interval between two ticks of the follower.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
@@ -38,7 +38,7 @@
     /// Announces which revision each other entry VM has in force.
     pub gossip: handle::GossipHandle,
     /// Records changes of state.
-    pub chronicle: chronicle::Chronicle,
+    pub recorder: recorder::EventRecorder,
 }
 
 impl<C: LogClient> FollowController<C> {
@@ -138,7 +138,7 @@
             event::FollowEvent::Page { .. } | event::FollowEvent::Dropped { .. } => {
                 if let Some(down_ms) = self.book.note_answer() {
                     let stream = configure::STREAM.to_owned();
-                    self.chronicle
+                    self.recorder
                         .record(kind::EventKind::LogUp { stream, down_ms });
                 }
                 "log".to_owned()
@@ -149,7 +149,7 @@
                     log::warn!(stream = configure::STREAM; "log does not answer");
                     let stream = configure::STREAM.to_owned();
                     let reason = "a read failed".to_owned();
-                    self.chronicle
+                    self.recorder
                         .record(kind::EventKind::LogDown { stream, reason });
                 }
                 String::new()
@@ -170,7 +170,7 @@
         self.book.put_in_force(state, follower.transfer(), source);
         log::info!(revision = offer.revision, offset = offer.offset, source = source; "configuration in force");
         let (revision, source) = (offer.revision, source.to_owned());
-        self.chronicle
+        self.recorder
             .record(kind::EventKind::ConfigurationInForce { revision, source });
     }
 
@@ -191,7 +191,7 @@
             .map(|summary| summary.author.clone())
             .unwrap_or_default();
         let base_revision = summary.map_or(0, |summary| summary.base_revision);
-        self.chronicle.record(match verdict {
+        self.recorder.record(match verdict {
             conf::state::ApplyVerdict::Accepted { revision } => {
                 kind::EventKind::ConfigurationAccepted {
                     revision: *revision,
--- a/crates/entry/src/http/ops.rs
+++ b/crates/entry/src/http/ops.rs
@@ -102,7 +102,7 @@
     allow(entry, &head)?;
     let query = trace::query::EventQuery::from_parts(request, since_ms, kind, limit)
         .map_err(|error| bad(refusal::RefusalCode::BadRequest, error.to_string()))?;
-    ok(&entry.chronicle.journal().timeline(&query))
+    ok(&entry.recorder.journal().timeline(&query))
 }
 
 #[rocket::post("/ops/drain", data = "<data>")]
@@ -132,7 +132,7 @@
         .lift(request.fingerprint, crate::clock::unix_ms());
     if lifted {
         entry
-            .chronicle
+            .recorder
             .record(trace::kind::EventKind::QuarantineLifted {
                 fingerprint: request.fingerprint,
                 reason: operator,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -6,7 +6,6 @@
 
 pub mod adapt;
 pub mod assemble;
-pub mod chronicle;
 pub mod clock;
 pub mod configure;
 pub mod daemon;
@@ -21,6 +20,7 @@
 pub mod placement;
 pub mod ports;
 pub mod publish;
+pub mod recorder;
 pub mod roster;
 pub mod settings;
 pub mod state;
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -11,7 +11,7 @@
 use trace::kind;
 use wire::identity;
 
-use crate::{adapt::peers, chronicle, clock, configure, members, roster, settings};
+use crate::{adapt::peers, clock, configure, members, recorder, roster, settings};
 
 /// Interval between two checks for changed crash suspects.
 const SUSPECTS_INTERVAL: Duration = Duration::from_millis(100);
@@ -63,7 +63,7 @@
     /// Receives the backend servers that are leaving.
     pub roster: sync::Arc<roster::ServerRoster>,
     /// Records changes of state.
-    pub chronicle: chronicle::Chronicle,
+    pub recorder: recorder::EventRecorder,
 }
 
 impl MemberController {
@@ -166,7 +166,7 @@
                 && self.roster.leave(key)
             {
                 let source = "another entry VM".to_owned();
-                self.chronicle.record(kind::EventKind::ServerLeaving {
+                self.recorder.record(kind::EventKind::ServerLeaving {
                     server: name.clone(),
                     source,
                 });
@@ -192,7 +192,7 @@
             ops::HealthState::Unknown => return,
         };
         log::info!(member = change.vm.as_str(), state = change.state.name(); "member changed");
-        self.chronicle.record(event);
+        self.recorder.record(event);
     }
 }
 
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -10,7 +10,7 @@
 use tokio::time;
 use trace::kind;
 
-use crate::{chronicle, configure, members};
+use crate::{configure, members, recorder};
 
 /// Interval between two comparisons.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
@@ -57,7 +57,7 @@
     /// Receives the observed placement.
     pub board: sync::Arc<PlacementBoard>,
     /// Records orders.
-    pub chronicle: chronicle::Chronicle,
+    pub recorder: recorder::EventRecorder,
     /// Connections to the weight store.
     pub http: reqwest::Client,
     /// URL of the weight store.
@@ -224,7 +224,7 @@
         };
         let fencing = permit.fencing();
         let wanted_text = format!("{} version {}", want.model, want.version);
-        self.chronicle.record(kind::EventKind::OrderSent {
+        self.recorder.record(kind::EventKind::OrderSent {
             server: server.name.clone(),
             fencing,
             want: wanted_text,
@@ -252,7 +252,7 @@
             self.leases.lost(&permit);
         }
         log::info!(server = server.name.as_str(), fencing = fencing; "order given");
-        self.chronicle.record(kind::EventKind::OrderAnswered {
+        self.recorder.record(kind::EventKind::OrderAnswered {
             server: server.name.clone(),
             fencing,
             answer: answer_text(&outcome),
--- a/crates/entry/src/ports.rs
+++ b/crates/entry/src/ports.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     adapt::{claims, identity, jobs, peers, quota, schedule},
-    chronicle,
+    recorder,
 };
 
 /// The ports of this daemon's request plane.
@@ -23,7 +23,7 @@
     /// Deferrable work.
     pub jobs: jobs::LogJobs,
     /// Time line.
-    pub events: chronicle::Chronicle,
+    pub events: recorder::EventRecorder,
     /// Wall clock.
     pub clock: identity::SystemClock,
     /// Identifiers.
@@ -36,7 +36,7 @@
     type Claims = claims::LogClaims;
     type Clock = identity::SystemClock;
     type Engines = flow::http::HttpEngines;
-    type Events = chronicle::Chronicle;
+    type Events = recorder::EventRecorder;
     type Ids = identity::RandomIds;
     type Jobs = jobs::LogJobs;
     type Peers = peers::PeerNotes;
--- a/crates/entry/src/chronicle.rs
+++ b/crates/entry/src/recorder.rs
@@ -9,11 +9,11 @@
 
 /// Handle to the journal of this process; clones share it.
 #[derive(Clone, Debug)]
-pub struct Chronicle {
+pub struct EventRecorder {
     journal: sync::Arc<journal::EventJournal>,
 }
 
-impl Chronicle {
+impl EventRecorder {
     /// Creates a handle to `journal`.
     #[must_use]
     pub fn new(journal: journal::EventJournal) -> Self {
@@ -48,7 +48,7 @@
     }
 }
 
-impl flow::port::EventSink for Chronicle {
+impl flow::port::EventSink for EventRecorder {
     fn record(&self, request: Option<id::RequestId>, kind: kind::EventKind) {
         self.record_for(request, kind);
     }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -6,7 +6,7 @@
 use conf::snapshot;
 use flow::plane;
 
-use crate::{chronicle, configure, http::head, members, placement, ports, roster, settings};
+use crate::{configure, http::head, members, placement, ports, recorder, roster, settings};
 
 /// Shared components of one daemon.
 pub struct EntryState {
@@ -21,7 +21,7 @@
     /// The other entry VMs as this process observes them.
     pub members: sync::Arc<members::MemberTable>,
     /// The time line of this process.
-    pub chronicle: chronicle::Chronicle,
+    pub recorder: recorder::EventRecorder,
     /// Leases on engines and models.
     pub leases: sync::Arc<lease::driver::LeaseDriver<ledger::http::HttpLog>>,
     /// Placement of the models, as this VM last observed it.
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -10,7 +10,7 @@
 pub fn status(entry: &state::EntryState) -> ops::StatusBody {
     let now_ms = clock::unix_ms();
     let snapshot = entry.book.snapshot();
-    let usage = entry.chronicle.journal().usage();
+    let usage = entry.recorder.journal().usage();
     ops::StatusBody {
         vm: entry.settings.vm.clone(),
         region: entry.settings.region.clone(),
--- a/crates/entry/src/vm_list.rs
+++ b/crates/entry/src/vm_list.rs
@@ -8,7 +8,7 @@
 use tokio::time;
 use trace::kind;
 
-use crate::{chronicle, configure, roster};
+use crate::{configure, recorder, roster};
 
 /// Interval between two polls of the list.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
@@ -63,7 +63,7 @@
     /// Incarnation of this process.
     pub incarnation: id::Incarnation,
     /// Records changes of state.
-    pub chronicle: chronicle::Chronicle,
+    pub recorder: recorder::EventRecorder,
 }
 
 impl ListController {
@@ -112,7 +112,7 @@
         if self.roster.leave(key) {
             log::info!(server = name, source = "VM list"; "backend server is leaving");
             let (server, source) = (name.to_owned(), "VM list".to_owned());
-            self.chronicle
+            self.recorder
                 .record(kind::EventKind::ServerLeaving { server, source });
         }
     }
@@ -122,7 +122,7 @@
         let name = self.gossip.identity().name.clone();
         log::info!(vm = name.as_str(), source = "VM list"; "this entry VM is leaving");
         let source = "VM list".to_owned();
-        self.chronicle.record(kind::EventKind::DrainStarted {
+        self.recorder.record(kind::EventKind::DrainStarted {
             subject: name.clone(),
             source,
         });
--- a/crates/entry/src/watch.rs
+++ b/crates/entry/src/watch.rs
@@ -8,7 +8,7 @@
 use sched::request;
 use tokio::time;
 
-use crate::{chronicle, configure, roster};
+use crate::{configure, recorder, roster};
 
 /// Load of one engine as it reports it.
 #[derive(Clone, Debug, PartialEq)]
@@ -148,7 +148,7 @@
     /// Assigns the watchers and carries loads.
     pub gossip: handle::GossipHandle,
     /// Records changes of state.
-    pub chronicle: chronicle::Chronicle,
+    pub recorder: recorder::EventRecorder,
 }
 
 impl LoadWatcher {
@@ -263,7 +263,7 @@
         if effect.came_up {
             log::info!(server = name.as_str(); "backend server is up");
             let reason = "answers polls".to_owned();
-            self.chronicle.record(trace::kind::EventKind::ServerUp {
+            self.recorder.record(trace::kind::EventKind::ServerUp {
                 server: name.clone(),
                 reason,
             });
@@ -271,11 +271,10 @@
         if effect.began_leaving {
             log::info!(server = name.as_str(); "backend server is leaving");
             let source = "itself".to_owned();
-            self.chronicle
-                .record(trace::kind::EventKind::ServerLeaving {
-                    server: name.clone(),
-                    source,
-                });
+            self.recorder.record(trace::kind::EventKind::ServerLeaving {
+                server: name.clone(),
+                source,
+            });
         }
     }
 
@@ -287,7 +286,7 @@
             roster::MissEffect::None => {}
             roster::MissEffect::Suspected => {
                 log::warn!(server = name.as_str(), reason = reason.as_str(); "backend server is suspected");
-                self.chronicle
+                self.recorder
                     .record(trace::kind::EventKind::ServerSuspected {
                         server: name.clone(),
                         reason,
@@ -295,7 +294,7 @@
             }
             roster::MissEffect::Dead => {
                 log::warn!(server = name.as_str(), reason = reason.as_str(); "backend server is dead");
-                self.chronicle.record(trace::kind::EventKind::ServerDead {
+                self.recorder.record(trace::kind::EventKind::ServerDead {
                     server: name.clone(),
                     reason,
                 });
