--- a/crates/entry/src/adapt/jobs.rs
+++ b/crates/entry/src/adapt/jobs.rs
@@ -17,7 +17,7 @@
 /// Deferrable jobs on the log, with the tickets of those that this process runs.
 pub struct LogJobs {
     router: peers::EntryRouter,
-    book: sync::Arc<configure::ConfigBook>,
+    active_config: sync::Arc<configure::ActiveConfig>,
     /// One ticket for each lease that is held.
     tickets: sync::Mutex<collections::HashMap<id::RecordId, permit::JobTicket>>,
     /// Partition at which the next round starts.
@@ -31,12 +31,16 @@
 }
 
 impl LogJobs {
-    /// Creates a store that reaches jobs through `router`; `book` holds the retention of results.
+    /// Creates a store that reaches jobs through `router`; `active_config` holds the retention of
+    /// results.
     #[must_use]
-    pub fn new(router: peers::EntryRouter, book: sync::Arc<configure::ConfigBook>) -> Self {
+    pub fn new(
+        router: peers::EntryRouter,
+        active_config: sync::Arc<configure::ActiveConfig>,
+    ) -> Self {
         Self {
             router,
-            book,
+            active_config,
             tickets: sync::Mutex::default(),
             next: sync::atomic::AtomicU16::new(0),
         }
@@ -80,7 +84,12 @@
 
 impl port::JobStore for LogJobs {
     async fn accept(&self, job: port::JobRecord) -> port::AcceptAnswer {
-        let kept_ms = self.book.snapshot().rules().time_limits.result_kept_ms;
+        let kept_ms = self
+            .active_config
+            .snapshot()
+            .rules()
+            .time_limits
+            .result_kept_ms;
         let Ok(body) = serde_json::to_vec(&job) else {
             return port::AcceptAnswer::Refused(log_down());
         };
--- a/crates/entry/src/adapt/schedule.rs
+++ b/crates/entry/src/adapt/schedule.rs
@@ -19,7 +19,7 @@
 pub struct PlaneScheduler {
     driver: driver::Driver,
     roster: sync::Arc<roster::ServerRoster>,
-    book: sync::Arc<configure::ConfigBook>,
+    active_config: sync::Arc<configure::ActiveConfig>,
     pool: sync::Arc<service_pool::ServicePool>,
 }
 
@@ -38,12 +38,12 @@
     pub fn new(
         driver: driver::Driver,
         roster: sync::Arc<roster::ServerRoster>,
-        book: sync::Arc<configure::ConfigBook>,
+        active_config: sync::Arc<configure::ActiveConfig>,
     ) -> Self {
         Self {
             driver,
             roster,
-            book,
+            active_config,
             pool: sync::Arc::default(),
         }
     }
@@ -94,7 +94,7 @@
 
     /// Tokens in one KV block of the engines that may serve a model.
     fn block_tokens(&self, model: &str) -> Option<u32> {
-        let snapshot = self.book.snapshot();
+        let snapshot = self.active_config.snapshot();
         let server = snapshot.server(*snapshot.servers_of_model(model).first()?)?;
         match &server.entry.kind {
             inventory::ServerKind::ModelEngine(engine) => Some(engine.block_tokens),
@@ -131,7 +131,7 @@
         service: &str,
         avoid: &[id::ServerKey],
     ) -> Vec<service_pool::PoolCandidate> {
-        let snapshot = self.book.snapshot();
+        let snapshot = self.active_config.snapshot();
         let services = &snapshot.inventory().services;
         let max_concurrency = services
             .get(service)
--- a/crates/entry/src/assemble.rs
+++ b/crates/entry/src/assemble.rs
@@ -31,7 +31,7 @@
     token_keys: token::TokenKeys,
     recorder: recorder::EventRecorder,
     log: ledger::http::HttpLog,
-    book: sync::Arc<configure::ConfigBook>,
+    active_config: sync::Arc<configure::ActiveConfig>,
     driver: driver::Driver,
     roster: sync::Arc<roster::ServerRoster>,
     members: sync::Arc<members::MemberTable>,
@@ -63,7 +63,7 @@
             token_keys,
             recorder: recorder::EventRecorder::new(journal),
             log: ledger::http::HttpLog::new(ledger::http::HttpSettings::at(log_url)),
-            book: sync::Arc::default(),
+            active_config: sync::Arc::default(),
             roster: sync::Arc::new(roster::ServerRoster::new(driver.clone())),
             driver,
             members: sync::Arc::new(members::MemberTable::new(settings.vm.clone())),
@@ -94,11 +94,11 @@
             schedule: schedule::PlaneScheduler::new(
                 self.driver.clone(),
                 sync::Arc::clone(&self.roster),
-                sync::Arc::clone(&self.book),
+                sync::Arc::clone(&self.active_config),
             ),
             quotas: quota::CoreQuota,
             claims: claims::LogClaims::new(router.clone()),
-            jobs: jobs::LogJobs::new(router, sync::Arc::clone(&self.book)),
+            jobs: jobs::LogJobs::new(router, sync::Arc::clone(&self.active_config)),
             events: self.recorder.clone(),
             clock: identity_port::SystemClock,
             ids: identity_port::RandomIds,
@@ -190,7 +190,7 @@
     let (plane, host) = base.plane(view, caller.clone())?;
     let service = peer_service::EntryPeerService {
         host: sync::Arc::clone(&host),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         plane: sync::Arc::clone(&plane),
     };
     let server = wire::server::PeerServer::stamped(
@@ -204,7 +204,7 @@
     spawn_watchers(&base, &gossip, &caller, controllers)?;
     spawn_plane(&base, &plane, host, caller, controllers);
     controllers.spawn(follow_views(
-        sync::Arc::clone(&base.book),
+        sync::Arc::clone(&base.active_config),
         sync::Arc::clone(&base.roster),
         base.own_place(),
         views,
@@ -213,7 +213,7 @@
     Ok(state::EntryState {
         settings: base.settings,
         incarnation: base.identity.incarnation,
-        book: base.book,
+        active_config: base.active_config,
         roster: base.roster,
         members: base.members,
         recorder: base.recorder,
@@ -254,7 +254,7 @@
 ) -> Result<(), daemon::StartError> {
     let watcher = watch::LoadWatcher {
         http: client()?,
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         roster: sync::Arc::clone(&base.roster),
         gossip: gossip.clone(),
         recorder: base.recorder.clone(),
@@ -262,7 +262,7 @@
     controllers.spawn(watcher.run());
     let digests = digests::DigestController {
         gossip: gossip.clone(),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         roster: sync::Arc::clone(&base.roster),
         members: sync::Arc::clone(&base.members),
         driver: base.driver.clone(),
@@ -270,7 +270,7 @@
     controllers.spawn(digests.run());
     let member_controller = membership::MemberController {
         gossip: gossip.clone(),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         members: sync::Arc::clone(&base.members),
         roster: sync::Arc::clone(&base.roster),
         recorder: base.recorder.clone(),
@@ -278,7 +278,7 @@
     controllers.spawn(member_controller.run());
     let follower = follow::FollowController {
         log: base.log.clone(),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         caller: caller.clone(),
         gossip: gossip.clone(),
         recorder: base.recorder.clone(),
@@ -287,7 +287,7 @@
     let list = vm_list::ListController {
         http: client()?,
         url: format!("http://{}/v1/vms", base.settings.platform.vm_list),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         roster: sync::Arc::clone(&base.roster),
         gossip: gossip.clone(),
         incarnation: base.identity.incarnation,
@@ -309,7 +309,7 @@
     let board = sync::Arc::new(placement::PlacementBoard::default());
     let placing = placement::PlacementController {
         leases: sync::Arc::clone(&leases),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         members: sync::Arc::clone(&base.members),
         board: sync::Arc::clone(&board),
         recorder: base.recorder.clone(),
@@ -370,12 +370,12 @@
 /// Keeps the roster and the request plane's view up to date with the configuration and the servers
 /// that are leaving.
 async fn follow_views(
-    book: sync::Arc<configure::ConfigBook>,
+    active_config: sync::Arc<configure::ActiveConfig>,
     roster: sync::Arc<roster::ServerRoster>,
     own: observation::OwnPlace,
     views: channel::Sender<sync::Arc<view::PlaneView>>,
 ) {
-    let mut snapshots = book.subscribe();
+    let mut snapshots = active_config.subscribe();
     let mut leaving = roster.subscribe_leaving();
     loop {
         let snapshot = snapshots.borrow_and_update().clone();
--- a/crates/entry/src/configure.rs
+++ b/crates/entry/src/configure.rs
@@ -29,7 +29,7 @@
 }
 
 #[derive(Debug, Default)]
-struct BookState {
+struct ActiveState {
     /// The state in force; absent until one is proved to be the newest.
     state: Option<state::ConfigState>,
     /// The encoded form of the state that other entry VMs fetch.
@@ -43,15 +43,15 @@
 
 /// The configuration in force in this process, with its history and source.
 #[derive(Debug)]
-pub struct ConfigBook {
-    state: sync::Mutex<BookState>,
+pub struct ActiveConfig {
+    state: sync::Mutex<ActiveState>,
     /// Revision 0 until a state is in force.
     snapshot: watch::Sender<sync::Arc<snapshot::ConfigSnapshot>>,
     /// Number of decisions, so that publishers also observe those that change no revision.
     decisions: watch::Sender<u64>,
 }
 
-impl Default for ConfigBook {
+impl Default for ActiveConfig {
     fn default() -> Self {
         Self {
             state: sync::Mutex::default(),
@@ -61,7 +61,7 @@
     }
 }
 
-impl ConfigBook {
+impl ActiveConfig {
     /// The snapshot in force; revision 0 means none.
     #[must_use]
     pub fn snapshot(&self) -> sync::Arc<snapshot::ConfigSnapshot> {
@@ -83,8 +83,8 @@
     /// Returns the outcome of the change with this id, if it is still retained.
     #[must_use]
     pub fn decided(&self, change: id::RecordId) -> Option<DecidedChange> {
-        let book = self.lock();
-        let history = book.state.as_ref()?.history();
+        let active = self.lock();
+        let history = active.state.as_ref()?.history();
         let verdict = history.verdict_of(change)?;
         let accepted = history.accepted().map(|entry| &entry.summary);
         let refused = history.refused().map(|entry| &entry.summary);
@@ -98,8 +98,8 @@
     /// Returns all retained changes that were decided, in the order of the log.
     #[must_use]
     pub fn history(&self) -> ops::HistoryBody {
-        let book = self.lock();
-        let Some(state) = &book.state else {
+        let active = self.lock();
+        let Some(state) = &active.state else {
             return ops::HistoryBody::default();
         };
         let accepted = state
@@ -118,12 +118,12 @@
     /// Returns the complete configuration of a revision, if it is still retained.
     #[must_use]
     pub fn configuration(&self, revision: u64) -> Option<ops::ConfigurationBody> {
-        let book = self.lock();
-        let state = book.state.as_ref()?;
+        let active = self.lock();
+        let state = active.state.as_ref()?;
         let configuration = state.configuration_at(revision)?;
         let state_hash = state.history().chain_at(revision).map(|chain| chain.0);
         let offset = state.offset();
-        drop(book);
+        drop(active);
         let state = serde_json::to_value(configuration).ok()?;
         Some(ops::ConfigurationBody {
             revision,
@@ -136,29 +136,29 @@
     /// Status of the configuration in force for the operators' API.
     #[must_use]
     pub fn status(&self, now_ms: u64) -> ops::ConfigurationStatus {
-        let book = self.lock();
-        let offer = book.state.as_ref().map(state::ConfigState::offer);
+        let active = self.lock();
+        let offer = active.state.as_ref().map(state::ConfigState::offer);
         ops::ConfigurationStatus {
             revision: offer.map_or(0, |offer| offer.revision),
             offset: offer.map_or(0, |offer| offer.offset),
             state_hash: offer.map(|offer| offer.hash.0),
-            in_force_ms: now_ms.saturating_sub(book.in_force_since_ms),
-            source: book.source.clone(),
+            in_force_ms: now_ms.saturating_sub(active.in_force_since_ms),
+            source: active.source.clone(),
         }
     }
 
     /// Status of the stream for the operators' API.
     #[must_use]
     pub fn log_status(&self, now_ms: u64) -> ops::LogStatus {
-        let book = self.lock();
+        let active = self.lock();
         ops::LogStatus {
             stream: STREAM.to_owned(),
-            reachable: book.log.reachable,
-            answered_ms_ago: book
+            reachable: active.log.reachable,
+            answered_ms_ago: active
                 .log
                 .answered_ms
                 .map(|at_ms| now_ms.saturating_sub(at_ms)),
-            next_offset: book.state.as_ref().map_or(0, state::ConfigState::offset),
+            next_offset: active.state.as_ref().map_or(0, state::ConfigState::offset),
         }
     }
 
@@ -175,14 +175,14 @@
     /// and would fetch it repeatedly.
     #[must_use]
     pub fn renewed_transfer(&self) -> Option<sync::Arc<transfer::StateTransfer>> {
-        let mut book = self.lock();
-        let old = book.transfer.clone()?;
-        let state = book.state.as_ref()?;
+        let mut active = self.lock();
+        let old = active.transfer.clone()?;
+        let state = active.state.as_ref()?;
         if state.offset() <= old.offer.offset {
             return Some(old);
         }
         let renewed = sync::Arc::new(transfer::StateTransfer::new(state, old.cover));
-        book.transfer = Some(sync::Arc::clone(&renewed));
+        active.transfer = Some(sync::Arc::clone(&renewed));
         Some(renewed)
     }
 
@@ -198,7 +198,7 @@
         self.lock().ready.unwrap_or(event::ReadyState::NoState)
     }
 
-    fn lock(&self) -> sync::MutexGuard<'_, BookState> {
+    fn lock(&self) -> sync::MutexGuard<'_, ActiveState> {
         self.state
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner)
@@ -211,13 +211,13 @@
         transfer: Option<transfer::StateTransfer>,
         source: &str,
     ) {
-        let mut book = self.lock();
-        book.in_force_since_ms = clock::unix_ms();
-        source.clone_into(&mut book.source);
-        book.transfer = transfer.map(sync::Arc::new);
+        let mut active = self.lock();
+        active.in_force_since_ms = clock::unix_ms();
+        source.clone_into(&mut active.source);
+        active.transfer = transfer.map(sync::Arc::new);
         let next = state.snapshot(&self.snapshot.borrow());
-        book.state = Some(state.clone());
-        drop(book);
+        active.state = Some(state.clone());
+        drop(active);
         metrics::gauge!("pollenchute_entry_configuration_revision_number")
             .set(next.revision() as f64);
         self.snapshot.send_replace(sync::Arc::new(next));
@@ -226,14 +226,14 @@
     /// Applies records after the state in force that change no revision: refused changes and
     /// checkpoints.
     pub(crate) fn advance(&self, state: &state::ConfigState, ready: event::ReadyState) {
-        let mut book = self.lock();
-        book.ready = Some(ready);
-        if book
+        let mut active = self.lock();
+        active.ready = Some(ready);
+        if active
             .state
             .as_ref()
             .is_some_and(|known| known.offset() != state.offset())
         {
-            book.state = Some(state.clone());
+            active.state = Some(state.clone());
         }
     }
 
@@ -246,10 +246,11 @@
     /// milliseconds.
     pub(crate) fn note_answer(&self) -> Option<u64> {
         let now_ms = clock::unix_ms();
-        let mut book = self.lock();
-        book.log.reachable = true;
-        book.log.answered_ms = Some(now_ms);
-        book.log
+        let mut active = self.lock();
+        active.log.reachable = true;
+        active.log.answered_ms = Some(now_ms);
+        active
+            .log
             .down_since_ms
             .take()
             .map(|since_ms| now_ms.saturating_sub(since_ms))
@@ -257,10 +258,10 @@
 
     /// Records that the log does not answer; returns whether the outage has just started.
     pub(crate) fn note_outage(&self) -> bool {
-        let mut book = self.lock();
-        book.log.reachable = false;
-        let is_new = book.log.down_since_ms.is_none();
-        book.log.down_since_ms.get_or_insert_with(clock::unix_ms);
+        let mut active = self.lock();
+        active.log.reachable = false;
+        let is_new = active.log.down_since_ms.is_none();
+        active.log.down_since_ms.get_or_insert_with(clock::unix_ms);
         is_new
     }
 }
--- a/crates/entry/src/configure/tests.rs
+++ b/crates/entry/src/configure/tests.rs
@@ -3,7 +3,7 @@
 use base::id;
 use conf::{change, document, event, keeper, sample, state, transfer};
 
-use super::ConfigBook;
+use super::ActiveConfig;
 
 /// Guards against a VM that was disconnected fetching 5 MB every second without catching up. The log
 /// advances without a change of revision (checkpoints, refused changes) until retention drops the
@@ -25,13 +25,13 @@
         patch,
     };
     state.apply(0, &first.records()[0]);
-    let book = ConfigBook::default();
+    let active_config = ActiveConfig::default();
     let given = transfer::StateTransfer::new(&state, keeper::LogCover::default());
-    book.put_in_force(&state, Some(given), "log");
+    active_config.put_in_force(&state, Some(given), "log");
     for offset in 1..40 {
         state.apply(offset, b"not a change");
     }
-    book.advance(&state, event::ReadyState::Ready);
+    active_config.advance(&state, event::ReadyState::Ready);
     let offsets = |transfer: Option<_>| {
         transfer.map(|transfer: std::sync::Arc<transfer::StateTransfer>| {
             (
@@ -40,7 +40,7 @@
             )
         })
     };
-    assert_eq!(offsets(book.renewed_transfer()), Some((40, 40)));
+    assert_eq!(offsets(active_config.renewed_transfer()), Some((40, 40)));
     // The parts of a fetch in progress come from the same state.
-    assert_eq!(offsets(book.transfer()), Some((40, 40)));
+    assert_eq!(offsets(active_config.transfer()), Some((40, 40)));
 }
--- a/crates/entry/src/digests.rs
+++ b/crates/entry/src/digests.rs
@@ -25,7 +25,7 @@
     /// Carries the digests.
     pub gossip: handle::GossipHandle,
     /// The configuration in force.
-    pub book: sync::Arc<configure::ConfigBook>,
+    pub active_config: sync::Arc<configure::ActiveConfig>,
     /// Receives the loads.
     pub roster: sync::Arc<roster::ServerRoster>,
     /// The members of the region.
@@ -60,7 +60,7 @@
     }
 
     fn handle(&self, event: &event::GossipEvent, subjects: &mut SubjectIndex) {
-        let config = self.book.snapshot();
+        let config = self.active_config.snapshot();
         let now = time::Instant::now();
         let taken_at = |age: Duration| now.checked_sub(age).unwrap_or(now);
         match event {
@@ -126,7 +126,7 @@
         let (work, demands) = self
             .driver
             .change(|core, _| (self.work(core), core.demands().collect::<Vec<_>>()));
-        let config = self.book.snapshot();
+        let config = self.active_config.snapshot();
         self.gossip.publish_work(work, peers).await;
         for (organisation, demand) in demands {
             let Some(view) = config.organisation(organisation) else {
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -34,7 +34,7 @@
     entry: &state::EntryState,
     name: &str,
 ) -> Result<ops::DrainAnswer, refusal::RefusalBody> {
-    let snapshot = entry.book.snapshot();
+    let snapshot = entry.active_config.snapshot();
     let Some(key) = snapshot.server_key(name) else {
         return Err(not_found(&format!(
             "there is no backend server \"{name}\" in the inventory"
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -32,7 +32,7 @@
     /// The platform's log.
     pub log: C,
     /// Receives the configuration in force.
-    pub book: sync::Arc<configure::ConfigBook>,
+    pub active_config: sync::Arc<configure::ActiveConfig>,
     /// Calls to other entry VMs.
     pub caller: peers::PeerCaller,
     /// Announces which revision each other entry VM has in force.
@@ -124,10 +124,10 @@
             }
         }
         if let Some(state) = follower.state() {
-            self.book.advance(state, follower.ready());
+            self.active_config.advance(state, follower.ready());
         }
         if decided {
-            self.book.note_decision();
+            self.active_config.note_decision();
         }
     }
 
@@ -136,7 +136,7 @@
     fn note(&self, event: &event::FollowEvent) -> String {
         match event {
             event::FollowEvent::Page { .. } | event::FollowEvent::Dropped { .. } => {
-                if let Some(down_ms) = self.book.note_answer() {
+                if let Some(down_ms) = self.active_config.note_answer() {
                     let stream = configure::STREAM.to_owned();
                     self.recorder
                         .record(kind::EventKind::LogUp { stream, down_ms });
@@ -145,7 +145,7 @@
             }
             event::FollowEvent::State { peer, .. } => format!("peer {peer}"),
             event::FollowEvent::ReadFault => {
-                if self.book.note_outage() {
+                if self.active_config.note_outage() {
                     log::warn!(stream = configure::STREAM; "log does not answer");
                     let stream = configure::STREAM.to_owned();
                     let reason = "a read failed".to_owned();
@@ -167,7 +167,8 @@
         let Some(state) = follower.state() else {
             return;
         };
-        self.book.put_in_force(state, follower.transfer(), source);
+        self.active_config
+            .put_in_force(state, follower.transfer(), source);
         log::info!(revision = offer.revision, offset = offer.offset, source = source; "configuration in force");
         let (revision, source) = (offer.revision, source.to_owned());
         self.recorder
--- a/crates/entry/src/http/caller.rs
+++ b/crates/entry/src/http/caller.rs
@@ -318,7 +318,7 @@
     head: head::CallHead,
     entry: &State<sync::Arc<state::EntryState>>,
 ) -> Result<CompleteAnswer, CompleteAnswer> {
-    let snapshot = entry.book.snapshot();
+    let snapshot = entry.active_config.snapshot();
     entry
         .organisation(&head, &snapshot)
         .map_err(answer::HttpAnswer::refusal)?;
@@ -371,7 +371,7 @@
     head: head::CallHead,
     entry: &State<sync::Arc<state::EntryState>>,
 ) -> Result<CompleteAnswer, CompleteAnswer> {
-    let snapshot = entry.book.snapshot();
+    let snapshot = entry.active_config.snapshot();
     let organisation = entry
         .organisation(&head, &snapshot)
         .map_err(answer::HttpAnswer::refusal)?;
--- a/crates/entry/src/http/ops.rs
+++ b/crates/entry/src/http/ops.rs
@@ -65,8 +65,8 @@
 #[rocket::get("/ops/configuration?<revision>")]
 fn configuration(head: head::CallHead, revision: Option<u64>, entry: &Entry) -> OpsAnswer {
     allow(entry, &head)?;
-    let wanted = revision.unwrap_or_else(|| entry.book.snapshot().revision());
-    let Some(body) = entry.book.configuration(wanted) else {
+    let wanted = revision.unwrap_or_else(|| entry.active_config.snapshot().revision());
+    let Some(body) = entry.active_config.configuration(wanted) else {
         let message = format!("revision {wanted} is not retained here; see GET /ops/history");
         return Err(bad(refusal::RefusalCode::NotFound, message));
     };
@@ -76,7 +76,7 @@
 #[rocket::get("/ops/history")]
 fn history(head: head::CallHead, entry: &Entry) -> OpsAnswer {
     allow(entry, &head)?;
-    ok(&entry.book.history())
+    ok(&entry.active_config.history())
 }
 
 #[rocket::post("/ops/publish", data = "<data>")]
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -57,7 +57,7 @@
     /// Gossip of this daemon.
     pub gossip: handle::GossipHandle,
     /// The configuration in force.
-    pub book: sync::Arc<configure::ConfigBook>,
+    pub active_config: sync::Arc<configure::ActiveConfig>,
     /// Updated from gossip.
     pub members: sync::Arc<members::MemberTable>,
     /// Receives the backend servers that are leaving.
@@ -70,7 +70,7 @@
     /// Runs until cancelled.
     pub async fn run(self) {
         let mut seen = self.gossip.members();
-        let mut snapshots = self.book.subscribe();
+        let mut snapshots = self.active_config.subscribe();
         let mut leaving = self.roster.subscribe_leaving();
         loop {
             let config = snapshots.borrow_and_update().clone();
@@ -94,7 +94,7 @@
     /// Announces the revision in force to the other entry VMs, and gives gossip the seeds and
     /// servers of the configuration.
     async fn announce(&self) {
-        let config = self.book.snapshot();
+        let config = self.active_config.snapshot();
         let seeds = config
             .vms()
             .map(|(_, vm)| gossip_settings::SeedEntry {
@@ -117,7 +117,7 @@
             let names = servers.map(|(_, server)| server.name.clone()).collect();
             self.gossip.set_servers(names).await;
         }
-        let Some(offer) = self.book.offer() else {
+        let Some(offer) = self.active_config.offer() else {
             return;
         };
         let configuration = update::ConfigurationUpdate {
@@ -133,7 +133,7 @@
 
     /// Announces the incarnations of backend servers that are leaving.
     async fn announce_leaving(&self) {
-        let config = self.book.snapshot();
+        let config = self.active_config.snapshot();
         let known = self.gossip.snapshot();
         for key in self.roster.leaving().iter() {
             let Some(server) = config.server(*key) else {
--- a/crates/entry/src/peer_service.rs
+++ b/crates/entry/src/peer_service.rs
@@ -12,7 +12,7 @@
     /// The log's partitions.
     pub host: sync::Arc<host::LedgerHost<ledger::http::HttpLog>>,
     /// The configuration in force.
-    pub book: sync::Arc<configure::ConfigBook>,
+    pub active_config: sync::Arc<configure::ActiveConfig>,
     /// The request plane.
     pub plane: sync::Arc<flow::plane::RequestPlane<ports::EntryPorts>>,
 }
@@ -53,9 +53,9 @@
         from_byte: u64,
     ) -> Result<peer::ConfigurationAnswer, server::CallFailure> {
         let transfer = if from_byte == 0 {
-            self.book.renewed_transfer()
+            self.active_config.renewed_transfer()
         } else {
-            self.book.transfer()
+            self.active_config.transfer()
         };
         let Some(transfer) = transfer else {
             let message = "no configuration is in force here; ask another entry VM";
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -51,7 +51,7 @@
     /// Leases on engines and models.
     pub leases: sync::Arc<driver::LeaseDriver<ledger::http::HttpLog>>,
     /// The configuration in force.
-    pub book: sync::Arc<configure::ConfigBook>,
+    pub active_config: sync::Arc<configure::ActiveConfig>,
     /// The live members.
     pub members: sync::Arc<members::MemberTable>,
     /// Receives the observed placement.
@@ -84,7 +84,7 @@
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             tick.tick().await;
-            let config = self.book.snapshot();
+            let config = self.active_config.snapshot();
             if config.revision() == 0 {
                 continue;
             }
--- a/crates/entry/src/publish.rs
+++ b/crates/entry/src/publish.rs
@@ -23,7 +23,7 @@
     request: ops::PublishAsk,
 ) -> Result<ops::PublishAnswer, refusal::RefusalBody> {
     // A repeated request that was decided already needs no second record.
-    if let Some(decided) = entry.book.decided(request.record) {
+    if let Some(decided) = entry.active_config.decided(request.record) {
         return Ok(answer(&request, decided));
     }
     let change = change::ConfigChange {
@@ -33,7 +33,7 @@
         comment: request.comment.clone(),
         patch: request.change.clone(),
     };
-    let mut decisions = entry.book.decisions();
+    let mut decisions = entry.active_config.decisions();
     let mut appended = false;
     for record in change.records() {
         match entry.log.append(configure::STREAM, record.into()).await {
@@ -51,7 +51,7 @@
     let deadline = time::Instant::now() + DECISION_TIMEOUT;
     loop {
         decisions.mark_unchanged();
-        if let Some(decided) = entry.book.decided(request.record) {
+        if let Some(decided) = entry.active_config.decided(request.record) {
             return Ok(answer(&request, decided));
         }
         if time::timeout_at(deadline, decisions.changed())
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -15,7 +15,7 @@
     /// Incarnation of this process.
     pub incarnation: id::Incarnation,
     /// The configuration in force.
-    pub book: sync::Arc<configure::ConfigBook>,
+    pub active_config: sync::Arc<configure::ActiveConfig>,
     /// The backend servers as this process observes them.
     pub roster: sync::Arc<roster::ServerRoster>,
     /// The other entry VMs as this process observes them.
@@ -56,7 +56,7 @@
         if self.plane.gate().is_closed() || self.is_leaving() {
             return ops::ReadyState::Leaving;
         }
-        if self.book.snapshot().revision() == 0 {
+        if self.active_config.snapshot().revision() == 0 {
             return ops::ReadyState::Starting;
         }
         ops::ReadyState::Ready
@@ -105,7 +105,7 @@
             .api_key
             .as_deref()
             .ok_or_else(|| unauthenticated("there is no operator key"))?;
-        let snapshot = self.book.snapshot();
+        let snapshot = self.active_config.snapshot();
         if snapshot.revision() == 0 {
             // The operators' keys come with the first configuration. Anyone who can reach the log
             // can write that configuration, so a refusal here would protect nothing and make the
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -9,7 +9,7 @@
 #[must_use]
 pub fn status(entry: &state::EntryState) -> ops::StatusBody {
     let now_ms = clock::unix_ms();
-    let snapshot = entry.book.snapshot();
+    let snapshot = entry.active_config.snapshot();
     let usage = entry.recorder.journal().usage();
     ops::StatusBody {
         vm: entry.settings.vm.clone(),
@@ -19,8 +19,8 @@
         version: env!("CARGO_PKG_VERSION").to_owned(),
         now_ms,
         readiness: entry.readiness(),
-        configuration: entry.book.status(now_ms),
-        log: vec![entry.book.log_status(now_ms)],
+        configuration: entry.active_config.status(now_ms),
+        log: vec![entry.active_config.log_status(now_ms)],
         members: entry.members.list(),
         servers: entry.roster.status(&snapshot, time::Instant::now()),
         placement: entry.placement.rows(),
--- a/crates/entry/src/vm_list.rs
+++ b/crates/entry/src/vm_list.rs
@@ -55,7 +55,7 @@
     /// URL of the list.
     pub url: String,
     /// The configuration in force.
-    pub book: sync::Arc<configure::ConfigBook>,
+    pub active_config: sync::Arc<configure::ActiveConfig>,
     /// Receives the backend servers that are leaving.
     pub roster: sync::Arc<roster::ServerRoster>,
     /// Announces that this VM is leaving.
@@ -106,7 +106,7 @@
     }
 
     fn leave_server(&self, name: &str) {
-        let Some(key) = self.book.snapshot().server_key(name) else {
+        let Some(key) = self.active_config.snapshot().server_key(name) else {
             return;
         };
         if self.roster.leave(key) {
--- a/crates/entry/src/watch.rs
+++ b/crates/entry/src/watch.rs
@@ -142,7 +142,7 @@
     /// HTTP client used only for polls, so that no poll waits behind a stream.
     pub http: reqwest::Client,
     /// The configuration in force.
-    pub book: sync::Arc<configure::ConfigBook>,
+    pub active_config: sync::Arc<configure::ActiveConfig>,
     /// Receives the reports.
     pub roster: sync::Arc<roster::ServerRoster>,
     /// Assigns the watchers and carries loads.
@@ -161,7 +161,7 @@
         loop {
             tick.tick().await;
             let now = time::Instant::now();
-            let snapshot = self.book.snapshot();
+            let snapshot = self.active_config.snapshot();
             due.retain(|key, _| snapshot.server(*key).is_some());
             for (key, server) in snapshot.servers() {
                 if due.get(&key).is_some_and(|at| *at > now) {
--- a/crates/load/tests/env/mod.rs
+++ b/crates/load/tests/env/mod.rs
@@ -163,7 +163,11 @@
 
     /// The revision in force on one entry VM.
     pub fn revision(&self, entry: usize) -> u64 {
-        self.daemons[entry].state().book.snapshot().revision()
+        self.daemons[entry]
+            .state()
+            .active_config
+            .snapshot()
+            .revision()
     }
 
     /// Waits until `revision` is in force on one entry VM.
