--- a/crates/base/src/ops/status.rs
+++ b/crates/base/src/ops/status.rs
@@ -171,7 +171,7 @@
     /// The newest revision that it said is in force there.
     #[serde(default)]
     pub revision: Option<u64>,
-    /// Time since it was last heard of, in milliseconds.
+    /// Time since the last message about it was received, in milliseconds.
     #[serde(default)]
     pub heard_ms_ago: Option<u64>,
     /// Version of its program, when known.
--- a/crates/carry/tests/connections.rs
+++ b/crates/carry/tests/connections.rs
@@ -41,7 +41,7 @@
 #[test]
 fn a_caller_that_leaves_ends_its_request_at_once() {
     // Guards against work for callers that have disconnected: a caller closes its connection while
-    // its request waits, and a server that detects this only on a write goes on.
+    // its request waits, and a server that detects this only on a write continues the work.
     run(async {
         let (listener, address) = listener().await;
         let (ended, mut told) = tokio::sync::mpsc::unbounded_channel::<()>();
@@ -107,7 +107,7 @@
         serving.await.expect("ended");
         assert!(
             pool.get(address, pool::ReuseRule::Any, WAIT).await.is_err(),
-            "nobody listens"
+            "the listener is closed"
         );
     });
 }
@@ -160,7 +160,7 @@
         let again = pool.get(address, pool::ReuseRule::Any, WAIT).await;
         assert!(
             again.is_err(),
-            "a new connection is tried, and nobody listens"
+            "the pool opens a new connection, and the listener is closed"
         );
     });
 }
--- a/crates/carry/tests/sampling.rs
+++ b/crates/carry/tests/sampling.rs
@@ -101,8 +101,8 @@
     /// Number of lines of a request that are in `written`, and number of all its lines.
     fn parts(&self, id: &str, written: &collections::HashSet<&str>) -> (usize, usize) {
         let given = &self.given[id];
-        let told = given.iter().filter(|line| written.contains(line.as_str()));
-        (told.count(), given.len())
+        let written_lines = given.iter().filter(|line| written.contains(line.as_str()));
+        (written_lines.count(), given.len())
     }
 
     fn check_bound(&self) {
@@ -185,9 +185,12 @@
     let written = play.written();
     let mut whole = 0;
     for id in 0..30_000 {
-        let (told, all) = play.parts(&format!("request-{id}"), &written);
-        assert!(told == 0 || told == all, "request {id}: {told} of {all}");
-        whole += usize::from(told == all);
+        let (written_lines, all) = play.parts(&format!("request-{id}"), &written);
+        assert!(
+            written_lines == 0 || written_lines == all,
+            "request {id}: {written_lines} of {all}"
+        );
+        whole += usize::from(written_lines == all);
     }
     // 60 seconds of 200 lines, 4 to a request, and the budget saved before the first second.
     assert!((2_300..=3_200).contains(&whole), "{whole} whole requests");
@@ -215,8 +218,8 @@
     }
     let written = play.written();
     for id in &play.failed {
-        let (told, all) = play.parts(id, &written);
-        assert_eq!(told, all, "{id} failed");
+        let (written_lines, all) = play.parts(id, &written);
+        assert_eq!(written_lines, all, "{id} failed");
     }
     assert_eq!(play.failed.len(), 600);
     assert_eq!(
--- a/crates/entry/src/digests.rs
+++ b/crates/entry/src/digests.rs
@@ -168,7 +168,7 @@
     ) -> Vec<String> {
         let own = &self.gossip.identity().name;
         config
-            .entries_of(organisation, |vm| self.members.is_named(config, vm))
+            .entries_of(organisation, |vm| self.members.is_advertised(config, vm))
             .into_iter()
             .filter_map(|key| config.vm(key))
             .map(|vm| vm.name.clone())
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -54,7 +54,10 @@
     name: &str,
 ) -> Result<ops::DrainAnswer, refusal::RefusalBody> {
     if name != entry.settings.vm {
-        let message = format!("this is \"{}\"; ask \"{name}\" itself", entry.settings.vm);
+        let message = format!(
+            "this is \"{}\"; send the request to \"{name}\" itself",
+            entry.settings.vm
+        );
         return Err(not_found(&message));
     }
     let already = entry.is_leaving();
--- a/crates/entry/src/http/caller.rs
+++ b/crates/entry/src/http/caller.rs
@@ -376,7 +376,9 @@
         .organisation(&head, &snapshot)
         .map_err(answer::HttpAnswer::refusal)?;
     let named = snapshot
-        .entries_of(organisation, |vm| entry.members.is_named(&snapshot, vm))
+        .entries_of(organisation, |vm| {
+            entry.members.is_advertised(&snapshot, vm)
+        })
         .into_iter()
         .filter_map(|key| snapshot.vm(key))
         .map(|vm| EntryLine {
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -118,7 +118,7 @@
     /// A VM that gossip has not reported is advertised too: a caller that finds it dead tries the
     /// next one, while a VM that is never advertised receives no requests.
     #[must_use]
-    pub fn is_named(&self, snapshot: &snapshot::ConfigSnapshot, vm: id::VmKey) -> bool {
+    pub fn is_advertised(&self, snapshot: &snapshot::ConfigSnapshot, vm: id::VmKey) -> bool {
         let Some(view) = snapshot.vm(vm) else {
             return false;
         };
--- a/crates/entry/src/roster.rs
+++ b/crates/entry/src/roster.rs
@@ -321,7 +321,8 @@
         });
     }
 
-    /// Whether a server's last poll failed, or another entry VM reported a different incarnation.
+    /// Whether a server has not answered yet, its last poll failed, or another entry VM reported a
+    /// different incarnation.
     #[must_use]
     pub fn is_in_doubt(&self, key: id::ServerKey) -> bool {
         let state = self.lock();
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -82,7 +82,7 @@
         snapshot: &snapshot::ConfigSnapshot,
     ) -> Result<id::OrganisationKey, refusal::RefusalBody> {
         if snapshot.revision() == 0 {
-            let message = "this entry VM has no configuration yet; ask another, or again shortly";
+            let message = "this entry VM has no configuration yet; use another, or retry shortly";
             let body = refusal::RefusalBody::not_run(refusal::RefusalCode::NotReady, message);
             return Err(body.retry_after_ms(1_000));
         }
