--- a/crates/entry/src/adapt/peers.rs
+++ b/crates/entry/src/adapt/peers.rs
@@ -1,5 +1,5 @@
-//! Calls to other entry VMs: the log's partitions through whoever appends them, and notes about
-//! streams that go on elsewhere.
+//! Calls to other entry VMs: requests to the VMs that append to the log's partitions, and
+//! notifications about streams that continue on another VM.
 
 use std::sync;
 
@@ -12,13 +12,13 @@
 
 /// Name of the extension that carries a [`host::LedgerRequest`].
 pub const LEDGER: &str = "ledger";
-/// Name of the extension that tells of a stream that goes on elsewhere.
+/// Name of the extension that announces a stream that continues on another VM.
 pub const ADOPTED: &str = "adopted";
-/// Name of the extension that spreads what is suspected of crashing backend servers.
+/// Name of the extension that sends content suspected of crashing backend servers.
 pub const SUSPECTS: &str = "suspects";
 
-/// Longest wait for a note to be taken.
-const NOTE_LIMIT: time::Duration = time::Duration::from_millis(800);
+/// Timeout for delivering a note.
+const NOTE_TIMEOUT: time::Duration = time::Duration::from_millis(800);
 
 /// The router through which this daemon uses the log.
 pub type EntryRouter = route::LedgerRouter<ledger::http::HttpLog, PeerLedger>;
@@ -31,7 +31,7 @@
 }
 
 impl PeerCaller {
-    /// A caller that finds addresses in `members`.
+    /// Creates a caller that looks up addresses in `members`.
     #[must_use]
     pub const fn new(
         client: wire::client::PeerClient,
@@ -40,17 +40,17 @@
         Self { client, members }
     }
 
-    /// Makes one call of an extension of a member.
+    /// Calls an extension on a member.
     ///
     /// # Errors
     ///
-    /// Whether the call may have had an effect.
-    pub async fn ask(
+    /// The error says whether the call may have had an effect.
+    pub async fn call_extension(
         &self,
         vm: &str,
         name: &str,
         body: Vec<u8>,
-        within: time::Duration,
+        timeout: time::Duration,
     ) -> Result<Vec<u8>, outcome::RanState> {
         let address = self.members.peer_address(vm).ok_or(outcome::RanState::No)?;
         let request = peer::request::Kind::Extension(peer::Extension {
@@ -58,7 +58,7 @@
             body,
         });
         let options = wire::client::CallOptions {
-            timeout: within,
+            timeout,
             repeatable: true,
         };
         match self.client.call(address, request, options).await {
@@ -68,22 +68,22 @@
         }
     }
 
-    /// Asks a member for its configuration, from a byte of the encoded state on.
+    /// Fetches a part of a member's configuration, starting at `from_byte` of the encoded state.
     pub async fn configuration(
         &self,
         vm: &str,
         from_byte: u64,
-        within: time::Duration,
+        timeout: time::Duration,
     ) -> Option<peer::ConfigurationAnswer> {
         let address = self.members.peer_address(vm)?;
-        let ask = peer::FetchConfiguration {
+        let fetch = peer::FetchConfiguration {
             have_revision: 0,
             have_offset: 0,
             from_byte,
         };
-        let request = peer::request::Kind::FetchConfiguration(ask);
+        let request = peer::request::Kind::FetchConfiguration(fetch);
         let options = wire::client::CallOptions {
-            timeout: within,
+            timeout,
             repeatable: true,
         };
         match self.client.call(address, request, options).await {
@@ -92,18 +92,22 @@
         }
     }
 
-    /// Sends a note to a member by name; nobody waits for it.
+    /// Sends a note to a member by name without waiting for its delivery.
     pub fn note(&self, vm: &str, name: &'static str, body: Vec<u8>) {
         let (caller, vm) = (self.clone(), vm.to_owned());
         tokio::spawn(async move {
-            if caller.ask(&vm, name, body, NOTE_LIMIT).await.is_err() {
+            if caller
+                .call_extension(&vm, name, body, NOTE_TIMEOUT)
+                .await
+                .is_err()
+            {
                 metrics::counter!("pollenchute_entry_notes_lost_total").increment(1);
             }
         });
     }
 }
 
-/// Notes to other entry VMs for the request plane.
+/// Sends the request plane's notes to other entry VMs.
 #[derive(Clone, Debug)]
 pub struct PeerNotes(pub PeerCaller);
 
@@ -114,7 +118,7 @@
     }
 }
 
-/// The way of the log's partitions to the entry VMs that append them.
+/// Transport of ledger requests to the entry VMs that append to the log's partitions.
 #[derive(Clone, Debug)]
 pub struct PeerLedger(pub PeerCaller);
 
@@ -127,10 +131,10 @@
         &self,
         vm: &str,
         request: &host::LedgerRequest,
-        limit: time::Duration,
+        timeout: time::Duration,
     ) -> Result<host::LedgerReply, route::PeerError> {
         let body = serde_json::to_vec(request).map_err(|_| route::PeerError::NotDelivered)?;
-        match self.0.ask(vm, LEDGER, body, limit).await {
+        match self.0.call_extension(vm, LEDGER, body, timeout).await {
             Ok(body) => serde_json::from_slice(&body).map_err(|_| route::PeerError::Lost),
             Err(outcome::RanState::No) => Err(route::PeerError::NotDelivered),
             Err(_) => Err(route::PeerError::Lost),
--- a/crates/entry/src/adapt/schedule.rs
+++ b/crates/entry/src/adapt/schedule.rs
@@ -1,5 +1,5 @@
-//! Placement for the request plane: generations through the decision core, plain service calls
-//! through the pool.
+//! Scheduling for the request plane: generations by the decision core, plain service calls by the
+//! pool.
 
 use std::{sync, time::Duration};
 
@@ -11,19 +11,19 @@
 
 use crate::{adapt::service_pool, configure, roster};
 
-/// Longest wait for a place on a plain service server between two looks at the candidates.
-const POOL_RECHECK: Duration = Duration::from_millis(20);
+/// Interval at which the candidates are read again while a call waits for a slot.
+const POOL_RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Places generations and calls.
+/// Assigns generations and plain service calls to backend servers.
 #[derive(Clone, Debug)]
 pub struct PlaneScheduler {
     driver: driver::Driver,
     roster: sync::Arc<roster::ServerRoster>,
-    book: sync::Arc<configure::ConfigBook>,
+    active_config: sync::Arc<configure::ActiveConfig>,
     pool: sync::Arc<service_pool::ServicePool>,
 }
 
-/// A place on a model engine or on a plain service server.
+/// A slot on a model engine or on a plain service server.
 #[derive(Debug)]
 pub enum PlaneGrant {
     /// On a model engine.
@@ -33,67 +33,68 @@
 }
 
 impl PlaneScheduler {
-    /// A scheduler over the decision core behind `driver`.
+    /// Creates a scheduler that uses the decision core behind `driver`.
     #[must_use]
     pub fn new(
         driver: driver::Driver,
         roster: sync::Arc<roster::ServerRoster>,
-        book: sync::Arc<configure::ConfigBook>,
+        active_config: sync::Arc<configure::ActiveConfig>,
     ) -> Self {
         Self {
             driver,
             roster,
-            book,
+            active_config,
             pool: sync::Arc::default(),
         }
     }
 
     async fn admit_generation(
         &self,
-        ask: request::GenerationRequest,
+        generation: request::GenerationRequest,
     ) -> Result<PlaneGrant, refusal::RefusalBody> {
-        let grant = self.driver.admit(ask).await.map_err(refused_body)?;
+        let grant = self.driver.admit(generation).await.map_err(refused_body)?;
         Ok(PlaneGrant::Engine(grant))
     }
 
-    fn generation_ask(
+    fn generation_request(
         &self,
-        asked: &port::AdmissionRequest,
+        admission: &port::AdmissionRequest,
     ) -> Result<request::GenerationRequest, refusal::RefusalBody> {
         let port::RequestedWork::Generation {
             model: name,
             adapter,
             prompt_tokens,
             max_tokens,
-        } = &asked.work
+        } = &admission.work
         else {
             return Err(no_server("a plain service call has no model"));
         };
         let Some(model) = self.roster.model_key(name) else {
-            return Err(no_server("no engine is known for this model; ask again"));
+            return Err(no_server("no engine is known for this model; retry"));
         };
-        let mut ask = request::GenerationRequest::new(
-            asked.organisation,
-            asked.class,
+        let mut generation = request::GenerationRequest::new(
+            admission.organisation,
+            admission.class,
             model,
             *prompt_tokens,
             *max_tokens,
         );
         if let Some(block_tokens) = self.block_tokens(name) {
-            ask.prefix = prefix_chain(name, adapter.as_deref(), &asked.prompt, block_tokens);
+            generation.prefix =
+                prefix_chain(name, adapter.as_deref(), &admission.prompt, block_tokens);
         }
-        ask.deadline = Some(asked.deadline);
-        ask.buffered = asked.buffered;
-        ask.retry = asked.retry;
-        for server in &asked.avoid {
-            ask.avoid.push(*server);
+        generation.deadline = Some(admission.deadline);
+        generation.buffered = admission.buffered;
+        generation.retry = admission.retry;
+        for server in &admission.avoid {
+            generation.avoid.push(*server);
         }
-        Ok(ask)
+        Ok(generation)
     }
 
     /// Tokens in one KV block of the engines that may serve a model.
     fn block_tokens(&self, model: &str) -> Option<u32> {
-        let snapshot = self.book.snapshot();
+        let snapshot = self.active_config.snapshot();
         let server = snapshot.server(*snapshot.servers_of_model(model).first()?)?;
         match &server.entry.kind {
             inventory::ServerKind::ModelEngine(engine) => Some(engine.block_tokens),
@@ -104,26 +105,24 @@
     async fn admit_call(
         &self,
         service: &str,
-        asked: &port::AdmissionRequest,
+        admission: &port::AdmissionRequest,
     ) -> Result<PlaneGrant, refusal::RefusalBody> {
         loop {
-            let candidates = self.candidates(service, &asked.avoid);
+            let candidates = self.candidates(service, &admission.avoid);
             if let Some(slot) = self.pool.try_take(&candidates, time::Instant::now()) {
                 return Ok(PlaneGrant::Service(slot));
             }
             if candidates.is_empty() {
-                return Err(no_server(
-                    "no server of this service takes work now; ask again",
-                ));
+                return Err(no_server("no server of this service takes work now; retry"));
             }
-            if time::Instant::now() >= asked.deadline {
+            if time::Instant::now() >= admission.deadline {
                 return Err(refusal::RefusalBody::not_run(
                     refusal::RefusalCode::Overloaded,
-                    "all servers of this service are busy; ask again after the time given",
+                    "all servers of this service are busy; retry after the given time",
                 )
                 .retry_after_ms(500));
             }
-            let _ = time::timeout(POOL_RECHECK, self.pool.freed()).await;
+            let _ = time::timeout(POOL_RECHECK_INTERVAL, self.pool.freed()).await;
         }
     }
 
@@ -132,7 +131,7 @@
         service: &str,
         avoid: &[id::ServerKey],
     ) -> Vec<service_pool::PoolCandidate> {
-        let snapshot = self.book.snapshot();
+        let snapshot = self.active_config.snapshot();
         let services = &snapshot.inventory().services;
         let max_concurrency = services
             .get(service)
@@ -149,7 +148,7 @@
     }
 }
 
-/// Bytes of a prompt that are looked at; the longest prefix that is compared ends before.
+/// Bytes of a prompt that are hashed; the longest prefix that is compared is shorter.
 const PREFIX_BYTES: usize = 4096;
 
 fn prefix_chain(
@@ -180,25 +179,26 @@
 impl port::Scheduler for PlaneScheduler {
     type Grant = PlaneGrant;
 
-    fn early_refusal(&self, ask: &port::AdmissionRequest) -> Option<refusal::RefusalBody> {
-        match &ask.work {
-            port::RequestedWork::Generation { .. } => self.generation_ask(ask).err(),
+    fn early_refusal(&self, admission: &port::AdmissionRequest) -> Option<refusal::RefusalBody> {
+        match &admission.work {
+            port::RequestedWork::Generation { .. } => self.generation_request(admission).err(),
             port::RequestedWork::Service { service } => self
-                .candidates(service, &ask.avoid)
+                .candidates(service, &admission.avoid)
                 .is_empty()
-                .then(|| no_server("no server of this service takes work now; ask again")),
+                .then(|| no_server("no server of this service takes work now; retry")),
         }
     }
 
     async fn admit(
         &self,
-        ask: &port::AdmissionRequest,
+        admission: &port::AdmissionRequest,
     ) -> Result<PlaneGrant, refusal::RefusalBody> {
-        match &ask.work {
+        match &admission.work {
             port::RequestedWork::Generation { .. } => {
-                self.admit_generation(self.generation_ask(ask)?).await
+                self.admit_generation(self.generation_request(admission)?)
+                    .await
             }
-            port::RequestedWork::Service { service } => self.admit_call(service, ask).await,
+            port::RequestedWork::Service { service } => self.admit_call(service, admission).await,
         }
     }
 }
--- a/crates/entry/src/assemble.rs
+++ b/crates/entry/src/assemble.rs
@@ -1,4 +1,4 @@
-//! Makes the parts of one daemon and ties them together.
+//! Creates the components of one daemon and connects them.
 
 use std::{net, sync, time::Duration};
 
@@ -14,30 +14,30 @@
 
 use crate::{
     adapt::{claims, identity as identity_port, jobs, peers, quota, schedule},
-    chronicle, configure, daemon, digests, follow, members, membership, peer_service, placement,
-    ports, roster, settings, sight, state, vm_list, watch,
+    configure, daemon, digests, follow, members, membership, observation, peer_service, placement,
+    ports, recorder, roster, settings, state, vm_list, watch,
 };
 
-/// Largest part of the time line's ring, in bytes.
+/// Maximum size of the time line's ring buffer, in bytes.
 const TIMELINE_BYTES: usize = 8 << 20;
-/// Time between two looks at the log's partitions.
+/// Interval between two maintenance runs of the log's partitions.
 const LEDGER_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the pieces of a daemon are made of.
-struct Foundation {
+/// Components from which the others of a daemon are created.
+struct DaemonParts {
     settings: settings::DaemonSettings,
     identity: identity::ProcessIdentity,
     keys: key::KeyHandle,
     token_keys: token::TokenKeys,
-    chronicle: chronicle::Chronicle,
+    recorder: recorder::EventRecorder,
     log: ledger::http::HttpLog,
-    book: sync::Arc<configure::ConfigBook>,
+    active_config: sync::Arc<configure::ActiveConfig>,
     driver: driver::Driver,
     roster: sync::Arc<roster::ServerRoster>,
     members: sync::Arc<members::MemberTable>,
 }
 
-impl Foundation {
+impl DaemonParts {
     fn new(
         settings: settings::DaemonSettings,
         token_keys: token::TokenKeys,
@@ -61,9 +61,9 @@
             },
             keys: wire_keys(&settings)?,
             token_keys,
-            chronicle: chronicle::Chronicle::new(journal),
+            recorder: recorder::EventRecorder::new(journal),
             log: ledger::http::HttpLog::new(ledger::http::HttpSettings::at(log_url)),
-            book: sync::Arc::default(),
+            active_config: sync::Arc::default(),
             roster: sync::Arc::new(roster::ServerRoster::new(driver.clone())),
             driver,
             members: sync::Arc::new(members::MemberTable::new(settings.vm.clone())),
@@ -71,7 +71,7 @@
         })
     }
 
-    /// The request plane, with what other entry VMs may ask of it.
+    /// Creates the request plane and the host that serves ledger requests of other entry VMs.
     fn plane(
         &self,
         view: channel::Receiver<sync::Arc<view::PlaneView>>,
@@ -94,12 +94,12 @@
             schedule: schedule::PlaneScheduler::new(
                 self.driver.clone(),
                 sync::Arc::clone(&self.roster),
-                sync::Arc::clone(&self.book),
+                sync::Arc::clone(&self.active_config),
             ),
             quotas: quota::CoreQuota,
             claims: claims::LogClaims::new(router.clone()),
-            jobs: jobs::LogJobs::new(router, sync::Arc::clone(&self.book)),
-            events: self.chronicle.clone(),
+            jobs: jobs::LogJobs::new(router, sync::Arc::clone(&self.active_config)),
+            events: self.recorder.clone(),
             clock: identity_port::SystemClock,
             ids: identity_port::RandomIds,
             peers: peers::PeerNotes(caller),
@@ -113,7 +113,7 @@
         ))
     }
 
-    /// Calls to other entry VMs.
+    /// Creates the client for calls to other entry VMs.
     fn caller(&self, stamper: &trace::stamper::MessageStamper) -> peers::PeerCaller {
         peers::PeerCaller::new(
             wire::client::PeerClient::new(
@@ -126,8 +126,8 @@
         )
     }
 
-    fn own_place(&self) -> sight::OwnPlace {
-        sight::OwnPlace {
+    fn own_place(&self) -> observation::OwnPlace {
+        observation::OwnPlace {
             vm: self.settings.vm.clone(),
             region: self.settings.region.clone(),
             failure_domain: self.settings.failure_domain.clone(),
@@ -135,18 +135,18 @@
     }
 }
 
-/// A generation none of whose tokens came is started elsewhere after this, when its engine can be
-/// neither reached nor told to cancel; the order to cancel stands. docs/MEASURES.md, "Promises":
-/// with one of 3 engines frozen 60 of 60 requests are answered in place of 57.
+/// Time after which a generation without a first token is started on another engine, if its engine
+/// can be neither reached nor sent a cancellation; the cancellation stays pending. Without it, with
+/// one of 3 engines frozen, 3 of 60 requests get no answer.
 const ABANDON_AFTER: Duration = Duration::from_secs(1);
 
-/// Time between two appends of a partition of deferrable work. Nobody waits for it at a gate, and
-/// the log's appends are few.
-const JOB_APPEND_GAP: Duration = Duration::from_millis(100);
+/// Minimum interval between two appends to a partition of deferrable jobs. Deferrable jobs are not
+/// latency-critical, and the log allows only few appends.
+const JOB_APPEND_INTERVAL: Duration = Duration::from_millis(100);
 
 fn ledger_settings() -> host::HostSettings {
     let mut settings = host::HostSettings::default();
-    settings.jobs.append.min_interval = JOB_APPEND_GAP;
+    settings.jobs.append.min_interval = JOB_APPEND_INTERVAL;
     settings
 }
 
@@ -167,16 +167,16 @@
     Ok(key::KeyHandle::new(ring))
 }
 
-/// Makes a daemon's parts and starts its controllers.
+/// Creates a daemon's components and starts its controllers.
 pub(crate) async fn build(
     settings: settings::DaemonSettings,
     token_keys: token::TokenKeys,
     metrics: Option<metrics_exporter_prometheus::PrometheusHandle>,
     controllers: &mut task::JoinSet<()>,
 ) -> Result<state::EntryState, daemon::StartError> {
-    let base = Foundation::new(settings, token_keys)?;
+    let base = DaemonParts::new(settings, token_keys)?;
     let (listener, peers_address) = listen_for_peers(base.settings.peers).await?;
-    let stamper = base.chronicle.stamper();
+    let stamper = base.recorder.stamper();
     let gossip = gossip::start_stamped(
         membership::gossip_settings(&base.settings, base.identity.clone(), peers_address),
         base.keys.clone(),
@@ -190,7 +190,7 @@
     let (plane, host) = base.plane(view, caller.clone())?;
     let service = peer_service::EntryPeerService {
         host: sync::Arc::clone(&host),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         plane: sync::Arc::clone(&plane),
     };
     let server = wire::server::PeerServer::stamped(
@@ -204,19 +204,19 @@
     spawn_watchers(&base, &gossip, &caller, controllers)?;
     spawn_plane(&base, &plane, host, caller, controllers);
     controllers.spawn(follow_views(
-        sync::Arc::clone(&base.book),
+        sync::Arc::clone(&base.active_config),
         sync::Arc::clone(&base.roster),
         base.own_place(),
         views,
     ));
-    let (leases, board) = spawn_placing(&base, controllers)?;
+    let (leases, board) = spawn_placement(&base, controllers)?;
     Ok(state::EntryState {
         settings: base.settings,
         incarnation: base.identity.incarnation,
-        book: base.book,
+        active_config: base.active_config,
         roster: base.roster,
         members: base.members,
-        chronicle: base.chronicle,
+        recorder: base.recorder,
         leases,
         placement: board,
         driver: base.driver,
@@ -228,9 +228,9 @@
     })
 }
 
-/// Starts what works for the request plane.
+/// Starts the tasks that serve the request plane.
 fn spawn_plane(
-    base: &Foundation,
+    base: &DaemonParts,
     plane: &Plane,
     host: sync::Arc<LedgerHost>,
     caller: peers::PeerCaller,
@@ -247,22 +247,22 @@
 }
 
 fn spawn_watchers(
-    base: &Foundation,
+    base: &DaemonParts,
     gossip: &gossip::handle::GossipHandle,
     caller: &peers::PeerCaller,
     controllers: &mut task::JoinSet<()>,
 ) -> Result<(), daemon::StartError> {
     let watcher = watch::LoadWatcher {
         http: client()?,
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         roster: sync::Arc::clone(&base.roster),
         gossip: gossip.clone(),
-        chronicle: base.chronicle.clone(),
+        recorder: base.recorder.clone(),
     };
     controllers.spawn(watcher.run());
     let digests = digests::DigestController {
         gossip: gossip.clone(),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         roster: sync::Arc::clone(&base.roster),
         members: sync::Arc::clone(&base.members),
         driver: base.driver.clone(),
@@ -270,49 +270,49 @@
     controllers.spawn(digests.run());
     let member_controller = membership::MemberController {
         gossip: gossip.clone(),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         members: sync::Arc::clone(&base.members),
         roster: sync::Arc::clone(&base.roster),
-        chronicle: base.chronicle.clone(),
+        recorder: base.recorder.clone(),
     };
     controllers.spawn(member_controller.run());
     let follower = follow::FollowController {
         log: base.log.clone(),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         caller: caller.clone(),
         gossip: gossip.clone(),
-        chronicle: base.chronicle.clone(),
+        recorder: base.recorder.clone(),
     };
     controllers.spawn(follower.run());
     let list = vm_list::ListController {
         http: client()?,
         url: format!("http://{}/v1/vms", base.settings.platform.vm_list),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         roster: sync::Arc::clone(&base.roster),
         gossip: gossip.clone(),
         incarnation: base.identity.incarnation,
-        chronicle: base.chronicle.clone(),
+        recorder: base.recorder.clone(),
     };
     controllers.spawn(list.run());
     Ok(())
 }
 
 type LeaseDriver = lease::driver::LeaseDriver<ledger::http::HttpLog>;
-type PlacingParts = (sync::Arc<LeaseDriver>, sync::Arc<placement::PlacementBoard>);
+type PlacementParts = (sync::Arc<LeaseDriver>, sync::Arc<placement::PlacementBoard>);
 
-/// Starts to hold leases and to place models.
-fn spawn_placing(
-    base: &Foundation,
+/// Starts holding leases and placing models.
+fn spawn_placement(
+    base: &DaemonParts,
     controllers: &mut task::JoinSet<()>,
-) -> Result<PlacingParts, daemon::StartError> {
+) -> Result<PlacementParts, daemon::StartError> {
     let leases = start_leases(base)?;
     let board = sync::Arc::new(placement::PlacementBoard::default());
     let placing = placement::PlacementController {
         leases: sync::Arc::clone(&leases),
-        book: sync::Arc::clone(&base.book),
+        active_config: sync::Arc::clone(&base.active_config),
         members: sync::Arc::clone(&base.members),
         board: sync::Arc::clone(&board),
-        chronicle: base.chronicle.clone(),
+        recorder: base.recorder.clone(),
         http: client()?,
         weight_store: format!("http://{}", base.settings.platform.weight_store),
         vm: base.settings.vm.clone(),
@@ -322,7 +322,7 @@
     Ok((leases, board))
 }
 
-fn start_leases(base: &Foundation) -> Result<sync::Arc<LeaseDriver>, daemon::StartError> {
+fn start_leases(base: &DaemonParts) -> Result<sync::Arc<LeaseDriver>, daemon::StartError> {
     let limits = lease::limits::LeaseLimits::default();
     let started = lease::driver::LeaseDriver::start(base.log.clone(), &base.settings.vm, limits);
     let leases = started.map_err(|error| daemon::StartError::Settings {
@@ -332,7 +332,7 @@
     Ok(sync::Arc::new(leases))
 }
 
-/// Listens for frames; datagrams then arrive at the same number.
+/// Listens for frames; gossip then binds its datagrams to the same port number.
 async fn listen_for_peers(
     address: net::SocketAddr,
 ) -> Result<(tokio::net::TcpListener, net::SocketAddr), daemon::StartError> {
@@ -345,7 +345,8 @@
     Ok((listener, bound))
 }
 
-/// Keeps the partitions that this VM ranks for read, and carries work past the log's retention.
+/// Keeps reading the partitions that this VM ranks for, and rewrites jobs before the log's
+/// retention drops them.
 async fn maintain_ledger(host: sync::Arc<LedgerHost>, members: sync::Arc<members::MemberTable>) {
     let mut tick = time::interval(LEDGER_INTERVAL);
     tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -366,26 +367,26 @@
         .context(daemon::ClientSnafu)
 }
 
-/// Keeps the roster and the request plane's view in step with the configuration and with what
-/// is leaving.
+/// Keeps the roster and the request plane's view up to date with the configuration and the servers
+/// that are leaving.
 async fn follow_views(
-    book: sync::Arc<configure::ConfigBook>,
+    active_config: sync::Arc<configure::ActiveConfig>,
     roster: sync::Arc<roster::ServerRoster>,
-    own: sight::OwnPlace,
+    own: observation::OwnPlace,
     views: channel::Sender<sync::Arc<view::PlaneView>>,
 ) {
-    let mut snapshots = book.subscribe();
+    let mut snapshots = active_config.subscribe();
     let mut leaving = roster.subscribe_leaving();
     loop {
         let snapshot = snapshots.borrow_and_update().clone();
-        let left = leaving.borrow_and_update().clone();
+        let leaving_now = leaving.borrow_and_update().clone();
         let known = views.borrow().config.revision();
         if known != snapshot.revision() {
             roster.configure(&snapshot, &own);
         }
         views.send_replace(sync::Arc::new(view::PlaneView {
             config: snapshot,
-            leaving: left,
+            leaving: leaving_now,
         }));
         tokio::select! {
             changed = snapshots.changed() => if changed.is_err() { return },
--- a/crates/entry/src/digests.rs
+++ b/crates/entry/src/digests.rs
@@ -1,5 +1,5 @@
-//! Exchanges short-lived digests with the other entry VMs: loads of engines, this VM's work, and
-//! what organisations ask of it.
+//! Exchanges short-lived digests with the other entry VMs: loads of engines, the work of each VM,
+//! and the demand of organisations on it.
 
 use std::{collections, sync, time::Duration};
 
@@ -11,13 +11,13 @@
 
 use crate::{configure, members, roster};
 
-/// Time between two digests of this VM's work and demands while the region is small.
-const TELL_INTERVAL: Duration = Duration::from_secs(1);
-/// Members of a region for which [`TELL_INTERVAL`] holds; it grows with their number beyond, so
-/// that the bytes a second stay the same.
-const SMALL_REGION: u32 = 32;
-/// Span of the counts in a demand's digest, in seconds.
-const DEMAND_SPAN_S: f32 = 10.0;
+/// Interval between two digests of this VM's work and demands while the region is small.
+const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of region members up to which [`PUBLISH_INTERVAL`] applies; beyond it the interval grows
+/// in proportion, so that the bytes per second stay constant.
+const SMALL_REGION_MEMBERS: u32 = 32;
+/// Time window of the counts in a demand digest, in seconds.
+const DEMAND_WINDOW_S: f32 = 10.0;
 
 /// Exchanges digests with the other entry VMs.
 #[derive(Clone, Debug)]
@@ -25,61 +25,62 @@
     /// Carries the digests.
     pub gossip: handle::GossipHandle,
     /// The configuration in force.
-    pub book: sync::Arc<configure::ConfigBook>,
-    /// Told of loads.
+    pub active_config: sync::Arc<configure::ActiveConfig>,
+    /// Receives the loads.
     pub roster: sync::Arc<roster::ServerRoster>,
     /// The members of the region.
     pub members: sync::Arc<members::MemberTable>,
-    /// Told of work and demands, and asked for this VM's.
+    /// Receives the work and demands of other VMs, and provides those of this VM.
     pub driver: driver::Driver,
 }
 
 impl DigestController {
-    /// Runs for ever.
+    /// Runs until cancelled.
     pub async fn run(self) {
         let mut events = self.gossip.subscribe();
         let mut subjects = SubjectIndex::default();
-        let mut tell_at = time::Instant::now();
+        let mut publish_at = time::Instant::now();
         loop {
             tokio::select! {
                 event = events.recv() => match event {
-                    Ok(event) => self.take(&event, &mut subjects),
-                    // Digests that were lost age out and come again.
+                    Ok(event) => self.handle(&event, &mut subjects),
+                    // Lost digests expire and are replaced by the next ones.
                     Err(broadcast::error::RecvError::Lagged(lost)) => {
                         metrics::counter!("pollenchute_entry_gossip_events_lost_total").increment(lost);
                     }
                     Err(broadcast::error::RecvError::Closed) => return,
                 },
-                () = time::sleep_until(tell_at) => {
+                () = time::sleep_until(publish_at) => {
                     let peers = self.region_peers();
-                    tell_at = time::Instant::now() + interval(peers.len());
-                    self.tell(peers).await;
+                    publish_at = time::Instant::now() + interval(peers.len());
+                    self.publish(peers).await;
                 }
             }
         }
     }
 
-    fn take(&self, event: &event::GossipEvent, subjects: &mut SubjectIndex) {
-        let config = self.book.snapshot();
+    fn handle(&self, event: &event::GossipEvent, subjects: &mut SubjectIndex) {
+        let config = self.active_config.snapshot();
         let now = time::Instant::now();
         let taken_at = |age: Duration| now.checked_sub(age).unwrap_or(now);
         match event {
-            event::GossipEvent::Load(news) => {
-                if let Some(server) = config.server_key(&news.server) {
-                    self.roster.heard(server, &news.load, taken_at(news.age));
+            event::GossipEvent::Load(update) => {
+                if let Some(server) = config.server_key(&update.server) {
+                    self.roster
+                        .load_received(server, &update.load, taken_at(update.age));
                 }
             }
-            event::GossipEvent::Work(news) => {
-                if let Some(vm) = config.vm_key(&news.vm) {
-                    let at = taken_at(news.age);
-                    self.take_work(vm, news, at);
+            event::GossipEvent::Work(update) => {
+                if let Some(vm) = config.vm_key(&update.vm) {
+                    let at = taken_at(update.age);
+                    self.record_work(vm, update, at);
                 }
             }
-            event::GossipEvent::Demand(news) => {
-                let organisation = subjects.organisation(&config, news.organisation_hash);
-                if let (Some(organisation), Some(vm)) = (organisation, config.vm_key(&news.vm)) {
-                    let demand = rates(&news.demand);
-                    let at = taken_at(news.age);
+            event::GossipEvent::Demand(update) => {
+                let organisation = subjects.organisation(&config, update.organisation_hash);
+                if let (Some(organisation), Some(vm)) = (organisation, config.vm_key(&update.vm)) {
+                    let demand = rates(&update.demand);
+                    let at = taken_at(update.age);
                     self.driver.change(|core, now| {
                         core.demand_reported(organisation, vm, demand, at, now)
                     });
@@ -89,16 +90,16 @@
         }
     }
 
-    fn take_work(&self, vm: id::VmKey, news: &event::WorkUpdate, taken_at: time::Instant) {
+    fn record_work(&self, vm: id::VmKey, update: &event::WorkUpdate, taken_at: time::Instant) {
         let models = self.roster.models();
-        let identity = roster::vm_identity(&news.vm);
+        let identity = roster::vm_identity(&update.vm);
         self.driver.change(|core, _| {
-            for work in &news.work.models {
+            for work in &update.work.models {
                 let known = models.iter().find(|(hash, _)| *hash == work.model_hash);
                 let Some(&(_, model)) = known else { continue };
                 let digest = share::EntryDigest {
                     identity,
-                    weight: news.work.weight,
+                    weight: update.work.weight,
                     firm: work.firm,
                     deferrable: work.deferrable,
                     waiting: work.waiting,
@@ -119,21 +120,22 @@
         serving.map(|member| member.name.clone()).collect()
     }
 
-    /// Tells of this VM's work, and each organisation's other entry VMs what it asks of this one.
-    async fn tell(&self, peers: Vec<String>) {
+    /// Publishes this VM's work to the region, and the demand of each organisation on this VM to the
+    /// organisation's other entry VMs.
+    async fn publish(&self, peers: Vec<String>) {
         let (work, demands) = self
             .driver
             .change(|core, _| (self.work(core), core.demands().collect::<Vec<_>>()));
-        let config = self.book.snapshot();
+        let config = self.active_config.snapshot();
         self.gossip.publish_work(work, peers).await;
         for (organisation, demand) in demands {
             let Some(view) = config.organisation(organisation) else {
                 continue;
             };
-            let receivers = self.other_entries(&config, organisation);
-            if !receivers.is_empty() {
+            let recipients = self.other_entries(&config, organisation);
+            if !recipients.is_empty() {
                 self.gossip
-                    .publish_demand(view.name.clone(), counts(&demand), receivers)
+                    .publish_demand(view.name.clone(), counts(&demand), recipients)
                     .await;
             }
         }
@@ -166,7 +168,7 @@
     ) -> Vec<String> {
         let own = &self.gossip.identity().name;
         config
-            .entries_of(organisation, |vm| self.members.is_named(config, vm))
+            .entries_of(organisation, |vm| self.members.is_advertised(config, vm))
             .into_iter()
             .filter_map(|key| config.vm(key))
             .map(|vm| vm.name.clone())
@@ -177,26 +179,26 @@
 
 fn interval(peers: usize) -> Duration {
     let peers = u32::try_from(peers).unwrap_or(u32::MAX);
-    TELL_INTERVAL * peers.div_ceil(SMALL_REGION).max(1)
+    PUBLISH_INTERVAL * peers.div_ceil(SMALL_REGION_MEMBERS).max(1)
 }
 
 fn rates(demand: &digest::OrganisationDemand) -> limit::LimitDemand {
     limit::LimitDemand {
-        requests_per_second: demand.requests as f32 / DEMAND_SPAN_S,
-        tokens_per_second: demand.tokens as f32 / DEMAND_SPAN_S,
+        requests_per_second: demand.requests as f32 / DEMAND_WINDOW_S,
+        tokens_per_second: demand.tokens as f32 / DEMAND_WINDOW_S,
         generations: demand.running as f32,
     }
 }
 
 fn counts(demand: &limit::LimitDemand) -> digest::OrganisationDemand {
     digest::OrganisationDemand {
-        requests: (demand.requests_per_second * DEMAND_SPAN_S).round() as u32,
-        tokens: (demand.tokens_per_second * DEMAND_SPAN_S).round() as u32,
+        requests: (demand.requests_per_second * DEMAND_WINDOW_S).round() as u32,
+        tokens: (demand.tokens_per_second * DEMAND_WINDOW_S).round() as u32,
         running: demand.generations.round() as u32,
     }
 }
 
-/// Organisations by the hash under which digests name them, for one revision.
+/// Organisations by the hash that identifies them in digests, for one revision.
 #[derive(Debug, Default)]
 struct SubjectIndex {
     revision: u64,
--- a/crates/entry/src/http/caller.rs
+++ b/crates/entry/src/http/caller.rs
@@ -1,4 +1,4 @@
-//! The face towards callers.
+//! The HTTP API for callers.
 
 use std::sync;
 
@@ -12,15 +12,15 @@
     state,
 };
 
-type WholeAnswer = answer::HttpAnswer<answer::WholeBody>;
+type CompleteAnswer = answer::HttpAnswer<answer::CompleteBody>;
 type StreamAnswer = answer::HttpAnswer<answer::StreamBody<flow::pipe::CallerStream>>;
 
-/// Either kind of answer to a call for a generation.
+/// Answer to a call for a generation.
 #[derive(Debug, rocket::Responder)]
 pub enum GenerationAnswer {
-    /// Known whole.
-    Whole(WholeAnswer),
-    /// Sent as it comes.
+    /// A complete answer.
+    Complete(CompleteAnswer),
+    /// A streamed answer.
     Stream(StreamAnswer),
 }
 
@@ -29,7 +29,7 @@
 const EVENT_STREAM: &str = "text/event-stream";
 const JSON: &str = "application/json";
 
-/// Routes of the face towards callers.
+/// Routes of the callers' API.
 #[must_use]
 pub fn routes() -> Vec<rocket::Route> {
     rocket::routes![
@@ -65,47 +65,43 @@
     head: head::CallHead,
     data: data::Data<'_>,
     entry: &state::EntryState,
-    face: body::CompletionApi,
+    api: body::CompletionApi,
 ) -> GenerationAnswer {
     let bytes = match read_json(&head, data, entry).await {
         Ok(bytes) => bytes,
-        Err(refused) => return GenerationAnswer::Whole(refused),
+        Err(refused) => return GenerationAnswer::Complete(refused),
     };
     if head.respond_async {
-        return GenerationAnswer::Whole(accept(head, face, bytes, entry).await);
+        return GenerationAnswer::Complete(accept(head, api, bytes, entry).await);
     }
-    match entry
-        .plane
-        .generate(caller_headers(head), face, bytes)
-        .await
-    {
+    match entry.plane.generate(caller_headers(head), api, bytes).await {
         Ok(plane::GenerationReply::Complete { request, body }) => {
             let headers = vec![answer::HeaderLine {
                 name: REQUEST_ID,
                 value: request.to_string(),
             }];
-            GenerationAnswer::Whole(answer::HttpAnswer {
+            GenerationAnswer::Complete(answer::HttpAnswer {
                 status: Status::Ok.code,
                 content_type: JSON.to_owned(),
                 headers,
-                body: answer::WholeBody(body),
+                body: answer::CompleteBody(body),
             })
         }
         Ok(plane::GenerationReply::Stream(reply)) => GenerationAnswer::Stream(streamed(reply)),
-        Err(refused) => GenerationAnswer::Whole(refused_answer(refused)),
+        Err(refused) => GenerationAnswer::Complete(refused_answer(refused)),
     }
 }
 
-/// Accepts work to be fetched later.
+/// Accepts a job whose result is fetched later.
 async fn accept(
     head: head::CallHead,
-    face: body::CompletionApi,
+    api: body::CompletionApi,
     bytes: Bytes,
     entry: &state::EntryState,
-) -> WholeAnswer {
+) -> CompleteAnswer {
     match entry
         .plane
-        .accept_job(caller_headers(head), face, bytes)
+        .accept_job(caller_headers(head), api, bytes)
         .await
     {
         Ok(request) => {
@@ -130,7 +126,7 @@
     }
 }
 
-/// State of work that is not finished.
+/// State of a job that is not finished.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 struct RequestState {
@@ -143,7 +139,7 @@
     head: head::CallHead,
     id: &str,
     entry: &State<sync::Arc<state::EntryState>>,
-) -> WholeAnswer {
+) -> CompleteAnswer {
     let Ok(job) = id.parse() else {
         return not_run(
             refusal::RefusalCode::NotFound,
@@ -162,7 +158,7 @@
             status: Status::Ok.code,
             content_type: JSON.to_owned(),
             headers: Vec::new(),
-            body: answer::WholeBody(text.into()),
+            body: answer::CompleteBody(text.into()),
         },
         Ok(flow::jobs::JobReply::Refused(body)) => answer::HttpAnswer::refusal(body),
         Err(refused) => refused_answer(refused),
@@ -183,7 +179,7 @@
         .await
     {
         Ok(reply) => GenerationAnswer::Stream(streamed(reply)),
-        Err(refused) => GenerationAnswer::Whole(refused_answer(refused)),
+        Err(refused) => GenerationAnswer::Complete(refused_answer(refused)),
     }
 }
 
@@ -194,7 +190,7 @@
     path: std::path::PathBuf,
     data: data::Data<'_>,
     entry: &State<sync::Arc<state::EntryState>>,
-) -> WholeAnswer {
+) -> CompleteAnswer {
     let body = match read_body(data, entry).await {
         Ok(body) => body,
         Err(refused) => return refused,
@@ -214,7 +210,7 @@
                 name: REQUEST_ID,
                 value: reply.request.to_string(),
             }],
-            body: answer::WholeBody(reply.answer.body),
+            body: answer::CompleteBody(reply.answer.body),
         },
         Err(refused) => refused_answer(refused),
     }
@@ -239,14 +235,14 @@
     }
 }
 
-fn refused_answer(refused: plane::RefusedRequest) -> WholeAnswer {
-    let mut whole = answer::HttpAnswer::refusal(refused.body);
+fn refused_answer(refused: plane::RefusedRequest) -> CompleteAnswer {
+    let mut answer = answer::HttpAnswer::refusal(refused.body);
     let value = refused.request.to_string();
-    whole.headers.push(answer::HeaderLine {
+    answer.headers.push(answer::HeaderLine {
         name: REQUEST_ID,
         value,
     });
-    whole
+    answer
 }
 
 fn caller_headers(head: head::CallHead) -> request::CallerHeaders {
@@ -258,12 +254,12 @@
     }
 }
 
-/// Reads a JSON body within the bound.
+/// Reads a JSON body within the size limit.
 async fn read_json(
     head: &head::CallHead,
     data: data::Data<'_>,
     entry: &state::EntryState,
-) -> Result<Bytes, WholeAnswer> {
+) -> Result<Bytes, CompleteAnswer> {
     if head
         .content_type
         .as_deref()
@@ -275,11 +271,11 @@
     read_body(data, entry).await
 }
 
-/// Reads a body within the bound.
+/// Reads a body within the size limit.
 pub(crate) async fn read_body(
     data: data::Data<'_>,
     entry: &state::EntryState,
-) -> Result<Bytes, WholeAnswer> {
+) -> Result<Bytes, CompleteAnswer> {
     let limit = entry.settings.bounds.body_bytes;
     let read = data.open(limit.bytes()).into_bytes().await;
     match read {
@@ -295,11 +291,11 @@
     }
 }
 
-fn not_run(code: refusal::RefusalCode, message: impl Into<String>) -> WholeAnswer {
+fn not_run(code: refusal::RefusalCode, message: impl Into<String>) -> CompleteAnswer {
     answer::HttpAnswer::refusal(refusal::RefusalBody::not_run(code, message))
 }
 
-/// One model in the list that client libraries read.
+/// One model in the list format of common client libraries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 struct ModelLine {
@@ -309,7 +305,7 @@
     owned_by: &'static str,
 }
 
-/// The list of models that client libraries read.
+/// The list of models in the format of common client libraries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 struct ModelList {
@@ -321,8 +317,8 @@
 fn models(
     head: head::CallHead,
     entry: &State<sync::Arc<state::EntryState>>,
-) -> Result<WholeAnswer, WholeAnswer> {
-    let snapshot = entry.book.snapshot();
+) -> Result<CompleteAnswer, CompleteAnswer> {
+    let snapshot = entry.active_config.snapshot();
     entry
         .organisation(&head, &snapshot)
         .map_err(answer::HttpAnswer::refusal)?;
@@ -354,7 +350,7 @@
     ))
 }
 
-/// One entry VM as callers are told it.
+/// One entry VM as advertised to callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 struct EntryLine {
@@ -362,7 +358,7 @@
     address: String,
 }
 
-/// The entry VMs of one organisation.
+/// The entry VMs advertised to one organisation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 struct EntryList {
@@ -374,13 +370,15 @@
 fn entries(
     head: head::CallHead,
     entry: &State<sync::Arc<state::EntryState>>,
-) -> Result<WholeAnswer, WholeAnswer> {
-    let snapshot = entry.book.snapshot();
+) -> Result<CompleteAnswer, CompleteAnswer> {
+    let snapshot = entry.active_config.snapshot();
     let organisation = entry
         .organisation(&head, &snapshot)
         .map_err(answer::HttpAnswer::refusal)?;
     let named = snapshot
-        .entries_of(organisation, |vm| entry.members.is_named(&snapshot, vm))
+        .entries_of(organisation, |vm| {
+            entry.members.is_advertised(&snapshot, vm)
+        })
         .into_iter()
         .filter_map(|key| snapshot.vm(key))
         .map(|vm| EntryLine {
--- a/crates/entry/src/http/catch.rs
+++ b/crates/entry/src/http/catch.rs
@@ -1,19 +1,19 @@
-//! Typed answers for what rocket refuses on its own.
+//! Refusal bodies for errors that Rocket raises itself.
 
 use base::refusal;
 
 use crate::http::answer;
 
-type WholeAnswer = answer::HttpAnswer<answer::WholeBody>;
+type CompleteAnswer = answer::HttpAnswer<answer::CompleteBody>;
 
-/// The catchers for every status that rocket raises itself.
+/// Catchers for every status that Rocket raises itself.
 #[must_use]
 pub fn catchers() -> Vec<rocket::Catcher> {
     rocket::catchers![not_found, any]
 }
 
 #[rocket::catch(404)]
-fn not_found(request: &rocket::Request<'_>) -> WholeAnswer {
+fn not_found(request: &rocket::Request<'_>) -> CompleteAnswer {
     let message = format!(
         "{} {} is not served here; see docs/INTERFACES.md",
         request.method(),
@@ -26,7 +26,7 @@
 }
 
 #[rocket::catch(default)]
-fn any(status: rocket::http::Status, _request: &rocket::Request<'_>) -> WholeAnswer {
+fn any(status: rocket::http::Status, _request: &rocket::Request<'_>) -> CompleteAnswer {
     let code = match status.code {
         500.. => refusal::RefusalCode::Internal,
         413 => refusal::RefusalCode::TooLarge,
@@ -35,10 +35,10 @@
     let message = format!("the request was refused with status {status}; check its form");
     let mut body = refusal::RefusalBody::not_run(code, message);
     if code == refusal::RefusalCode::Internal {
-        // A handler that failed may have started something.
+        // The failed handler may have started the request.
         body = body.ran(base::outcome::RanState::Unknown);
     }
-    let mut whole = answer::HttpAnswer::refusal(body);
-    whole.status = status.code;
-    whole
+    let mut answer = answer::HttpAnswer::refusal(body);
+    answer.status = status.code;
+    answer
 }
--- a/crates/entry/src/http/ops.rs
+++ b/crates/entry/src/http/ops.rs
@@ -1,4 +1,4 @@
-//! The face towards operators.
+//! The HTTP API for operators.
 
 use std::sync;
 
@@ -10,11 +10,11 @@
     publish, state, status,
 };
 
-type WholeAnswer = answer::HttpAnswer<answer::WholeBody>;
-type OpsAnswer = Result<WholeAnswer, WholeAnswer>;
+type CompleteAnswer = answer::HttpAnswer<answer::CompleteBody>;
+type OpsAnswer = Result<CompleteAnswer, CompleteAnswer>;
 type Entry = State<sync::Arc<state::EntryState>>;
 
-/// Routes of the face towards operators.
+/// Routes of the operators' API.
 #[must_use]
 pub fn routes() -> Vec<rocket::Route> {
     rocket::routes![
@@ -29,7 +29,7 @@
     ]
 }
 
-fn allow(entry: &state::EntryState, head: &head::CallHead) -> Result<String, WholeAnswer> {
+fn allow(entry: &state::EntryState, head: &head::CallHead) -> Result<String, CompleteAnswer> {
     entry.operator(head).map_err(answer::HttpAnswer::refusal)
 }
 
@@ -37,17 +37,17 @@
     Ok(answer::HttpAnswer::json(Status::Ok.code, value))
 }
 
-fn bad(code: refusal::RefusalCode, message: impl Into<String>) -> WholeAnswer {
+fn bad(code: refusal::RefusalCode, message: impl Into<String>) -> CompleteAnswer {
     answer::HttpAnswer::refusal(refusal::RefusalBody::not_run(code, message))
 }
 
 async fn read<T: serde::de::DeserializeOwned>(
     data: data::Data<'_>,
     entry: &state::EntryState,
-) -> Result<T, WholeAnswer> {
+) -> Result<T, CompleteAnswer> {
     let bytes = caller::read_body(data, entry).await?;
     serde_json::from_slice(&bytes).map_err(|error| {
-        let message = format!("the body is not understood ({error}); see docs/INTERFACES.md");
+        let message = format!("the body cannot be parsed ({error}); see docs/INTERFACES.md");
         bad(refusal::RefusalCode::BadRequest, message)
     })
 }
@@ -65,9 +65,9 @@
 #[rocket::get("/ops/configuration?<revision>")]
 fn configuration(head: head::CallHead, revision: Option<u64>, entry: &Entry) -> OpsAnswer {
     allow(entry, &head)?;
-    let wanted = revision.unwrap_or_else(|| entry.book.snapshot().revision());
-    let Some(body) = entry.book.configuration(wanted) else {
-        let message = format!("revision {wanted} is not remembered here; see GET /ops/history");
+    let wanted = revision.unwrap_or_else(|| entry.active_config.snapshot().revision());
+    let Some(body) = entry.active_config.configuration(wanted) else {
+        let message = format!("revision {wanted} is not retained here; see GET /ops/history");
         return Err(bad(refusal::RefusalCode::NotFound, message));
     };
     ok(&body)
@@ -76,15 +76,15 @@
 #[rocket::get("/ops/history")]
 fn history(head: head::CallHead, entry: &Entry) -> OpsAnswer {
     allow(entry, &head)?;
-    ok(&entry.book.history())
+    ok(&entry.active_config.history())
 }
 
 #[rocket::post("/ops/publish", data = "<data>")]
 async fn publish_change(head: head::CallHead, data: data::Data<'_>, entry: &Entry) -> OpsAnswer {
     let author = allow(entry, &head)?;
-    let mut ask: ops::PublishAsk = read(data, entry).await?;
-    ask.author = author;
-    match publish::publish(entry, ask).await {
+    let mut request: ops::PublishAsk = read(data, entry).await?;
+    request.author = author;
+    match publish::publish(entry, request).await {
         Ok(answer) => Ok(answer::HttpAnswer::json(answer.status(), &answer)),
         Err(body) => Err(answer::HttpAnswer::refusal(body)),
     }
@@ -102,14 +102,14 @@
     allow(entry, &head)?;
     let query = trace::query::EventQuery::from_parts(request, since_ms, kind, limit)
         .map_err(|error| bad(refusal::RefusalCode::BadRequest, error.to_string()))?;
-    ok(&entry.chronicle.journal().timeline(&query))
+    ok(&entry.recorder.journal().timeline(&query))
 }
 
 #[rocket::post("/ops/drain", data = "<data>")]
 async fn drain(head: head::CallHead, data: data::Data<'_>, entry: &Entry) -> OpsAnswer {
     let operator = allow(entry, &head)?;
-    let ask: ops::DrainAsk = read(data, entry).await?;
-    match crate::drain::mark(entry, &ask, &operator).await {
+    let request: ops::DrainAsk = read(data, entry).await?;
+    match crate::drain::mark(entry, &request, &operator).await {
         Ok(answer) => ok(&answer),
         Err(body) => Err(answer::HttpAnswer::refusal(body)),
     }
@@ -118,23 +118,23 @@
 #[rocket::get("/ops/quarantine")]
 fn quarantine(head: head::CallHead, entry: &Entry) -> OpsAnswer {
     allow(entry, &head)?;
-    let entries = entry.plane.suspects().list(crate::wall::unix_ms());
+    let entries = entry.plane.suspects().list(crate::clock::unix_ms());
     ok(&ops::QuarantineBody { entries })
 }
 
 #[rocket::post("/ops/quarantine/lift", data = "<data>")]
 async fn lift(head: head::CallHead, data: data::Data<'_>, entry: &Entry) -> OpsAnswer {
     let operator = allow(entry, &head)?;
-    let ask: ops::LiftAsk = read(data, entry).await?;
+    let request: ops::LiftAsk = read(data, entry).await?;
     let lifted = entry
         .plane
         .suspects()
-        .lift(ask.fingerprint, crate::wall::unix_ms());
+        .lift(request.fingerprint, crate::clock::unix_ms());
     if lifted {
         entry
-            .chronicle
+            .recorder
             .record(trace::kind::EventKind::QuarantineLifted {
-                fingerprint: ask.fingerprint,
+                fingerprint: request.fingerprint,
                 reason: operator,
             });
     }
--- a/crates/entry/src/sight.rs
+++ b/crates/entry/src/observation.rs
@@ -1,5 +1,5 @@
-//! What was seen of backend servers and of the rules, in the words of the decision core and of the
-//! operators' face.
+//! Converts the observed state of backend servers and the rules to the types of the decision core
+//! and of the operators' API.
 
 use base::{class, ops};
 use conf::{inventory, snapshot};
@@ -8,7 +8,7 @@
 
 use crate::{roster, watch};
 
-/// Where this process stands.
+/// Location of this process.
 #[derive(Clone, Debug)]
 pub struct OwnPlace {
     /// Name of this VM.
@@ -19,7 +19,7 @@
     pub failure_domain: String,
 }
 
-/// The decision core's settings by the rules in force.
+/// Creates the decision core's settings from the rules in force.
 pub(crate) fn policy_settings(
     snapshot: &snapshot::ConfigSnapshot,
     place: view::ServerLocation,
@@ -43,7 +43,7 @@
     }
 }
 
-/// An organisation's limits and weight as the decision core takes them.
+/// Converts an organisation's limits and weight for the decision core.
 pub(crate) fn plan(rule: &conf::rules::OrganisationRule) -> settings::OrganisationPlan {
     settings::OrganisationPlan {
         weight: rule.weight,
@@ -53,7 +53,7 @@
     }
 }
 
-/// An engine's report as the decision core takes it.
+/// Converts an engine's report for the decision core.
 pub(crate) fn load_report(report: &watch::LoadBody, now: time::Instant) -> view::LoadReport {
     let age = std::time::Duration::from_millis(report.taken_ms_ago);
     view::LoadReport {
@@ -67,14 +67,14 @@
     }
 }
 
-/// A backend server as operators are shown it.
+/// Status of a backend server for the operators' API.
 pub(crate) fn server_status(
     server: &snapshot::ServerView,
-    sight: &watch::ServerSight,
+    observation: &watch::ServerObservation,
     leaving: bool,
     now: time::Instant,
 ) -> ops::ServerStatus {
-    let report = sight.report.as_ref();
+    let report = observation.report.as_ref();
     let (role, service) = match &server.entry.kind {
         inventory::ServerKind::ModelEngine(_) => (ops::ServerRole::ModelEngine, None),
         inventory::ServerKind::PlainService { service } => {
@@ -97,7 +97,7 @@
             adapters: Vec::new(),
         }))
         .collect();
-    let report_age_ms = sight.reported_at.map(|at| {
+    let report_age_ms = observation.reported_at.map(|at| {
         let since = u64::try_from(now.duration_since(at).as_millis()).unwrap_or(u64::MAX);
         since + report.map_or(0, |report| report.taken_ms_ago)
     });
@@ -105,7 +105,7 @@
         server: server.name.clone(),
         failure_domain: server.entry.failure_domain.clone(),
         role,
-        state: health(sight, leaving),
+        state: health(observation, leaving),
         serves,
         running: report.map_or(0, |report| report.running),
         waiting: report.map_or(0, |report| report.waiting),
@@ -116,11 +116,11 @@
     }
 }
 
-fn health(sight: &watch::ServerSight, leaving: bool) -> ops::HealthState {
+fn health(observation: &watch::ServerObservation, leaving: bool) -> ops::HealthState {
     if leaving {
         return ops::HealthState::Leaving;
     }
-    match (sight.misses, sight.reported_at) {
+    match (observation.misses, observation.reported_at) {
         (watch::DEAD_MISSES.., _) => ops::HealthState::Dead,
         (watch::SUSPECT_MISSES.., _) => ops::HealthState::Suspect,
         (_, None) => ops::HealthState::Unknown,
--- a/crates/entry/src/peer_service.rs
+++ b/crates/entry/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! What this daemon does for other entry VMs.
+//! Serves the calls of other entry VMs.
 
 use std::sync;
 
@@ -12,7 +12,7 @@
     /// The log's partitions.
     pub host: sync::Arc<host::LedgerHost<ledger::http::HttpLog>>,
     /// The configuration in force.
-    pub book: sync::Arc<configure::ConfigBook>,
+    pub active_config: sync::Arc<configure::ActiveConfig>,
     /// The request plane.
     pub plane: sync::Arc<flow::plane::RequestPlane<ports::EntryPorts>>,
 }
@@ -33,7 +33,9 @@
 }
 
 fn malformed(error: impl std::fmt::Display) -> server::CallFailure {
-    let message = format!("the body is not understood ({error}); compare releases");
+    let message = format!(
+        "the body cannot be parsed ({error}); check that all entry VMs run compatible releases"
+    );
     failure(peer::FailureKind::Refused, message)
 }
 
@@ -45,15 +47,15 @@
             .map_err(|error| failure(peer::FailureKind::Unknown, error.to_string()))
     }
 
-    /// A part of the state in force.
+    /// Returns a part of the encoded state in force.
     fn configuration(
         &self,
         from_byte: u64,
     ) -> Result<peer::ConfigurationAnswer, server::CallFailure> {
         let transfer = if from_byte == 0 {
-            self.book.renewed_transfer()
+            self.active_config.renewed_transfer()
         } else {
-            self.book.transfer()
+            self.active_config.transfer()
         };
         let Some(transfer) = transfer else {
             let message = "no configuration is in force here; ask another entry VM";
@@ -99,9 +101,9 @@
     ) -> Result<peer::response::Kind, server::CallFailure> {
         let extension = match request {
             peer::request::Kind::Extension(extension) => extension,
-            peer::request::Kind::FetchConfiguration(ask) => {
+            peer::request::Kind::FetchConfiguration(fetch) => {
                 return self
-                    .configuration(ask.from_byte)
+                    .configuration(fetch.from_byte)
                     .map(peer::response::Kind::Configuration);
             }
             peer::request::Kind::ForwardAppend(_) => {
@@ -114,7 +116,9 @@
             peers::ADOPTED => self.adopted(&extension.body)?,
             peers::SUSPECTS => self.suspects(&extension.body)?,
             name => {
-                let message = format!("there is no extension \"{name}\"; compare releases");
+                let message = format!(
+                    "there is no extension \"{name}\"; check that all entry VMs run compatible releases"
+                );
                 return Err(failure(peer::FailureKind::Unsupported, message));
             }
         };
--- a/crates/entry/src/publish.rs
+++ b/crates/entry/src/publish.rs
@@ -1,4 +1,4 @@
-//! Appends an operator's change to the log and waits for what the log decides.
+//! Appends an operator's change to the log and waits for its outcome.
 
 use std::time::Duration;
 
@@ -9,35 +9,36 @@
 
 use crate::{configure, state};
 
-/// Longest wait for the decision.
-const DECISION_WAIT: Duration = Duration::from_secs(5);
+/// Timeout for the decision.
+const DECISION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Publishes one change. Sending the same ask again is harmless: a record's id counts once.
+/// Publishes one change. Repeating a request is harmless, because only the first record with an id
+/// is applied.
 ///
 /// # Errors
 ///
 /// A refusal when it is certain that nothing was appended.
 pub async fn publish(
     entry: &state::EntryState,
-    ask: ops::PublishAsk,
+    request: ops::PublishAsk,
 ) -> Result<ops::PublishAnswer, refusal::RefusalBody> {
-    // An ask that was sent before and decided needs no second record.
-    if let Some(decided) = entry.book.decided(ask.record) {
-        return Ok(answer(&ask, decided));
+    // A repeated request that was decided already needs no second record.
+    if let Some(decided) = entry.active_config.decided(request.record) {
+        return Ok(answer(&request, decided));
     }
     let change = change::ConfigChange {
-        id: ask.record,
-        base_revision: ask.base_revision,
-        author: ask.author.clone(),
-        comment: ask.comment.clone(),
-        patch: ask.change.clone(),
+        id: request.record,
+        base_revision: request.base_revision,
+        author: request.author.clone(),
+        comment: request.comment.clone(),
+        patch: request.change.clone(),
     };
-    let mut decisions = entry.book.decisions();
+    let mut decisions = entry.active_config.decisions();
     let mut appended = false;
     for record in change.records() {
         match entry.log.append(configure::STREAM, record.into()).await {
             Ok(_) => appended = true,
-            // The record may be on the log all the same; reading on tells.
+            // The record may be on the log nevertheless; reading the log shows it.
             Err(error) if error.may_have_taken_effect() => appended = true,
             Err(error) if appended => {
                 return Ok(ops::PublishAnswer::Undecided {
@@ -47,17 +48,17 @@
             Err(error) => return Err(not_appended(&error)),
         }
     }
-    let give_up_at = time::Instant::now() + DECISION_WAIT;
+    let deadline = time::Instant::now() + DECISION_TIMEOUT;
     loop {
         decisions.mark_unchanged();
-        if let Some(decided) = entry.book.decided(ask.record) {
-            return Ok(answer(&ask, decided));
+        if let Some(decided) = entry.active_config.decided(request.record) {
+            return Ok(answer(&request, decided));
         }
-        if time::timeout_at(give_up_at, decisions.changed())
+        if time::timeout_at(deadline, decisions.changed())
             .await
             .is_err()
         {
-            let reason = "the log did not show the change in time; send the same ask again";
+            let reason = "the log did not show the change in time; send the same request again";
             return Ok(ops::PublishAnswer::Undecided {
                 reason: reason.to_owned(),
             });
@@ -65,7 +66,7 @@
     }
 }
 
-/// How soon a change that the log did not take should be published again.
+/// Retry delay for a change that the log did not accept.
 const LOG_DOWN_RETRY_MS: u64 = 2_000;
 
 fn not_appended(error: &client::AppendError) -> refusal::RefusalBody {
@@ -73,13 +74,13 @@
         .retry_after_ms(LOG_DOWN_RETRY_MS)
 }
 
-fn answer(ask: &ops::PublishAsk, decided: configure::DecidedChange) -> ops::PublishAnswer {
+fn answer(request: &ops::PublishAsk, decided: configure::DecidedChange) -> ops::PublishAnswer {
     match decided.verdict {
         config_state::ApplyVerdict::Accepted { revision } => ops::PublishAnswer::Accepted {
             revision,
             offset: decided.offset,
         },
-        config_state::ApplyVerdict::Conflict(report) => conflict(ask.base_revision, report),
+        config_state::ApplyVerdict::Conflict(report) => conflict(request.base_revision, report),
         config_state::ApplyVerdict::Invalid(faults) => {
             let faults = faults.faults.iter().map(ToString::to_string).collect();
             ops::PublishAnswer::Invalid { faults }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What the HTTP faces and the controllers of one daemon share.
+//! State shared by the HTTP interfaces and the controllers of one daemon.
 
 use std::sync;
 
@@ -6,25 +6,25 @@
 use conf::snapshot;
 use flow::plane;
 
-use crate::{chronicle, configure, http::head, members, placement, ports, roster, settings};
+use crate::{configure, http::head, members, placement, ports, recorder, roster, settings};
 
-/// Everything that runs in one daemon.
+/// Shared components of one daemon.
 pub struct EntryState {
-    /// The daemon's own settings; the same for its whole life.
+    /// The daemon's own settings; constant while the process runs.
     pub settings: settings::DaemonSettings,
-    /// This life of this process.
+    /// Incarnation of this process.
     pub incarnation: id::Incarnation,
     /// The configuration in force.
-    pub book: sync::Arc<configure::ConfigBook>,
-    /// The backend servers as this process sees them.
+    pub active_config: sync::Arc<configure::ActiveConfig>,
+    /// The backend servers as this process observes them.
     pub roster: sync::Arc<roster::ServerRoster>,
-    /// The other entry VMs as this process sees them.
+    /// The other entry VMs as this process observes them.
     pub members: sync::Arc<members::MemberTable>,
     /// The time line of this process.
-    pub chronicle: chronicle::Chronicle,
+    pub recorder: recorder::EventRecorder,
     /// Leases on engines and models.
     pub leases: sync::Arc<lease::driver::LeaseDriver<ledger::http::HttpLog>>,
-    /// Models on engines, as this VM last found them while it placed them.
+    /// Placement of the models, as this VM last observed it.
     pub placement: sync::Arc<placement::PlacementBoard>,
     /// The decision core.
     pub driver: sched::driver::Driver,
@@ -34,7 +34,7 @@
     pub log: ledger::http::HttpLog,
     /// Membership of this daemon.
     pub gossip: gossip::handle::GossipHandle,
-    /// Where other entry VMs connect.
+    /// Address for other entry VMs.
     pub peers: std::net::SocketAddr,
     /// Renders the metrics of this process.
     pub metrics: Option<metrics_exporter_prometheus::PrometheusHandle>,
@@ -56,13 +56,13 @@
         if self.plane.gate().is_closed() || self.is_leaving() {
             return ops::ReadyState::Leaving;
         }
-        if self.book.snapshot().revision() == 0 {
+        if self.active_config.snapshot().revision() == 0 {
             return ops::ReadyState::Starting;
         }
         ops::ReadyState::Ready
     }
 
-    /// Whether this life of this VM is known to be leaving, from any source.
+    /// Whether this incarnation of this VM is known to be leaving, from any source.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         let seen = self.gossip.snapshot();
@@ -75,14 +75,14 @@
     ///
     /// # Errors
     ///
-    /// A refusal without a configuration, without a key or with one that is not known.
+    /// A refusal when there is no configuration, or when the key is missing or unknown.
     pub fn organisation(
         &self,
         head: &head::CallHead,
         snapshot: &snapshot::ConfigSnapshot,
     ) -> Result<id::OrganisationKey, refusal::RefusalBody> {
         if snapshot.revision() == 0 {
-            let message = "this entry VM has no configuration yet; ask another, or again shortly";
+            let message = "this entry VM has no configuration yet; use another, or retry shortly";
             let body = refusal::RefusalBody::not_run(refusal::RefusalCode::NotReady, message);
             return Err(body.retry_after_ms(1_000));
         }
@@ -99,16 +99,17 @@
     ///
     /// # Errors
     ///
-    /// A refusal without a key or with one that is not known.
+    /// A refusal when the key is missing or unknown.
     pub fn operator(&self, head: &head::CallHead) -> Result<String, refusal::RefusalBody> {
         let key = head
             .api_key
             .as_deref()
             .ok_or_else(|| unauthenticated("there is no operator key"))?;
-        let snapshot = self.book.snapshot();
+        let snapshot = self.active_config.snapshot();
         if snapshot.revision() == 0 {
-            // The first configuration brings the operators' keys; whoever can reach the log can
-            // write it, so refusing here would protect nothing and make the start impossible.
+            // The operators' keys come with the first configuration. Anyone who can reach the log
+            // can write that configuration, so a refusal here would protect nothing and make the
+            // first start impossible.
             return Ok("bootstrap".to_owned());
         }
         snapshot
