--- a/crates/load/src/arrival.rs
+++ b/crates/load/src/arrival.rs
@@ -1,8 +1,8 @@
-//! The plan of all calls, fixed ahead from the seed.
+//! Plans all calls of a run in advance from the seed.
 //!
 //! Arrivals are open-loop: a call starts at its planned time however slow the answers to earlier
-//! ones are, and its latency counts from that time. A loop that waits for answers would ask less
-//! just when the system is slow, and would not see the waiting (coordinated omission).
+//! ones are, and its latency is measured from that time. A closed loop, which waits for answers,
+//! would send less just when the system is slow and miss the waiting time (coordinated omission).
 
 use std::time;
 
@@ -13,35 +13,36 @@
 
 use crate::{check, scenario};
 
-/// One call that will be made.
+/// One planned call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedCall {
-    /// Intended start, from the start of the run; latency counts from here.
+    /// Intended start, as an offset from the start of the run; latency is measured from it.
     pub at: time::Duration,
-    /// Index of its workload in the scenario.
+    /// Index of the call's workload in the scenario.
     pub workload: usize,
-    /// Class that the caller asks for.
+    /// Traffic class that the caller requests.
     pub class: class::TrafficClass,
     /// Name of the calling organisation.
     pub organisation: String,
-    /// What is asked.
-    pub ask: PlannedAsk,
+    /// Request that the call sends.
+    pub request: PlannedRequest,
 }
 
-/// What one planned call asks.
+/// Request of one planned call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum PlannedAsk {
+pub enum PlannedRequest {
     /// A generation.
     Generation(PlannedGeneration),
     /// A call to a plain service.
     Service {
-        /// Service by the name that callers use.
+        /// Service name that callers use.
         service: String,
-        /// Path below it.
+        /// Path below the service.
         path: String,
-        /// Text unique in this run, sent as the body and as the text part of the idempotency key.
+        /// Text that is unique in this run; sent as the body and as the text part of the
+        /// idempotency key.
         text: String,
-        /// Whether it carries an idempotency key and must run at most once.
+        /// True if the call carries an idempotency key and must run at most once.
         at_most_once: bool,
     },
 }
@@ -49,25 +50,26 @@
 /// One planned generation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedGeneration {
-    /// Model by the name that callers use.
+    /// Model name that callers use.
     pub model: String,
-    /// Words of the prompt that the organisation's other calls share.
+    /// Number of prompt words shared with the organisation's other calls.
     pub shared_words: u32,
-    /// Words of the prompt that are its own.
+    /// Number of prompt words that only this call has.
     pub own_words: u32,
-    /// Most tokens that the caller takes; far above most answers, so it tells the system little.
+    /// Maximum number of tokens that the caller accepts. It is far above the length of most
+    /// answers, so the system can infer little from it.
     pub max_tokens: u32,
-    /// Length that the answer really has.
+    /// Actual length of the answer in tokens.
     pub output_tokens: u32,
-    /// Unique in the run; the stand-in repeats it in each token, so that an answer which belongs
-    /// to another call is recognised.
+    /// Number that is unique in the run. The stand-in engine repeats it in each token, so that an
+    /// answer which belongs to another call is detected.
     pub mark: u32,
-    /// How the caller wants the answer.
+    /// Delivery mode that the caller requests.
     pub delivery: CallDelivery,
 }
 
 impl PlannedGeneration {
-    /// What the answer must be.
+    /// Properties that the answer must have.
     #[must_use]
     pub const fn expected(&self) -> check::ExpectedAnswer {
         check::ExpectedAnswer {
@@ -77,16 +79,16 @@
     }
 }
 
-/// How a caller wants its answer.
+/// Delivery mode of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallDelivery {
     /// As server-sent events.
     Streamed,
-    /// In one piece.
+    /// As one complete response.
     Whole,
-    /// Accepted now and fetched later.
+    /// Accepted at once, fetched later.
     RespondAsync,
 }
 
@@ -94,10 +96,10 @@
     const ALL: [Self; 3] = [Self::Streamed, Self::Whole, Self::RespondAsync];
 }
 
-/// All calls of `scenario` in the order of their start.
+/// Returns all calls of `scenario`, ordered by start.
 ///
-/// Each workload draws from a stream of its own, so that a change of one leaves the calls of the
-/// others as they were.
+/// Each workload draws from its own random stream, so that changing one workload does not change
+/// the calls of the others.
 #[must_use]
 pub fn plan_calls(scenario: &scenario::LoadScenario) -> Vec<PlannedCall> {
     let mut calls = Vec::new();
@@ -121,8 +123,8 @@
     let callers = callers_of(scenario, workload);
     let mut at = 0.0;
     loop {
-        let gap: f64 = rand_distr::Exp1.sample(rng);
-        at += gap / workload.per_second;
+        let interval: f64 = rand_distr::Exp1.sample(rng);
+        at += interval / workload.per_second;
         let start = time::Duration::from_secs_f64(at);
         if start >= duration {
             return;
@@ -134,7 +136,7 @@
             workload: index,
             class: workload.class,
             organisation,
-            ask: plan_ask(&workload.ask, number, rng),
+            request: plan_request(&workload.ask, number, rng),
         });
     }
 }
@@ -155,7 +157,7 @@
         .collect()
 }
 
-/// One of `choices` by its weight.
+/// Draws one of `choices` with a probability proportional to its weight.
 fn pick<'a, T, R: rand::Rng>(choices: &'a [(f64, T)], rng: &mut R) -> &'a T {
     let total: f64 = choices.iter().map(|(weight, _)| weight).sum();
     let mut point = rand::RngExt::random::<f64>(rng) * total;
@@ -168,26 +170,30 @@
     &choices[choices.len() - 1].1
 }
 
-fn plan_ask<R: rand::Rng>(ask: &scenario::CallAsk, number: u32, rng: &mut R) -> PlannedAsk {
-    match ask {
-        scenario::CallAsk::Service(ask) => PlannedAsk::Service {
-            service: ask.service.clone(),
-            path: ask.path.clone(),
+fn plan_request<R: rand::Rng>(
+    request: &scenario::CallRequest,
+    number: u32,
+    rng: &mut R,
+) -> PlannedRequest {
+    match request {
+        scenario::CallRequest::Service(request) => PlannedRequest::Service {
+            service: request.service.clone(),
+            path: request.path.clone(),
             text: format!("call-{number}"),
-            at_most_once: ask.at_most_once,
+            at_most_once: request.at_most_once,
         },
-        scenario::CallAsk::Generation(ask) => {
-            let [streamed, whole, respond_async] = ask.delivery.weights();
+        scenario::CallRequest::Generation(request) => {
+            let [streamed, whole, respond_async] = request.delivery.weights();
             let [first, second, third] = CallDelivery::ALL;
             let choices = [(streamed, first), (whole, second), (respond_async, third)];
-            let prompt_tokens = ask.prompt_tokens.sample(rng);
-            let shared_words = ask.shared_prefix_tokens.min(prompt_tokens - 1);
-            PlannedAsk::Generation(PlannedGeneration {
-                model: ask.model.clone(),
+            let prompt_tokens = request.prompt_tokens.sample(rng);
+            let shared_words = request.shared_prefix_tokens.min(prompt_tokens - 1);
+            PlannedRequest::Generation(PlannedGeneration {
+                model: request.model.clone(),
                 shared_words,
                 own_words: prompt_tokens - shared_words,
-                max_tokens: ask.output_tokens.longest(),
-                output_tokens: ask.output_tokens.sample(rng),
+                max_tokens: request.output_tokens.max_tokens(),
+                output_tokens: request.output_tokens.sample(rng),
                 mark: number,
                 delivery: *pick(&choices, rng),
             })
@@ -195,8 +201,8 @@
     }
 }
 
-/// The prompt of a planned generation: words shared within the organisation, then its own, then
-/// what the stand-in is to do.
+/// Returns the prompt of a planned generation: the words shared within the organisation, then the
+/// call's own words, then the directives for the stand-in engine.
 #[must_use]
 pub fn prompt_text(organisation: &str, generation: &PlannedGeneration) -> String {
     let shared = rendezvous::score(organisation, "prefix");
@@ -214,8 +220,8 @@
     text + &format!("[[len={len}]] [[mark={mark:x}]]")
 }
 
-/// Letters of a word. With the space it has four bytes, as a token of real text has on average:
-/// who estimates tokens by bytes is right about these prompts.
+/// Letters of a word. With the space a word has four bytes, the average of a token of real text,
+/// so that an estimate of tokens from bytes is right for these prompts.
 const WORD_LETTERS: u32 = 3;
 
 fn push_word(text: &mut String, bits: u64) {
--- a/crates/load/src/body.rs
+++ b/crates/load/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies that callers send and read, in the shape of the field's client libraries.
+//! Request and response bodies of callers, in the format of the common client libraries.
 
 use std::net;
 
@@ -27,13 +27,13 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ChatMessage {
     role: String,
-    /// Its text.
+    /// Text of the message.
     #[serde(default)]
     pub content: String,
 }
 
 impl ChatRequest {
-    /// The request for `generation` by a caller of `organisation`.
+    /// Builds the request for `generation` by a caller of `organisation`.
     #[must_use]
     pub fn of(organisation: &str, generation: &arrival::PlannedGeneration) -> Self {
         let stream = generation.delivery == arrival::CallDelivery::Streamed;
@@ -52,19 +52,19 @@
     }
 }
 
-/// A whole chat completion.
+/// A complete chat completion.
 #[derive(Clone, Debug)]
 #[derive(serde::Deserialize)]
 pub struct ChatAnswer {
-    /// Exactly one choice is asked for.
+    /// Choices; callers request exactly one.
     pub choices: Vec<ChatChoice>,
 }
 
-/// One choice of a whole completion.
+/// One choice of a complete chat completion.
 #[derive(Clone, Debug)]
 #[derive(serde::Deserialize)]
 pub struct ChatChoice {
-    /// The answer.
+    /// Message with the answer.
     pub message: ChatMessage,
 }
 
@@ -72,13 +72,13 @@
 #[derive(Clone, Debug)]
 #[derive(serde::Deserialize)]
 pub struct ChatChunk {
-    /// Empty in the chunk that carries the usage.
+    /// Choices; empty in the chunk that carries the usage.
     #[serde(default)]
     pub choices: Vec<ChunkChoice>,
-    /// What the system adds.
+    /// Extension fields of the system.
     #[serde(default)]
     pub pollenchute: ChunkExtra,
-    /// Present when the stream ends early.
+    /// Error; present when the stream ends early.
     #[serde(default)]
     pub error: Option<base::refusal::RefusalBody>,
 }
@@ -87,12 +87,12 @@
 #[derive(Clone, Debug)]
 #[derive(serde::Deserialize)]
 pub struct ChunkChoice {
-    /// What the chunk adds.
+    /// Addition to the answer.
     #[serde(default)]
     pub delta: ChunkDelta,
 }
 
-/// What a chunk adds to the answer.
+/// Addition of one chunk to the answer.
 #[derive(Clone, Debug, Default)]
 #[derive(serde::Deserialize)]
 pub struct ChunkDelta {
@@ -101,7 +101,7 @@
     pub content: Option<String>,
 }
 
-/// What the system adds to a chunk.
+/// Extension fields that the system adds to a chunk.
 #[derive(Clone, Debug, Default)]
 #[derive(serde::Deserialize)]
 pub struct ChunkExtra {
@@ -113,32 +113,32 @@
     pub handover: Option<String>,
 }
 
-/// The answer of `/v1/entries`.
+/// Response of `/v1/entries`.
 #[derive(Clone, Debug)]
 #[derive(serde::Deserialize)]
 pub struct EntriesAnswer {
-    /// Entry VMs for this organisation, in order.
+    /// Entry VMs for this organisation, in order of preference.
     pub entries: Vec<EntryAddress>,
-    /// How long to keep the answer.
+    /// Time for which the caller may cache the response.
     pub keep_ms: u64,
 }
 
-/// One entry VM as callers are told it.
+/// One entry VM in the response of `/v1/entries`.
 #[derive(Clone, Debug)]
 #[derive(serde::Deserialize)]
 pub struct EntryAddress {
-    /// Where to connect.
+    /// Address to connect to.
     pub address: net::SocketAddr,
 }
 
-/// The outcome of accepted work as `/v1/requests/<id>` gives it.
+/// Outcome of accepted work, as returned by `/v1/requests/<id>`.
 #[derive(Clone, Debug)]
 #[derive(serde::Deserialize)]
 pub struct AcceptedWork {
-    /// The whole answer once it is there.
+    /// Complete answer; absent until the work has finished.
     #[serde(default)]
     pub choices: Option<Vec<ChatChoice>>,
-    /// The refusal when it could not be had.
+    /// Refusal; present when the work failed.
     #[serde(default)]
     pub error: Option<base::refusal::RefusalBody>,
 }
--- a/crates/load/src/book.rs
+++ b/crates/load/src/book.rs
@@ -1,64 +1,69 @@
-//! Which entry VMs a caller may use now.
+//! Directory of the entry VMs that a caller may use.
 
 use std::{collections, net, time::Duration};
 
 use tokio::time;
 
-/// How long an entry VM that failed a caller is tried last.
-const SUSPECT_TIME: Duration = Duration::from_secs(2);
+/// Time for which an entry VM that failed a call is ranked last.
+const SUSPECT_DURATION: Duration = Duration::from_secs(2);
 
-/// One organisation's knowledge of the entry VMs.
+/// The entry VMs known to the callers of one organisation.
 #[derive(Clone, Debug)]
-pub struct EntryBook {
-    /// Where to ask when nothing else is known; never empty.
+pub struct EntryDirectory {
+    /// Addresses to query when nothing else is known; never empty.
     bootstrap: Vec<net::SocketAddr>,
-    /// The last answer, in its order.
-    named: Vec<net::SocketAddr>,
-    /// When the last answer is to be asked for again; absent before the first one.
+    /// Addresses of the last entry list, in its order.
+    listed: Vec<net::SocketAddr>,
+    /// Time at which the entry list must be fetched again; absent before the first one.
     keep_until: Option<time::Instant>,
-    /// Entry VMs that failed, with the instant from which they count as good again.
+    /// Entry VMs that failed, with the time at which the suspicion expires.
     suspects: collections::BTreeMap<net::SocketAddr, time::Instant>,
 }
 
-impl EntryBook {
-    /// A book that knows only `bootstrap`.
+impl EntryDirectory {
+    /// Creates a directory that knows only `bootstrap`.
     #[must_use]
     pub const fn new(bootstrap: Vec<net::SocketAddr>) -> Self {
         Self {
             bootstrap,
-            named: Vec::new(),
+            listed: Vec::new(),
             keep_until: None,
             suspects: collections::BTreeMap::new(),
         }
     }
 
-    /// Whether the answer has to be asked for, for the first time or again.
+    /// Returns true if the entry list must be fetched, for the first time or again.
     #[must_use]
     pub fn is_stale(&self, now: time::Instant) -> bool {
         self.keep_until.is_none_or(|until| now >= until)
     }
 
-    /// Takes the answer of an entry VM.
-    pub fn learn(&mut self, named: Vec<net::SocketAddr>, keep: Duration, now: time::Instant) {
-        self.named = named;
+    /// Stores the entry list received from an entry VM.
+    pub fn store_entries(
+        &mut self,
+        listed: Vec<net::SocketAddr>,
+        keep: Duration,
+        now: time::Instant,
+    ) {
+        self.listed = listed;
         self.keep_until = Some(now + keep);
     }
 
-    /// Keeps what is known a little longer, because nobody answered.
+    /// Extends the lifetime of the current list, because no entry VM answered.
     pub fn keep_stale(&mut self, now: time::Instant) {
-        self.keep_until = Some(now + SUSPECT_TIME);
+        self.keep_until = Some(now + SUSPECT_DURATION);
     }
 
-    /// Notes that `address` failed a caller.
+    /// Records that `address` failed a call.
     pub fn suspect(&mut self, address: net::SocketAddr, now: time::Instant) {
-        self.suspects.insert(address, now + SUSPECT_TIME);
+        self.suspects.insert(address, now + SUSPECT_DURATION);
     }
 
-    /// Every address to try: named ones before the bootstrap, suspects last.
+    /// Returns every address to try: the listed ones before the bootstrap ones, suspects last.
     #[must_use]
     pub fn ranking(&self, now: time::Instant) -> Vec<net::SocketAddr> {
         let mut ranking: Vec<net::SocketAddr> = Vec::new();
-        for address in self.named.iter().chain(&self.bootstrap) {
+        for address in self.listed.iter().chain(&self.bootstrap) {
             if !ranking.contains(address) {
                 ranking.push(*address);
             }
@@ -67,7 +72,7 @@
             let until = self.suspects.get(address);
             until.is_some_and(|until| now < *until)
         };
-        // The sort is stable: within good ones and within suspects the order stays.
+        // The sort is stable, so the order among suspects and among the others is kept.
         ranking.sort_by_key(is_suspect);
         ranking
     }
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of one organisation: finds entry VMs, sends, and tries again where that is safe.
+//! A caller of one organisation: finds entry VMs, sends requests, and retries where that is safe.
 
 use std::{net, sync, time::Duration};
 
@@ -8,21 +8,23 @@
 
 use crate::{body, book, check, record};
 
-/// Tries of one call, the first included; a system that is full is given up after these.
-const MAX_TRIES: usize = 8;
+/// Maximum number of attempts of one call, the first included, before the caller gives up on an
+/// overloaded system.
+const MAX_ATTEMPTS: usize = 8;
 
-/// A connection that is not accepted within this is given up; it carried nothing.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+/// Timeout of establishing a connection. A connection that times out has carried no request.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What callers expect of the system, and when they act themselves.
+/// Expectations and timeouts of callers.
 #[derive(Clone, Copy, Debug)]
 pub struct CallSettings {
-    /// Time between two tokens; what goes beyond it is stall time.
+    /// Expected time between two tokens; time beyond it is stall time.
     pub expected_step: Duration,
-    /// A stream that shows nothing for this long is continued at another entry VM.
-    pub idle: Duration,
-    /// An answer in one piece, or the head of a stream, is waited for this long.
-    pub patience: Duration,
+    /// Idle time after which a stream is continued at another entry VM.
+    pub idle_timeout: Duration,
+    /// Timeout of a response head, of a complete response body, and of the outcome of accepted
+    /// work.
+    pub answer_timeout: Duration,
 }
 
 /// The HTTP client cannot be set up.
@@ -39,12 +41,12 @@
     client: reqwest::Client,
     api_key: String,
     /// Never locked across an await.
-    book: sync::Mutex<book::EntryBook>,
-    /// What it expects.
+    directory: sync::Mutex<book::EntryDirectory>,
+    /// Expectations and timeouts.
     pub(crate) settings: CallSettings,
 }
 
-/// An answer's head, and who sent it.
+/// Response head, with the address of the entry VM that sent it.
 #[derive(Debug)]
 pub(crate) struct EntryAnswer {
     pub address: net::SocketAddr,
@@ -52,26 +54,26 @@
 }
 
 impl EntryCaller {
-    /// A caller that holds `api_key` and first asks one of `bootstrap`.
+    /// Creates a caller that uses `api_key` and first queries one of `bootstrap`.
     pub fn new(
         api_key: String,
         bootstrap: Vec<net::SocketAddr>,
         settings: CallSettings,
     ) -> Result<Self, ClientError> {
         let client = reqwest::Client::builder()
-            .connect_timeout(CONNECT_TIME)
+            .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true)
             .build()
             .context(ClientSnafu)?;
         Ok(Self {
             client,
             api_key,
-            book: sync::Mutex::new(book::EntryBook::new(bootstrap)),
+            directory: sync::Mutex::new(book::EntryDirectory::new(bootstrap)),
             settings,
         })
     }
 
-    /// A request to one entry VM with this caller's key.
+    /// Builds a request to one entry VM with this caller's key.
     pub(crate) fn request(
         &self,
         method: reqwest::Method,
@@ -82,17 +84,17 @@
         self.client.request(method, url).bearer_auth(&self.api_key)
     }
 
-    /// Notes that the entry VM at `address` failed a call.
+    /// Records that the entry VM at `address` failed a call.
     pub(crate) fn suspect(&self, address: net::SocketAddr) {
-        self.with_book(|book| book.suspect(address, time::Instant::now()));
+        self.with_directory(|directory| directory.suspect(address, time::Instant::now()));
     }
 
-    /// Sends what `build` makes until an entry VM takes it or says a refusal that is final.
+    /// Sends the request that `build` returns until an entry VM accepts it or finally refuses it.
     ///
-    /// A call is sent again only where that is safe: its connection was not accepted, the refusal
-    /// says that it did not run and when to come back, or its answer was lost before the first
-    /// byte and repeating is harmless (a generation of which nothing arrived, an idempotent call,
-    /// or one whose idempotency key lets the system recognise it).
+    /// A call is retried only where that is safe: its connection was not accepted, the refusal
+    /// says that the call did not run and gives a retry delay, or the response was lost before its
+    /// first byte and repeating the call is harmless (a generation of which nothing arrived, an
+    /// idempotent call, or a call whose idempotency key lets the system detect the repetition).
     pub(crate) async fn send<B>(
         &self,
         record: &mut record::CallRecord,
@@ -102,12 +104,12 @@
         B: Fn(net::SocketAddr) -> reqwest::RequestBuilder,
     {
         let mut lost = String::new();
-        for _ in 0..MAX_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let Some(address) = self.entry_address().await else {
                 break;
             };
             let sending = build(address).send();
-            let response = match time::timeout(self.settings.patience, sending).await {
+            let response = match time::timeout(self.settings.answer_timeout, sending).await {
                 Ok(Ok(response)) => response,
                 Ok(Err(error)) => {
                     record.resends += u32::from(!error.is_connect());
@@ -117,7 +119,10 @@
                 }
                 Err(_) => {
                     self.suspect(address);
-                    lost = format!("{address}: no head within {:?}", self.settings.patience);
+                    lost = format!(
+                        "{address}: no response head within {:?}",
+                        self.settings.answer_timeout
+                    );
                     break;
                 }
             };
@@ -127,24 +132,24 @@
             let refusal = read_refusal(response).await?;
             record.refused_tries.push(refusal.code);
             if refusal.code == refusal::RefusalCode::NotReady {
-                // It speaks for this entry VM only: the next one may take the call at once.
+                // `NotReady` concerns this entry VM only: the next one may accept the call at once.
                 self.suspect(address);
             }
-            let Some(delay) = delay_of_retry(&refusal) else {
+            let Some(delay) = retry_delay(&refusal) else {
                 return Err(record::CallOutcome::Refused(refusal));
             };
-            if record.refused_tries.len() >= MAX_TRIES {
+            if record.refused_tries.len() >= MAX_ATTEMPTS {
                 return Err(record::CallOutcome::Refused(refusal));
             }
             time::sleep(delay).await;
         }
-        let seen = format!("no entry VM answered; last: {lost}");
+        let seen = format!("no entry VM answered; last error: {lost}");
         Err(record::CallOutcome::Faulty(check::AnswerFault::Cut {
             seen,
         }))
     }
 
-    /// Sends like [`Self::send`] and reads the whole body; a body that breaks is asked for again.
+    /// Sends like [`Self::send`] and reads the complete body; repeats the request if the body breaks.
     pub(crate) async fn exchange<B>(
         &self,
         record: &mut record::CallRecord,
@@ -154,11 +159,11 @@
         B: Fn(net::SocketAddr) -> reqwest::RequestBuilder,
     {
         let mut lost = String::new();
-        for _ in 0..MAX_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let EntryAnswer { address, response } = self.send(record, &build).await?;
             let status = response.status();
             let headers = response.headers().clone();
-            match time::timeout(self.settings.patience, response.text()).await {
+            match time::timeout(self.settings.answer_timeout, response.text()).await {
                 Ok(Ok(text)) => {
                     return Ok(ExchangedAnswer {
                         status,
@@ -167,57 +172,59 @@
                     });
                 }
                 Ok(Err(error)) => lost = error.to_string(),
-                Err(_) => lost = "the body stopped".into(),
+                Err(_) => lost = "the body timed out".into(),
             }
             record.resends += 1;
             self.suspect(address);
         }
-        let seen = format!("no body came whole; last: {lost}");
+        let seen = format!("no complete body arrived; last error: {lost}");
         Err(record::CallOutcome::Faulty(check::AnswerFault::Cut {
             seen,
         }))
     }
 
-    /// The best entry VM now; asks for the list when the last answer is due.
+    /// Returns the best-ranked entry VM; fetches the entry list first if it is stale.
     async fn entry_address(&self) -> Option<net::SocketAddr> {
         let now = time::Instant::now();
-        if self.with_book(|book| book.is_stale(now)) {
-            self.ask_entries().await;
+        if self.with_directory(|directory| directory.is_stale(now)) {
+            self.refresh_entries().await;
         }
         let now = time::Instant::now();
-        self.with_book(|book| book.ranking(now).first().copied())
+        self.with_directory(|directory| directory.ranking(now).first().copied())
     }
 
-    async fn ask_entries(&self) {
-        for address in self.with_book(|book| book.ranking(time::Instant::now())) {
-            let Some(answer) = self.ask_one(address).await else {
+    async fn refresh_entries(&self) {
+        for address in self.with_directory(|directory| directory.ranking(time::Instant::now())) {
+            let Some(answer) = self.fetch_entries(address).await else {
                 self.suspect(address);
                 continue;
             };
-            let named = answer.entries.iter().map(|entry| entry.address).collect();
+            let listed = answer.entries.iter().map(|entry| entry.address).collect();
             let keep = Duration::from_millis(answer.keep_ms);
-            self.with_book(|book| book.learn(named, keep, time::Instant::now()));
+            self.with_directory(|directory| {
+                directory.store_entries(listed, keep, time::Instant::now())
+            });
             return;
         }
-        self.with_book(|book| book.keep_stale(time::Instant::now()));
+        self.with_directory(|directory| directory.keep_stale(time::Instant::now()));
     }
 
-    async fn ask_one(&self, address: net::SocketAddr) -> Option<body::EntriesAnswer> {
+    async fn fetch_entries(&self, address: net::SocketAddr) -> Option<body::EntriesAnswer> {
         let request = self.request(reqwest::Method::GET, address, "/v1/entries");
-        let response = request.timeout(CONNECT_TIME).send().await.ok()?;
+        let response = request.timeout(CONNECT_TIMEOUT).send().await.ok()?;
         response.error_for_status().ok()?.json().await.ok()
     }
 
-    fn with_book<T>(&self, work: impl FnOnce(&mut book::EntryBook) -> T) -> T {
-        let mut book = self
-            .book
+    fn with_directory<T>(&self, work: impl FnOnce(&mut book::EntryDirectory) -> T) -> T {
+        let mut directory = self
+            .directory
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner);
-        work(&mut book)
+        work(&mut directory)
     }
 }
 
-/// An answer that was read whole.
+/// A response with its complete body.
 #[derive(Debug)]
 pub(crate) struct ExchangedAnswer {
     pub status: reqwest::StatusCode,
@@ -233,7 +240,7 @@
     match serde_json::from_str::<refusal::RefusalEnvelope>(&text) {
         Ok(envelope) => Ok(envelope.error),
         Err(_) => {
-            let seen = format!("status {status} with a body that is no refusal: {text:.200}");
+            let seen = format!("status {status} whose body is not a refusal: {text:.200}");
             Err(record::CallOutcome::Faulty(check::AnswerFault::Cut {
                 seen,
             }))
@@ -241,8 +248,8 @@
     }
 }
 
-/// When to come back after `refusal`, if that is safe and of use.
-fn delay_of_retry(refusal: &refusal::RefusalBody) -> Option<Duration> {
+/// Returns the delay after which to retry the refused call; `None` if a retry is unsafe or useless.
+fn retry_delay(refusal: &refusal::RefusalBody) -> Option<Duration> {
     let is_safe =
         refusal.ran == outcome::RanState::No || refusal.code == refusal::RefusalCode::InProgress;
     let delay_ms = refusal.retry_after_ms.filter(|_| is_safe)?;
--- a/crates/load/src/check.rs
+++ b/crates/load/src/check.rs
@@ -1,37 +1,38 @@
-//! Judges answers: every token once, in order, from a single generation, whole, and the caller's own.
+//! Checks answers: every token once, in order, from a single generation, complete, and belonging to
+//! the caller's own request.
 //!
-//! A stand-in's token names its generation and its number, and repeats the mark that the caller put
-//! into the prompt. A token of another generation or another call is recognised by that.
+//! A token of a stand-in engine contains its generation, its number, and the mark that the caller
+//! put into the prompt, so that a token of another generation or another call is detected.
 
 use stand::engine::text;
 
-/// What one answer must be.
+/// Properties that one answer must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExpectedAnswer {
-    /// The mark in the prompt.
+    /// Mark in the prompt.
     pub mark: u32,
-    /// Tokens of the whole answer; absent when only the engine knows.
+    /// Number of tokens of the complete answer; absent when only the engine knows it.
     pub token_count: Option<u32>,
 }
 
-/// What is wrong with an answer.
+/// Violation found in an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerFault {
     /// Tokens are missing, in the middle or at the end.
     Cut {
-        /// What was seen.
+        /// Description of the observation.
         seen: String,
     },
-    /// A token is not the one that this call must get.
+    /// A token belongs to another answer.
     Mixed {
-        /// What was seen.
+        /// Description of the observation.
         seen: String,
     },
-    /// A token, or a call that may not be repeated, came twice.
+    /// A token arrived twice, or a call that must not be repeated ran twice.
     Doubled {
-        /// What was seen.
+        /// Description of the observation.
         seen: String,
     },
 }
@@ -40,14 +41,14 @@
 #[derive(Clone, Debug)]
 pub struct AnswerCheck {
     expected: ExpectedAnswer,
-    /// Number of the next token; every lower one has arrived exactly once.
+    /// Number of the next token; every lower-numbered token has arrived exactly once.
     next: u32,
-    /// The generation that the first token named.
+    /// Generation tag of the first token.
     tag: Option<u32>,
 }
 
 impl AnswerCheck {
-    /// A check of the answer that must be as `expected`.
+    /// Creates a check against `expected`.
     #[must_use]
     pub const fn new(expected: ExpectedAnswer) -> Self {
         Self {
@@ -57,41 +58,44 @@
         }
     }
 
-    /// Number of the next token, where a broken stream continues.
+    /// Returns the number of the next token, from which a broken stream is continued.
     #[must_use]
     pub const fn next(&self) -> u32 {
         self.next
     }
 
-    /// Takes the token that came as number `index` of the stream.
+    /// Checks the token that arrived as number `index` of the stream.
     pub fn take_token(&mut self, index: u32, word: &str) -> Result<(), AnswerFault> {
         let due = self.next;
         let Some(token) = text::read_token(word).filter(|token| token.seq == index) else {
-            let seen = format!("{word:?} came as token {index}");
+            let seen = format!("{word:?} arrived as token {index}");
             return Err(AnswerFault::Mixed { seen });
         };
         if token.mark != Some(self.expected.mark) {
-            let seen = format!("{word:?} came to the call marked {:x}", self.expected.mark);
+            let seen = format!(
+                "{word:?} arrived at the call with mark {:x}",
+                self.expected.mark
+            );
             return Err(AnswerFault::Mixed { seen });
         }
         let tag = *self.tag.get_or_insert(token.tag);
         if token.tag != tag {
-            let seen = format!("{word:?} came into the generation {tag:08x}");
+            let seen = format!("{word:?} arrived within generation {tag:08x}");
             return Err(AnswerFault::Mixed { seen });
         }
         if index < due {
-            let seen = format!("token {index} came again where token {due} was due");
+            let seen = format!("token {index} arrived again; expected token {due}");
             return Err(AnswerFault::Doubled { seen });
         }
         if index > due {
-            let seen = format!("token {index} came where token {due} was due");
+            let seen = format!("token {index} arrived; expected token {due}");
             return Err(AnswerFault::Cut { seen });
         }
         self.next += 1;
         Ok(())
     }
 
-    /// Takes a whole answer in one piece.
+    /// Checks an answer that arrived as one complete response.
     pub fn take_whole(&mut self, answer: &str) -> Result<(), AnswerFault> {
         for word in answer.split_whitespace() {
             let index = text::read_token(word).map_or(self.next, |token| token.seq);
@@ -100,7 +104,7 @@
         self.finish()
     }
 
-    /// The answer has ended as if it were whole.
+    /// Checks the number of tokens after the answer has ended without an error.
     pub fn finish(&self) -> Result<(), AnswerFault> {
         let Some(expected) = self.expected.token_count else {
             return Ok(());
@@ -110,7 +114,7 @@
             return Err(AnswerFault::Cut { seen });
         }
         if self.next > expected {
-            let seen = format!("{} tokens where {expected} are due", self.next);
+            let seen = format!("{} tokens arrived; expected {expected}", self.next);
             return Err(AnswerFault::Mixed { seen });
         }
         Ok(())
--- a/crates/load/src/cli.rs
+++ b/crates/load/src/cli.rs
@@ -1,8 +1,8 @@
-//! The command line of `pollenload`.
+//! Command line of `pollenload`.
 
 use std::{net, path};
 
-/// Seeded load against entry VMs, experiments, and the demonstration.
+/// Generate seeded load against entry VMs, compare runs, and run the demonstration.
 #[derive(Debug, PartialEq)]
 #[derive(argh::FromArgs)]
 #[argh(
@@ -10,19 +10,19 @@
     example = "{command_name} run --scenario examples/pass-works/scenario.jsonc --entries 127.0.0.1:8100,127.0.0.1:8101 --save before.json",
     example = "{command_name} compare before.json after.json",
     example = "{command_name} plot after.json --output after.svg",
-    error_code(0, "done; every answer was whole or honestly refused"),
+    error_code(0, "done; every answer was complete or refused with an error"),
     error_code(1, "an answer was cut, mixed or doubled"),
     error_code(2, "the command line is wrong"),
     error_code(3, "compare: the later run is worse"),
-    error_code(4, "the run could not be made, or a file not be used")
+    error_code(4, "the run failed to start, or a file could not be used")
 )]
 pub struct LoadCommand {
-    /// what to do
+    /// action to perform
     #[argh(subcommand)]
     pub action: LoadAction,
 }
 
-/// What to do.
+/// Action of the command line.
 #[derive(Debug, PartialEq)]
 #[derive(argh::FromArgs)]
 #[argh(subcommand)]
@@ -33,7 +33,7 @@
     Run(RunAction),
     /// A comparison of two saved runs.
     Compare(CompareAction),
-    /// A picture of a saved run.
+    /// A plot of a saved run.
     Plot(PlotAction),
 }
 
@@ -46,7 +46,7 @@
     example = "{command_name} --faults --save demo.json"
 )]
 pub struct DemoAction {
-    /// kill an engine, silence a connection and stop an entry VM midway
+    /// during the run, kill an engine, silence a connection and stop an entry VM
     #[argh(switch)]
     pub faults: bool,
 
@@ -68,15 +68,15 @@
     #[argh(option)]
     pub scenario: path::PathBuf,
 
-    /// addresses of entry VMs where callers first ask, with commas between
+    /// comma-separated addresses of the entry VMs that callers query first
     #[argh(option)]
     pub entries: AddressList,
 
-    /// addresses of model engines whose preemptions are counted, with commas between
+    /// comma-separated addresses of the model engines whose preemptions are counted
     #[argh(option, default = "AddressList::default()")]
     pub engines: AddressList,
 
-    /// seed in place of the scenario's
+    /// seed to use instead of the scenario's
     #[argh(option)]
     pub seed: Option<u64>,
 
@@ -85,7 +85,7 @@
     pub save: Option<path::PathBuf>,
 }
 
-/// Compare two saved runs of one scenario and say whether the later one is worse.
+/// Compare two saved runs of one scenario and report whether the later one is worse.
 #[derive(Debug, PartialEq)]
 #[derive(argh::FromArgs)]
 #[argh(
@@ -102,11 +102,11 @@
     #[argh(positional)]
     pub after: path::PathBuf,
 
-    /// growth of a time, in percent, from which on it is worse; 15 when absent
+    /// increase of a time, in percent, above which it counts as worse; default 15
     #[argh(option, default = "15.0")]
     pub percent: f64,
 
-    /// growth of a time, in milliseconds, up to which it is noise; 5 when absent
+    /// increase of a time, in milliseconds, up to which it counts as noise; default 5
     #[argh(option, default = "5.0")]
     pub floor_ms: f64,
 }
@@ -120,12 +120,12 @@
     #[argh(positional)]
     pub report: path::PathBuf,
 
-    /// where to write; absent: beside the report, with the ending svg
+    /// output file; default: the report's path with the extension svg
     #[argh(option)]
     pub output: Option<path::PathBuf>,
 }
 
-/// Addresses with commas between.
+/// Comma-separated addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AddressList(pub Vec<net::SocketAddr>);
 
@@ -136,7 +136,7 @@
         let address = |part: &str| {
             part.trim()
                 .parse()
-                .map_err(|_| format!("{part:?} is no address; write it like 127.0.0.1:8100"))
+                .map_err(|_| format!("{part:?} is not an address; write it like 127.0.0.1:8100"))
         };
         text.split(',')
             .map(address)
--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -1,4 +1,4 @@
-//! What the program does: the actions of the command line.
+//! Executes the actions of the command line.
 
 use std::path;
 
@@ -6,10 +6,10 @@
 
 use crate::{cli, compare, demo, exit, play, plot, report};
 
-/// Parses `arguments` and does what they say; prints to standard output and standard error.
+/// Parses `arguments` and executes the action; prints to standard output and standard error.
 #[must_use]
 pub fn execute(program: &str, arguments: &[String]) -> exit::ExitKind {
-    // A line for each change of state is for daemons; here it would only stand between the tables.
+    // Logging is off by default: the daemons' log lines would be mixed with the printed tables.
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("off")).init();
     let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
     let name = path::Path::new(program).file_name().unwrap_or_default();
@@ -20,19 +20,19 @@
             return exit::ExitKind::Success;
         }
         Err(early) => {
-            eprintln!("{}\nRun {program} --help for what there is.", early.output);
+            eprintln!("{}\nRun {program} --help for usage.", early.output);
             return exit::ExitKind::Usage;
         }
     };
     match command.action {
-        cli::LoadAction::Compare(action) => told(compare_runs(&action)),
-        cli::LoadAction::Plot(action) => told(plot_run(&action)),
-        cli::LoadAction::Run(action) => told(with_runtime(play::run_scenario(&action))),
-        cli::LoadAction::Demo(action) => told(with_runtime(demo::run(&action))),
+        cli::LoadAction::Compare(action) => exit_kind_of(compare_runs(&action)),
+        cli::LoadAction::Plot(action) => exit_kind_of(plot_run(&action)),
+        cli::LoadAction::Run(action) => exit_kind_of(with_runtime(play::run_scenario(&action))),
+        cli::LoadAction::Demo(action) => exit_kind_of(with_runtime(demo::run(&action))),
     }
 }
 
-/// Runs `work` to its end on a runtime of its own.
+/// Runs `work` to completion on a new runtime.
 fn with_runtime<T, E: From<play::PlayError>>(
     work: impl Future<Output = Result<T, E>>,
 ) -> Result<T, E> {
@@ -41,8 +41,8 @@
     runtime.block_on(work)
 }
 
-/// The kind of a success, or of a failure after it is told.
-fn told<E: std::error::Error>(outcome: Result<exit::ExitKind, E>) -> exit::ExitKind {
+/// Returns the exit kind of `outcome`; prints the error of a failure.
+fn exit_kind_of<E: std::error::Error>(outcome: Result<exit::ExitKind, E>) -> exit::ExitKind {
     outcome.unwrap_or_else(|error| {
         eprintln!("{error}");
         exit::ExitKind::Failed
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -1,4 +1,4 @@
-//! Compares two saved runs and gives a verdict.
+//! Compares two saved runs and derives a verdict.
 
 use std::fmt;
 
@@ -6,12 +6,12 @@
 
 use crate::report;
 
-/// From when on a difference counts.
+/// Thresholds above which a difference is significant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompareThresholds {
-    /// A time is worse when it grew by more than this fraction of the earlier one...
+    /// Minimum relative increase: a time is worse only if it grew by more than this fraction.
     pub fraction: f64,
-    /// ...and by more than this, so that noise of a fraction of a millisecond is none.
+    /// Minimum absolute increase, so that noise of a fraction of a millisecond does not count.
     pub floor_ms: f64,
 }
 
@@ -24,14 +24,14 @@
     }
 }
 
-/// How the later run stands against the earlier one.
+/// Result of comparing the later run with the earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CompareVerdict {
-    /// Something is better, nothing worse.
+    /// At least one measure is better and none is worse.
     Better,
     /// No difference beyond the thresholds.
     Same,
-    /// Something is worse.
+    /// At least one measure is worse.
     Worse,
 }
 
@@ -50,20 +50,20 @@
 pub struct MeasureRow {
     /// Class and measure.
     pub name: String,
-    /// In the earlier run.
+    /// Value in the earlier run.
     pub before: f64,
-    /// In the later run.
+    /// Value in the later run.
     pub after: f64,
-    /// How it changed.
+    /// Verdict on the change.
     pub verdict: CompareVerdict,
 }
 
-/// Two runs side by side.
+/// Comparison of two runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunComparison {
     /// One row for each measure.
     pub rows: Vec<MeasureRow>,
-    /// What makes the runs hard to compare, in words.
+    /// Differences that limit the comparability of the runs.
     pub remarks: Vec<String>,
 }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Worse when any measure is worse; better when one is better and none worse.
+    /// Returns `Worse` if any measure is worse, `Better` if one is better and none is worse.
     #[must_use]
     pub fn verdict(&self) -> CompareVerdict {
         let verdicts = || self.rows.iter().map(|row| row.verdict);
@@ -106,7 +106,7 @@
     }
 }
 
-/// Preemptions by which two runs may differ without a verdict.
+/// Difference in preemptions up to which two runs count as the same.
 const PREEMPTION_FLOOR: f64 = 2.0;
 
 fn push_class_rows(
@@ -155,7 +155,7 @@
     rows.push(row_of(&format!("{class} broken"), broken.0, broken.1, none));
 }
 
-/// Share of refusals, in percent, by which two runs may differ without a verdict.
+/// Difference in the share of refusals, in percentage points, up to which two runs count as the same.
 const REFUSED_FLOOR_PERCENT: f64 = 1.0;
 
 fn row_of(name: &str, before: f64, after: f64, thresholds: CompareThresholds) -> MeasureRow {
--- a/crates/load/src/demo.rs
+++ b/crates/load/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: the whole system in one process with the example traffic.
+//! The demonstration: runs the complete system in one process with the traffic of an example.
 
 use std::{sync, time::Duration};
 
@@ -8,50 +8,50 @@
 
 use crate::{arrival, caller, cli, env, exit, play, progress, runner, scenario, site};
 
-/// Entry VMs that the demonstration starts, one in each failure domain and another.
+/// Entry VMs that the demonstration starts: one in each failure domain and an additional one.
 const ENTRY_VMS: usize = 4;
 
-/// KV cache blocks of each engine: so few that memory runs short within seconds.
+/// KV cache blocks of each engine; few enough that the cache fills up within seconds.
 const KV_BLOCKS: u32 = 320;
 
-/// Longest prompt and output together; it fits into those blocks.
+/// Maximum length of prompt and output together; it fits into [`KV_BLOCKS`].
 const CONTEXT_TOKENS: u32 = 4_096;
 
-/// The demonstration cannot be given.
+/// The demonstration cannot run.
 #[derive(Debug)]
 #[derive(snafu::Snafu)]
 pub enum DemoError {
-    /// The example's files are wrong.
+    /// The files of the example are invalid.
     #[snafu(transparent)]
     Example {
-        /// Their faults.
+        /// Errors in the files.
         source: fault::FaultList,
     },
-    /// A part does not start.
+    /// A component does not start.
     #[snafu(transparent)]
     Env {
-        /// Which, and why not.
+        /// Component and cause.
         source: env::EnvError,
     },
-    /// The run cannot be made.
+    /// The run failed.
     #[snafu(transparent)]
     Play {
-        /// Why not.
+        /// Cause of the failure.
         source: play::PlayError,
     },
-    /// No call can be made.
+    /// The HTTP client cannot be set up.
     #[snafu(transparent)]
     Client {
-        /// Why not.
+        /// Cause of the failure.
         source: caller::ClientError,
     },
 }
 
-/// Starts everything, plays the example's scenario, prints the report.
+/// Starts the system, runs the example's scenario and prints the report.
 ///
 /// # Errors
 ///
-/// When a part does not start, or the report cannot be saved.
+/// Returns an error if a component does not start or the report cannot be saved.
 pub async fn run(action: &cli::DemoAction) -> Result<exit::ExitKind, DemoError> {
     let example = site::PASS_WORKS;
     let mut scenario: scenario::LoadScenario = checked::parse("scenario.jsonc", example.scenario)?;
@@ -64,14 +64,14 @@
     announce(&env, &scenario);
     let total = arrival::plan_calls(&scenario).len() as u64;
     let run = runner::ScenarioRun::new(scenario, &env.callers())?;
-    let sink = sync::Arc::new(EnvFaults {
+    let injector = sync::Arc::new(EnvFaultInjector {
         env: Mutex::new(env),
     });
     let start = time::Instant::now();
     let bar = progress::BarProgress::new(total);
-    let mut measure = run.play(sink.clone(), &bar).await;
+    let mut measure = run.play(injector.clone(), &bar).await;
     drop(bar);
-    let mut env = sink.env.lock().await;
+    let mut env = injector.env.lock().await;
     measure.check_runs(&env.site.runs_by_key());
     measure.take_preemptions(env.site.preemptions());
     let mut report = run.report(&measure, start);
@@ -81,7 +81,7 @@
     Ok(kind)
 }
 
-/// Keeps fewer entry VMs, and engines with less memory.
+/// Reduces the inventory to fewer entry VMs and to engines with less memory.
 fn shrink(inventory: &mut inventory::Inventory) {
     let surplus: Vec<String> = inventory
         .entry_vms
@@ -114,28 +114,28 @@
     }
 }
 
-/// Time that the entry VMs get to end at the end.
-const STOP_TIME: Duration = Duration::from_secs(3);
+/// Timeout of stopping the entry VMs after the run.
+const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
 async fn stop_all(env: &mut env::TestEnv) {
     let mut stops = tokio::task::JoinSet::new();
     for running in std::mem::take(&mut env.entries).into_values() {
         stops.spawn(running.stop());
     }
-    // What they still do is of no use to anybody; the process ends.
-    let _ = time::timeout(STOP_TIME, stops.join_all()).await;
+    // Work that is still running is abandoned, since the process exits now.
+    let _ = time::timeout(STOP_TIMEOUT, stops.join_all()).await;
 }
 
-/// Makes parts of an environment fail.
-struct EnvFaults {
+/// Injects faults into an environment.
+struct EnvFaultInjector {
     env: Mutex<env::TestEnv>,
 }
 
-impl runner::FaultSink for EnvFaults {
-    async fn inflict(&self, fault: scenario::FaultKind) {
+impl runner::FaultInjector for EnvFaultInjector {
+    async fn inject_fault(&self, fault: scenario::FaultKind) {
         let stopped: Option<daemon::RunningDaemon> = {
             let mut env = self.env.lock().await;
-            env::inflict(&env.site, &fault);
+            env::inject_fault(&env.site, &fault);
             match &fault {
                 scenario::FaultKind::EntryStop { vm } => env.entries.remove(vm),
                 _ => None,
--- a/crates/load/src/env.rs
+++ b/crates/load/src/env.rs
@@ -1,4 +1,4 @@
-//! The whole system in this process: stand-ins and entry VMs on loopback.
+//! Runs the complete system in this process: stand-ins and entry VMs on loopback.
 
 use std::{collections, net, time::Duration};
 
@@ -9,14 +9,14 @@
 
 use crate::{scenario, site};
 
-/// Stream of the log that holds the configuration.
+/// Log stream that holds the configuration.
 const CONFIGURATION: &str = "configuration";
 
-/// An entry VM that is not ready after this does not get ready.
-const READY_TIME: Duration = Duration::from_secs(10);
+/// Timeout of waiting for an entry VM to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause between two questions whether an entry VM is ready.
-const READY_POLL: Duration = Duration::from_millis(20);
+/// Interval between two readiness checks of an entry VM.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The environment cannot be started.
 #[derive(Debug)]
@@ -25,27 +25,27 @@
     /// A stand-in does not start.
     #[snafu(transparent)]
     Stand {
-        /// Why not.
+        /// Cause of the failure.
         source: stand::http::ServeError,
     },
     /// An entry VM does not start.
     #[snafu(transparent)]
     Daemon {
-        /// Why not.
+        /// Cause of the failure.
         source: daemon::StartError,
     },
-    /// The log refuses the configuration.
-    #[snafu(display("the log does not take the configuration: {reason}; start again"))]
+    /// The log rejects the configuration.
+    #[snafu(display("the log rejected the configuration: {reason}; start again"))]
     Publish {
-        /// What it says.
+        /// Error from the log.
         reason: String,
     },
-    /// An entry VM does not get ready.
-    #[snafu(display("entry VM {vm} is not ready after {READY_TIME:?}: {last}; see its log"))]
+    /// An entry VM does not become ready.
+    #[snafu(display("entry VM {vm} is not ready after {READY_TIMEOUT:?}: {last}; see its log"))]
     NotReady {
-        /// Its name.
+        /// Name of the entry VM.
         vm: String,
-        /// Its last answer.
+        /// Last response or error of the readiness check.
         last: String,
     },
 }
@@ -53,27 +53,28 @@
 /// Stand-ins and entry VMs of one configuration.
 #[derive(Debug)]
 pub struct TestEnv {
-    /// The platform and the backend servers.
+    /// Stand-ins of the platform and the backend servers.
     pub site: site::StandSite,
     /// Running entry VMs by name.
     pub entries: collections::BTreeMap<String, daemon::RunningDaemon>,
 }
 
 impl TestEnv {
-    /// Starts everything in `configuration`, publishes it and waits until every entry VM is ready.
+    /// Starts all components in `configuration`, publishes it and waits until every entry VM is
+    /// ready.
     ///
     /// # Errors
     ///
-    /// When a part does not start.
+    /// Returns an error if a component does not start.
     pub async fn start(configuration: document::Configuration) -> Result<Self, EnvError> {
         Self::start_bounded(configuration, settings::BoundSettings::default()).await
     }
 
-    /// Like [`Self::start`], with bounds on what each entry VM takes.
+    /// Like [`Self::start`], with resource bounds for each entry VM.
     ///
     /// # Errors
     ///
-    /// When a part does not start.
+    /// Returns an error if a component does not start.
     pub async fn start_bounded(
         configuration: document::Configuration,
         bounds: settings::BoundSettings,
@@ -81,11 +82,11 @@
         Self::at_site(site::StandSite::start(configuration).await?, bounds).await
     }
 
-    /// Starts the entry VMs of a site whose stand-ins listen already.
+    /// Starts the entry VMs of a site whose stand-ins are already listening.
     ///
     /// # Errors
     ///
-    /// When a part does not start.
+    /// Returns an error if a component does not start.
     pub async fn at_site(
         mut site: site::StandSite,
         bounds: settings::BoundSettings,
@@ -100,7 +101,7 @@
             .collect();
         for vm in names {
             let running = daemon::start(daemon_settings(&site, &vm, &bounds)).await?;
-            // The ports are known only now: the configuration is published after that.
+            // The ports are known only after the start, so the configuration is published later.
             let inventory = &mut site.configuration.inventory;
             if let Some(entry) = inventory.entry_vms.get_mut(&vm) {
                 entry.callers = running.callers();
@@ -116,7 +117,7 @@
         Ok(env)
     }
 
-    /// Where callers connect, one address for each running entry VM.
+    /// Returns the addresses for callers, one for each running entry VM.
     #[must_use]
     pub fn callers(&self) -> Vec<net::SocketAddr> {
         let running = self.entries.values();
@@ -124,8 +125,8 @@
     }
 }
 
-/// Makes `fault` happen to a part of `site`; entry VMs are not its business.
-pub fn inflict(site: &site::StandSite, fault: &scenario::FaultKind) {
+/// Injects `fault` into `site`; faults of entry VMs are ignored here.
+pub fn inject_fault(site: &site::StandSite, fault: &scenario::FaultKind) {
     match fault {
         scenario::FaultKind::ServerCrash { server } => {
             if let Some(engine) = site.engines.get(server) {
@@ -155,7 +156,7 @@
     }
 }
 
-/// Settings of the daemon on `vm`, on free ports of loopback.
+/// Returns the settings of the daemon on `vm`, with free loopback ports.
 #[must_use]
 pub fn daemon_settings(
     site: &site::StandSite,
@@ -186,11 +187,11 @@
     }
 }
 
-/// Appends the whole configuration as the first change.
+/// Appends the complete configuration as the first change.
 ///
 /// # Errors
 ///
-/// [`EnvError::Publish`] when the log does not take it.
+/// [`EnvError::Publish`] if the log rejects the change.
 pub async fn publish(site: &site::StandSite) -> Result<(), EnvError> {
     let refused = |reason: String| EnvError::Publish { reason };
     let value = |configuration: &document::Configuration| {
@@ -211,7 +212,7 @@
 }
 
 async fn wait_ready(vm: &str, address: net::SocketAddr) -> Result<(), EnvError> {
-    let deadline = time::Instant::now() + READY_TIME;
+    let deadline = time::Instant::now() + READY_TIMEOUT;
     let mut last = String::from("nothing");
     while time::Instant::now() < deadline {
         match reqwest::get(format!("http://{address}/readyz")).await {
@@ -219,7 +220,7 @@
             Ok(response) => last = response.text().await.unwrap_or_default(),
             Err(error) => last = error.to_string(),
         }
-        time::sleep(READY_POLL).await;
+        time::sleep(READY_POLL_INTERVAL).await;
     }
     NotReadySnafu { vm, last }.fail()
 }
--- a/crates/load/src/exit.rs
+++ b/crates/load/src/exit.rs
@@ -2,23 +2,23 @@
 
 use std::process;
 
-/// How the program ended.
+/// Result of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitKind {
-    /// Everything asked for was done; no answer broke a promise.
+    /// The action completed, and no answer was cut, mixed or doubled.
     Success,
     /// An answer was cut, mixed or doubled.
     BrokenAnswers,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage,
     /// The later of two compared runs is worse.
     Worse,
-    /// The run could not be made, or a file not be read or written.
+    /// The run failed to start, or a file could not be read or written.
     Failed,
 }
 
 impl ExitKind {
-    /// The number that the shell sees.
+    /// Returns the exit code of the process.
     #[must_use]
     pub const fn code(self) -> u8 {
         match self {
--- a/crates/load/src/length.rs
+++ b/crates/load/src/length.rs
@@ -2,36 +2,36 @@
 
 use rand_distr::Distribution as _;
 
-/// How long prompts or outputs are, in tokens.
+/// Distribution of prompt or output lengths in tokens.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum LengthDistribution {
-    /// Always the same.
+    /// A constant length.
     Fixed {
-        /// The length.
+        /// Length in tokens.
         tokens: u32,
     },
-    /// Any length of a range, equally likely.
+    /// Uniform distribution over a range of lengths.
     Uniform {
-        /// Shortest length.
+        /// Minimum length.
         min: u32,
-        /// Longest length, included.
+        /// Maximum length, inclusive.
         max: u32,
     },
-    /// Mostly near the median, with a long tail.
+    /// Log-normal distribution: most lengths are near the median, with a long tail.
     LogNormal {
-        /// Half of the lengths lie below.
+        /// Median length.
         median: u32,
         /// Standard deviation of the logarithm; 0 makes every length the median.
         sigma: f64,
-        /// Longer draws are cut to this.
+        /// Maximum length; longer samples are truncated to it.
         max: u32,
     },
 }
 
 impl LengthDistribution {
-    /// One length, never 0.
+    /// Draws one length of at least 1.
     pub fn sample<R: rand::Rng + ?Sized>(&self, rng: &mut R) -> u32 {
         match *self {
             Self::Fixed { tokens } => tokens.max(1),
@@ -44,20 +44,22 @@
         }
     }
 
-    /// The longest length that can be drawn.
+    /// Returns the maximum length that can be drawn.
     #[must_use]
-    pub fn longest(&self) -> u32 {
+    pub fn max_tokens(&self) -> u32 {
         match *self {
             Self::Fixed { tokens } => tokens.max(1),
             Self::Uniform { max, .. } | Self::LogNormal { max, .. } => max.max(1),
         }
     }
 
-    /// What is wrong with it, and the remedy.
+    /// Validates the parameters; returns the error and its remedy.
     #[must_use]
-    pub fn fault(&self) -> Option<(String, &'static str)> {
+    pub fn validation_error(&self) -> Option<(String, &'static str)> {
         match *self {
-            Self::Fixed { tokens: 0 } => Some(("0 tokens is no length".into(), "write 1 or more")),
+            Self::Fixed { tokens: 0 } => {
+                Some(("0 tokens is not a valid length".into(), "write 1 or more"))
+            }
             Self::Uniform { min, max } if min == 0 || min > max => Some((
                 format!("no length lies between {min} and {max}"),
                 "write 1 <= min <= max",
@@ -75,5 +77,5 @@
     }
 }
 
-/// Beyond this nearly every draw is cut to `max`.
+/// Maximum sigma; above it nearly every sample is truncated to `max`.
 const MAX_SIGMA: f64 = 4.0;
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,8 +1,9 @@
 //! Seeded load, experiments and the demonstration.
 //!
-//! [`scenario`] says who calls, [`arrival`] fixes every call ahead from the seed, [`perform`] makes
-//! a call through a [`caller`], [`check`] judges each answer, [`measure`] gathers what callers
-//! felt, and [`report`], [`compare`] and [`plot`] show it.
+//! [`scenario`] defines the workloads, [`arrival`] plans every call in advance from the seed,
+//! [`perform`] makes a call through a [`caller`], [`check`] verifies each answer, [`measure`]
+//! collects the latencies and outcomes that callers observe, and [`report`], [`compare`] and
+//! [`plot`] present them.
 
 pub mod arrival;
 pub mod body;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! Thin front of `pollenload`; the work is in the library.
+//! Entry point of `pollenload`; the implementation is in the library.
 
 use std::process;
 
--- a/crates/load/src/measure.rs
+++ b/crates/load/src/measure.rs
@@ -1,4 +1,4 @@
-//! What callers felt, by class.
+//! Latencies and outcomes that callers observe, by traffic class.
 
 use std::{collections, time};
 
@@ -6,122 +6,123 @@
 
 use crate::{check, record};
 
-/// Longest time that is told apart; a longer one counts as this.
-const MAX_MICROS: u64 = 3_600_000_000;
+/// Maximum recorded time in microseconds; longer times are recorded as this value.
+const MAX_TIME_US: u64 = 3_600_000_000;
 
-/// Significant decimal digits of a measured time.
-const DIGITS: u8 = 3;
+/// Number of significant decimal digits of a recorded time.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Times in microseconds.
+/// Histogram of times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimeHistogram(hdrhistogram::Histogram<u64>);
 
 impl Default for TimeHistogram {
     fn default() -> Self {
         // The bounds are constants that the library accepts.
-        let histogram = hdrhistogram::Histogram::new_with_bounds(1, MAX_MICROS, DIGITS);
+        let histogram =
+            hdrhistogram::Histogram::new_with_bounds(1, MAX_TIME_US, SIGNIFICANT_DIGITS);
         Self(histogram.expect("the bounds of the histogram are valid"))
     }
 }
 
 impl TimeHistogram {
-    /// Adds one time.
+    /// Records one time.
     pub fn record(&mut self, time: time::Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         self.0.saturating_record(micros);
     }
 
-    /// Number of times.
+    /// Returns the number of recorded times.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// The time in milliseconds below which the fraction `quantile` of all lies.
+    /// Returns the value at `quantile` in milliseconds.
     #[must_use]
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
-        self.0.value_at_quantile(quantile) as f64 / MICROS_PER_MS
+        self.0.value_at_quantile(quantile) as f64 / US_PER_MS
     }
 
-    /// Mean in milliseconds.
+    /// Returns the mean in milliseconds.
     #[must_use]
     pub fn mean_ms(&self) -> f64 {
-        self.0.mean() / MICROS_PER_MS
+        self.0.mean() / US_PER_MS
     }
 
-    /// The library's histogram, for serialisation.
+    /// Returns the library's histogram, for serialisation.
     #[must_use]
     pub const fn inner(&self) -> &hdrhistogram::Histogram<u64> {
         &self.0
     }
 
-    /// Wraps what the library has deserialised.
+    /// Wraps a histogram that the library has deserialised.
     #[must_use]
     pub const fn from_inner(histogram: hdrhistogram::Histogram<u64>) -> Self {
         Self(histogram)
     }
 }
 
-const MICROS_PER_MS: f64 = 1_000.0;
+const US_PER_MS: f64 = 1_000.0;
 
 /// Counts and times of one class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassMeasure {
     /// Calls made.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub whole: u64,
-    /// Calls refused in the end, before any part of an answer.
+    /// Calls that were finally refused, before any part of an answer.
     pub refused: u64,
-    /// Answers that ended early with an honest error.
+    /// Answers that ended early with an explicit error.
     pub ended: u64,
-    /// Answers with missing tokens, or no outcome at all.
+    /// Answers with missing tokens, or calls without an outcome.
     pub cut: u64,
-    /// Answers with a part of another.
+    /// Answers that contain a part of another answer.
     pub mixed: u64,
-    /// Answers or calls of which something came or ran twice.
+    /// Answers with repeated tokens, or calls that ran twice.
     pub doubled: u64,
-    /// Refusals of single tries by code.
+    /// Refusals of single attempts by code.
     pub refused_tries: collections::BTreeMap<String, u64>,
-    /// Streams continued after a break.
+    /// Number of times that a stream was continued after a break.
     pub continuations: u64,
-    /// Calls sent again after their answer was lost before its first byte.
+    /// Number of times that a call was resent because its answer was lost before the first byte.
     pub resends: u64,
-    /// Tokens that arrived.
+    /// Number of tokens received.
     pub tokens: u64,
-    /// Stall time of each whole answer.
+    /// Stall time of each complete answer.
     pub stall: TimeHistogram,
-    /// Intended start to first token, or to the answer in one piece.
+    /// Time from the intended start to the first token, or to a complete response.
     pub first: TimeHistogram,
-    /// Between two tokens.
+    /// Time between two consecutive tokens.
     pub gap: TimeHistogram,
-    /// Preemptions by the engines' own counters; absent when they do not say it by class.
+    /// Preemptions by the engines' own counters; absent when engines do not report them by class.
     pub preemptions: Option<u64>,
 }
 
-/// A call that must run at most once, and what its caller was told.
+/// A call that must run at most once, with the run state reported to its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedCall {
-    /// Its idempotency key.
+    /// Idempotency key of the call.
     pub key: String,
-    /// Its class.
+    /// Traffic class of the call.
     pub class: class::TrafficClass,
-    /// What its caller was told; `Yes` for an answer.
-    pub told: outcome::RanState,
+    /// Run state that was reported to the caller; `Yes` for an answer.
+    pub reported_ran: outcome::RanState,
 }
 
 /// Everything measured in one run.
 #[derive(Clone, Debug, Default)]
 pub struct RunMeasure {
-    /// One for each class that made a call.
+    /// Measure of each class that made a call.
     pub classes: collections::BTreeMap<class::TrafficClass, ClassMeasure>,
     /// Calls that must run at most once.
     pub keyed: Vec<KeyedCall>,
-    /// The first few broken answers, in words.
+    /// Descriptions of the first broken answers.
     pub samples: Vec<String>,
 }
 
-/// Broken answers that are kept in words.
+/// Maximum number of broken answers whose descriptions are kept.
 const MAX_SAMPLES: usize = 10;
 
 impl RunMeasure {
@@ -131,7 +132,7 @@
             self.keyed.push(KeyedCall {
                 key: key.clone(),
                 class: record.class,
-                told: told_by(record),
+                reported_ran: reported_run_state(record),
             });
         }
         let measure = self.classes.entry(record.class).or_default();
@@ -145,8 +146,8 @@
         if let Some(first) = record.first {
             measure.first.record(first);
         }
-        for gap in &record.gaps {
-            measure.gap.record(*gap);
+        for interval in &record.token_intervals {
+            measure.gap.record(*interval);
         }
         match &record.outcome {
             record::CallOutcome::Whole => {
@@ -159,13 +160,13 @@
         }
     }
 
-    /// Compares what callers were told with what ran, by idempotency key.
+    /// Compares the run states reported to callers with the actual runs, by idempotency key.
     pub fn check_runs(&mut self, runs: &collections::BTreeMap<String, u64>) {
         for call in std::mem::take(&mut self.keyed) {
             let count = runs.get(&call.key).copied().unwrap_or_default();
-            let fault = match (count, call.told) {
+            let fault = match (count, call.reported_ran) {
                 (2.., _) => Some("ran more than once"),
-                (1, outcome::RanState::No) => Some("was told not to have run, but ran"),
+                (1, outcome::RanState::No) => Some("was reported as not run, but ran"),
                 (0, outcome::RanState::Yes) => Some("was answered, but never ran"),
                 _ => None,
             };
@@ -176,14 +177,14 @@
         }
     }
 
-    /// Takes the preemptions by priority that engines counted.
+    /// Stores the preemptions by priority that engines counted.
     pub fn take_preemptions(&mut self, by_priority: [u64; 3]) {
         for (class, measure) in &mut self.classes {
             measure.preemptions = Some(by_priority[class.index()]);
         }
     }
 
-    /// Adds a broken promise.
+    /// Counts a broken answer and keeps its description.
     pub fn add_fault(&mut self, class: class::TrafficClass, fault: &check::AnswerFault) {
         let measure = self.classes.entry(class).or_default();
         let (count, kind, seen) = match fault {
@@ -198,9 +199,9 @@
     }
 }
 
-/// What the caller was told of whether the call ran. A refusal speaks for its own try only, so
-/// that after a try whose answer was lost it proves nothing.
-const fn told_by(record: &record::CallRecord) -> outcome::RanState {
+/// Returns the run state that was reported to the caller. A refusal covers its own attempt only, so
+/// it proves nothing after an attempt whose answer was lost.
+const fn reported_run_state(record: &record::CallRecord) -> outcome::RanState {
     match &record.outcome {
         record::CallOutcome::Whole => outcome::RanState::Yes,
         record::CallOutcome::Refused(_) | record::CallOutcome::Ended(_) if record.resends > 0 => {
@@ -211,7 +212,7 @@
     }
 }
 
-/// The code as it stands on the wire.
+/// Returns the name of the code on the wire.
 fn code_name(code: refusal::RefusalCode) -> String {
     let value = serde_json::to_value(code).unwrap_or_default();
     value.as_str().unwrap_or("unknown").to_owned()
--- a/crates/load/src/perform.rs
+++ b/crates/load/src/perform.rs
@@ -1,4 +1,4 @@
-//! Makes one planned call and records what became of it.
+//! Makes one planned call and records its outcome.
 
 use std::{net, time::Duration};
 
@@ -9,10 +9,10 @@
 
 use crate::{arrival, body, caller, check, record, sse};
 
-/// Pause between two questions for the outcome of accepted work.
-const POLL_TIME: Duration = Duration::from_millis(200);
+/// Interval between two polls for the outcome of accepted work.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Times that one stream is continued before it counts as cut.
+/// Maximum number of continuations of one stream before it counts as cut.
 const MAX_CONTINUATIONS: u32 = 6;
 
 const GENERATION_TOKEN: &str = "x-generation-token";
@@ -24,11 +24,11 @@
     start: time::Instant,
     check: check::AnswerCheck,
     record: record::CallRecord,
-    /// Arrival of the last token.
+    /// Arrival time of the last token.
     last: time::Instant,
 }
 
-/// How one connection of a stream ended.
+/// Result of reading one connection of a stream.
 enum StreamEnd {
     Done,
     Refused(refusal::RefusalBody),
@@ -42,8 +42,8 @@
     call: &arrival::PlannedCall,
     start: time::Instant,
 ) -> record::CallRecord {
-    match &call.ask {
-        arrival::PlannedAsk::Service {
+    match &call.request {
+        arrival::PlannedRequest::Service {
             service,
             path,
             text,
@@ -61,7 +61,7 @@
             record.outcome = outcome.unwrap_or_else(|outcome| outcome);
             record
         }
-        arrival::PlannedAsk::Generation(generation) => {
+        arrival::PlannedRequest::Generation(generation) => {
             let mut run = CallRun {
                 caller,
                 start,
@@ -84,7 +84,7 @@
     }
 }
 
-/// What every try of one generation sends.
+/// Request data that every attempt of one generation sends.
 struct RequestParts {
     body: body::ChatRequest,
     class: &'static str,
@@ -103,7 +103,7 @@
     }
 }
 
-/// What every try of one service call sends.
+/// Request data that every attempt of one service call sends.
 struct ServiceParts<'a> {
     path: String,
     class: &'static str,
@@ -153,7 +153,7 @@
         self.record.continuations <= MAX_CONTINUATIONS
     }
 
-    /// An honest end is told apart from a refusal by the tokens that came before it.
+    /// Classifies a refusal: after the first token it is an early end of the answer.
     const fn refused(&self, refusal: refusal::RefusalBody) -> record::CallOutcome {
         if self.check.next() == 0 {
             record::CallOutcome::Refused(refusal)
@@ -165,8 +165,9 @@
     async fn read_stream(&mut self, response: reqwest::Response) -> StreamEnd {
         let mut events = sse::read_events(response);
         loop {
-            let event = match time::timeout(self.caller.settings.idle, events.next()).await {
-                Err(_) => return StreamEnd::Broken("the connection went silent".into()),
+            let event = match time::timeout(self.caller.settings.idle_timeout, events.next()).await
+            {
+                Err(_) => return StreamEnd::Broken("the connection was idle for too long".into()),
                 Ok(None) => return StreamEnd::Broken("ended without [DONE]".into()),
                 Ok(Some(Err(error))) => return StreamEnd::Broken(format!("{error:?}")),
                 Ok(Some(Ok(event))) => event,
@@ -185,14 +186,14 @@
 
     fn take_chunk(&mut self, data: &str) -> Result<(), StreamEnd> {
         let Ok(chunk) = serde_json::from_str::<body::ChatChunk>(data) else {
-            let seen = format!("a chunk that is none: {data:.100}");
+            let seen = format!("invalid chunk: {data:.100}");
             return Err(StreamEnd::Faulty(check::AnswerFault::Mixed { seen }));
         };
         if let Some(refusal) = chunk.error {
             return Err(StreamEnd::Refused(refusal));
         }
         if chunk.pollenchute.handover.is_some() {
-            // The entry VM leaves; the next one continues by the same token.
+            // The entry VM is shutting down; another one continues the stream by the same token.
             return Err(StreamEnd::Broken("handed over".into()));
         }
         let text = chunk
@@ -206,9 +207,9 @@
         let checked = self.check.take_token(index, &text);
         checked.map_err(StreamEnd::Faulty)?;
         let settings = self.caller.settings;
-        let gap = now - self.last;
+        let interval = now - self.last;
         self.record
-            .take_token(now - self.start, gap, settings.expected_step);
+            .take_token(now - self.start, interval, settings.expected_step);
         self.last = now;
         Ok(())
     }
@@ -237,16 +238,16 @@
                 seen,
             }));
         };
-        let deadline = time::Instant::now() + caller.settings.patience;
+        let deadline = time::Instant::now() + caller.settings.answer_timeout;
         while time::Instant::now() < deadline {
-            time::sleep(POLL_TIME).await;
+            time::sleep(POLL_INTERVAL).await;
             let polled = caller
                 .exchange(&mut self.record, |address| {
                     caller.request(reqwest::Method::GET, address, location)
                 })
                 .await?;
             let Ok(body) = serde_json::from_str::<body::AcceptedWork>(&polled.text) else {
-                let seen = format!("an outcome that is none: {:.100}", polled.text);
+                let seen = format!("invalid outcome of accepted work: {:.100}", polled.text);
                 return Ok(record::CallOutcome::Faulty(check::AnswerFault::Mixed {
                     seen,
                 }));
@@ -260,7 +261,7 @@
         }
         let seen = format!(
             "accepted work had no outcome within {:?}",
-            caller.settings.patience
+            caller.settings.answer_timeout
         );
         Ok(record::CallOutcome::Faulty(check::AnswerFault::Cut {
             seen,
@@ -271,7 +272,7 @@
         let parsed = serde_json::from_str::<body::ChatAnswer>(text).ok();
         let choice = parsed.and_then(|answer| answer.choices.into_iter().next());
         let Some(choice) = choice else {
-            let seen = format!("an answer that is none: {text:.100}");
+            let seen = format!("invalid answer: {text:.100}");
             return record::CallOutcome::Faulty(check::AnswerFault::Mixed { seen });
         };
         let verdict = self.check.take_whole(&choice.message.content);
@@ -302,7 +303,7 @@
         .await?;
     record.take_answer(start.elapsed(), Duration::ZERO);
     let Ok(answer) = serde_json::from_str::<service::ServiceAnswer>(&exchanged.text) else {
-        let seen = format!("an answer that is none: {:.100}", exchanged.text);
+        let seen = format!("invalid answer: {:.100}", exchanged.text);
         return Ok(record::CallOutcome::Faulty(check::AnswerFault::Mixed {
             seen,
         }));
@@ -310,7 +311,7 @@
     let own = fingerprint::ContentHash::of(request.text.as_bytes()).to_string();
     if answer.body_sha256 != own || answer.idempotency_key != request.key {
         let seen = format!(
-            "{} got the answer to another call: {answer:?}",
+            "{} received the answer to another call: {answer:?}",
             request.text
         );
         return Ok(record::CallOutcome::Faulty(check::AnswerFault::Mixed {
--- a/crates/load/src/play.rs
+++ b/crates/load/src/play.rs
@@ -1,4 +1,4 @@
-//! The action `run`: a scenario against daemons that somebody else started.
+//! The action `run`: runs a scenario against daemons that are already running.
 
 use std::{net, path, sync};
 
@@ -7,55 +7,55 @@
 
 use crate::{arrival, caller, cli, exit, progress, report, runner, scenario};
 
-/// A run cannot be made.
+/// A run failed.
 #[derive(Debug)]
 #[derive(snafu::Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum PlayError {
     /// The runtime does not start.
-    #[snafu(display("runtime: {source}; check the limit of threads"))]
+    #[snafu(display("runtime: {source}; check the limit on threads"))]
     Runtime {
-        /// What the system says.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// The scenario cannot be used.
+    /// The scenario is invalid or unreadable.
     #[snafu(transparent)]
     Scenario {
-        /// All its faults.
+        /// All errors in the scenario.
         source: scenario::ScenarioError,
     },
-    /// No call can be made.
+    /// The HTTP client cannot be set up.
     #[snafu(transparent)]
     Client {
-        /// Why not.
+        /// Cause of the failure.
         source: caller::ClientError,
     },
     /// The report cannot be saved.
     #[snafu(transparent)]
     Report {
-        /// Why not.
+        /// Cause of the failure.
         source: report::ReportError,
     },
-    /// No engine can be asked for its preemptions.
+    /// An engine does not report its preemptions.
     #[snafu(display("engine {address}: {source}; check --engines, or leave it out"))]
     Engine {
-        /// The engine.
+        /// Address of the engine.
         address: net::SocketAddr,
-        /// What the client says.
+        /// Error from the HTTP client.
         source: reqwest::Error,
     },
 }
 
-/// Plays the scenario and prints the report.
+/// Runs the scenario and prints the report.
 ///
 /// # Errors
 ///
-/// When the run cannot be made, or the report not be saved.
+/// Returns an error if the run fails or the report cannot be saved.
 pub async fn run_scenario(action: &cli::RunAction) -> Result<exit::ExitKind, PlayError> {
     let mut scenario = scenario::LoadScenario::read(&action.scenario)?;
     scenario.seed = action.seed.unwrap_or(scenario.seed);
     if !std::mem::take(&mut scenario.faults).is_empty() {
-        eprintln!("the scenario's faults are for `demo`; nothing is made to fail here");
+        eprintln!("the faults of the scenario are injected by `demo` only; this run ignores them");
     }
     let total = arrival::plan_calls(&scenario).len() as u64;
     let run = runner::ScenarioRun::new(scenario, &action.entries.0)?;
@@ -72,7 +72,7 @@
     finish(&report, action.save.as_deref())
 }
 
-/// Prints and saves a report; the kind says whether a promise was broken.
+/// Prints and saves a report; the exit kind tells whether an answer was broken.
 pub(crate) fn finish(
     report: &report::RunReport,
     save: Option<&path::Path>,
@@ -88,13 +88,13 @@
     })
 }
 
-/// What an engine reports, as far as it is read here.
+/// The part of an engine's load report that is used here.
 #[derive(serde::Deserialize)]
 struct EngineLoad {
     preemptions: u64,
 }
 
-/// Preemptions of all engines so far; absent when none is named.
+/// Returns the sum of preemptions of all engines so far; absent when `engines` is empty.
 async fn count_preemptions(engines: &[net::SocketAddr]) -> Result<Option<u64>, PlayError> {
     let client = reqwest::Client::new();
     let mut sum = None;
--- a/crates/load/src/plot.rs
+++ b/crates/load/src/plot.rs
@@ -1,4 +1,4 @@
-//! Pictures of a saved run.
+//! Plots of a saved run.
 
 use std::path;
 
@@ -10,39 +10,39 @@
 
 use crate::{measure, report};
 
-/// Width and height of the picture in pixels.
-const SIZE: (u32, u32) = (900, 840);
+/// Width and height of the plot in pixels.
+const SIZE_PX: (u32, u32) = (900, 840);
 
-/// The picture ends where this many calls lie beyond, one in so many.
-const RAREST: f64 = 1_000.0;
+/// End of the horizontal axis: the plot shows quantiles up to the worst one in this many.
+const MAX_ONE_IN: f64 = 1_000.0;
 
-/// Points of one curve.
-const POINTS: u32 = 120;
+/// Number of points of one curve.
+const CURVE_POINTS: u32 = 120;
 
-/// Shortest time drawn, in milliseconds.
-const SHORTEST_MS: f64 = 0.1;
+/// Minimum time drawn, in milliseconds.
+const MIN_TIME_MS: f64 = 0.1;
 
-/// A picture cannot be drawn.
+/// A plot cannot be drawn.
 #[derive(Debug)]
 #[derive(snafu::Snafu)]
 pub enum PlotError {
-    /// The report's histograms cannot be used.
+    /// The histograms of the report are invalid.
     #[snafu(transparent)]
     Report {
-        /// What is wrong with it.
+        /// Error in the report.
         source: report::ReportError,
     },
-    /// The picture cannot be drawn or written.
-    #[snafu(display("picture {}: {detail}; check the path", path.display()))]
+    /// The plot cannot be drawn or written.
+    #[snafu(display("plot {}: {detail}; check the path", path.display()))]
     Drawing {
         /// Path as given.
         path: path::PathBuf,
-        /// What the library says.
+        /// Error from the plotting library.
         detail: String,
     },
 }
 
-/// One curve: how long the worst one in `x` calls took.
+/// One curve; a point `(x, y)` gives the time `y` that one in `x` values exceeds.
 struct ClassCurve {
     class: class::TrafficClass,
     points: Vec<(f64, f64)>,
@@ -55,7 +55,7 @@
 pub fn draw_report(report: &report::RunReport, path: &path::Path) -> Result<(), PlotError> {
     let stall = curves_of(report, |class| &class.stall)?;
     let gap = curves_of(report, |class| &class.gap)?;
-    let area = prelude::SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = prelude::SVGBackend::new(path, SIZE_PX).into_drawing_area();
     let drawn = draw_panels(&area, report, &stall, &gap);
     drawn.map_err(|error| PlotError::Drawing {
         path: path.to_owned(),
@@ -80,14 +80,14 @@
     Ok(curves)
 }
 
-/// Points whose distance is even on the logarithmic scale.
+/// Returns points that are evenly spaced on the logarithmic scale.
 fn points_of(histogram: &measure::TimeHistogram) -> Vec<(f64, f64)> {
     let point = |step: u32| {
-        let one_in = RAREST.powf(f64::from(step) / f64::from(POINTS));
+        let one_in = MAX_ONE_IN.powf(f64::from(step) / f64::from(CURVE_POINTS));
         let time_ms = histogram.quantile_ms(1.0 - 1.0 / one_in);
-        (one_in, time_ms.max(SHORTEST_MS))
+        (one_in, time_ms.max(MIN_TIME_MS))
     };
-    (0..=POINTS).map(point).collect()
+    (0..=CURVE_POINTS).map(point).collect()
 }
 
 fn draw_panels(
@@ -97,7 +97,7 @@
     gap: &[ClassCurve],
 ) -> DrawResult {
     area.fill(&prelude::WHITE)?;
-    let (upper, lower) = area.split_vertically(SIZE.1 / 2);
+    let (upper, lower) = area.split_vertically(SIZE_PX.1 / 2);
     let stall_title = format!("{}: stall time of whole answers", report.scenario);
     draw_panel(&upper, &stall_title, stall)?;
     draw_panel(&lower, "time between tokens", gap)?;
@@ -106,19 +106,19 @@
 
 fn draw_panel(area: &PlotArea<'_>, title: &str, curves: &[ClassCurve]) -> DrawResult {
     let times = curves.iter().flat_map(|curve| &curve.points);
-    let longest = times.map(|(_, time_ms)| *time_ms).fold(1.0, f64::max);
+    let max_ms = times.map(|(_, time_ms)| *time_ms).fold(1.0, f64::max);
     let mut chart = prelude::ChartBuilder::on(area)
         .caption(title, ("sans-serif", 20))
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(70)
         .build_cartesian_2d(
-            (1.0..RAREST).log_scale(),
-            (SHORTEST_MS..longest * 1.5).log_scale(),
+            (1.0..MAX_ONE_IN).log_scale(),
+            (MIN_TIME_MS..max_ms * 1.5).log_scale(),
         )?;
     chart
         .configure_mesh()
-        .x_desc("the worst one in so many")
+        .x_desc("worst one in N")
         .y_desc("milliseconds")
         .x_label_formatter(&|one_in| format!("1 in {one_in:.0}"))
         .y_label_formatter(&|time_ms| format!("{time_ms}"))
--- a/crates/load/src/progress.rs
+++ b/crates/load/src/progress.rs
@@ -1,15 +1,15 @@
-//! The progress bar of a run, on a terminal only.
+//! Progress bar of a run, shown on a terminal only.
 
 use crate::runner;
 
-/// A bar of the calls that have their outcome. It draws nothing when standard error is no terminal.
+/// Progress bar of finished calls. It draws nothing if standard error is not a terminal.
 #[derive(Debug)]
 pub struct BarProgress {
     bar: indicatif::ProgressBar,
 }
 
 impl BarProgress {
-    /// A bar for `total` calls.
+    /// Creates a bar for `total` calls.
     #[must_use]
     pub fn new(total: u64) -> Self {
         let bar = indicatif::ProgressBar::new(total);
--- a/crates/load/src/record.rs
+++ b/crates/load/src/record.rs
@@ -1,4 +1,4 @@
-//! What became of one call.
+//! Record of one call.
 
 use std::time;
 
@@ -6,49 +6,49 @@
 
 use crate::check;
 
-/// What became of one call.
+/// Outcome and measured times of one call.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// Index of its workload in the scenario.
+    /// Index of the call's workload in the scenario.
     pub workload: usize,
-    /// Class that the caller asked for.
+    /// Traffic class that the caller requested.
     pub class: class::TrafficClass,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: CallOutcome,
-    /// The idempotency key of a call that must run at most once.
+    /// Idempotency key of a call that must run at most once.
     pub key: Option<String>,
-    /// From the intended start to the first token, or to the answer when it came in one piece.
+    /// Time from the intended start to the first token, or to a complete response.
     pub first: Option<time::Duration>,
-    /// Between two tokens that follow each other.
-    pub gaps: Vec<time::Duration>,
-    /// Waiting beyond what callers expect: until the first token, and beyond the expected step
-    /// at each later one.
+    /// Times between consecutive tokens.
+    pub token_intervals: Vec<time::Duration>,
+    /// Stall time: the wait for the first token, plus the time beyond the expected step at each
+    /// later token.
     pub stall: time::Duration,
-    /// Tokens that arrived.
+    /// Number of tokens received.
     pub tokens: u32,
-    /// Refusals of single tries, the last one included.
+    /// Refusals of single attempts, the last one included.
     pub refused_tries: Vec<refusal::RefusalCode>,
-    /// Times that a broken stream was continued.
+    /// Number of times that a broken stream was continued.
     pub continuations: u32,
-    /// Times that a call whose answer was lost before its first byte was sent again.
+    /// Number of times that the call was resent because its answer was lost before the first byte.
     pub resends: u32,
 }
 
-/// How one call ended.
+/// Outcome of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The whole answer came.
+    /// The complete answer arrived.
     Whole,
-    /// It was refused before any part of an answer came.
+    /// The call was refused before any part of an answer arrived.
     Refused(refusal::RefusalBody),
-    /// Part of the answer came, then an honest error.
+    /// Part of the answer arrived, then an explicit error.
     Ended(refusal::RefusalBody),
-    /// A promise was broken.
+    /// The answer was cut, mixed or doubled.
     Faulty(check::AnswerFault),
 }
 
 impl CallRecord {
-    /// The record of a call that nothing is known of yet.
+    /// Creates the record of a call that has not started.
     #[must_use]
     pub const fn begin(workload: usize, class: class::TrafficClass) -> Self {
         Self {
@@ -57,7 +57,7 @@
             outcome: CallOutcome::Whole,
             key: None,
             first: None,
-            gaps: Vec::new(),
+            token_intervals: Vec::new(),
             stall: time::Duration::ZERO,
             tokens: 0,
             refused_tries: Vec::new(),
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Takes a token that arrived `since_start` after the intended start and `gap` after the one
-    /// before it.
+    /// Records a token that arrived `since_start` after the intended start and `interval` after the
+    /// previous token.
     pub fn take_token(
         &mut self,
         since_start: time::Duration,
-        gap: time::Duration,
+        interval: time::Duration,
         expected_step: time::Duration,
     ) {
         self.tokens += 1;
@@ -80,12 +80,12 @@
             self.stall += since_start;
             return;
         }
-        self.gaps.push(gap);
-        self.stall += gap.saturating_sub(expected_step);
+        self.token_intervals.push(interval);
+        self.stall += interval.saturating_sub(expected_step);
     }
 
-    /// Takes an answer in one piece: what goes beyond the expected step for each of its tokens
-    /// is stall time.
+    /// Records an answer that arrived as one complete response; the time beyond `expected`, the
+    /// sum of the expected steps of its tokens, is stall time.
     pub fn take_answer(&mut self, since_start: time::Duration, expected: time::Duration) {
         self.first = Some(since_start);
         self.stall += since_start.saturating_sub(expected);
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! The outcome of a run: a table for people, a file for comparison.
+//! Report of a run: printed as a table, saved as a file for comparison.
 
 use std::{collections, fmt, fs, path};
 
@@ -8,7 +8,7 @@
 
 use crate::measure;
 
-/// The outcome of one run.
+/// Report of one run.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
@@ -17,73 +17,73 @@
     pub scenario: String,
     /// Seed of the scenario.
     pub seed: u64,
-    /// From the first call to the last outcome.
+    /// Time from the first call to the last outcome.
     pub elapsed_ms: u64,
     /// Generations that engines preempted, by the engines' own counters; absent when no engine
-    /// could be asked.
+    /// was queried.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub preemptions: Option<u64>,
-    /// One for each class that made a call.
+    /// Report of each class that made a call.
     pub classes: collections::BTreeMap<class::TrafficClass, ClassReport>,
-    /// The first few broken answers, in words.
+    /// Descriptions of the first broken answers.
     #[serde(default)]
     pub samples: Vec<String>,
 }
 
-/// The outcome of one class.
+/// Report of one traffic class.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassReport {
     /// Calls made.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub whole: u64,
-    /// Calls refused in the end.
+    /// Calls that were finally refused.
     pub refused: u64,
-    /// Answers that ended early with an honest error.
+    /// Answers that ended early with an explicit error.
     pub ended: u64,
-    /// Answers with missing tokens, or no outcome at all.
+    /// Answers with missing tokens, or calls without an outcome.
     pub cut: u64,
-    /// Answers with a part of another.
+    /// Answers that contain a part of another answer.
     pub mixed: u64,
-    /// Answers or calls of which something came or ran twice.
+    /// Answers with repeated tokens, or calls that ran twice.
     pub doubled: u64,
-    /// Refusals of single tries by code.
+    /// Refusals of single attempts by code.
     pub refused_tries: collections::BTreeMap<String, u64>,
-    /// Streams continued after a break.
+    /// Number of times that a stream was continued after a break.
     pub continuations: u64,
-    /// Calls sent again after their answer was lost before its first byte.
+    /// Number of times that a call was resent because its answer was lost before the first byte.
     pub resends: u64,
-    /// Preemptions by the engines' own counters; absent when they do not say it by class.
+    /// Preemptions by the engines' own counters; absent when engines do not report them by class.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub preemptions: Option<u64>,
-    /// Tokens that arrived.
+    /// Number of tokens received.
     pub tokens: u64,
-    /// Stall time of each whole answer.
+    /// Stall time of each complete answer.
     pub stall: SavedTimes,
-    /// Intended start to first token, or to the answer in one piece.
+    /// Time from the intended start to the first token, or to a complete response.
     pub first: SavedTimes,
-    /// Between two tokens.
+    /// Time between two consecutive tokens.
     pub gap: SavedTimes,
 }
 
-/// Measured times, readable and complete.
+/// Measured times: summary values and the complete histogram.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SavedTimes {
-    /// Number of times.
+    /// Number of recorded times.
     pub count: u64,
     /// Mean.
     pub mean_ms: f64,
     /// Median.
     pub p50_ms: f64,
-    /// 99 in 100 lie below.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// Greatest.
+    /// Maximum.
     pub max_ms: f64,
-    /// The whole histogram in microseconds: format V2 of HdrHistogram, in hexadecimal.
+    /// Complete histogram in microseconds: format V2 of HdrHistogram, in hexadecimal.
     pub histogram: String,
 }
 
@@ -96,15 +96,15 @@
     FileAccess {
         /// Path as given.
         path: path::PathBuf,
-        /// What the system says.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// The file is no report.
+    /// The file is not a report.
     #[snafu(display("report {}: {source}; give a file that --save wrote", path.display()))]
     NoReport {
         /// Path as given.
         path: path::PathBuf,
-        /// What the parser says.
+        /// Error from the parser.
         source: serde_json::Error,
     },
     /// A histogram cannot be decoded.
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The histogram as it was measured.
+    /// Decodes the histogram.
     pub fn decode(&self) -> Result<measure::TimeHistogram, ReportError> {
         let bytes = hex::decode(&self.histogram).map_err(|_| ReportError::NoHistogram)?;
         serialization::Deserializer::new()
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Answers that break a promise.
+    /// Returns the number of cut, mixed and doubled answers.
     #[must_use]
     pub const fn broken(&self) -> u64 {
         self.cut + self.mixed + self.doubled
@@ -167,7 +167,7 @@
 }
 
 impl RunReport {
-    /// The report of a run that `measure` has seen.
+    /// Creates the report of a run from `measure`.
     #[must_use]
     pub fn of(scenario: &str, seed: u64, elapsed_ms: u64, measure: &measure::RunMeasure) -> Self {
         let classes = measure.classes.iter();
--- a/crates/load/src/runner.rs
+++ b/crates/load/src/runner.rs
@@ -1,4 +1,5 @@
-//! Runs a scenario against entry VMs: starts every call at its time and gathers the outcomes.
+//! Runs a scenario against entry VMs: starts every call at its planned time and collects the
+//! outcomes.
 
 use std::{collections, net, sync, time::Duration};
 
@@ -6,13 +7,13 @@
 
 use crate::{arrival, caller, check, measure, perform, record, report, scenario};
 
-/// What a run tells while it goes on.
+/// Receives the progress of a run.
 pub trait RunProgress {
-    /// So many calls have started and so many have their outcome.
+    /// Called with the numbers of calls that have started and that have finished.
     fn advance(&self, started: u64, done: u64);
 }
 
-/// Tells nothing.
+/// Ignores the progress.
 #[derive(Clone, Copy, Debug)]
 pub struct SilentProgress;
 
@@ -20,21 +21,21 @@
     fn advance(&self, _started: u64, _done: u64) {}
 }
 
-/// Makes things fail.
-pub trait FaultSink: Send + Sync + 'static {
-    /// Makes `fault` happen now.
-    fn inflict(&self, fault: scenario::FaultKind) -> impl Future<Output = ()> + Send;
+/// Injects faults during a run.
+pub trait FaultInjector: Send + Sync + 'static {
+    /// Injects `fault` immediately.
+    fn inject_fault(&self, fault: scenario::FaultKind) -> impl Future<Output = ()> + Send;
 }
 
-/// Makes nothing fail: a run against daemons whose faults somebody else switches.
+/// Injects no faults; for a run against daemons whose faults are controlled elsewhere.
 #[derive(Clone, Copy, Debug)]
 pub struct NoFaults;
 
-impl FaultSink for NoFaults {
-    async fn inflict(&self, _fault: scenario::FaultKind) {}
+impl FaultInjector for NoFaults {
+    async fn inject_fault(&self, _fault: scenario::FaultKind) {}
 }
 
-/// A scenario and the callers that play it.
+/// A scenario with its callers.
 #[derive(Debug)]
 pub struct ScenarioRun {
     scenario: scenario::LoadScenario,
@@ -42,15 +43,15 @@
 }
 
 impl ScenarioRun {
-    /// A run of `scenario` whose callers first ask one of `entries`.
+    /// Creates a run of `scenario` whose callers first query one of `entries`.
     pub fn new(
         scenario: scenario::LoadScenario,
         entries: &[net::SocketAddr],
     ) -> Result<Self, caller::ClientError> {
         let settings = caller::CallSettings {
             expected_step: Duration::from_millis(scenario.expected_step_ms),
-            idle: Duration::from_millis(scenario.idle_ms),
-            patience: Duration::from_millis(scenario.grace_ms),
+            idle_timeout: Duration::from_millis(scenario.idle_ms),
+            answer_timeout: Duration::from_millis(scenario.grace_ms),
         };
         let mut callers = collections::BTreeMap::new();
         for (index, (name, organisation)) in scenario.organisations.iter().enumerate() {
@@ -63,15 +64,15 @@
         Ok(Self { scenario, callers })
     }
 
-    /// Makes all calls, and the faults at their times.
-    pub async fn play<S: FaultSink, P: RunProgress>(
+    /// Makes all calls and injects the faults at their planned times.
+    pub async fn play<S: FaultInjector, P: RunProgress>(
         &self,
         faults: sync::Arc<S>,
         progress: &P,
     ) -> measure::RunMeasure {
         let calls = arrival::plan_calls(&self.scenario);
         let start = time::Instant::now();
-        let faults = task::spawn(inflict_all(self.scenario.faults.clone(), faults, start));
+        let faults = task::spawn(inject_all(self.scenario.faults.clone(), faults, start));
         let mut tasks = task::JoinSet::new();
         let mut measure = measure::RunMeasure::default();
         let (mut started, mut done) = (0, 0);
@@ -95,7 +96,7 @@
         measure
     }
 
-    /// The report of a run that began at `start`.
+    /// Creates the report of a run that began at `start`.
     #[must_use]
     pub fn report(&self, measure: &measure::RunMeasure, start: time::Instant) -> report::RunReport {
         let elapsed_ms = u64::try_from(start.elapsed().as_millis()).unwrap_or(u64::MAX);
@@ -107,7 +108,7 @@
         call: arrival::PlannedCall,
         at: time::Instant,
     ) -> impl Future<Output = record::CallRecord> + Send + 'static {
-        // The plan names only organisations of the scenario.
+        // The plan contains only organisations of the scenario, so the lookup cannot fail.
         let caller = self.callers[&call.organisation].clone();
         let limit = Duration::from_millis(self.scenario.duration_ms + self.scenario.grace_ms);
         async move {
@@ -131,12 +132,13 @@
 ) {
     match joined {
         Ok(record) => measure.add(&record),
-        // A call is never aborted, so this is a panic: a fault of this program, not of the system.
+        // Calls are never aborted, so the error is a panic, which is a bug in this program and not
+        // in the system under test.
         Err(error) => std::panic::resume_unwind(error.into_panic()),
     }
 }
 
-async fn inflict_all<S: FaultSink>(
+async fn inject_all<S: FaultInjector>(
     mut planned: Vec<scenario::PlannedFault>,
     faults: sync::Arc<S>,
     start: time::Instant,
@@ -144,6 +146,6 @@
     planned.sort_by_key(|planned| planned.at_ms);
     for planned in planned {
         time::sleep_until(start + Duration::from_millis(planned.at_ms)).await;
-        faults.inflict(planned.fault).await;
+        faults.inject_fault(planned.fault).await;
     }
 }
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: who calls, what they ask, how often, and what fails when.
+//! Scenario files: organisations, their workloads, and the faults to inject.
 
 use std::{collections, fs, path};
 
@@ -15,23 +15,23 @@
 pub struct LoadScenario {
     /// Name in reports.
     pub name: String,
-    /// Everything random follows from it: the same seed makes the same calls at the same times.
+    /// Seed of all random choices: the same seed produces the same calls at the same times.
     pub seed: u64,
-    /// Calls start within this time; the run goes on until the last one has its outcome.
+    /// Time within which calls start; the run ends when the last call has an outcome.
     pub duration_ms: u64,
-    /// A call without an outcome this long after `duration_ms` counts as cut.
+    /// Time after `duration_ms` at which a call without an outcome counts as cut.
     #[serde(default = "default_grace_ms")]
     pub grace_ms: u64,
-    /// Time between two tokens that callers expect; what goes beyond it is stall time.
+    /// Expected time between two tokens; time beyond it is stall time.
     pub expected_step_ms: u64,
-    /// A stream that shows nothing at all for this long is continued at another entry VM.
+    /// Idle time after which a stream is continued at another entry VM.
     #[serde(default = "default_idle_ms")]
     pub idle_ms: u64,
-    /// Who calls, by the name in the inventory.
+    /// Calling organisations by their name in the inventory.
     pub organisations: collections::BTreeMap<String, CallerOrganisation>,
-    /// What they ask.
+    /// Kinds of traffic.
     pub workloads: Vec<CallWorkload>,
-    /// What fails when; empty for a run in which nothing fails.
+    /// Faults to inject; empty for a run without faults.
     #[serde(default)]
     pub faults: Vec<PlannedFault>,
 }
@@ -49,9 +49,9 @@
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerOrganisation {
-    /// Its API key in the clear; the inventory holds only the hash.
+    /// API key in plain text; the inventory holds only its hash.
     pub api_key: String,
-    /// Its share of the calls, relative to the others'.
+    /// Share of the calls, relative to the other organisations.
     #[serde(default = "default_share")]
     pub share: f64,
 }
@@ -67,59 +67,59 @@
 pub struct CallWorkload {
     /// Name in reports.
     pub name: String,
-    /// Class that callers ask for.
+    /// Traffic class that callers request.
     pub class: class::TrafficClass,
     /// Mean arrival rate of a Poisson process.
     pub per_second: f64,
-    /// What one call is.
-    pub ask: CallAsk,
-    /// Organisations that make it; absent: all, by share.
+    /// Request that one call sends.
+    pub ask: CallRequest,
+    /// Organisations that make the calls; absent: all, by share.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub organisations: Option<Vec<String>>,
 }
 
-/// What one call asks for.
+/// Request of one call.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum CallAsk {
+pub enum CallRequest {
     /// A generation.
-    Generation(GenerationAsk),
+    Generation(GenerationRequest),
     /// A call to a plain service.
-    Service(ServiceAsk),
+    Service(ServiceRequest),
 }
 
-/// What a generation is asked like.
+/// Parameters of generation requests.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct GenerationAsk {
-    /// Model by the name that callers use.
+pub struct GenerationRequest {
+    /// Model name that callers use.
     pub model: String,
-    /// Words of the prompt, the shared ones included.
+    /// Number of words of the prompt, the shared ones included.
     pub prompt_tokens: length::LengthDistribution,
-    /// Leading words of the prompt that every call of one organisation shares.
+    /// Number of leading words of the prompt that all calls of one organisation share.
     #[serde(default)]
     pub shared_prefix_tokens: u32,
-    /// Length of the answer, which the system does not know ahead.
+    /// Length of the answer, which the system does not know in advance.
     pub output_tokens: length::LengthDistribution,
-    /// How callers want the answer.
+    /// Delivery modes that callers request.
     #[serde(default)]
     pub delivery: DeliveryShares,
 }
 
-/// How many in all of the calls want their answer in which way, relative to each other.
+/// Relative shares of the delivery modes that callers request.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeliveryShares {
-    /// As server-sent events.
+    /// Share of answers delivered as server-sent events.
     #[serde(default)]
     pub streamed: f64,
-    /// In one piece.
+    /// Share of answers delivered as one complete response.
     #[serde(default)]
     pub whole: f64,
-    /// Accepted now and fetched later.
+    /// Share of answers accepted at once and fetched later.
     #[serde(default)]
     pub respond_async: f64,
 }
@@ -134,42 +134,42 @@
     }
 }
 
-/// What a plain service is asked.
+/// Parameters of calls to a plain service.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct ServiceAsk {
-    /// Service by the name that callers use.
+pub struct ServiceRequest {
+    /// Service name that callers use.
     pub service: String,
-    /// Path below it, without a leading slash.
+    /// Path below the service, without a leading slash.
     pub path: String,
-    /// Whether the call carries an idempotency key and must run at most once.
+    /// True if the call carries an idempotency key and must run at most once.
     #[serde(default)]
     pub at_most_once: bool,
 }
 
-/// One fault at one time.
+/// A fault to inject at a given time.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedFault {
-    /// Time from the start of the run.
+    /// Time of the injection, from the start of the run.
     pub at_ms: u64,
-    /// What fails.
+    /// Fault to inject.
     pub fault: FaultKind,
 }
 
-/// What can fail.
+/// Kinds of faults that a scenario can inject.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// A backend server dies and drops its connections.
+    /// A backend server crashes and drops its connections.
     ServerCrash {
         /// Name in the inventory.
         server: String,
     },
-    /// The open connections of a backend server go silent for good; new ones work.
+    /// The open connections of a backend server carry no more data; new connections work.
     ServerSilent {
         /// Name in the inventory.
         server: String,
@@ -179,14 +179,14 @@
         /// Name in the inventory.
         vm: String,
     },
-    /// The log answers nothing for a while.
+    /// The log does not answer for a limited time.
     LogOutage {
-        /// How long.
+        /// Duration of the outage.
         for_ms: u64,
     },
 }
 
-/// Why a scenario cannot be used.
+/// A scenario cannot be used.
 #[derive(Debug)]
 #[derive(snafu::Snafu)]
 pub enum ScenarioError {
@@ -195,13 +195,13 @@
     Unreadable {
         /// Path as given.
         path: path::PathBuf,
-        /// What the system says.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// The text is no scenario; all faults at once.
+    /// The text is not a valid scenario; all errors are reported together.
     #[snafu(transparent)]
     Invalid {
-        /// The faults, with line, column and remedy.
+        /// Errors, with line, column and remedy.
         source: fault::FaultList,
     },
 }
@@ -221,7 +221,7 @@
             let remedy = "name at least one with its api_key";
             faults.push(fault::ConfigFault::at(
                 &["organisations"],
-                "nobody calls",
+                "no organisation makes calls",
                 remedy,
             ));
         }
@@ -274,22 +274,26 @@
         if self.organisations.as_ref().is_some_and(Vec::is_empty) {
             let path = ["workloads", index, "organisations"];
             let remedy = "leave the field out for all of them";
-            faults.push(fault::ConfigFault::at(&path, "nobody calls", remedy));
+            faults.push(fault::ConfigFault::at(
+                &path,
+                "no organisation makes calls",
+                remedy,
+            ));
         }
-        if let CallAsk::Generation(ask) = &self.ask {
-            ask.push_faults(&["workloads", index, "ask", "generation"], faults);
+        if let CallRequest::Generation(request) = &self.ask {
+            request.push_faults(&["workloads", index, "ask", "generation"], faults);
         }
     }
 }
 
-impl GenerationAsk {
+impl GenerationRequest {
     fn push_faults(&self, path: &[&str], faults: &mut Vec<fault::ConfigFault>) {
         let fields = [
             ("prompt_tokens", &self.prompt_tokens),
             ("output_tokens", &self.output_tokens),
         ];
         for (field, distribution) in fields {
-            if let Some((message, remedy)) = distribution.fault() {
+            if let Some((message, remedy)) = distribution.validation_error() {
                 let path = [path, &[field]].concat();
                 faults.push(fault::ConfigFault::at(&path, message, remedy));
             }
@@ -299,7 +303,7 @@
             let remedy = "write shares of 0 or more, one of them above 0";
             faults.push(fault::ConfigFault::at(
                 &path,
-                "nothing can be drawn",
+                "no delivery mode can be drawn",
                 remedy,
             ));
         }
@@ -307,7 +311,7 @@
 }
 
 impl DeliveryShares {
-    /// The shares in the order streamed, whole, respond-async.
+    /// Returns the shares in the order streamed, whole, respond-async.
     #[must_use]
     pub const fn weights(&self) -> [f64; 3] {
         [self.streamed, self.whole, self.respond_async]
--- a/crates/load/src/site.rs
+++ b/crates/load/src/site.rs
@@ -1,14 +1,14 @@
-//! The platform and the backend servers of one configuration as stand-ins in this process.
+//! In-process stand-ins of the platform and the backend servers of one configuration.
 
 use std::{collections, net};
 
 use conf::{document, fault, inventory, place};
 use stand::{engine, http, log, service, vms, weights};
 
-/// Stand-ins on loopback ports of their own; they end when this is dropped.
+/// Stand-ins that listen on loopback ports; they stop when this value is dropped.
 #[derive(Debug)]
 pub struct StandSite {
-    /// The configuration, with the addresses at which the stand-ins listen.
+    /// Configuration with the addresses at which the stand-ins listen.
     pub configuration: document::Configuration,
     /// The platform's log.
     pub log: log::LogHandle,
@@ -20,13 +20,13 @@
     pub engines: collections::BTreeMap<String, engine::EngineHandle>,
     /// Plain service servers by name.
     pub services: collections::BTreeMap<String, service::ServiceHandle>,
-    /// Where the platform listens.
+    /// Addresses of the platform's stand-ins.
     pub addresses: PlatformAddresses,
-    /// Kept so that they go on listening.
+    /// Running servers; dropping them would stop the stand-ins.
     servers: Vec<http::RunningServer>,
 }
 
-/// Where the platform's stand-ins listen.
+/// Addresses of the platform's stand-ins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlatformAddresses {
     /// The log.
@@ -37,14 +37,14 @@
     pub weights: net::SocketAddr,
 }
 
-/// Any free port of loopback.
+/// Loopback address with an automatically assigned port.
 pub const ANY_PORT: net::SocketAddr =
     net::SocketAddr::new(net::IpAddr::V4(net::Ipv4Addr::LOCALHOST), 0);
 
-/// The texts of one example.
+/// File contents of one example.
 #[derive(Clone, Copy, Debug)]
 pub struct ExampleTexts {
-    /// Its directory below `examples`.
+    /// Directory of the example below `examples`.
     pub name: &'static str,
     /// The inventory.
     pub inventory: &'static str,
@@ -63,11 +63,11 @@
 };
 
 impl ExampleTexts {
-    /// The configuration of the example.
+    /// Parses the configuration of the example.
     ///
     /// # Errors
     ///
-    /// All faults of its files.
+    /// Returns all errors in the files of the example.
     pub fn configuration(&self) -> Result<document::Configuration, fault::FaultList> {
         let inventory = place::SourceText {
             file: "inventory.jsonc",
@@ -82,11 +82,11 @@
 }
 
 impl StandSite {
-    /// Starts a stand-in for everything in `configuration` that is no entry VM.
+    /// Starts a stand-in for every component of `configuration` except the entry VMs.
     ///
     /// # Errors
     ///
-    /// When a stand-in cannot listen.
+    /// Returns an error if a stand-in cannot listen.
     pub async fn start(configuration: document::Configuration) -> Result<Self, http::ServeError> {
         let live = configuration.inventory.entry_vms.keys().cloned().collect();
         let log = log::LogHandle::new(log::LogProfile::default());
@@ -152,7 +152,7 @@
         number: usize,
     ) -> engine::EngineProfile {
         let models = &self.configuration.inventory.models;
-        // An engine comes up with the first model that it may serve.
+        // An engine starts with the first model that it may serve.
         let name = entry.models.first().cloned().unwrap_or_default();
         let model = models.get(&name).cloned().unwrap_or_default();
         engine::EngineProfile {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Runs of each idempotency key over all plain service servers.
+    /// Returns the number of runs of each idempotency key over all plain service servers.
     #[must_use]
     pub fn runs_by_key(&self) -> collections::BTreeMap<String, u64> {
         let mut runs = collections::BTreeMap::new();
@@ -181,7 +181,7 @@
         runs
     }
 
-    /// Preemptions of all engines by priority.
+    /// Returns the preemptions of all engines by priority.
     #[must_use]
     pub fn preemptions(&self) -> [u64; 3] {
         let mut sums = [0; 3];
@@ -193,7 +193,7 @@
         sums
     }
 
-    /// Generations that run or wait on all engines.
+    /// Returns the number of generations that run or wait on all engines.
     #[must_use]
     pub fn live_generations(&self) -> u32 {
         let reports = self.engines.values().map(engine::EngineHandle::report);
--- a/crates/load/src/sse.rs
+++ b/crates/load/src/sse.rs
@@ -1,30 +1,30 @@
-//! Server-sent events as callers read them: one data line each, comments as signs of life.
+//! Parser of server-sent events for callers: one data line per event, comments as keep-alives.
 
 use futures_util::StreamExt as _;
 use tokio_util::{codec, io};
 
-/// Longest line that is read; a longer one is an error instead of memory.
+/// Maximum length of a line; a longer line is an error, which bounds memory use.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// One thing that arrived on an event stream.
+/// One line of an event stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamEvent {
     /// The text after `data: `.
     Data(String),
-    /// A comment or an empty line: the other side lives.
-    Alive,
+    /// A comment or an empty line, which shows that the connection is alive.
+    KeepAlive,
 }
 
 impl StreamEvent {
     fn of_line(line: String) -> Self {
         match line.strip_prefix("data:") {
             Some(data) => Self::Data(data.strip_prefix(' ').unwrap_or(data).to_owned()),
-            None => Self::Alive,
+            None => Self::KeepAlive,
         }
     }
 }
 
-/// The events of `response`, until its body ends or breaks.
+/// Returns the events of `response` until its body ends or fails.
 pub fn read_events(
     response: reqwest::Response,
 ) -> impl futures_util::Stream<Item = Result<StreamEvent, codec::LinesCodecError>> + Unpin {
--- a/crates/load/tests/book.rs
+++ b/crates/load/tests/book.rs
@@ -11,14 +11,14 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_answer_is_kept_for_its_time_and_no_longer() {
-    let mut book = book::EntryBook::new(vec![address(1)]);
-    assert!(book.is_stale(time::Instant::now()));
+    let mut directory = book::EntryDirectory::new(vec![address(1)]);
+    assert!(directory.is_stale(time::Instant::now()));
     let keep = Duration::from_secs(30);
-    book.learn(vec![address(2), address(3)], keep, time::Instant::now());
+    directory.store_entries(vec![address(2), address(3)], keep, time::Instant::now());
     time::advance(keep - Duration::from_millis(1)).await;
-    assert!(!book.is_stale(time::Instant::now()));
+    assert!(!directory.is_stale(time::Instant::now()));
     time::advance(Duration::from_millis(1)).await;
-    assert!(book.is_stale(time::Instant::now()));
+    assert!(directory.is_stale(time::Instant::now()));
 }
 
 /// Symptom: a caller keeps on asking an entry VM that is gone, or never comes back to one.
@@ -26,12 +26,12 @@
 /// Cause: the named order alone does not say who answers.
 #[tokio::test(start_paused = true)]
 async fn a_suspect_is_tried_last_for_a_while() {
-    let mut book = book::EntryBook::new(vec![address(1)]);
+    let mut directory = book::EntryDirectory::new(vec![address(1)]);
     let now = time::Instant::now();
-    book.learn(vec![address(2), address(3)], Duration::from_secs(30), now);
-    book.suspect(address(2), now);
-    assert_eq!(book.ranking(now), [address(3), address(1), address(2)]);
+    directory.store_entries(vec![address(2), address(3)], Duration::from_secs(30), now);
+    directory.suspect(address(2), now);
+    assert_eq!(directory.ranking(now), [address(3), address(1), address(2)]);
     time::advance(Duration::from_secs(2)).await;
-    let ranking = book.ranking(time::Instant::now());
+    let ranking = directory.ranking(time::Instant::now());
     assert_eq!(ranking, [address(2), address(3), address(1)]);
 }
--- a/crates/load/tests/caller.rs
+++ b/crates/load/tests/caller.rs
@@ -121,8 +121,8 @@
     let address = serve(fake.clone()).await;
     let settings = caller::CallSettings {
         expected_step: Duration::from_millis(50),
-        idle: Duration::from_secs(5),
-        patience: Duration::from_secs(5),
+        idle_timeout: Duration::from_secs(5),
+        answer_timeout: Duration::from_secs(5),
     };
     let caller = caller::EntryCaller::new("key".into(), vec![address], settings);
     let caller = caller.expect("the client is set up");
@@ -131,7 +131,7 @@
         workload: 0,
         class: class::TrafficClass::Normal,
         organisation: "hue".into(),
-        ask: arrival::PlannedAsk::Generation(arrival::PlannedGeneration {
+        request: arrival::PlannedRequest::Generation(arrival::PlannedGeneration {
             model: "review-llm".into(),
             shared_words: 0,
             own_words: 3,
