--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -6,7 +6,7 @@
 use snafu::ResultExt as _;
 use tokio::time;
 
-use crate::{body, book, check, record};
+use crate::{body, check, directory, record};
 
 /// Maximum number of attempts of one call, the first included, before the caller gives up on an
 /// overloaded system.
@@ -41,7 +41,7 @@
     client: reqwest::Client,
     api_key: String,
     /// Never locked across an await.
-    directory: sync::Mutex<book::EntryDirectory>,
+    directory: sync::Mutex<directory::EntryDirectory>,
     /// Expectations and timeouts.
     pub(crate) settings: CallSettings,
 }
@@ -68,7 +68,7 @@
         Ok(Self {
             client,
             api_key,
-            directory: sync::Mutex::new(book::EntryDirectory::new(bootstrap)),
+            directory: sync::Mutex::new(directory::EntryDirectory::new(bootstrap)),
             settings,
         })
     }
@@ -215,7 +215,7 @@
         response.error_for_status().ok()?.json().await.ok()
     }
 
-    fn with_directory<T>(&self, work: impl FnOnce(&mut book::EntryDirectory) -> T) -> T {
+    fn with_directory<T>(&self, work: impl FnOnce(&mut directory::EntryDirectory) -> T) -> T {
         let mut directory = self
             .directory
             .lock()
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -7,13 +7,13 @@
 
 pub mod arrival;
 pub mod body;
-pub mod book;
 pub mod caller;
 pub mod check;
 pub mod cli;
 pub mod command;
 pub mod compare;
 pub mod demo;
+pub mod directory;
 pub mod env;
 pub mod exit;
 pub mod length;
--- a/crates/load/tests/book.rs
+++ b/crates/load/tests/book.rs
@@ -2,7 +2,7 @@
 
 use std::{net, time::Duration};
 
-use load::book;
+use load::directory;
 use tokio::time;
 
 fn address(port: u16) -> net::SocketAddr {
@@ -11,7 +11,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_answer_is_kept_for_its_time_and_no_longer() {
-    let mut directory = book::EntryDirectory::new(vec![address(1)]);
+    let mut directory = directory::EntryDirectory::new(vec![address(1)]);
     assert!(directory.is_stale(time::Instant::now()));
     let keep = Duration::from_secs(30);
     directory.store_entries(vec![address(2), address(3)], keep, time::Instant::now());
@@ -26,7 +26,7 @@
 /// Cause: the named order alone does not say who answers.
 #[tokio::test(start_paused = true)]
 async fn a_suspect_is_tried_last_for_a_while() {
-    let mut directory = book::EntryDirectory::new(vec![address(1)]);
+    let mut directory = directory::EntryDirectory::new(vec![address(1)]);
     let now = time::Instant::now();
     directory.store_entries(vec![address(2), address(3)], Duration::from_secs(30), now);
     directory.suspect(address(2), now);
