--- a/crates/load/benches/relay.rs
+++ b/crates/load/benches/relay.rs
@@ -1,8 +1,9 @@
-//! What one entry VM costs a stream: tokens a second on one core, added latency, memory.
+//! Measures the cost of relaying a stream through one entry VM: tokens per second on one core,
+//! added latency, memory.
 //!
-//! Everything runs in this process on loopback: engines that only send, one entry VM on a runtime
-//! with one thread, and the client, which is the same towards the engines and towards the entry
-//! VM. What counts are the ratios within one run. `cargo bench -p load --bench relay`.
+//! All components run in this process on loopback: engines that only send tokens, one entry VM on a
+//! runtime with one thread, and a client that reads from the engines and from the entry VM in the
+//! same way. Only ratios within one run are meaningful. `cargo bench -p load --bench relay`.
 
 #[path = "relay/client.rs"]
 mod client;
@@ -20,13 +21,13 @@
 use load::{env, site};
 use tokio::{runtime, task, time};
 
-/// Threads of the entry VM's runtime are named so.
+/// Name of the threads of the entry VM's runtime.
 const ENTRY_THREADS: &str = "bench-entry";
 const CLIENT_THREADS: usize = 4;
 const ENGINE_THREADS: usize = 4;
 const ENGINES: usize = 4;
 
-/// Time over which rates are taken, once all streams are open.
+/// Time over which rates are measured, once all streams are open.
 const WINDOW: Duration = Duration::from_secs(4);
 
 fn runtime_of(name: &str, threads: usize) -> runtime::Runtime {
@@ -38,10 +39,10 @@
     builder.build().expect("a runtime")
 }
 
-/// What was seen of one load over the window.
+/// Rates measured under one load over the window.
 struct WindowRates {
     tokens_per_second: f64,
-    /// Cores that the entry VM's threads used.
+    /// Average number of cores used by the entry VM's threads.
     entry_cores: f64,
     outcome: client::StreamOutcome,
 }
@@ -52,11 +53,11 @@
     }
 }
 
-/// Opens `streams` streams of one token every `step`, and takes rates while all are open.
+/// Opens `streams` streams with one token every `step` and measures rates while all are open.
 async fn run_load(targets: &[client::Target], streams: usize, step: Duration) -> WindowRates {
     let opening = Duration::from_secs(2) + Duration::from_micros(200) * streams as u32;
-    let life = opening + WINDOW + Duration::from_secs(2);
-    let tokens = life.as_micros() / step.as_micros();
+    let stream_duration = opening + WINDOW + Duration::from_secs(2);
+    let tokens = stream_duration.as_micros() / step.as_micros();
     let load = client::StreamLoad {
         streams,
         step,
@@ -81,7 +82,7 @@
     let seconds = start.elapsed().as_secs_f64();
     client::MEASURING.store(false, atomic::Ordering::Relaxed);
     let outcome = reading.await.expect("the client does not panic");
-    assert_eq!(outcome.broken, 0, "streams ended otherwise than whole");
+    assert_eq!(outcome.broken, 0, "some streams ended incomplete");
     WindowRates {
         tokens_per_second: arrived as f64 / seconds,
         entry_cores: cpu.as_secs_f64() / seconds,
@@ -127,7 +128,7 @@
     }
 }
 
-/// Everything that the phases share.
+/// State shared by the phases of the benchmark.
 struct BenchSetup {
     clients: runtime::Runtime,
     direct: Vec<client::Target>,
@@ -139,7 +140,7 @@
         self.clients.block_on(run_load(targets, streams, STEP))
     }
 
-    /// Tokens a second through the entry VM until its one thread is full.
+    /// Measures tokens per second through the entry VM until its single thread is saturated.
     fn measure_throughput(&self) {
         println!("streams  direct tokens/s  relayed tokens/s  entry cores  tokens/s per core");
         for streams in [500, 1_000, 2_000, 3_000, 4_000] {
@@ -152,13 +153,13 @@
                 relayed.entry_cores,
                 relayed.tokens_per_core_second()
             );
-            if relayed.entry_cores > FULL {
+            if relayed.entry_cores > SATURATION_CORES {
                 return;
             }
         }
     }
 
-    /// What the entry VM adds to the way of a token, below saturation.
+    /// Measures the latency that the entry VM adds to a token below saturation.
     fn measure_latency(&self) {
         println!("streams  direct ms p50    p99  relayed ms p50    p99  added ms p50    p99");
         for streams in [100, 400] {
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Memory of an open stream: what relayed ones take beyond direct ones, which have the same
-    /// client and engine. The direct ones stay open meanwhile, so that no freed memory is taken.
+    /// Measures the memory of an open relayed stream beyond that of a direct one, which has the same
+    /// client and engine. The direct streams stay open meanwhile, so that no freed memory is reused.
     fn measure_memory(&self) {
         let (direct, first) = self.open_streams(&self.direct);
         let (relayed, second) = self.open_streams(&self.relayed);
@@ -193,7 +194,7 @@
         );
     }
 
-    /// Opens slow streams; resident KiB that each one took.
+    /// Opens slow streams; returns the resident memory per stream in KiB.
     fn open_streams(
         &self,
         targets: &[client::Target],
@@ -228,13 +229,13 @@
 /// Time between two tokens of a stream.
 const STEP: Duration = Duration::from_millis(20);
 
-/// The same while memory is measured; an engine shows a sign of life every 500 ms at least.
+/// Time between two tokens while memory is measured; engines must send data at least every 500 ms.
 const MEMORY_STEP: Duration = Duration::from_millis(300);
 
-/// Part of a core from which on the entry VM counts as saturated.
-const FULL: f64 = 0.95;
+/// Core usage above which the entry VM counts as saturated.
+const SATURATION_CORES: f64 = 0.95;
 
-/// Streams that are open for the measurement of memory, each way.
+/// Number of open streams, direct and relayed each, while memory is measured.
 const MEMORY_STREAMS: usize = 1_000;
 
 fn main() {
@@ -266,7 +267,7 @@
     };
     let phase = std::env::args().nth(1).unwrap_or_default();
     let is_wanted = |name: &str| phase.is_empty() || phase.starts_with("--") || phase == name;
-    // Memory first: later phases leave freed memory behind that would be taken again.
+    // Memory is measured first: the other phases leave freed memory that would be reused.
     if is_wanted("memory") {
         setup.measure_memory();
     }
@@ -276,6 +277,6 @@
     if is_wanted("throughput") {
         setup.measure_throughput();
     }
-    // What still runs is of no use; the process ends without waiting for it.
+    // Exit without waiting for tasks that are still running.
     std::process::exit(0);
 }
--- a/crates/load/benches/relay/client.rs
+++ b/crates/load/benches/relay/client.rs
@@ -1,4 +1,4 @@
-//! The client, the same towards the engine and towards the entry VM.
+//! Client that reads streams from an engine or through an entry VM.
 
 use std::{
     net, sync,
@@ -11,42 +11,42 @@
 
 use crate::moment;
 
-/// The key of the only organisation.
+/// API key of the only organisation.
 pub const API_KEY: &str = "bench-key";
 
-/// Tokens that arrived so far, over all streams.
+/// Number of tokens received so far over all streams.
 pub static ARRIVED: AtomicU64 = AtomicU64::new(0);
 
-/// Whether delays are taken now.
+/// True while delays are recorded.
 pub static MEASURING: AtomicBool = AtomicBool::new(false);
 
-/// Where the client sends.
+/// Target of the client's requests.
 #[derive(Clone, Copy)]
 pub enum Target {
-    /// Straight to an engine.
+    /// Directly to an engine.
     Engine(net::SocketAddr),
     /// Through an entry VM.
     Entry(net::SocketAddr),
 }
 
-/// What one group of streams is like.
+/// Parameters of one group of streams.
 #[derive(Clone, Copy)]
 pub struct StreamLoad {
-    /// Streams that are open at once.
+    /// Number of concurrent streams.
     pub streams: usize,
     /// Time between two tokens of a stream.
     pub step: Duration,
-    /// Tokens of a stream.
+    /// Number of tokens of a stream.
     pub tokens: u32,
 }
 
-/// What the client saw.
+/// Outcome of one or more streams.
 pub struct StreamOutcome {
-    /// Tokens that arrived.
+    /// Number of tokens received.
     pub tokens: u64,
-    /// Streams that ended otherwise than whole.
+    /// Number of streams that ended incomplete.
     pub broken: u64,
-    /// From the sending of each token to its arrival, in microseconds.
+    /// Time from the sending of each token to its arrival, in microseconds.
     pub delay_us: hdrhistogram::Histogram<u64>,
 }
 
@@ -128,7 +128,7 @@
     outcome
 }
 
-/// The time in the text of a token, without parsing the whole line.
+/// Extracts the send time from the text of a token without parsing the whole line.
 fn sent_us(line: &[u8]) -> Option<u64> {
     const KEYS: [&[u8]; 2] = [b"\"content\":\"", b"\"text\":\""];
     let start = KEYS.iter().find_map(|key| {
@@ -142,24 +142,26 @@
     std::str::from_utf8(&digits).ok()?.parse().ok()
 }
 
-/// Opens all streams, evenly over one step, and reads them to their ends.
+/// Opens all streams, spread evenly over one step, and reads them to their ends.
 pub async fn read_streams(targets: &[Target], load: StreamLoad) -> StreamOutcome {
     let client = reqwest::Client::builder()
         .tcp_nodelay(true)
         .build()
         .expect("a client");
-    let places = sync::Arc::new(tokio::sync::Semaphore::new(OPENING_AT_ONCE));
+    let permits = sync::Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT_OPENS));
     let mut tasks = task::JoinSet::new();
     for index in 0..load.streams {
         let target = targets[index % targets.len()];
-        let (client, places) = (client.clone(), places.clone());
+        let (client, permits) = (client.clone(), permits.clone());
         tasks.spawn(async move {
-            let place = places.acquire_owned().await.expect("never closed");
-            time::sleep(load.step / OPENING_AT_ONCE as u32 * (index % OPENING_AT_ONCE) as u32)
-                .await;
+            let permit = permits.acquire_owned().await.expect("never closed");
+            time::sleep(
+                load.step / MAX_CONCURRENT_OPENS as u32 * (index % MAX_CONCURRENT_OPENS) as u32,
+            )
+            .await;
             task::spawn(async move {
-                time::sleep(OPENING_TIME).await;
-                drop(place);
+                time::sleep(OPEN_INTERVAL).await;
+                drop(permit);
             });
             read_stream(client, target, load).await
         });
@@ -174,8 +176,8 @@
     sum
 }
 
-/// Streams that are opened at the same time.
-const OPENING_AT_ONCE: usize = 50;
+/// Maximum number of streams that are opened concurrently.
+const MAX_CONCURRENT_OPENS: usize = 50;
 
-/// Time after which the next ones are opened.
-const OPENING_TIME: Duration = Duration::from_millis(5);
+/// Time after which the permit to open a stream passes to the next one.
+const OPEN_INTERVAL: Duration = Duration::from_millis(5);
--- a/crates/load/benches/relay/engine.rs
+++ b/crates/load/benches/relay/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine that does nothing but send: each stream gets a token every step, and each token
-//! carries the time at which it was sent.
+//! Model engine that only sends tokens: each stream gets a token every step, and each token carries
+//! its send time.
 
 use std::{collections, net, sync, sync::atomic, time::Duration};
 
@@ -8,7 +8,7 @@
 
 use crate::moment;
 
-/// What the engine says of itself.
+/// Load report of the engine.
 const LOAD: &str = r#"{"incarnation":"0000000000000000000000000000002a","taken_ms_ago":0,
 "total_blocks":100000000,"free_blocks":100000000,"block_tokens":16,"running":0,"waiting":0,
 "preemptions":0,"models":[{"model":"bench","version":"1","adapters":[]}],"role":"serve",
@@ -18,11 +18,11 @@
 "models":[{"model":"bench","version":"1","adapters":[]}],"role":"serve","loading":null,
 "fencing":null,"leaving":false}"#;
 
-/// Streams that are open now, over all engines of this process.
+/// Number of open streams over all engines of this process.
 pub static OPEN: atomic::AtomicUsize = atomic::AtomicUsize::new(0);
 
-/// Generations that are held, by id, over all engines of this process.
-static HELD: sync::Mutex<collections::BTreeMap<String, PacedGeneration>> =
+/// Generations by id over all engines of this process.
+static GENERATIONS: sync::Mutex<collections::BTreeMap<String, PacedGeneration>> =
     sync::Mutex::new(collections::BTreeMap::new());
 
 struct OpenStream;
@@ -56,7 +56,7 @@
 }
 
 impl PacedGeneration {
-    /// `[[len=N]]` and `[[step_us=N]]` in the prompt set length and step.
+    /// Reads length and step from `[[len=N]]` and `[[step_us=N]]` in the prompt.
     fn of(call: &StartBody) -> Self {
         let number = |name| {
             stand::engine::text::directive(&call.prompt, name)?
@@ -95,7 +95,8 @@
     let text = text.map(|text| text.into_inner()).unwrap_or_default();
     let call: StartBody = serde_json::from_str(&text).expect("a start of a generation");
     let generation = PacedGeneration::of(&call);
-    HELD.lock()
+    GENERATIONS
+        .lock()
         .expect("not poisoned")
         .insert(call.id, generation);
     generation.stream(0)
@@ -106,7 +107,7 @@
     id: &str,
     from: u32,
 ) -> Option<EventAnswer<impl futures_util::Stream<Item = String> + use<>>> {
-    let generation = HELD.lock().expect("not poisoned").get(id).copied()?;
+    let generation = GENERATIONS.lock().expect("not poisoned").get(id).copied()?;
     Some(generation.stream(from))
 }
 
@@ -135,7 +136,7 @@
     (http::ContentType::JSON, STATE)
 }
 
-/// Serves one engine on a free port of the current runtime.
+/// Serves one engine on a free port, on the current runtime.
 pub async fn serve() -> net::SocketAddr {
     let config = rocket::Config {
         address: net::Ipv4Addr::LOCALHOST.into(),
@@ -143,12 +144,12 @@
         log_level: rocket::config::LogLevel::Off,
         ..rocket::Config::release_default()
     };
-    let (told, mut heard) = tokio::sync::mpsc::channel(1);
-    let liftoff = rocket::fairing::AdHoc::on_liftoff("told", move |rocket| {
+    let (sender, mut receiver) = tokio::sync::mpsc::channel(1);
+    let liftoff = rocket::fairing::AdHoc::on_liftoff("address", move |rocket| {
         let address = net::SocketAddr::new(rocket.config().address, rocket.config().port);
-        let told = told.clone();
+        let sender = sender.clone();
         Box::pin(async move {
-            let _ = told.send(address).await;
+            let _ = sender.send(address).await;
         })
     });
     let engine = rocket::custom(config)
@@ -158,5 +159,5 @@
         )
         .attach(liftoff);
     tokio::spawn(engine.launch());
-    heard.recv().await.expect("the engine listens")
+    receiver.recv().await.expect("the engine listens")
 }
--- a/crates/load/benches/relay/machine.rs
+++ b/crates/load/benches/relay/machine.rs
@@ -1,8 +1,8 @@
-//! What the system says of this process: processor time by thread name, memory.
+//! Resource usage of this process: CPU time by thread name, memory.
 
 use std::{fs, time::Duration};
 
-/// Processor time so far of the threads whose name begins with `prefix`.
+/// Returns the CPU time used so far by threads whose name begins with `prefix`.
 pub fn cpu_of(prefix: &str) -> Duration {
     let tasks = fs::read_dir("/proc/self/task").expect("the system lists threads");
     let nanos = tasks.flatten().filter_map(|task| {
@@ -14,9 +14,9 @@
     Duration::from_nanos(nanos.sum())
 }
 
-/// Resident memory of this process in bytes.
+/// Returns the resident memory of this process in bytes.
 pub fn resident_bytes() -> u64 {
-    let status = fs::read_to_string("/proc/self/status").expect("the system tells memory");
+    let status = fs::read_to_string("/proc/self/status").expect("the system reports memory usage");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let kib = line.and_then(|line| line.split_whitespace().nth(1));
     kib.and_then(|kib| kib.parse::<u64>().ok())
--- a/crates/load/tests/bad_input.rs
+++ b/crates/load/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Requests that nobody should send, through real sockets: each gets a clear error, and the entry
-//! VM serves on.
+//! Tests of invalid requests through real sockets: each gets a clear error, and the entry VM keeps
+//! serving.
 
 use std::{net, panic, sync::atomic, time::Duration};
 
@@ -14,10 +14,11 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-/// Longest wait for what must happen at some time.
+/// Timeout of waiting for an expected state.
 const WAIT: Duration = Duration::from_secs(20);
 
-/// Panics in threads of a runtime; a test that fails panics in its own thread.
+/// Number of panics in runtime threads; a failing test panics in its own thread, which does not
+/// count.
 static PANICS: atomic::AtomicU32 = atomic::AtomicU32::new(0);
 
 fn count_panics() {
@@ -35,7 +36,7 @@
     serde_json::json!({"model": model, "messages": [{"role": "user", "content": text}]})
 }
 
-/// The refusal in an answer, which must be one.
+/// Returns the status and the refusal of a response, which must contain one.
 async fn refusal_of(response: reqwest::Response) -> (u16, refusal::RefusalBody) {
     let status = response.status().as_u16();
     let text = response.text().await.expect("a whole body");
@@ -44,7 +45,7 @@
     (status, envelope.error)
 }
 
-/// The refusal must say what is wrong, with the remedy, and that nothing ran.
+/// Asserts that the refusal names the error and the remedy and states that nothing ran.
 async fn expect_refusal(response: reqwest::Response, code: refusal::RefusalCode, hint: &str) {
     let (status, body) = refusal_of(response).await;
     assert_eq!(
@@ -61,7 +62,7 @@
     );
 }
 
-/// The entry VM still gives whole answers, nothing is left running, and no code panicked.
+/// Asserts that the entry VM still answers, nothing is left running, and no code panicked.
 async fn expect_health(env: &env::TestEnv) {
     let response = env
         .post(0, CHAT, &chat("review-llm", "all well? [[len=3]]"))
@@ -79,15 +80,15 @@
     );
 }
 
-/// Longest wait for the answer to bytes that may get none.
+/// Timeout of waiting for a response to bytes that may get none.
 const RAW_WAIT: Duration = Duration::from_secs(2);
 
-/// Sends `bytes` over a connection of its own, and reads what comes until the other side is done.
+/// Sends `bytes` over a new connection and reads until the peer closes it or the timeout expires.
 async fn raw_exchange(address: net::SocketAddr, bytes: &[u8]) -> String {
     let mut socket = sockets::TcpStream::connect(address)
         .await
         .expect("a connection");
-    // The other side may refuse before it has read everything.
+    // The peer may refuse the request before it has read all bytes.
     let _ = socket.write_all(bytes).await;
     let mut answer = Vec::new();
     let _ = time::timeout(RAW_WAIT, socket.read_to_end(&mut answer)).await;
@@ -149,11 +150,11 @@
     expect_health(&env).await;
 }
 
-/// Symptom: a caller gives up for good because its key is said to be unknown.
-/// Sequence: it meets an entry VM that has just started.
-/// Cause: without a configuration every key is unknown; that is no verdict on the key.
+/// Guards against callers that give up permanently because their key is reported as unknown. An entry
+/// VM that has just started has no configuration and knows no keys, which proves nothing about the
+/// key.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_without_a_configuration_says_so() {
+async fn an_entry_without_a_configuration_is_not_ready() {
     count_panics();
     let configuration = site::PASS_WORKS
         .configuration()
@@ -177,7 +178,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_of_a_wrong_idempotency_key_runs() {
+async fn a_call_with_an_invalid_idempotency_key_does_not_run() {
     count_panics();
     let env = env::TestEnv::start(1).await;
     for key in ["", "no-time", "99999999999999999999-x", "-5-x"] {
@@ -195,7 +196,7 @@
         );
         assert_eq!(body.ran, outcome::RanState::No, "{key:?}");
     }
-    // Too old to be remembered: it may have run long ago, and does not run now.
+    // The key is older than the retention: the call may have run before, and does not run now.
     let request = env.request(0, "/v1/services/pass-app/charges/day");
     let response = request
         .header("idempotency-key", "1-old")
@@ -209,11 +210,11 @@
     expect_health(&env).await;
 }
 
-/// Symptom: one caller's endless headers take the memory of an entry VM.
-/// Sequence: many headers, then one long header, then a request line without end.
-/// Cause: headers are kept until they are whole; only a bound ends that.
+/// Guards against unbounded headers of one caller that exhaust the memory of an entry VM. Headers are
+/// buffered until they are complete, so their size must be limited. Sends many headers, then one long
+/// header, then an endless request line.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_flood_of_headers_is_refused_and_costs_nobody_else() {
+async fn oversized_headers_are_refused_without_affecting_others() {
     count_panics();
     let env = env::TestEnv::start(1).await;
     let address = env.daemons[0].callers();
@@ -237,7 +238,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_not_http_is_closed() {
+async fn a_connection_that_is_not_http_is_closed() {
     count_panics();
     let env = env::TestEnv::start(1).await;
     let address = env.daemons[0].callers();
--- a/crates/load/tests/bad_streams.rs
+++ b/crates/load/tests/bad_streams.rs
@@ -1,5 +1,5 @@
-//! Streams that one side spoils: callers that stop reading or leave, engines that break off or
-//! speak nonsense.
+//! Tests of faulty streams: callers that stop reading or disconnect, engines that cut a stream or
+//! send invalid data.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-/// Longest wait for what must happen at some time.
+/// Timeout of waiting for an expected state.
 const WAIT: Duration = Duration::from_secs(40);
 
 fn chat(tokens: u32, mark: u32) -> serde_json::Value {
@@ -35,7 +35,7 @@
     while !is_so() {
         assert!(
             time::Instant::now() < deadline,
-            "not so after {WAIT:?}: {what}"
+            "not reached within {WAIT:?}: {what}"
         );
         time::sleep(Duration::from_millis(20)).await;
     }
@@ -45,7 +45,7 @@
     env.daemons[0].state().plane.gate().running()
 }
 
-/// Tokens and end of a stream that was read to its end.
+/// Checks the tokens and the end of a stream that was read completely.
 fn read_stream(text: &str, mark: u32, tokens: u32) -> Result<(), check::AnswerFault> {
     let expected = check::ExpectedAnswer {
         mark,
@@ -67,11 +67,10 @@
     Err(check::AnswerFault::Cut { seen })
 }
 
-/// Symptom: engines work on answers that nobody reads.
-/// Sequence: a caller closes its connection after the first token.
-/// Cause: the relay must notice the close and cancel the generation.
+/// Guards against engines that generate answers without a reader. A caller closes its connection
+/// after the first token; the relay must detect this and cancel the generation.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_generation_whose_caller_leaves_is_cancelled() {
+async fn a_generation_is_cancelled_when_its_caller_disconnects() {
     let env = env::TestEnv::start(1).await;
     let mut response = env.post(0, CHAT, &chat(5_000, 1)).await;
     assert!(response.chunk().await.expect("the stream runs").is_some());
@@ -82,13 +81,13 @@
     wait_until("ended", || running(&env) == 0).await;
 }
 
-/// Symptom: an entry VM's memory grows with each caller that hangs.
-/// Sequence: a caller asks for a long answer and never reads; its socket's buffers fill.
-/// Cause: what the caller does not take must wait in bounded space, and not for ever.
+/// Guards against memory growth of an entry VM with each stalled caller. A caller requests a long
+/// answer and never reads it, so its socket buffers fill up. Unread data must be buffered within a
+/// size limit and a time limit.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_stops_reading_is_given_up_and_keeps_no_engine() {
+async fn a_caller_that_stops_reading_is_dropped_and_frees_its_engine() {
     let env = env::TestEnv::start(1).await;
-    // 16,000 tokens in a few seconds: many times what the socket's buffers take.
+    // 16,000 tokens in a few seconds: many times the size of the socket buffers.
     apply_to_all(&env, &engine::EngineFault::Slow { factor: 0.005 });
     let socket = net::TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4_096).expect("a small buffer");
@@ -107,9 +106,9 @@
         .await
         .expect("the request is sent");
     wait_until("begun", || running(&env) == 1).await;
-    wait_until("given up", || running(&env) == 0).await;
+    wait_until("connection dropped", || running(&env) == 0).await;
     assert_eq!(env.site.live_generations(), 0);
-    // What was sent before is all that comes: far from the whole answer.
+    // Only the data sent before arrives, which is far less than the complete answer.
     let mut rest = Vec::new();
     let reading = socket.read_to_end(&mut rest);
     let _ = time::timeout(Duration::from_secs(2), reading).await;
@@ -120,9 +119,8 @@
     assert_eq!(read_stream(&text, 3, 5), Ok(()));
 }
 
-/// Symptom: an answer stops in the middle although its engine holds the rest.
-/// Sequence: each connection to an engine breaks after three tokens.
-/// Cause: a body that ends without a finish is no end of a generation.
+/// Guards against answers that stop in the middle although the engine holds the rest. Each connection
+/// to an engine breaks after three tokens; a body without a finish event does not end a generation.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_truncated_engine_answer_is_continued_to_the_end() {
     let env = env::TestEnv::start(1).await;
@@ -133,11 +131,10 @@
     assert_eq!(read_stream(&text, 4, 20), Ok(()), "{text}");
 }
 
-/// Symptom: a caller waits for ever, or reads what the engine never meant.
-/// Sequence: every engine sends bytes that are no events.
-/// Cause: nonsense is a fault of the engine, which the caller must be told of.
+/// Guards against callers that wait forever or receive invalid data. Every engine sends bytes that
+/// are not events; this is an engine fault that must be reported to the caller.
 #[tokio::test(flavor = "multi_thread")]
-async fn nonsense_of_all_engines_is_an_honest_refusal() {
+async fn invalid_data_from_all_engines_is_an_explicit_refusal() {
     let env = env::TestEnv::start(1).await;
     apply_to_all(&env, &engine::EngineFault::Nonsense { on: true });
     let answer = time::timeout(WAIT, async {
@@ -154,11 +151,11 @@
     wait_until("all ended", || env.site.live_generations() == 0).await;
 }
 
-/// Symptom: one bad engine spoils answers although eight good ones idle.
-/// Sequence: one engine sends nonsense; many calls come.
-/// Cause: a try of which nothing left for the caller may be made again elsewhere.
+/// Guards against failed answers due to one faulty engine while eight healthy ones are idle. One
+/// engine sends invalid data during many calls; an attempt of which nothing has been sent to the
+/// caller may be retried on another engine.
 #[tokio::test(flavor = "multi_thread")]
-async fn nonsense_of_one_engine_costs_no_answer() {
+async fn invalid_data_from_one_engine_fails_no_answer() {
     let env = env::TestEnv::start(1).await;
     env.site.engines["engine-3"].apply(&engine::EngineFault::Nonsense { on: true });
     for mark in 0..40 {
--- a/crates/load/tests/book.rs
+++ b/crates/load/tests/book.rs
@@ -1,4 +1,4 @@
-//! What a caller remembers of the entry VMs.
+//! Tests of the callers' directory of entry VMs.
 
 use std::{net, time::Duration};
 
@@ -10,7 +10,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_is_kept_for_its_time_and_no_longer() {
+async fn an_entry_list_expires_after_its_lifetime() {
     let mut directory = directory::EntryDirectory::new(vec![address(1)]);
     assert!(directory.is_stale(time::Instant::now()));
     let keep = Duration::from_secs(30);
@@ -21,11 +21,11 @@
     assert!(directory.is_stale(time::Instant::now()));
 }
 
-/// Symptom: a caller keeps on asking an entry VM that is gone, or never comes back to one.
-/// Sequence: the first of two named entry VMs fails a call; two seconds pass.
-/// Cause: the named order alone does not say who answers.
+/// Guards against callers that keep using a failed entry VM, or never return to it after the
+/// suspicion expires. The first of two listed entry VMs fails a call; two seconds pass. The order of
+/// the list alone does not tell which entry VM answers.
 #[tokio::test(start_paused = true)]
-async fn a_suspect_is_tried_last_for_a_while() {
+async fn a_suspect_is_ranked_last_until_the_suspicion_expires() {
     let mut directory = directory::EntryDirectory::new(vec![address(1)]);
     let now = time::Instant::now();
     directory.store_entries(vec![address(2), address(3)], Duration::from_secs(30), now);
--- a/crates/load/tests/caller.rs
+++ b/crates/load/tests/caller.rs
@@ -1,4 +1,4 @@
-//! What a caller does when an entry VM refuses, breaks off or hands over; against a small fake.
+//! Tests of a caller against a fake entry VM that refuses calls, cuts streams or hands them over.
 
 use std::{net, sync, sync::atomic, time::Duration};
 
@@ -8,26 +8,26 @@
 use stand::engine::text;
 use tokio::time;
 
-/// Tokens of every answer.
+/// Number of tokens of every answer.
 const TOKENS: u32 = 6;
 
 const GENERATION: id::GenerationId = id::GenerationId(5);
 
-/// What the fake does with a request for a generation.
+/// Behaviour of the fake on a request for a generation.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum FakeManner {
-    /// Breaks off before token 3, then continues.
+enum FakeBehaviour {
+    /// Cuts the stream before token 3, then continues it.
     BreaksOff,
-    /// Hands over at token 3.
+    /// Hands the stream over at token 3.
     HandsOver,
-    /// Refuses the first try with this outcome and says when to come back.
+    /// Refuses the first attempt with this run state and a retry delay.
     RefusesOnce(outcome::RanState),
-    /// Continues with a token that was sent already.
+    /// Continues with a token that was already sent.
     Repeats,
 }
 
 struct FakeEntry {
-    manner: FakeManner,
+    behaviour: FakeBehaviour,
     starts: atomic::AtomicU32,
 }
 
@@ -53,22 +53,22 @@
 }
 
 #[derive(rocket::Responder)]
-struct TokenedAnswer {
+struct AnswerWithToken {
     answer: Answer,
     token: http::Header<'static>,
 }
 
 #[post("/v1/chat/completions")]
-fn start(fake: &State<sync::Arc<FakeEntry>>) -> TokenedAnswer {
+fn start(fake: &State<sync::Arc<FakeEntry>>) -> AnswerWithToken {
     let starts = fake.starts.fetch_add(1, atomic::Ordering::SeqCst);
-    let answer = match fake.manner {
-        FakeManner::BreaksOff | FakeManner::Repeats => events(chunks(0, 3)),
-        FakeManner::HandsOver => {
+    let answer = match fake.behaviour {
+        FakeBehaviour::BreaksOff | FakeBehaviour::Repeats => events(chunks(0, 3)),
+        FakeBehaviour::HandsOver => {
             let handover =
                 "data: {\"pollenchute\":{\"continue\":\"/v1/generations/tok?from=3\"}}\n\n";
             events(chunks(0, 3) + handover)
         }
-        FakeManner::RefusesOnce(ran) if starts == 0 => {
+        FakeBehaviour::RefusesOnce(ran) if starts == 0 => {
             let error = refusal::RefusalBody::not_run(refusal::RefusalCode::Overloaded, "full")
                 .ran(ran)
                 .retry_after_ms(1);
@@ -76,9 +76,9 @@
             let status = http::Status::ServiceUnavailable;
             (status, (http::ContentType::JSON, text.expect("JSON")))
         }
-        FakeManner::RefusesOnce(_) => events(chunks(0, TOKENS) + "data: [DONE]\n\n"),
+        FakeBehaviour::RefusesOnce(_) => events(chunks(0, TOKENS) + "data: [DONE]\n\n"),
     };
-    TokenedAnswer {
+    AnswerWithToken {
         answer,
         token: http::Header::new("x-generation-token", "tok"),
     }
@@ -86,8 +86,8 @@
 
 #[get("/v1/generations/tok?<from>")]
 fn resume(from: u32, fake: &State<sync::Arc<FakeEntry>>) -> Answer {
-    let from = match fake.manner {
-        FakeManner::Repeats => from - 1,
+    let from = match fake.behaviour {
+        FakeBehaviour::Repeats => from - 1,
         _ => from,
     };
     events(chunks(from, TOKENS) + "data: [DONE]\n\n")
@@ -99,25 +99,25 @@
         log_level: rocket::config::LogLevel::Off,
         ..rocket::Config::release_default()
     };
-    let (told, mut heard) = tokio::sync::mpsc::channel(1);
-    let liftoff = rocket::fairing::AdHoc::on_liftoff("told", move |rocket| {
+    let (sender, mut receiver) = tokio::sync::mpsc::channel(1);
+    let liftoff = rocket::fairing::AdHoc::on_liftoff("port", move |rocket| {
         let port = rocket.config().port;
-        let told = told.clone();
-        Box::pin(async move { told.send(port).await.expect("the test waits for it") })
+        let sender = sender.clone();
+        Box::pin(async move { sender.send(port).await.expect("the test waits for it") })
     });
     let server = rocket::custom(config)
         .manage(fake)
         .mount("/", routes![entries, start, resume])
         .attach(liftoff);
     tokio::spawn(server.launch());
-    let port = heard.recv().await.expect("the fake listens");
+    let port = receiver.recv().await.expect("the fake listens");
     net::SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// The record of one streamed call, and how often the fake was asked to start one.
-async fn call(manner: FakeManner) -> (record::CallRecord, u32) {
+/// Makes one streamed call; returns its record and the number of starts that the fake received.
+async fn call(behaviour: FakeBehaviour) -> (record::CallRecord, u32) {
     let starts = atomic::AtomicU32::new(0);
-    let fake = sync::Arc::new(FakeEntry { manner, starts });
+    let fake = sync::Arc::new(FakeEntry { behaviour, starts });
     let address = serve(fake.clone()).await;
     let settings = caller::CallSettings {
         expected_step: Duration::from_millis(50),
@@ -145,12 +145,11 @@
     (record, fake.starts.load(atomic::Ordering::SeqCst))
 }
 
-/// Symptom: an answer ends in the middle of a word.
-/// Sequence: the entry VM dies after token 2.
-/// Cause: its connection ends without `[DONE]`, which is no end of an answer.
+/// Guards against answers that end in the middle of a word. The entry VM crashes after token 2, so
+/// its connection ends without `[DONE]`, which must not count as the end of an answer.
 #[tokio::test]
 async fn a_broken_stream_is_continued_by_its_token() {
-    let (record, starts) = call(FakeManner::BreaksOff).await;
+    let (record, starts) = call(FakeBehaviour::BreaksOff).await;
     assert_eq!(record.outcome, record::CallOutcome::Whole);
     assert_eq!(
         (record.tokens, record.continuations, starts),
@@ -160,7 +159,7 @@
 
 #[tokio::test]
 async fn a_stream_that_is_handed_over_is_continued() {
-    let (record, starts) = call(FakeManner::HandsOver).await;
+    let (record, starts) = call(FakeBehaviour::HandsOver).await;
     assert_eq!(record.outcome, record::CallOutcome::Whole);
     assert_eq!(
         (record.tokens, record.continuations, starts),
@@ -168,22 +167,21 @@
     );
 }
 
-/// Symptom: a caller reads a token twice and the check says nothing.
-/// Sequence: a continuation begins one token too early.
-/// Cause: the check must know the number, not only the text.
+/// Guards against undetected repeated tokens. A continuation begins one token too early, so the
+/// check must compare the token number and not only the text.
 #[tokio::test]
-async fn a_continuation_that_repeats_a_token_is_called_doubled() {
-    let (record, _) = call(FakeManner::Repeats).await;
+async fn a_continuation_that_repeats_a_token_is_reported_as_doubled() {
+    let (record, _) = call(FakeBehaviour::Repeats).await;
     let fault = format!("{:?}", record.outcome);
     assert!(fault.contains("Doubled"), "{fault}");
 }
 
 #[tokio::test]
-async fn only_a_refusal_that_says_not_run_is_tried_again() {
-    let (record, starts) = call(FakeManner::RefusesOnce(outcome::RanState::No)).await;
+async fn only_a_refusal_of_a_call_that_did_not_run_is_retried() {
+    let (record, starts) = call(FakeBehaviour::RefusesOnce(outcome::RanState::No)).await;
     assert_eq!(record.outcome, record::CallOutcome::Whole);
     assert_eq!(starts, 2);
-    let (record, starts) = call(FakeManner::RefusesOnce(outcome::RanState::Unknown)).await;
+    let (record, starts) = call(FakeBehaviour::RefusesOnce(outcome::RanState::Unknown)).await;
     let is_refused = matches!(record.outcome, record::CallOutcome::Refused(_));
     assert!(is_refused, "{:?}", record.outcome);
     assert_eq!(starts, 1);
--- a/crates/load/tests/check.rs
+++ b/crates/load/tests/check.rs
@@ -1,4 +1,4 @@
-//! Answers are judged right: whole ones pass, and each way of breaking one is named.
+//! Tests of the answer check: complete answers pass, and each kind of violation is reported.
 
 use arbtest::arbitrary;
 use base::id;
@@ -19,13 +19,13 @@
     })
 }
 
-fn whole(mark: u32, count: u32) -> String {
+fn complete_text(mark: u32, count: u32) -> String {
     (0..count).map(|index| token(mark, index)).collect()
 }
 
 #[test]
-fn a_whole_answer_passes_in_one_piece_and_as_a_stream() {
-    assert_eq!(check_of(7, 12).take_whole(&whole(7, 12)), Ok(()));
+fn a_complete_answer_passes_as_one_response_and_as_a_stream() {
+    assert_eq!(check_of(7, 12).take_whole(&complete_text(7, 12)), Ok(()));
     let mut check = check_of(7, 12);
     for index in 0..12 {
         assert_eq!(check.take_token(index, &token(7, index)), Ok(()));
@@ -33,13 +33,11 @@
     assert_eq!(check.finish(), Ok(()));
 }
 
-/// Symptom: a caller reads a text that looks whole although a token is missing, comes twice, or
-/// belongs to another call.
-/// Sequence: a valid stream is changed at one place: a token dropped, repeated, swapped with the
-/// next one, or replaced by another generation's.
-/// Cause: a continuation from the wrong number, or crossed answers.
+/// Guards against answers that pass although a token is missing, repeated, or belongs to another
+/// call, as after a continuation from the wrong number or a mix-up of answers. One token of a valid
+/// stream is dropped, repeated, swapped with the next one, or replaced by another generation's.
 #[test]
-fn every_single_change_of_a_stream_is_found() {
+fn every_single_change_of_a_stream_is_detected() {
     for seed in 0..500_u64 {
         let mut bytes = [0; 64];
         rand::Rng::fill_bytes(
@@ -68,24 +66,24 @@
             .try_for_each(|(index, token)| check.take_token(*index, token));
         let verdict = taken.and_then(|()| check.finish());
         let fault = verdict.expect_err(&format!(
-            "seed {seed}: change {kind} at {place} was not found"
+            "seed {seed}: change {kind} at {place} was not detected"
         ));
-        let is_named = match kind {
+        let is_classified = match kind {
             0 => matches!(fault, check::AnswerFault::Cut { .. }),
             1 => matches!(fault, check::AnswerFault::Doubled { .. }),
             2 => !matches!(fault, check::AnswerFault::Mixed { .. }),
             _ => matches!(fault, check::AnswerFault::Mixed { .. }),
         };
         assert!(
-            is_named,
-            "seed {seed}: change {kind} at {place} was called {fault:?}"
+            is_classified,
+            "seed {seed}: change {kind} at {place} was reported as {fault:?}"
         );
     }
 }
 
 #[test]
-fn a_doubled_part_of_a_whole_answer_is_named() {
-    let answer = whole(7, 6) + &token(7, 2);
+fn a_repeated_token_of_a_complete_answer_is_reported_as_doubled() {
+    let answer = complete_text(7, 6) + &token(7, 2);
     let fault = check_of(7, 6).take_whole(&answer);
     assert!(
         matches!(fault, Err(check::AnswerFault::Doubled { .. })),
--- a/crates/load/tests/configuration.rs
+++ b/crates/load/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration over several entry VMs, with the platform's log down and VMs replaced.
+//! Tests of the configuration on several entry VMs, during outages of the platform's log and
+//! replacement of VMs.
 
 mod env;
 
@@ -24,10 +25,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_racing_changes_one_wins_and_the_other_is_told_who_did() {
-    // Symptom: two operators publish at once and one change silently undoes the other.
-    // Sequence: both make a change against revision 1, through two entry VMs, at the same time.
-    // Cause: a last-writer-wins store.
+async fn of_two_concurrent_changes_one_is_accepted_and_the_other_gets_a_conflict() {
+    // Guards against lost updates, as with a last-writer-wins store. Two operators publish a change
+    // against revision 1 through two entry VMs at the same time.
     let env = env::TestEnv::start(2).await;
     let (left, right) = tokio::join!(env.change(0, 1, weight(3.0)), env.change(1, 1, weight(4.0)));
     let mut statuses = [left.status().as_u16(), right.status().as_u16()];
@@ -45,11 +45,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_fresh_entry_serves_by_its_peers_while_the_log_is_down() {
-    // Symptom: an entry VM that is replaced during an outage of the log serves nothing, or serves
-    // by an old configuration.
-    // Sequence: a change is accepted; the log goes down; one VM is replaced.
-    // Cause: configuration that can be had from the log alone.
+async fn a_replaced_entry_gets_the_configuration_from_peers_while_the_log_is_down() {
+    // Guards against an entry VM that is replaced during an outage of the log and serves nothing, or
+    // uses an old configuration, because only the log can supply it. A change is accepted, the log
+    // goes down, and one VM is replaced.
     let mut env = env::TestEnv::start(3).await;
     env.change(0, 1, weight(5.0)).await;
     for entry in 0..3 {
@@ -62,9 +61,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn all_entries_replaced_in_sequence_during_an_outage_keep_the_configuration() {
-    // Symptom: after a rolling replacement during an outage an old revision is back.
-    // Sequence: a change is accepted; the log goes down; every VM is replaced, one after another.
-    // Cause: state that no VM handed on before it ended.
+    // Guards against a return to an old revision after a rolling replacement during an outage. A
+    // change is accepted, the log goes down, and all VMs are replaced one after another; each must
+    // pass its state on before it stops.
     let mut env = env::TestEnv::start(3).await;
     env.change(0, 1, weight(6.0)).await;
     for entry in 0..3 {
@@ -86,10 +85,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_during_an_outage_is_told_to_be_undecided() {
-    // Symptom: an operator is told that a change stands which nobody has.
-    // Sequence: the log is down; an operator publishes.
-    // Cause: an answer given before the log's.
+async fn a_change_during_an_outage_is_reported_as_undecided() {
+    // Guards against reporting a change as accepted before the log has answered, so that no VM has
+    // it. An operator publishes while the log is down.
     let env = env::TestEnv::start(2).await;
     env.site.log.apply(&LogFault::Outage { on: true });
     let answer = env.change(0, 1, weight(8.0)).await;
--- a/crates/load/tests/crashing.rs
+++ b/crates/load/tests/crashing.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each model engine that runs it.
+//! Tests of a request that crashes every model engine that runs it.
 
 mod env;
 
@@ -22,17 +22,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crashing_request_costs_two_engines_and_is_then_refused_everywhere() {
-    // Symptom: one caller who sends a request again and again takes a site's engines down.
-    // Sequence: its request crashes the engine that runs it; the caller sends it again, through
-    // whatever entry VM is named to it.
-    // Cause: each try, and each entry VM, starts without knowledge of the deaths before.
+async fn a_crashing_request_takes_down_at_most_two_engines_and_is_quarantined() {
+    // Guards against one caller that takes all engines down by repeating a request. The request
+    // crashes the engine that runs it, and the caller repeats it through any listed entry VM. Without
+    // shared state, each attempt and each entry VM would not know of the earlier crashes.
     let env = env::TestEnv::start(3).await;
-    let deadly = chat("review this dossier [[crash]]");
+    let crashing = chat("review this dossier [[crash]]");
     for entry in [0, 1, 2, 0, 1, 2] {
-        let answer = env.post(entry, "/v1/chat/completions", &deadly).await;
+        let answer = env.post(entry, "/v1/chat/completions", &crashing).await;
         assert!(!answer.status().is_success());
-        // What one entry VM learnt reaches the others within a second.
+        // The update of one entry VM reaches the others within a second.
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
     assert!(
@@ -40,7 +39,7 @@
         "{} engines are down",
         engines_down(&env)
     );
-    let answer = env.post(2, "/v1/chat/completions", &deadly).await;
+    let answer = env.post(2, "/v1/chat/completions", &crashing).await;
     let body: serde_json::Value = answer.json().await.unwrap();
     assert_eq!(body["error"]["code"], "quarantined", "{body}");
     assert_eq!(body["error"]["ran"], "no");
@@ -57,9 +56,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_lists_and_lifts_a_quarantine() {
     let env = env::TestEnv::start(2).await;
-    let deadly = chat("dossier 7 [[crash]]");
+    let crashing = chat("dossier 7 [[crash]]");
     for _ in 0..3 {
-        env.post(0, "/v1/chat/completions", &deadly).await;
+        env.post(0, "/v1/chat/completions", &crashing).await;
     }
     let listed: serde_json::Value = env.operate(0, "/ops/quarantine").await;
     let fingerprint = listed["entries"][0]["fingerprint"]
@@ -67,12 +66,12 @@
         .unwrap()
         .to_owned();
     let url = format!("http://{}/ops/quarantine/lift", env.daemons[0].callers());
-    let ask = serde_json::json!({ "fingerprint": fingerprint });
+    let request = serde_json::json!({ "fingerprint": fingerprint });
     let lift = env
         .client
         .post(url)
         .bearer_auth(env::OPERATOR_KEY)
-        .json(&ask);
+        .json(&request);
     let lifted: serde_json::Value = lift.send().await.unwrap().json().await.unwrap();
     assert_eq!(lifted["lifted"], true);
     let listed: serde_json::Value = env.operate(0, "/ops/quarantine").await;
--- a/crates/load/tests/env/mod.rs
+++ b/crates/load/tests/env/mod.rs
@@ -1,6 +1,9 @@
-//! One small environment for end-to-end tests: stand-ins and entry daemons in this process.
+//! Environment for end-to-end tests: stand-ins and entry daemons in this process.
 
-#![allow(dead_code, reason = "each test file uses another part of it")]
+#![allow(
+    dead_code,
+    reason = "each test file uses a different part of this module"
+)]
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -21,20 +24,20 @@
     pub site: site::StandSite,
     /// The daemons.
     pub daemons: Vec<daemon::RunningDaemon>,
-    /// The runtime of each daemon: when it is dropped, nothing of the daemon runs on, as when a
-    /// process is killed.
+    /// Runtime of each daemon; dropping it stops all tasks of the daemon, as if its process were
+    /// killed.
     runtimes: Vec<runtime::Runtime>,
-    /// For requests.
+    /// HTTP client for requests.
     pub client: reqwest::Client,
 }
 
 impl TestEnv {
-    /// The Pass Works deployment with `entries` entry VMs, its configuration in force.
+    /// Starts the Pass Works deployment with `entries` entry VMs and waits for its configuration.
     pub async fn start(entries: usize) -> Self {
         Self::start_with_notice(entries, Duration::ZERO).await
     }
 
-    /// Like [`Self::start`]; a daemon that stops takes requests for `notice` more.
+    /// Like [`Self::start`]; a stopping daemon accepts requests for another `notice`.
     pub async fn start_with_notice(entries: usize, notice: Duration) -> Self {
         let configuration = site::PASS_WORKS.configuration().unwrap();
         let mut site = site::StandSite::start(configuration).await.unwrap();
@@ -76,7 +79,8 @@
         }
     }
 
-    /// Starts a fresh daemon for a VM that has the name and place of `entry`, which was stopped.
+    /// Stops the daemon `entry` and starts a new one with the same name, addresses and failure
+    /// domain.
     pub async fn restart(&mut self, entry: usize) {
         let settings = self.daemons[entry].state().settings.clone();
         let callers = self.daemons[entry].callers();
@@ -95,23 +99,23 @@
         };
         self.stop(entry).await;
         let runtime = daemon_runtime();
-        let mut fresh = runtime.spawn(daemon::start(bound.clone())).await.unwrap();
-        while fresh.is_err() {
-            // The port of the process that ended may not be free at once.
+        let mut restarted = runtime.spawn(daemon::start(bound.clone())).await.unwrap();
+        while restarted.is_err() {
+            // The port of the stopped daemon may not be free immediately.
             tokio::time::sleep(Duration::from_millis(50)).await;
-            fresh = runtime.spawn(daemon::start(bound.clone())).await.unwrap();
+            restarted = runtime.spawn(daemon::start(bound.clone())).await.unwrap();
         }
-        self.daemons.insert(entry, fresh.unwrap());
+        self.daemons.insert(entry, restarted.unwrap());
         self.runtimes.insert(entry, runtime);
     }
 
-    /// Stops a daemon gracefully; those after it move up.
+    /// Stops a daemon gracefully; the indices of the later daemons decrease by one.
     pub async fn stop(&mut self, entry: usize) {
         self.daemons.remove(entry).stop().await;
         self.runtimes.remove(entry).shutdown_background();
     }
 
-    /// Begins to stop a daemon gracefully; those after it move up.
+    /// Begins to stop a daemon gracefully; the indices of the later daemons decrease by one.
     pub fn begin_stop(&mut self, entry: usize) -> task::JoinHandle<()> {
         let daemon = self.daemons.remove(entry);
         let runtime = self.runtimes.remove(entry);
@@ -121,7 +125,7 @@
         })
     }
 
-    /// Kills a daemon; those after it move up.
+    /// Kills a daemon; the indices of the later daemons decrease by one.
     pub fn kill(&mut self, entry: usize) {
         drop(self.daemons.remove(entry));
         self.runtimes.remove(entry).shutdown_background();
@@ -136,19 +140,19 @@
     ) -> reqwest::Response {
         let record = id::RecordId::draw(&mut rand::rng());
         let url = format!("http://{}/ops/publish", self.daemons[entry].callers());
-        let ask = serde_json::json!({
+        let request = serde_json::json!({
             "record": record, "base_revision": base_revision, "change": patch,
         });
         self.client
             .post(url)
             .bearer_auth(OPERATOR_KEY)
-            .json(&ask)
+            .json(&request)
             .send()
             .await
             .unwrap()
     }
 
-    /// Gets from the operators' face of one entry VM.
+    /// Sends a GET request to the operator API of one entry VM.
     pub async fn operate(&self, entry: usize, path: &str) -> serde_json::Value {
         let url = format!("http://{}{path}", self.daemons[entry].callers());
         let answer = self
@@ -161,7 +165,7 @@
         answer.json().await.unwrap()
     }
 
-    /// The revision in force on one entry VM.
+    /// Returns the revision in force on one entry VM.
     pub fn revision(&self, entry: usize) -> u64 {
         self.daemons[entry].state().book.snapshot().revision()
     }
@@ -177,7 +181,7 @@
         panic!("revision {revision} never came into force on entry {entry}");
     }
 
-    /// A POST to one entry VM with the example's key.
+    /// Builds a POST request to one entry VM with the example's key.
     pub fn request(&self, entry: usize, path: &str) -> reqwest::RequestBuilder {
         let url = format!("http://{}{path}", self.daemons[entry].callers());
         self.client.post(url).bearer_auth(API_KEY)
@@ -193,7 +197,7 @@
         self.request(entry, path).json(body).send().await.unwrap()
     }
 
-    /// Gets from one entry VM.
+    /// Sends a GET request to one entry VM.
     pub async fn get(&self, entry: usize, path: &str) -> reqwest::Response {
         let url = format!("http://{}{path}", self.daemons[entry].callers());
         self.client
@@ -207,7 +211,7 @@
 
 impl Drop for TestEnv {
     fn drop(&mut self) {
-        // A runtime may not be dropped where it would block, which a test's own runtime forbids.
+        // Dropping a runtime blocks, which is not allowed within the test's own runtime.
         for runtime in self.runtimes.drain(..) {
             runtime.shutdown_background();
         }
@@ -232,7 +236,7 @@
     }
 }
 
-/// An idempotency key of now.
+/// Returns an idempotency key with the current time.
 pub fn fresh_key(text: &str) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     format!("{}-{text}", now.as_millis())
--- a/crates/load/tests/leaving.rs
+++ b/crates/load/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Backend servers and entry VMs that leave.
+//! Tests of backend servers and entry VMs that leave.
 
 mod env;
 
@@ -15,20 +15,20 @@
     })
 }
 
-/// Time after which new work counts against the promise. On the virtual time of crate `gossip`'s
-/// tests the bound is tighter; here the real clock of a busy machine must not decide.
-const LEAVING_KNOWN: Duration = Duration::from_secs(4);
+/// Time within which all entry VMs must know that a server is leaving; new work is a failure after
+/// it. The tests of crate `gossip` check a tighter bound in virtual time. The bound is loose here
+/// because the real clock of a busy machine must not decide the result.
+const LEAVING_PROPAGATION_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_engine_gets_no_new_work_from_any_entry() {
-    // Symptom: an engine that is reclaimed is still sent work, which is then cut off.
-    // Sequence: the engine says that it is leaving; its watchers read it; requests go on at all
-    // entry VMs, most of which do not watch that engine.
-    // Cause: leaving that only the watcher knows.
+    // Guards against work sent to an engine that is being reclaimed, which would be cut off. The
+    // engine reports that it is leaving to its watchers; all entry VMs keep receiving requests, and
+    // most of them do not watch that engine, so the watchers must share the state.
     let env = env::TestEnv::start(3).await;
     let leaving = env.site.engines.values().next().unwrap().clone();
     leaving.apply(&EngineFault::Reclaim { notice_ms: 60_000 });
-    tokio::time::sleep(LEAVING_KNOWN).await;
+    tokio::time::sleep(LEAVING_PROPAGATION_TIMEOUT).await;
     let before = leaving.starts_while_leaving();
     for round in 0..30 {
         let answer = env.post(round % 3, "/v1/chat/completions", &chat(3)).await;
@@ -39,10 +39,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_the_vm_list_calls_leaving_gets_no_new_work() {
-    // Symptom: a plain service server is taken away under calls that were just sent to it.
-    // Sequence: only the platform's list says that it leaves.
-    // Cause: a source of leaving that is not believed.
+async fn a_server_listed_as_leaving_gets_no_new_work() {
+    // Guards against calls sent to a plain service server just before it is removed. Only the
+    // platform's VM list reports that it is leaving, and this source must be respected.
     let env = env::TestEnv::start(2).await;
     let (name, server) = env.site.services.iter().next().unwrap();
     env.site.vms.set(name, Some(VmState::Leaving));
@@ -66,9 +65,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_graceful_stop_cuts_off_no_stream() {
-    // Symptom: streams end without [DONE] whenever an entry VM is replaced.
-    // Sequence: a stream runs; its entry VM is told to stop.
-    // Cause: a process that ends before what it relays.
+    // Guards against streams that end without [DONE] when an entry VM is replaced. The entry VM
+    // receives a stop request during a stream; its process must not exit before the relayed streams
+    // have ended.
     let mut env = env::TestEnv::start(2).await;
     let answer = env.post(0, "/v1/chat/completions", &chat(120)).await;
     assert_eq!(answer.status().as_u16(), 200);
@@ -82,9 +81,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_of_a_killed_entry_is_continued_by_another() {
-    // Symptom: a review is lost when its entry VM dies.
-    // Sequence: tokens flow; the entry VM is killed; the caller asks another one to go on.
-    // Cause: what is needed to go on is known to the dead VM alone.
+    // Guards against losing a generation when its entry VM crashes. The entry VM is killed during a
+    // stream, and the caller continues it at another one, so the state needed for that must not be
+    // on the crashed VM alone.
     let mut env = env::TestEnv::start(2).await;
     let mut answer = env.post(0, "/v1/chat/completions", &chat(150)).await;
     let token = answer.headers()["x-generation-token"]
@@ -116,15 +115,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_entry_is_not_named_and_still_serves_its_notice() {
-    // Symptom: callers that were told an entry VM a moment ago are refused by it.
-    // Sequence: an entry VM is told to stop; a caller that keeps its address sends a request;
-    // another asks whom to use.
-    // Cause: a stop that refuses before the others stopped naming it.
+async fn a_stopping_entry_is_not_listed_but_serves_during_its_notice() {
+    // Guards against refusals by an entry VM that was listed a moment ago. After a stop request, a
+    // caller with a cached address sends a request and another fetches the entry list. The VM must
+    // not refuse requests before the other VMs have removed it from their lists.
     let mut env = env::TestEnv::start_with_notice(2, Duration::from_secs(3)).await;
     let address = env.daemons[0].callers();
-    let named = env.get(1, "/v1/entries").await.text().await.unwrap();
-    assert!(named.contains(&address.to_string()), "{named}");
+    let listed = env.get(1, "/v1/entries").await.text().await.unwrap();
+    assert!(listed.contains(&address.to_string()), "{listed}");
     let stopping = env.begin_stop(0);
     tokio::time::sleep(Duration::from_secs(1)).await;
     let url = format!("http://{address}/v1/chat/completions");
@@ -134,7 +132,7 @@
         .bearer_auth(env::API_KEY)
         .json(&chat(3));
     assert_eq!(request.send().await.unwrap().status().as_u16(), 200);
-    let named = env.get(0, "/v1/entries").await.text().await.unwrap();
-    assert!(!named.contains(&address.to_string()), "{named}");
+    let listed = env.get(0, "/v1/entries").await.text().await.unwrap();
+    assert!(!listed.contains(&address.to_string()), "{listed}");
     stopping.await.unwrap();
 }
--- a/crates/load/tests/placement.rs
+++ b/crates/load/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Models on engines: a new version is rolled out while requests go on.
+//! Tests of model placement: a new version is rolled out while requests continue.
 
 mod env;
 
@@ -6,7 +6,7 @@
 
 use stand::engine::EngineHandle;
 
-/// Versions that engines have ready, one for each that serves.
+/// Returns the model versions that engines have loaded, one for each serving engine.
 fn versions(env: &env::TestEnv) -> Vec<String> {
     let reports = env.site.engines.values().map(EngineHandle::report);
     reports
@@ -16,14 +16,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_version_is_rolled_out_and_enough_engines_serve_at_any_moment() {
-    // Symptom: a rollout takes a model off more engines than it may, and callers are refused.
-    // Sequence: a change wants another version; several entry VMs compare and order at once.
-    // Cause: orders of VMs that each count the same engines as free to change.
+async fn a_rollout_keeps_the_minimum_number_of_engines_serving() {
+    // Guards against a rollout that unloads a model from too many engines, so that callers are
+    // refused. A change requests another version and several entry VMs send orders concurrently, each
+    // of which may count the same engines as free to change.
     let env = env::TestEnv::start(3).await;
-    let least = env.site.configuration.inventory.models["review-llm"].min_engines as usize;
+    let min_engines = env.site.configuration.inventory.models["review-llm"].min_engines as usize;
     let all = env.site.engines.len();
-    assert!(least < all && least > 0);
+    assert!(min_engines < all && min_engines > 0);
     let patch = serde_json::json!({
         "inventory": { "models": { "review-llm": { "version": "2026-01" } } }
     });
@@ -36,8 +36,8 @@
     for _ in 0..1_200 {
         let serving = versions(&env);
         assert!(
-            serving.len() >= least,
-            "{} engines serve, {least} must",
+            serving.len() >= min_engines,
+            "{} engines serve, the minimum is {min_engines}",
             serving.len()
         );
         let new = serving
@@ -51,5 +51,8 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("the version is on {:?} only", versions(&env));
+    panic!(
+        "the rollout did not finish; engines serve {:?}",
+        versions(&env)
+    );
 }
--- a/crates/load/tests/report.rs
+++ b/crates/load/tests/report.rs
@@ -1,4 +1,4 @@
-//! Reports: saved and read back, compared, drawn.
+//! Tests of saving, reading, comparing and plotting reports.
 
 use std::{env, fs, time};
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn stall_time_is_the_wait_for_the_first_token_and_what_goes_beyond_the_step() {
+fn stall_time_is_the_wait_for_the_first_token_plus_time_beyond_the_step() {
     let measure = measured(50);
     let stall = &measure.classes[&class::TrafficClass::Urgent].stall;
     assert!(
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_saved_report_reads_back_the_same_and_is_drawn() {
+fn a_saved_report_is_read_back_unchanged_and_plotted() {
     let directory = env::temp_dir().join(format!("pollenload-report-{}", std::process::id()));
     fs::create_dir_all(&directory).expect("a directory for the test");
     let report = reported(50);
@@ -52,9 +52,9 @@
         report::RunReport::read(&path).expect("the report is read"),
         report
     );
-    let picture = directory.join("run.svg");
-    plot::draw_report(&report, &picture).expect("the picture is drawn");
-    let svg = fs::read_to_string(&picture).expect("the picture is there");
+    let plot_path = directory.join("run.svg");
+    plot::draw_report(&report, &plot_path).expect("the plot is drawn");
+    let svg = fs::read_to_string(&plot_path).expect("the plot file exists");
     assert!(
         svg.contains("urgent") && svg.contains("stall time"),
         "{svg:.300}"
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_comparison_calls_a_longer_stall_worse_and_a_shorter_one_better() {
+fn a_longer_stall_is_worse_and_a_shorter_one_better() {
     let thresholds = compare::CompareThresholds::default();
     let verdict = |before, after| {
         let (before, after) = (reported(before), reported(after));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn one_broken_answer_more_is_worse_whatever_the_times_say() {
+fn an_additional_broken_answer_is_worse_regardless_of_times() {
     let mut measure = measured(20);
     let seen = "token 3 came again".to_owned();
     measure.add_fault(
--- a/crates/load/tests/scenario.rs
+++ b/crates/load/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what is refused, and that the plan follows from the seed alone.
+//! Tests of scenario files: validation, and plans that depend on the seed alone.
 
 use std::{fs, path};
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_plan_follows_from_the_seed() {
+fn the_plan_is_a_function_of_the_seed() {
     let scenario = parse(SCENARIO).expect("the scenario is valid");
     let calls = arrival::plan_calls(&scenario);
     assert_eq!(calls, arrival::plan_calls(&scenario));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_change_of_one_workload_leaves_the_calls_of_the_others() {
+fn a_change_of_one_workload_does_not_affect_the_others() {
     let scenario = parse(SCENARIO).expect("the scenario is valid");
     let mut changed = scenario.clone();
     changed.workloads[0].per_second = 80.0;
@@ -58,13 +58,13 @@
 }
 
 #[test]
-fn all_faults_of_a_scenario_are_told_at_once() {
+fn all_errors_of_a_scenario_are_reported_together() {
     let text = SCENARIO
         .replace(r#""share": 3"#, r#""share": 0"#)
         .replace(r#""per_second": 5"#, r#""per_second": 0"#)
         .replace(r#"["hue"]"#, r#"["hanoi"]"#)
         .replace(r#""min": 20, "max": 40"#, r#""min": 50, "max": 40"#);
-    let message = parse(&text).expect_err("four faults").to_string();
+    let message = parse(&text).expect_err("four errors").to_string();
     for part in [
         "organisations.hue.share",
         "per_second",
@@ -85,11 +85,11 @@
     );
 }
 
-/// Symptom: the demonstration stops at its first call, or an engine fault names no server.
-/// Sequence: an example's inventory changes, its scenario does not.
-/// Cause: the names stand in two files.
+/// Guards against a demonstration that stops at its first call, or a fault that names an unknown
+/// server. Names are repeated in two files, so an example's inventory can change without its
+/// scenario.
 #[test]
-fn the_examples_name_only_what_their_inventory_has() {
+fn example_scenarios_refer_only_to_their_inventory() {
     for example in ["pass-works", "ridebook"] {
         let directory = path::Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../../examples")
--- a/crates/load/tests/whole_path.rs
+++ b/crates/load/tests/whole_path.rs
@@ -1,14 +1,14 @@
-//! A request from end to end: caller, entry daemon, model engine, plain service and log, through
-//! real sockets.
+//! End-to-end tests of requests through caller, entry daemon, model engine, plain service and log,
+//! over real sockets.
 
 mod env;
 
 use std::time::Duration;
 
-/// Status of a call whose idempotency key is in use by a call that has not ended.
+/// HTTP status of a call whose idempotency key is in use by an unfinished call.
 const IN_PROGRESS: u16 = 409;
 
-/// Body of one chat completion whose length the stand-in engine takes from the prompt.
+/// Body of a chat completion; the stand-in engine reads the answer length from the prompt.
 fn chat(stream: bool, tokens: u32) -> serde_json::Value {
     serde_json::json!({
         "model": "review-llm",
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_whole_answer_comes_from_an_engine() {
+async fn an_engine_returns_a_complete_answer() {
     let env = env::TestEnv::start(1).await;
     let answer = env.post(0, "/v1/chat/completions", &chat(false, 12)).await;
     assert_eq!(answer.status().as_u16(), 200);
@@ -72,7 +72,7 @@
     for entry in [0, 1] {
         let mut status = IN_PROGRESS;
         while status == IN_PROGRESS {
-            // A repeat that comes before the outcome is on the log is told to come back.
+            // A repetition that arrives before the outcome is on the log gets a retryable refusal.
             let request = env.request(entry, "/v1/services/pass-app/charges/day-pass");
             let call = request.header("idempotency-key", &key).body("family 7");
             status = call.send().await.unwrap().status().as_u16();
--- a/tests/openai-client.sh
+++ b/tests/openai-client.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Tries an unmodified published client library against a running entry VM.
+# Tests an unmodified published client library against a running entry VM.
 #
 #   tests/openai-client.sh ADDRESS KEY MODEL [PACKAGE]
 #   tests/openai-client.sh 127.0.0.1:21101 pw-key-fleet-office review-llm
 #
-# PACKAGE is what pip installs, `openai` by default; `openai==2.8.1` pins it. It goes into an
-# environment that is thrown away. Exit codes: 0 all held, 1 something did not, 2 wrong usage.
+# PACKAGE is the pip requirement, `openai` by default; `openai==2.8.1` pins the version. It is
+# installed into a temporary environment. Exit codes: 0 all checks passed, 1 a check failed, 2 usage.
 set -euo pipefail
 if [ $# -lt 3 ]; then
     sed -n '2,8s/^# \{0,1\}//p' "$0" >&2
