--- a/crates/load/benches/relay.rs
+++ b/crates/load/benches/relay.rs
@@ -177,8 +177,9 @@
         }
     }
 
-    /// Measures the memory of an open relayed stream beyond that of a direct one, which has the same
-    /// client and engine. The direct streams stay open meanwhile, so that no freed memory is reused.
+    /// Measures the memory of an open relayed stream beyond that of a direct one, which has the
+    /// same client and engine. The direct streams stay open meanwhile, so that no freed memory is
+    /// reused.
     fn measure_memory(&self) {
         let (direct, first) = self.open_streams(&self.direct);
         let (relayed, second) = self.open_streams(&self.relayed);
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -144,12 +144,13 @@
             time::sleep(delay).await;
         }
         let seen = format!("no entry VM answered; last error: {lost}");
-        Err(record::CallOutcome::Faulty(check::AnswerFault::Cut {
+        Err(record::CallOutcome::Faulty(check::AnswerError::Cut {
             seen,
         }))
     }
 
-    /// Sends like [`Self::send`] and reads the complete body; repeats the request if the body breaks.
+    /// Sends like [`Self::send`] and reads the complete body; repeats the request if reading the
+    /// body fails.
     pub(crate) async fn exchange<B>(
         &self,
         record: &mut record::CallRecord,
@@ -178,7 +179,7 @@
             self.suspect(address);
         }
         let seen = format!("no complete body arrived; last error: {lost}");
-        Err(record::CallOutcome::Faulty(check::AnswerFault::Cut {
+        Err(record::CallOutcome::Faulty(check::AnswerError::Cut {
             seen,
         }))
     }
@@ -241,7 +242,7 @@
         Ok(envelope) => Ok(envelope.error),
         Err(_) => {
             let seen = format!("status {status} whose body is not a refusal: {text:.200}");
-            Err(record::CallOutcome::Faulty(check::AnswerFault::Cut {
+            Err(record::CallOutcome::Faulty(check::AnswerError::Cut {
                 seen,
             }))
         }
--- a/crates/load/src/check.rs
+++ b/crates/load/src/check.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AnswerFault {
+pub enum AnswerError {
     /// Tokens are missing, in the middle or at the end.
     Cut {
         /// Description of the observation.
@@ -65,57 +65,57 @@
     }
 
     /// Checks the token that arrived as number `index` of the stream.
-    pub fn take_token(&mut self, index: u32, word: &str) -> Result<(), AnswerFault> {
+    pub fn check_token(&mut self, index: u32, word: &str) -> Result<(), AnswerError> {
         let due = self.next;
         let Some(token) = text::read_token(word).filter(|token| token.seq == index) else {
             let seen = format!("{word:?} arrived as token {index}");
-            return Err(AnswerFault::Mixed { seen });
+            return Err(AnswerError::Mixed { seen });
         };
         if token.mark != Some(self.expected.mark) {
             let seen = format!(
                 "{word:?} arrived at the call with mark {:x}",
                 self.expected.mark
             );
-            return Err(AnswerFault::Mixed { seen });
+            return Err(AnswerError::Mixed { seen });
         }
         let tag = *self.tag.get_or_insert(token.tag);
         if token.tag != tag {
             let seen = format!("{word:?} arrived within generation {tag:08x}");
-            return Err(AnswerFault::Mixed { seen });
+            return Err(AnswerError::Mixed { seen });
         }
         if index < due {
             let seen = format!("token {index} arrived again; expected token {due}");
-            return Err(AnswerFault::Doubled { seen });
+            return Err(AnswerError::Doubled { seen });
         }
         if index > due {
             let seen = format!("token {index} arrived; expected token {due}");
-            return Err(AnswerFault::Cut { seen });
+            return Err(AnswerError::Cut { seen });
         }
         self.next += 1;
         Ok(())
     }
 
     /// Checks an answer that arrived as one complete response.
-    pub fn take_whole(&mut self, answer: &str) -> Result<(), AnswerFault> {
+    pub fn check_answer(&mut self, answer: &str) -> Result<(), AnswerError> {
         for word in answer.split_whitespace() {
             let index = text::read_token(word).map_or(self.next, |token| token.seq);
-            self.take_token(index, word)?;
+            self.check_token(index, word)?;
         }
         self.finish()
     }
 
     /// Checks the number of tokens after the answer has ended without an error.
-    pub fn finish(&self) -> Result<(), AnswerFault> {
+    pub fn finish(&self) -> Result<(), AnswerError> {
         let Some(expected) = self.expected.token_count else {
             return Ok(());
         };
         if self.next < expected {
             let seen = format!("ended after {} of {expected} tokens", self.next);
-            return Err(AnswerFault::Cut { seen });
+            return Err(AnswerError::Cut { seen });
         }
         if self.next > expected {
             let seen = format!("{} tokens arrived; expected {expected}", self.next);
-            return Err(AnswerFault::Mixed { seen });
+            return Err(AnswerError::Mixed { seen });
         }
         Ok(())
     }
--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -54,7 +54,7 @@
     let after = report::RunReport::read(&action.after)?;
     let thresholds = compare::CompareThresholds {
         fraction: action.percent / 100.0,
-        floor_ms: action.floor_ms,
+        floor: action.floor_ms,
     };
     let comparison = compare::RunComparison::of(&before, &after, thresholds);
     print!("{comparison}");
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -11,15 +11,15 @@
 pub struct CompareThresholds {
     /// Minimum relative increase: a time is worse only if it grew by more than this fraction.
     pub fraction: f64,
-    /// Minimum absolute increase, so that noise of a fraction of a millisecond does not count.
-    pub floor_ms: f64,
+    /// Minimum absolute increase, in the unit of the measure, so that noise of a fraction of a millisecond does not count.
+    pub floor: f64,
 }
 
 impl Default for CompareThresholds {
     fn default() -> Self {
         Self {
             fraction: 0.15,
-            floor_ms: 5.0,
+            floor: 5.0,
         }
     }
 }
@@ -84,7 +84,7 @@
         }
         if let (Some(before), Some(after)) = (before.preemptions, after.preemptions) {
             let count = CompareThresholds {
-                floor_ms: PREEMPTION_FLOOR,
+                floor: PREEMPTION_FLOOR,
                 ..thresholds
             };
             rows.push(row_of("preemptions", before as f64, after as f64, count));
@@ -135,7 +135,7 @@
         |count: u64, of: &report::ClassReport| 100.0 * count as f64 / of.requests.max(1) as f64;
     let percent = CompareThresholds {
         fraction: 0.0,
-        floor_ms: REFUSED_FLOOR_PERCENT,
+        floor: REFUSED_FLOOR_PERCENT,
     };
     let refused = (
         share(before.refused + before.ended, before),
@@ -149,17 +149,18 @@
     ));
     let none = CompareThresholds {
         fraction: 0.0,
-        floor_ms: 0.0,
+        floor: 0.0,
     };
     let broken = (before.broken() as f64, after.broken() as f64);
     rows.push(row_of(&format!("{class} broken"), broken.0, broken.1, none));
 }
 
-/// Difference in the share of refusals, in percentage points, up to which two runs count as the same.
+/// Difference in the share of refusals, in percentage points, up to which two runs count as the
+/// same.
 const REFUSED_FLOOR_PERCENT: f64 = 1.0;
 
 fn row_of(name: &str, before: f64, after: f64, thresholds: CompareThresholds) -> MeasureRow {
-    let margin = (before * thresholds.fraction).max(thresholds.floor_ms);
+    let margin = (before * thresholds.fraction).max(thresholds.floor);
     let verdict = if after > before + margin {
         CompareVerdict::Worse
     } else if after < before - margin {
--- a/crates/load/src/demo.rs
+++ b/crates/load/src/demo.rs
@@ -73,7 +73,7 @@
     drop(bar);
     let mut env = injector.env.lock().await;
     measure.check_runs(&env.site.runs_by_key());
-    measure.take_preemptions(env.site.preemptions());
+    measure.set_preemptions(env.site.preemptions());
     let mut report = run.report(&measure, start);
     report.preemptions = Some(env.site.preemptions().iter().sum());
     let kind = play::finish(&report, action.save.as_deref())?;
--- a/crates/load/src/measure.rs
+++ b/crates/load/src/measure.rs
@@ -156,7 +156,7 @@
             }
             record::CallOutcome::Refused(_) => measure.refused += 1,
             record::CallOutcome::Ended(_) => measure.ended += 1,
-            record::CallOutcome::Faulty(fault) => self.add_fault(record.class, fault),
+            record::CallOutcome::Faulty(error) => self.add_error(record.class, error),
         }
     }
 
@@ -164,33 +164,33 @@
     pub fn check_runs(&mut self, runs: &collections::BTreeMap<String, u64>) {
         for call in std::mem::take(&mut self.keyed) {
             let count = runs.get(&call.key).copied().unwrap_or_default();
-            let fault = match (count, call.reported_ran) {
+            let error = match (count, call.reported_ran) {
                 (2.., _) => Some("ran more than once"),
                 (1, outcome::RanState::No) => Some("was reported as not run, but ran"),
                 (0, outcome::RanState::Yes) => Some("was answered, but never ran"),
                 _ => None,
             };
-            if let Some(fault) = fault {
-                let seen = format!("{} {fault} (runs: {count})", call.key);
-                self.add_fault(call.class, &check::AnswerFault::Doubled { seen });
+            if let Some(error) = error {
+                let seen = format!("{} {error} (runs: {count})", call.key);
+                self.add_error(call.class, &check::AnswerError::Doubled { seen });
             }
         }
     }
 
     /// Stores the preemptions by priority that engines counted.
-    pub fn take_preemptions(&mut self, by_priority: [u64; 3]) {
+    pub fn set_preemptions(&mut self, by_priority: [u64; 3]) {
         for (class, measure) in &mut self.classes {
             measure.preemptions = Some(by_priority[class.index()]);
         }
     }
 
     /// Counts a broken answer and keeps its description.
-    pub fn add_fault(&mut self, class: class::TrafficClass, fault: &check::AnswerFault) {
+    pub fn add_error(&mut self, class: class::TrafficClass, error: &check::AnswerError) {
         let measure = self.classes.entry(class).or_default();
-        let (count, kind, seen) = match fault {
-            check::AnswerFault::Cut { seen } => (&mut measure.cut, "cut", seen),
-            check::AnswerFault::Mixed { seen } => (&mut measure.mixed, "mixed", seen),
-            check::AnswerFault::Doubled { seen } => (&mut measure.doubled, "doubled", seen),
+        let (count, kind, seen) = match error {
+            check::AnswerError::Cut { seen } => (&mut measure.cut, "cut", seen),
+            check::AnswerError::Mixed { seen } => (&mut measure.mixed, "mixed", seen),
+            check::AnswerError::Doubled { seen } => (&mut measure.doubled, "doubled", seen),
         };
         *count += 1;
         if self.samples.len() < MAX_SAMPLES {
--- a/crates/load/src/perform.rs
+++ b/crates/load/src/perform.rs
@@ -33,7 +33,7 @@
     Done,
     Refused(refusal::RefusalBody),
     Broken(String),
-    Faulty(check::AnswerFault),
+    Faulty(check::AnswerError),
 }
 
 /// Makes `call`, whose intended start is `start`.
@@ -124,7 +124,7 @@
             token = generation_token(&answer.response).or(token);
             let broken = match self.read_stream(answer.response).await {
                 StreamEnd::Done => return Ok(verdict_of(self.check.finish())),
-                StreamEnd::Faulty(fault) => return Ok(record::CallOutcome::Faulty(fault)),
+                StreamEnd::Faulty(error) => return Ok(record::CallOutcome::Faulty(error)),
                 StreamEnd::Refused(refusal) => return Ok(self.refused(refusal)),
                 StreamEnd::Broken(broken) => broken,
             };
@@ -132,7 +132,7 @@
             self.record.continuations += 1;
             let Some(token) = token.as_ref().filter(|_| self.may_continue()) else {
                 let seen = format!("after token {}: {broken}", self.check.next());
-                return Ok(record::CallOutcome::Faulty(check::AnswerFault::Cut {
+                return Ok(record::CallOutcome::Faulty(check::AnswerError::Cut {
                     seen,
                 }));
             };
@@ -178,16 +178,16 @@
             if data == "[DONE]" {
                 return StreamEnd::Done;
             }
-            if let Err(end) = self.take_chunk(&data) {
+            if let Err(end) = self.process_chunk(&data) {
                 return end;
             }
         }
     }
 
-    fn take_chunk(&mut self, data: &str) -> Result<(), StreamEnd> {
+    fn process_chunk(&mut self, data: &str) -> Result<(), StreamEnd> {
         let Ok(chunk) = serde_json::from_str::<body::ChatChunk>(data) else {
             let seen = format!("invalid chunk: {data:.100}");
-            return Err(StreamEnd::Faulty(check::AnswerFault::Mixed { seen }));
+            return Err(StreamEnd::Faulty(check::AnswerError::Mixed { seen }));
         };
         if let Some(refusal) = chunk.error {
             return Err(StreamEnd::Refused(refusal));
@@ -204,12 +204,12 @@
             return Ok(());
         };
         let now = time::Instant::now();
-        let checked = self.check.take_token(index, &text);
+        let checked = self.check.check_token(index, &text);
         checked.map_err(StreamEnd::Faulty)?;
         let settings = self.caller.settings;
         let interval = now - self.last;
         self.record
-            .take_token(now - self.start, interval, settings.expected_step);
+            .add_token(now - self.start, interval, settings.expected_step);
         self.last = now;
         Ok(())
     }
@@ -219,7 +219,7 @@
         let exchanged = caller
             .exchange(&mut self.record, |address| request.build(caller, address))
             .await?;
-        Ok(self.take_answer(&exchanged.text))
+        Ok(self.check_answer(&exchanged.text))
     }
 
     async fn respond_async(&mut self, request: &RequestParts) -> CallResult {
@@ -234,7 +234,7 @@
         let location = accepted.headers.get(reqwest::header::LOCATION);
         let Some(location) = location.and_then(|location| location.to_str().ok()) else {
             let seen = format!("status {} without a location", accepted.status);
-            return Ok(record::CallOutcome::Faulty(check::AnswerFault::Cut {
+            return Ok(record::CallOutcome::Faulty(check::AnswerError::Cut {
                 seen,
             }));
         };
@@ -248,7 +248,7 @@
                 .await?;
             let Ok(body) = serde_json::from_str::<body::AcceptedWork>(&polled.text) else {
                 let seen = format!("invalid outcome of accepted work: {:.100}", polled.text);
-                return Ok(record::CallOutcome::Faulty(check::AnswerFault::Mixed {
+                return Ok(record::CallOutcome::Faulty(check::AnswerError::Mixed {
                     seen,
                 }));
             };
@@ -256,29 +256,29 @@
                 return Ok(self.refused(refusal));
             }
             if body.choices.is_some() {
-                return Ok(self.take_answer(&polled.text));
+                return Ok(self.check_answer(&polled.text));
             }
         }
         let seen = format!(
             "accepted work had no outcome within {:?}",
             caller.settings.answer_timeout
         );
-        Ok(record::CallOutcome::Faulty(check::AnswerFault::Cut {
+        Ok(record::CallOutcome::Faulty(check::AnswerError::Cut {
             seen,
         }))
     }
 
-    fn take_answer(&mut self, text: &str) -> record::CallOutcome {
+    fn check_answer(&mut self, text: &str) -> record::CallOutcome {
         let parsed = serde_json::from_str::<body::ChatAnswer>(text).ok();
         let choice = parsed.and_then(|answer| answer.choices.into_iter().next());
         let Some(choice) = choice else {
             let seen = format!("invalid answer: {text:.100}");
-            return record::CallOutcome::Faulty(check::AnswerFault::Mixed { seen });
+            return record::CallOutcome::Faulty(check::AnswerError::Mixed { seen });
         };
-        let verdict = self.check.take_whole(&choice.message.content);
+        let verdict = self.check.check_answer(&choice.message.content);
         let expected = self.caller.settings.expected_step * self.check.next();
         self.record.tokens = self.check.next();
-        self.record.take_answer(self.start.elapsed(), expected);
+        self.record.add_answer(self.start.elapsed(), expected);
         verdict_of(verdict)
     }
 }
@@ -301,10 +301,10 @@
             }
         })
         .await?;
-    record.take_answer(start.elapsed(), Duration::ZERO);
+    record.add_answer(start.elapsed(), Duration::ZERO);
     let Ok(answer) = serde_json::from_str::<service::ServiceAnswer>(&exchanged.text) else {
         let seen = format!("invalid answer: {:.100}", exchanged.text);
-        return Ok(record::CallOutcome::Faulty(check::AnswerFault::Mixed {
+        return Ok(record::CallOutcome::Faulty(check::AnswerError::Mixed {
             seen,
         }));
     };
@@ -314,17 +314,17 @@
             "{} received the answer to another call: {answer:?}",
             request.text
         );
-        return Ok(record::CallOutcome::Faulty(check::AnswerFault::Mixed {
+        return Ok(record::CallOutcome::Faulty(check::AnswerError::Mixed {
             seen,
         }));
     }
     Ok(record::CallOutcome::Whole)
 }
 
-fn verdict_of(verdict: Result<(), check::AnswerFault>) -> record::CallOutcome {
+fn verdict_of(verdict: Result<(), check::AnswerError>) -> record::CallOutcome {
     match verdict {
         Ok(()) => record::CallOutcome::Whole,
-        Err(fault) => record::CallOutcome::Faulty(fault),
+        Err(error) => record::CallOutcome::Faulty(error),
     }
 }
 
--- a/crates/load/src/record.rs
+++ b/crates/load/src/record.rs
@@ -44,7 +44,7 @@
     /// Part of the answer arrived, then an explicit error.
     Ended(refusal::RefusalBody),
     /// The answer was cut, mixed or doubled.
-    Faulty(check::AnswerFault),
+    Faulty(check::AnswerError),
 }
 
 impl CallRecord {
@@ -68,7 +68,7 @@
 
     /// Records a token that arrived `since_start` after the intended start and `interval` after the
     /// previous token.
-    pub fn take_token(
+    pub fn add_token(
         &mut self,
         since_start: time::Duration,
         interval: time::Duration,
@@ -86,7 +86,7 @@
 
     /// Records an answer that arrived as one complete response; the time beyond `expected`, the
     /// sum of the expected steps of its tokens, is stall time.
-    pub fn take_answer(&mut self, since_start: time::Duration, expected: time::Duration) {
+    pub fn add_answer(&mut self, since_start: time::Duration, expected: time::Duration) {
         self.first = Some(since_start);
         self.stall += since_start.saturating_sub(expected);
     }
--- a/crates/load/src/runner.rs
+++ b/crates/load/src/runner.rs
@@ -82,13 +82,13 @@
             tasks.spawn(self.perform_one(call, at));
             started += 1;
             while let Some(joined) = tasks.try_join_next() {
-                take_record(&mut measure, joined);
+                add_record(&mut measure, joined);
                 done += 1;
             }
             progress.advance(started, done);
         }
         while let Some(joined) = tasks.join_next().await {
-            take_record(&mut measure, joined);
+            add_record(&mut measure, joined);
             done += 1;
             progress.advance(started, done);
         }
@@ -118,7 +118,7 @@
                 Err(_) => {
                     let mut record = record::CallRecord::begin(call.workload, call.class);
                     let seen = format!("no outcome within {limit:?}");
-                    record.outcome = record::CallOutcome::Faulty(check::AnswerFault::Cut { seen });
+                    record.outcome = record::CallOutcome::Faulty(check::AnswerError::Cut { seen });
                     record
                 }
             }
@@ -126,7 +126,7 @@
     }
 }
 
-fn take_record(
+fn add_record(
     measure: &mut measure::RunMeasure,
     joined: Result<record::CallRecord, task::JoinError>,
 ) {
--- a/crates/load/tests/bad_input.rs
+++ b/crates/load/tests/bad_input.rs
@@ -150,9 +150,9 @@
     expect_health(&env).await;
 }
 
-/// Guards against callers that give up permanently because their key is reported as unknown. An entry
-/// VM that has just started has no configuration and knows no keys, which proves nothing about the
-/// key.
+/// Guards against callers that give up permanently because their key is reported as unknown. An
+/// entry VM that has just started has no configuration and knows no keys, which proves nothing
+/// about the key.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_without_a_configuration_is_not_ready() {
     count_panics();
@@ -210,9 +210,9 @@
     expect_health(&env).await;
 }
 
-/// Guards against unbounded headers of one caller that exhaust the memory of an entry VM. Headers are
-/// buffered until they are complete, so their size must be limited. Sends many headers, then one long
-/// header, then an endless request line.
+/// Guards against unbounded headers of one caller that exhaust the memory of an entry VM. Headers
+/// are buffered until they are complete, so their size must be limited. Sends many headers, then
+/// one long header, then an endless request line.
 #[tokio::test(flavor = "multi_thread")]
 async fn oversized_headers_are_refused_without_affecting_others() {
     count_panics();
--- a/crates/load/tests/bad_streams.rs
+++ b/crates/load/tests/bad_streams.rs
@@ -46,7 +46,7 @@
 }
 
 /// Checks the tokens and the end of a stream that was read completely.
-fn read_stream(text: &str, mark: u32, tokens: u32) -> Result<(), check::AnswerFault> {
+fn read_stream(text: &str, mark: u32, tokens: u32) -> Result<(), check::AnswerError> {
     let expected = check::ExpectedAnswer {
         mark,
         token_count: Some(tokens),
@@ -60,11 +60,11 @@
         let index = chunk["pollenchute"]["index"].as_u64();
         if let (Some(index), Some(word)) = (index, chunk["choices"][0]["delta"]["content"].as_str())
         {
-            check.take_token(index as u32, word)?;
+            check.check_token(index as u32, word)?;
         }
     }
     let seen = "no [DONE]".to_owned();
-    Err(check::AnswerFault::Cut { seen })
+    Err(check::AnswerError::Cut { seen })
 }
 
 /// Guards against engines that generate answers without a reader. A caller closes its connection
@@ -119,8 +119,9 @@
     assert_eq!(read_stream(&text, 3, 5), Ok(()));
 }
 
-/// Guards against answers that stop in the middle although the engine holds the rest. Each connection
-/// to an engine breaks after three tokens; a body without a finish event does not end a generation.
+/// Guards against answers that stop in the middle although the engine holds the rest. Each
+/// connection to an engine breaks after three tokens; a body without a finish event does not end a
+/// generation.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_truncated_engine_answer_is_continued_to_the_end() {
     let env = env::TestEnv::start(1).await;
--- a/crates/load/tests/book.rs
+++ b/crates/load/tests/book.rs
@@ -22,8 +22,8 @@
 }
 
 /// Guards against callers that keep using a failed entry VM, or never return to it after the
-/// suspicion expires. The first of two listed entry VMs fails a call; two seconds pass. The order of
-/// the list alone does not tell which entry VM answers.
+/// suspicion expires. The first of two listed entry VMs fails a call; two seconds pass. The order
+/// of the list alone does not tell which entry VM answers.
 #[tokio::test(start_paused = true)]
 async fn a_suspect_is_ranked_last_until_the_suspicion_expires() {
     let mut directory = directory::EntryDirectory::new(vec![address(1)]);
--- a/crates/load/tests/caller.rs
+++ b/crates/load/tests/caller.rs
@@ -172,8 +172,8 @@
 #[tokio::test]
 async fn a_continuation_that_repeats_a_token_is_reported_as_doubled() {
     let (record, _) = call(FakeBehaviour::Repeats).await;
-    let fault = format!("{:?}", record.outcome);
-    assert!(fault.contains("Doubled"), "{fault}");
+    let outcome = format!("{:?}", record.outcome);
+    assert!(outcome.contains("Doubled"), "{outcome}");
 }
 
 #[tokio::test]
--- a/crates/load/tests/check.rs
+++ b/crates/load/tests/check.rs
@@ -25,10 +25,10 @@
 
 #[test]
 fn a_complete_answer_passes_as_one_response_and_as_a_stream() {
-    assert_eq!(check_of(7, 12).take_whole(&complete_text(7, 12)), Ok(()));
+    assert_eq!(check_of(7, 12).check_answer(&complete_text(7, 12)), Ok(()));
     let mut check = check_of(7, 12);
     for index in 0..12 {
-        assert_eq!(check.take_token(index, &token(7, index)), Ok(()));
+        assert_eq!(check.check_token(index, &token(7, index)), Ok(()));
     }
     assert_eq!(check.finish(), Ok(()));
 }
@@ -63,20 +63,20 @@
         let mut check = check_of(mark, count);
         let taken = tokens
             .iter()
-            .try_for_each(|(index, token)| check.take_token(*index, token));
+            .try_for_each(|(index, token)| check.check_token(*index, token));
         let verdict = taken.and_then(|()| check.finish());
-        let fault = verdict.expect_err(&format!(
+        let error = verdict.expect_err(&format!(
             "seed {seed}: change {kind} at {place} was not detected"
         ));
         let is_classified = match kind {
-            0 => matches!(fault, check::AnswerFault::Cut { .. }),
-            1 => matches!(fault, check::AnswerFault::Doubled { .. }),
-            2 => !matches!(fault, check::AnswerFault::Mixed { .. }),
-            _ => matches!(fault, check::AnswerFault::Mixed { .. }),
+            0 => matches!(error, check::AnswerError::Cut { .. }),
+            1 => matches!(error, check::AnswerError::Doubled { .. }),
+            2 => !matches!(error, check::AnswerError::Mixed { .. }),
+            _ => matches!(error, check::AnswerError::Mixed { .. }),
         };
         assert!(
             is_classified,
-            "seed {seed}: change {kind} at {place} was reported as {fault:?}"
+            "seed {seed}: change {kind} at {place} was reported as {error:?}"
         );
     }
 }
@@ -84,9 +84,9 @@
 #[test]
 fn a_repeated_token_of_a_complete_answer_is_reported_as_doubled() {
     let answer = complete_text(7, 6) + &token(7, 2);
-    let fault = check_of(7, 6).take_whole(&answer);
+    let error = check_of(7, 6).check_answer(&answer);
     assert!(
-        matches!(fault, Err(check::AnswerFault::Doubled { .. })),
-        "{fault:?}"
+        matches!(error, Err(check::AnswerError::Doubled { .. })),
+        "{error:?}"
     );
 }
--- a/crates/load/tests/configuration.rs
+++ b/crates/load/tests/configuration.rs
@@ -46,9 +46,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replaced_entry_gets_the_configuration_from_peers_while_the_log_is_down() {
-    // Guards against an entry VM that is replaced during an outage of the log and serves nothing, or
-    // uses an old configuration, because only the log can supply it. A change is accepted, the log
-    // goes down, and one VM is replaced.
+    // Guards against an entry VM that is replaced during an outage of the log and serves nothing,
+    // or uses an old configuration, because only the log can supply it. A change is accepted, the
+    // log goes down, and one VM is replaced.
     let mut env = env::TestEnv::start(3).await;
     env.change(0, 1, weight(5.0)).await;
     for entry in 0..3 {
--- a/crates/load/tests/crashing.rs
+++ b/crates/load/tests/crashing.rs
@@ -24,8 +24,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crashing_request_takes_down_at_most_two_engines_and_is_quarantined() {
     // Guards against one caller that takes all engines down by repeating a request. The request
-    // crashes the engine that runs it, and the caller repeats it through any listed entry VM. Without
-    // shared state, each attempt and each entry VM would not know of the earlier crashes.
+    // crashes the engine that runs it, and the caller repeats it through any listed entry VM.
+    // Without shared state, each attempt and each entry VM would not know of the earlier crashes.
     let env = env::TestEnv::start(3).await;
     let crashing = chat("review this dossier [[crash]]");
     for entry in [0, 1, 2, 0, 1, 2] {
--- a/crates/load/tests/placement.rs
+++ b/crates/load/tests/placement.rs
@@ -18,8 +18,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rollout_keeps_the_minimum_number_of_engines_serving() {
     // Guards against a rollout that unloads a model from too many engines, so that callers are
-    // refused. A change requests another version and several entry VMs send orders concurrently, each
-    // of which may count the same engines as free to change.
+    // refused. A change requests another version and several entry VMs send orders concurrently,
+    // each of which may count the same engines as free to change.
     let env = env::TestEnv::start(3).await;
     let min_engines = env.site.configuration.inventory.models["review-llm"].min_engines as usize;
     let all = env.site.engines.len();
--- a/crates/load/tests/report.rs
+++ b/crates/load/tests/report.rs
@@ -10,8 +10,8 @@
     let step = time::Duration::from_millis(20);
     for call in 0..200_u64 {
         let mut record = record::CallRecord::begin(0, class::TrafficClass::Urgent);
-        record.take_token(time::Duration::from_millis(stall_ms + call % 7), step, step);
-        record.take_token(
+        record.add_token(time::Duration::from_millis(stall_ms + call % 7), step, step);
+        record.add_token(
             time::Duration::ZERO,
             step + time::Duration::from_millis(1),
             step,
@@ -78,9 +78,9 @@
 fn an_additional_broken_answer_is_worse_regardless_of_times() {
     let mut measure = measured(20);
     let seen = "token 3 came again".to_owned();
-    measure.add_fault(
+    measure.add_error(
         class::TrafficClass::Urgent,
-        &check::AnswerFault::Doubled { seen },
+        &check::AnswerError::Doubled { seen },
     );
     let after = report::RunReport::of("small", 3, 1_000, &measure);
     let comparison =
--- a/tests/openai-client.sh
+++ b/tests/openai-client.sh
@@ -5,7 +5,7 @@
 #   tests/openai-client.sh 127.0.0.1:21101 pw-key-fleet-office review-llm
 #
 # PACKAGE is the pip requirement, `openai` by default; `openai==2.8.1` pins the version. It is
-# installed into a temporary environment. Exit codes: 0 all checks passed, 1 a check failed, 2 usage.
+# installed into a temporary environment. Exit codes: 0 all passed, 1 a check failed, 2 wrong usage.
 set -euo pipefail
 if [ $# -lt 3 ]; then
     sed -n '2,8s/^# \{0,1\}//p' "$0" >&2
