--- a/crates/load/benches/relay/client.rs
+++ b/crates/load/benches/relay/client.rs
@@ -128,7 +128,7 @@
     outcome
 }
 
-/// Extracts the send time from the text of a token without parsing the whole line.
+/// Extracts the send time from the text of a token without parsing the complete line.
 fn sent_us(line: &[u8]) -> Option<u64> {
     const KEYS: [&[u8]; 2] = [b"\"content\":\"", b"\"text\":\""];
     let start = KEYS.iter().find_map(|key| {
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -11,7 +11,8 @@
 pub struct CompareThresholds {
     /// Minimum relative increase: a time is worse only if it grew by more than this fraction.
     pub fraction: f64,
-    /// Minimum absolute increase, in the unit of the measure, so that noise of a fraction of a millisecond does not count.
+    /// Minimum absolute increase, in the unit of the measure, so that noise of a fraction of a
+    /// millisecond does not count.
     pub floor: f64,
 }
 
--- a/crates/load/src/demo.rs
+++ b/crates/load/src/demo.rs
@@ -59,9 +59,9 @@
         scenario.faults.clear();
     }
     let mut configuration = example.configuration()?;
-    shrink(&mut configuration.inventory);
+    reduce_inventory(&mut configuration.inventory);
     let env = env::TestEnv::start(configuration).await?;
-    announce(&env, &scenario);
+    print_setup(&env, &scenario);
     let total = arrival::plan_calls(&scenario).len() as u64;
     let run = runner::ScenarioRun::new(scenario, &env.callers())?;
     let injector = sync::Arc::new(EnvFaultInjector {
@@ -82,7 +82,7 @@
 }
 
 /// Reduces the inventory to fewer entry VMs and to engines with less memory.
-fn shrink(inventory: &mut inventory::Inventory) {
+fn reduce_inventory(inventory: &mut inventory::Inventory) {
     let surplus: Vec<String> = inventory
         .entry_vms
         .keys()
@@ -102,7 +102,7 @@
     }
 }
 
-fn announce(env: &env::TestEnv, scenario: &scenario::LoadScenario) {
+fn print_setup(env: &env::TestEnv, scenario: &scenario::LoadScenario) {
     println!(
         "{} entry VMs, {} model engines, {} plain service servers, log, weight store and VM list on loopback",
         env.entries.len(),
--- a/crates/load/src/perform.rs
+++ b/crates/load/src/perform.rs
@@ -75,7 +75,7 @@
             };
             let outcome = match generation.delivery {
                 arrival::CallDelivery::Streamed => run.stream(&request).await,
-                arrival::CallDelivery::Whole => run.whole(&request).await,
+                arrival::CallDelivery::Whole => run.complete(&request).await,
                 arrival::CallDelivery::RespondAsync => run.respond_async(&request).await,
             };
             run.record.outcome = outcome.unwrap_or_else(|outcome| outcome);
@@ -214,7 +214,7 @@
         Ok(())
     }
 
-    async fn whole(&mut self, request: &RequestParts) -> CallResult {
+    async fn complete(&mut self, request: &RequestParts) -> CallResult {
         let caller = self.caller;
         let exchanged = caller
             .exchange(&mut self.record, |address| request.build(caller, address))
--- a/crates/load/tests/bad_input.rs
+++ b/crates/load/tests/bad_input.rs
@@ -39,7 +39,7 @@
 /// Returns the status and the refusal of a response, which must contain one.
 async fn refusal_of(response: reqwest::Response) -> (u16, refusal::RefusalBody) {
     let status = response.status().as_u16();
-    let text = response.text().await.expect("a whole body");
+    let text = response.text().await.expect("a complete body");
     let envelope: refusal::RefusalEnvelope =
         serde_json::from_str(&text).unwrap_or_else(|error| panic!("{error}: {text}"));
     (status, envelope.error)
@@ -139,12 +139,12 @@
         "Authorization",
     )
     .await;
-    let stranger = env
+    let request = env
         .client
         .post(&url)
         .bearer_auth("stolen")
         .json(&chat("review-llm", "x"));
-    let response = stranger.send().await.expect("an answer");
+    let response = request.send().await.expect("an answer");
     expect_refusal(response, Code::Unauthenticated, "key").await;
     assert_eq!(env.site.live_generations(), 0);
     expect_health(&env).await;
--- a/crates/load/tests/bad_streams.rs
+++ b/crates/load/tests/bad_streams.rs
@@ -128,7 +128,7 @@
     let after_tokens = Some(3);
     apply_to_all(&env, &engine::EngineFault::Truncate { after_tokens });
     let response = env.post(0, CHAT, &chat(20, 4)).await;
-    let text = response.text().await.expect("a whole body");
+    let text = response.text().await.expect("a complete body");
     assert_eq!(read_stream(&text, 4, 20), Ok(()), "{text}");
 }
 
@@ -142,7 +142,7 @@
         let response = env.post(0, CHAT, &chat(20, 5)).await;
         (
             response.status().as_u16(),
-            response.text().await.expect("a whole body"),
+            response.text().await.expect("a complete body"),
         )
     });
     let (status, text) = answer.await.expect("an answer in time");
@@ -161,7 +161,7 @@
     env.site.engines["engine-3"].apply(&engine::EngineFault::Nonsense { on: true });
     for mark in 0..40 {
         let response = env.post(0, CHAT, &chat(4, mark)).await;
-        let text = response.text().await.expect("a whole body");
+        let text = response.text().await.expect("a complete body");
         assert_eq!(read_stream(&text, mark, 4), Ok(()), "{text}");
     }
 }
--- a/tests/openai_client.py
+++ b/tests/openai_client.py
@@ -39,7 +39,9 @@
     check(is_complete(short.choices[0].message.content, 7), "limited answer: 7 tokens")
     check(short.choices[0].finish_reason == "length", "limited answer: finish_reason is length")
     plain = client.completions.create(model=model, prompt=PROMPT, max_tokens=200)
-    check(is_complete(plain.choices[0].text, TOKENS), "plain completion: every token once, in order")
+    check(
+        is_complete(plain.choices[0].text, TOKENS), "plain completion: every token once, in order"
+    )
 
 
 def streamed_answer(client: openai.OpenAI, model: str) -> None:
