--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -1,4 +1,4 @@
-//! Compares two saved runs and gives a verdict.
+//! Compares two saved runs and derives a verdict.
 
 use std::fmt;
 
@@ -6,32 +6,33 @@
 
 use crate::report;
 
-/// From when on a difference counts.
+/// Thresholds above which a difference is significant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompareThresholds {
-    /// A time is worse when it grew by more than this fraction of the earlier one...
+    /// Minimum relative increase: a time is worse only if it grew by more than this fraction.
     pub fraction: f64,
-    /// ...and by more than this, so that noise of a fraction of a millisecond is none.
-    pub floor_ms: f64,
+    /// Minimum absolute increase, in the unit of the measure, so that noise of a fraction of a
+    /// millisecond does not count.
+    pub floor: f64,
 }
 
 impl Default for CompareThresholds {
     fn default() -> Self {
         Self {
             fraction: 0.15,
-            floor_ms: 5.0,
+            floor: 5.0,
         }
     }
 }
 
-/// How the later run stands against the earlier one.
+/// Result of comparing the later run with the earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CompareVerdict {
-    /// Something is better, nothing worse.
+    /// At least one measure is better and none is worse.
     Better,
     /// No difference beyond the thresholds.
     Same,
-    /// Something is worse.
+    /// At least one measure is worse.
     Worse,
 }
 
@@ -50,20 +51,20 @@
 pub struct MeasureRow {
     /// Class and measure.
     pub name: String,
-    /// In the earlier run.
+    /// Value in the earlier run.
     pub before: f64,
-    /// In the later run.
+    /// Value in the later run.
     pub after: f64,
-    /// How it changed.
+    /// Verdict on the change.
     pub verdict: CompareVerdict,
 }
 
-/// Two runs side by side.
+/// Comparison of two runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunComparison {
     /// One row for each measure.
     pub rows: Vec<MeasureRow>,
-    /// What makes the runs hard to compare, in words.
+    /// Differences that limit the comparability of the runs.
     pub remarks: Vec<String>,
 }
 
@@ -84,7 +85,7 @@
         }
         if let (Some(before), Some(after)) = (before.preemptions, after.preemptions) {
             let count = CompareThresholds {
-                floor_ms: PREEMPTION_FLOOR,
+                floor: PREEMPTION_FLOOR,
                 ..thresholds
             };
             rows.push(row_of("preemptions", before as f64, after as f64, count));
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Worse when any measure is worse; better when one is better and none worse.
+    /// Returns `Worse` if any measure is worse, `Better` if one is better and none is worse.
     #[must_use]
     pub fn verdict(&self) -> CompareVerdict {
         let verdicts = || self.rows.iter().map(|row| row.verdict);
@@ -106,7 +107,7 @@
     }
 }
 
-/// Preemptions by which two runs may differ without a verdict.
+/// Difference in preemptions up to which two runs count as the same.
 const PREEMPTION_FLOOR: f64 = 2.0;
 
 fn push_class_rows(
@@ -135,7 +136,7 @@
         |count: u64, of: &report::ClassReport| 100.0 * count as f64 / of.requests.max(1) as f64;
     let percent = CompareThresholds {
         fraction: 0.0,
-        floor_ms: REFUSED_FLOOR_PERCENT,
+        floor: REFUSED_FLOOR_PERCENT,
     };
     let refused = (
         share(before.refused + before.ended, before),
@@ -149,17 +150,18 @@
     ));
     let none = CompareThresholds {
         fraction: 0.0,
-        floor_ms: 0.0,
+        floor: 0.0,
     };
     let broken = (before.broken() as f64, after.broken() as f64);
     rows.push(row_of(&format!("{class} broken"), broken.0, broken.1, none));
 }
 
-/// Share of refusals, in percent, by which two runs may differ without a verdict.
+/// Difference in the share of refusals, in percentage points, up to which two runs count as the
+/// same.
 const REFUSED_FLOOR_PERCENT: f64 = 1.0;
 
 fn row_of(name: &str, before: f64, after: f64, thresholds: CompareThresholds) -> MeasureRow {
-    let margin = (before * thresholds.fraction).max(thresholds.floor_ms);
+    let margin = (before * thresholds.fraction).max(thresholds.floor);
     let verdict = if after > before + margin {
         CompareVerdict::Worse
     } else if after < before - margin {
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,18 +1,19 @@
 //! Seeded load, experiments and the demonstration.
 //!
-//! [`scenario`] says who calls, [`arrival`] fixes every call ahead from the seed, [`perform`] makes
-//! a call through a [`caller`], [`check`] judges each answer, [`measure`] gathers what callers
-//! felt, and [`report`], [`compare`] and [`plot`] show it.
+//! [`scenario`] defines the workloads, [`arrival`] plans every call in advance from the seed,
+//! [`perform`] makes a call through a [`caller`], [`check`] verifies each answer, [`measure`]
+//! collects the latencies and outcomes that callers observe, and [`report`], [`compare`] and
+//! [`plot`] present them.
 
 pub mod arrival;
 pub mod body;
-pub mod book;
 pub mod caller;
 pub mod check;
 pub mod cli;
 pub mod command;
 pub mod compare;
 pub mod demo;
+pub mod directory;
 pub mod env;
 pub mod exit;
 pub mod length;
