--- a/crates/flow/benches/relay/latency.rs
+++ b/crates/flow/benches/relay/latency.rs
@@ -58,7 +58,7 @@
         name: String::new(),
         address,
     };
-    let order = port::StartOrder {
+    let start_request = port::StartRequest {
         id: id::GenerationId(u128::from(number)),
         model: "review-llm".to_owned(),
         adapter: None,
@@ -68,7 +68,10 @@
         seed: None,
     };
     let permit = proof::StartPermit::for_tests().send::<proof::CallKind>().0;
-    let mut events = engines.start(&target, &order, permit).await.unwrap();
+    let mut events = engines
+        .start(&target, &start_request, permit)
+        .await
+        .unwrap();
     let mut times = Vec::new();
     loop {
         match events.next().await.unwrap().event {
--- a/crates/flow/benches/relay/main.rs
+++ b/crates/flow/benches/relay/main.rs
@@ -121,11 +121,11 @@
     async fn start(
         &self,
         _target: &port::ServerTarget,
-        order: &port::StartOrder,
+        start_request: &port::StartRequest,
         _permit: proof::SendPermit,
     ) -> Result<ReadyEvents, link_error::StartError> {
         Ok(ReadyEvents {
-            generation: order.id,
+            generation: start_request.id,
             reader: sse::EventReader::default(),
             next: 0,
             tokens: self.tokens,
--- a/crates/flow/src/attempt.rs
+++ b/crates/flow/src/attempt.rs
@@ -103,7 +103,7 @@
         shared: sync::Arc<shared::SharedPlane<P>>,
         request: id::RequestId,
         target: port::ServerTarget,
-        order: &port::StartOrder,
+        start_request: &port::StartRequest,
         permit: proof::StartPermit,
         silent_limit: Duration,
     ) -> proof::AttemptOutcome<
@@ -113,7 +113,7 @@
         let (send, ticket) = permit.send();
         let limit = shared.settings.call_timeout;
         let answer = {
-            let start = shared.ports.engines().start(&target, order, send);
+            let start = shared.ports.engines().start(&target, start_request, send);
             time::timeout(limit, start).await
         };
         let reconnect_timeout = shared.settings.opening_reconnect_timeout;
@@ -121,7 +121,7 @@
             shared,
             request,
             target,
-            order.id,
+            start_request.id,
             0,
             silent_limit,
             reconnect_timeout,
--- a/crates/flow/src/deduplicate.rs
+++ b/crates/flow/src/deduplicate.rs
@@ -111,7 +111,7 @@
             })
         };
         let request = match self.claim_request(&input.facts, &input.stage.terms) {
-            Ok(Some(ask)) => ask,
+            Ok(Some(request)) => request,
             Ok(None) => return Ok(claimed(input, None)),
             Err(body) => return Err(input.refused(body).into()),
         };
--- a/crates/flow/src/http.rs
+++ b/crates/flow/src/http.rs
@@ -117,14 +117,14 @@
     async fn start(
         &self,
         target: &port::ServerTarget,
-        order: &port::StartOrder,
+        start_request: &port::StartRequest,
         permit: proof::SendPermit,
     ) -> Result<HttpEvents, link_error::StartError> {
         let url = format!("http://{}/v1/generations", target.address);
         let server = || target.name.clone();
-        match self.pooled.post(url).json(order).send().await {
+        match self.pooled.post(url).json(start_request).send().await {
             Ok(response) if response.status().is_success() => {
-                Ok(events_of(response, target, order.id))
+                Ok(events_of(response, target, start_request.id))
             }
             Ok(response) => Err(link_error::StartError::Declined {
                 server: server(),
--- a/crates/flow/src/memory.rs
+++ b/crates/flow/src/memory.rs
@@ -124,7 +124,7 @@
 impl port::Scheduler for MemorySchedule {
     type Grant = MemoryGrant;
 
-    fn early_refusal(&self, _ask: &port::AdmissionRequest) -> Option<refusal::RefusalBody> {
+    fn early_refusal(&self, _request: &port::AdmissionRequest) -> Option<refusal::RefusalBody> {
         None
     }
 
--- a/crates/flow/src/port.rs
+++ b/crates/flow/src/port.rs
@@ -26,7 +26,7 @@
 /// Body of a request to start a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
-pub struct StartOrder {
+pub struct StartRequest {
     /// ID drawn for this attempt alone.
     pub id: id::GenerationId,
     /// The model.
@@ -135,7 +135,7 @@
     fn start(
         &self,
         target: &ServerTarget,
-        order: &StartOrder,
+        start_request: &StartRequest,
         permit: proof::SendPermit,
     ) -> impl Future<Output = Result<Self::Events, link_error::StartError>> + Send;
 
--- a/crates/flow/src/running.rs
+++ b/crates/flow/src/running.rs
@@ -89,12 +89,12 @@
             facts.id,
             dispatched(facts, &self.target, self.grant.reason()),
         );
-        let order = start_order(shared, &facts.work, self.grant.priority());
+        let start_request = start_request(shared, &facts.work, self.grant.priority());
         let outcome = attempt::LiveAttempt::start(
             shared.clone(),
             facts.id,
             self.target.clone(),
-            &order,
+            &start_request,
             permit,
             silent_limit(&facts.view),
         );
@@ -122,7 +122,7 @@
             } => {
                 let lost = settle::LostAttempt {
                     target: self.target,
-                    generation: order.id,
+                    generation: start_request.id,
                     ticket,
                 };
                 let declined = attempt::LossKind::Declined;
@@ -252,12 +252,12 @@
     settled
 }
 
-fn start_order<P: port::PortSet>(
+fn start_request<P: port::PortSet>(
     shared: &shared::SharedPlane<P>,
     work: &request::GenerationWork,
     priority: u8,
-) -> port::StartOrder {
-    port::StartOrder {
+) -> port::StartRequest {
+    port::StartRequest {
         id: shared.draw_generation(),
         model: work.model.clone(),
         adapter: work.adapter.clone(),
--- a/crates/flow/tests/http.rs
+++ b/crates/flow/tests/http.rs
@@ -20,8 +20,8 @@
     }
 }
 
-fn order(number: u128, prompt: &str) -> port::StartOrder {
-    port::StartOrder {
+fn start_request(number: u128, prompt: &str) -> port::StartRequest {
+    port::StartRequest {
         id: id::GenerationId(number),
         model: "review-llm".to_owned(),
         adapter: None,
@@ -63,7 +63,7 @@
     let target = target(server.address());
     let engines = http::HttpEngines::new().unwrap();
     let events = engines
-        .start(&target, &order(1, "[[len=6]]"), permit())
+        .start(&target, &start_request(1, "[[len=6]]"), permit())
         .await
         .unwrap();
     let (numbers, report) = read(events).await;
@@ -93,7 +93,7 @@
     let answer = engines.cancel(&target, id::GenerationId(2)).await.unwrap();
     assert_eq!(answer, port::CancelAnswer::Remembered);
     let late = engines
-        .start(&target, &order(2, "[[len=6]]"), permit())
+        .start(&target, &start_request(2, "[[len=6]]"), permit())
         .await;
     assert!(matches!(
         late,
@@ -108,7 +108,9 @@
 async fn only_a_connection_that_never_opened_proves_a_call_did_not_run() {
     let unreachable = target(unused_address().await);
     let engines = http::HttpEngines::new().unwrap();
-    let started = engines.start(&unreachable, &order(3, "x"), permit()).await;
+    let started = engines
+        .start(&unreachable, &start_request(3, "x"), permit())
+        .await;
     assert!(matches!(
         started,
         Err(link_error::StartError::NeverSent { .. })
--- a/crates/flow/tests/plane/links.rs
+++ b/crates/flow/tests/plane/links.rs
@@ -171,27 +171,28 @@
     async fn start(
         &self,
         target: &port::ServerTarget,
-        order: &port::StartOrder,
+        start_request: &port::StartRequest,
         permit: proof::SendPermit,
     ) -> Result<StandEvents, link_error::StartError> {
         self.switch.pass().await;
         let call = engine::StartCall {
-            id: order.id,
-            model: order.model.clone(),
-            adapter: order.adapter.clone(),
-            prompt: order.prompt.clone(),
-            max_tokens: order.max_tokens,
-            priority: order.priority,
-            seed: order.seed,
+            id: start_request.id,
+            model: start_request.model.clone(),
+            adapter: start_request.adapter.clone(),
+            prompt: start_request.prompt.clone(),
+            max_tokens: start_request.max_tokens,
+            priority: start_request.priority,
+            seed: start_request.seed,
         };
         let server = target.name.clone();
         let started = self.handles[&target.key].start(call).await;
         if matches!(started, Ok(_) | Err(engine::EngineError::AnswerLost)) {
-            self.chaos.started(order.id, mark_of(&order.prompt));
+            self.chaos
+                .started(start_request.id, mark_of(&start_request.prompt));
         }
         self.switch.pass().await;
         match started {
-            Ok(stream) => Ok(self.events(stream, order.id)),
+            Ok(stream) => Ok(self.events(stream, start_request.id)),
             Err(engine::EngineError::Down) => Err(link_error::StartError::NeverSent {
                 evidence: permit.never_sent(),
                 server,
