--- a/crates/flow/src/attempt.rs
+++ b/crates/flow/src/attempt.rs
@@ -81,8 +81,8 @@
     request: id::RequestId,
     target: port::ServerTarget,
     cursor: cursor::StreamCursor,
-    gauge: silence::SilenceDetector,
-    /// Fires no later than the gauge's deadline, which is then checked again.
+    detector: silence::SilenceDetector,
+    /// Fires no later than the detector's deadline, which is then checked again.
     timer: pin::Pin<Box<time::Sleep>>,
     /// Events of the open connection; `None` while disconnected.
     events: Option<LinkEvents<P>>,
@@ -105,7 +105,7 @@
         target: port::ServerTarget,
         start_request: &port::StartRequest,
         permit: proof::StartPermit,
-        silent_limit: Duration,
+        silence_timeout: Duration,
     ) -> proof::AttemptOutcome<
         (Self, proof::AttemptTicket<proof::GenerationKind>),
         proof::GenerationKind,
@@ -123,7 +123,7 @@
             target,
             start_request.id,
             0,
-            silent_limit,
+            silence_timeout,
             reconnect_timeout,
         );
         match answer {
@@ -164,14 +164,14 @@
         from: u32,
         limits: (Duration, Duration),
     ) -> Self {
-        let (silent_limit, reconnect_timeout) = limits;
+        let (silence_timeout, reconnect_timeout) = limits;
         Self::new(
             shared,
             request,
             target,
             generation,
             from,
-            silent_limit,
+            silence_timeout,
             reconnect_timeout,
         )
     }
@@ -182,19 +182,22 @@
         target: port::ServerTarget,
         generation: id::GenerationId,
         from: u32,
-        silent_limit: Duration,
+        silence_timeout: Duration,
         reconnect_timeout: Duration,
     ) -> Self {
         let now = time::Instant::now();
-        let gauge =
-            silence::SilenceDetector::new(shared.settings.min_silence_timeout, silent_limit, now);
+        let detector = silence::SilenceDetector::new(
+            shared.settings.min_silence_timeout,
+            silence_timeout,
+            now,
+        );
         Self {
             shared,
             request,
             target,
             cursor: cursor::StreamCursor::new(generation, from),
-            timer: Box::pin(time::sleep_until(gauge.give_up_at())),
-            gauge,
+            timer: Box::pin(time::sleep_until(detector.give_up_at())),
+            detector,
             events: None,
             broken_at: None,
             reconnect_timeout,
@@ -281,7 +284,7 @@
 
     /// Resets the timer only when it fires, so that a token costs no timer operation.
     fn timer_fired(&mut self) {
-        let give_up_at = self.gauge.give_up_at();
+        let give_up_at = self.detector.give_up_at();
         if give_up_at <= time::Instant::now() {
             self.connection_failed("silent");
         } else {
@@ -294,12 +297,12 @@
         match self.cursor.accept(tagged) {
             cursor::CursorStep::Deliver { index, text } => {
                 self.mark_working();
-                self.gauge.token(now);
+                self.detector.token(now);
                 return Some(AttemptStep::Token { index, text });
             }
             cursor::CursorStep::Alive | cursor::CursorStep::Repeated => {
                 self.mark_working();
-                self.gauge.alive(now);
+                self.detector.alive(now);
             }
             cursor::CursorStep::Foreign => {
                 metrics::counter!("pollenchute_flow_foreign_events_total").increment(1);
@@ -405,8 +408,8 @@
 
     fn connection_opened(&mut self, events: LinkEvents<P>) {
         self.events = Some(events);
-        self.gauge.alive(time::Instant::now());
-        let give_up_at = self.gauge.give_up_at();
+        self.detector.alive(time::Instant::now());
+        let give_up_at = self.detector.give_up_at();
         self.timer.as_mut().reset(give_up_at);
     }
 }
--- a/crates/flow/src/continuation.rs
+++ b/crates/flow/src/continuation.rs
@@ -54,8 +54,8 @@
         if facts.vm != shared.settings.vm {
             shared.ports.peers().adopted(&facts.vm, facts.generation);
         }
-        let silent_limit = running::silent_limit(&known.facts.view);
-        let live = self.connect(&facts, target, from, silent_limit).await?;
+        let silence_timeout = running::silence_timeout(&known.facts.view);
+        let live = self.connect(&facts, target, from, silence_timeout).await?;
         let (writer_end, stream) = pipe::pipe();
         let run_guard = shared
             .crash_tracker
@@ -66,7 +66,7 @@
             content: facts.content,
             arrived_at: known.facts.arrived_at,
             live,
-            flowing: proof::RelayedAttempt::continued(),
+            relayed: proof::RelayedAttempt::continued(),
             resources: relay::StreamResources {
                 grant: None,
                 quota: None,
@@ -95,10 +95,10 @@
         facts: &token::ContinuationFacts,
         target: port::ServerTarget,
         from: u32,
-        silent_limit: Duration,
+        silence_timeout: Duration,
     ) -> Result<attempt::LiveAttempt<P>, refused::Refused> {
         let shared = self.shared();
-        let limits = (silent_limit, shared.settings.opening_reconnect_timeout);
+        let limits = (silence_timeout, shared.settings.opening_reconnect_timeout);
         let mut live = attempt::LiveAttempt::continued(
             shared.clone(),
             facts.request,
--- a/crates/flow/src/plane.rs
+++ b/crates/flow/src/plane.rs
@@ -279,14 +279,14 @@
         self.record_first_token(&facts, &running.live);
         let mut live = running.live;
         live.set_reconnect_timeout(claimed.terms.time_limit.min(MAX_RECONNECT_TIMEOUT));
-        let flowing = relay::StreamRelay {
+        let relay = relay::StreamRelay {
             reader: self.shared.readers.enter(live.generation()),
             shared: self.shared.clone(),
             request: facts.id,
             content: work.content,
             arrived_at: facts.arrived_at,
             live,
-            flowing: running.ticket.into_relayed(),
+            relayed: running.ticket.into_relayed(),
             resources: relay::StreamResources {
                 grant: Some(running.grant),
                 quota: Some(claimed.quota),
@@ -305,7 +305,7 @@
         drop(facts);
         tokio::spawn(async move {
             let _pass = pass;
-            flowing.run(Some(step)).await;
+            relay.run(Some(step)).await;
         });
         reply
     }
--- a/crates/flow/src/relay.rs
+++ b/crates/flow/src/relay.rs
@@ -38,7 +38,7 @@
     pub(crate) arrived_at: time::Instant,
     pub(crate) live: attempt::LiveAttempt<P>,
     /// Proof that tokens were delivered: only the same generation may continue the answer.
-    pub(crate) flowing: proof::RelayedAttempt,
+    pub(crate) relayed: proof::RelayedAttempt,
     pub(crate) resources: StreamResources<P>,
     pub(crate) writer: chunk::ChunkWriter,
     pub(crate) pipe: pipe::PipeWriter,
@@ -220,7 +220,7 @@
     /// Ends the caller's stream with a refusal, which links to the rest if `can_continue`.
     fn end_early(&self, code: refusal::RefusalCode, message: String, can_continue: bool) {
         let body = shared::retryable_refusal(code, message, LOST_RETRY);
-        let refused = self.flowing.refused(body);
+        let refused = self.relayed.refused(body);
         let body = refused.body();
         self.shared.record(
             self.request,
--- a/crates/flow/src/running.rs
+++ b/crates/flow/src/running.rs
@@ -96,7 +96,7 @@
             self.target.clone(),
             &start_request,
             permit,
-            silent_limit(&facts.view),
+            silence_timeout(&facts.view),
         );
         let server = self.target.key;
         match outcome.await {
@@ -282,6 +282,6 @@
     }
 }
 
-pub(crate) fn silent_limit(view: &view::PlaneView) -> Duration {
+pub(crate) fn silence_timeout(view: &view::PlaneView) -> Duration {
     Duration::from_millis(view.config.rules().time_limits.silent_connection_ms)
 }
--- a/crates/flow/src/shared.rs
+++ b/crates/flow/src/shared.rs
@@ -58,13 +58,13 @@
     }
 
     /// Counts a first attempt, or takes a retry from the budget.
-    pub(crate) fn take_attempt(&self, tries: u32, fraction: f64) -> Result<(), Duration> {
+    pub(crate) fn take_attempt(&self, attempts: u32, fraction: f64) -> Result<(), Duration> {
         let now = time::Instant::now();
         let mut budget = self
             .budget
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner);
-        if tries == 0 {
+        if attempts == 0 {
             budget.record_first_attempt(now);
             return Ok(());
         }
