--- a/crates/entry/src/http/caller.rs
+++ b/crates/entry/src/http/caller.rs
@@ -65,20 +65,16 @@
     head: head::CallHead,
     data: data::Data<'_>,
     entry: &state::EntryState,
-    face: body::CompletionApi,
+    api: body::CompletionApi,
 ) -> GenerationAnswer {
     let bytes = match read_json(&head, data, entry).await {
         Ok(bytes) => bytes,
         Err(refused) => return GenerationAnswer::Whole(refused),
     };
     if head.respond_async {
-        return GenerationAnswer::Whole(accept(head, face, bytes, entry).await);
+        return GenerationAnswer::Whole(accept(head, api, bytes, entry).await);
     }
-    match entry
-        .plane
-        .generate(caller_headers(head), face, bytes)
-        .await
-    {
+    match entry.plane.generate(caller_headers(head), api, bytes).await {
         Ok(plane::GenerationReply::Complete { request, body }) => {
             let headers = vec![answer::HeaderLine {
                 name: REQUEST_ID,
@@ -99,13 +95,13 @@
 /// Accepts work to be fetched later.
 async fn accept(
     head: head::CallHead,
-    face: body::CompletionApi,
+    api: body::CompletionApi,
     bytes: Bytes,
     entry: &state::EntryState,
 ) -> WholeAnswer {
     match entry
         .plane
-        .accept_job(caller_headers(head), face, bytes)
+        .accept_job(caller_headers(head), api, bytes)
         .await
     {
         Ok(request) => {
--- a/crates/flow/benches/promises.rs
+++ b/crates/flow/benches/promises.rs
@@ -65,19 +65,19 @@
             min_silence_timeout: Some(floor),
             ..cluster::ClusterOptions::default()
         };
-        let world = cluster::TestCluster::new(&plan);
-        for engine in &world.engines {
+        let cluster = cluster::TestCluster::new(&plan);
+        for engine in &cluster.engines {
             engine.apply(&engine::EngineFault::Slow {
                 factor: slow_factor,
             });
         }
-        let mut reply = stream(&world.planes[0], 1, 200).await;
+        let mut reply = stream(&cluster.planes[0], 1, 200).await;
         let mut transcript = callers::Transcript::default();
         let before = 5 + number as usize % 7;
         transcript.read(&mut reply.stream, before).await;
         time::sleep(Duration::from_millis(u64::from(number) * 3)).await;
         let reached = transcript.tokens.len();
-        for engine in &world.engines {
+        for engine in &cluster.engines {
             engine.apply(&engine::EngineFault::Silence);
         }
         let silent_at = time::Instant::now();
@@ -113,16 +113,16 @@
                 abandon_after,
                 ..cluster::ClusterOptions::default()
             };
-            let world = sync::Arc::new(cluster::TestCluster::new(&plan));
-            world.engines[0].apply(&engine::EngineFault::Hang { on: true });
+            let cluster = sync::Arc::new(cluster::TestCluster::new(&plan));
+            cluster.engines[0].apply(&engine::EngineFault::Hang { on: true });
             let mut requests = task::JoinSet::new();
             for mark in 0..60 {
-                let world = world.clone();
+                let cluster = cluster.clone();
                 requests.spawn(async move {
                     time::sleep(Duration::from_millis(u64::from(mark) * 50)).await;
                     let sent_at = time::Instant::now();
                     let body = callers::chat(mark, 20, false, "");
-                    let reply = callers::generate(&world.planes[0], body).await;
+                    let reply = callers::generate(&cluster.planes[0], body).await;
                     (reply.is_ok(), sent_at.elapsed().as_millis())
                 });
             }
@@ -191,9 +191,9 @@
         suspects: limits,
         ..cluster::ClusterOptions::default()
     };
-    let world = sync::Arc::new(cluster::TestCluster::new(&plan));
+    let cluster = sync::Arc::new(cluster::TestCluster::new(&plan));
     let deaths = sync::Arc::new(sync::atomic::AtomicUsize::new(0));
-    for engine in world.engines.clone() {
+    for engine in cluster.engines.clone() {
         let deaths = deaths.clone();
         tokio::spawn(async move {
             loop {
@@ -207,14 +207,14 @@
     let began_at = time::Instant::now();
     let mut innocents = task::JoinSet::new();
     for mark in 1..=72 {
-        let world = world.clone();
+        let cluster = cluster.clone();
         innocents.spawn(async move {
-            let sends = send_until_answered(&world, mark, "").await;
+            let sends = send_until_answered(&cluster, mark, "").await;
             (sends, time::Instant::now())
         });
     }
     time::sleep(Duration::from_millis(100)).await;
-    send_until_answered(&world, 100, "[[crash]]").await;
+    send_until_answered(&cluster, 100, "[[crash]]").await;
     let outcomes = innocents.join_all().await;
     let sends: Vec<u32> = outcomes.iter().filter_map(|(sends, _)| *sends).collect();
     let last = outcomes.iter().map(|(_, at)| *at).max().unwrap_or(began_at);
@@ -228,10 +228,14 @@
 
 /// Sends a request until it is answered and returns the number of sends; `None` if it is refused
 /// for good or never answered.
-async fn send_until_answered(world: &cluster::TestCluster, mark: u32, extra: &str) -> Option<u32> {
+async fn send_until_answered(
+    cluster: &cluster::TestCluster,
+    mark: u32,
+    extra: &str,
+) -> Option<u32> {
     for sends in 1..=30 {
         let body = callers::chat(mark, 40, false, extra);
-        match callers::generate(&world.planes[0], body).await {
+        match callers::generate(&cluster.planes[0], body).await {
             Ok(plane::GenerationReply::Complete { body, .. }) => {
                 let mut transcript = callers::Transcript::default();
                 transcript.read_complete(&body);
@@ -268,14 +272,14 @@
                 engines: 9,
                 ..cluster::ClusterOptions::default()
             };
-            let world = sync::Arc::new(cluster::TestCluster::new(&plan));
+            let cluster = sync::Arc::new(cluster::TestCluster::new(&plan));
             let mut streams = task::JoinSet::new();
             for mark in 0..60 {
-                let world = world.clone();
-                streams.spawn(async move { follow(&world, mark, continues).await });
+                let cluster = cluster.clone();
+                streams.spawn(async move { follow(&cluster, mark, continues).await });
             }
             time::sleep(Duration::from_millis(600)).await;
-            world.kill_first_entry();
+            cluster.kill_first_entry();
             let _ = sender.send(streams.join_all().await);
         });
         let outcomes = receiver.recv().unwrap();
@@ -296,20 +300,20 @@
     gap_ms: u128,
 }
 
-async fn follow(world: &cluster::TestCluster, mark: u32, continues: bool) -> StreamOutcome {
+async fn follow(cluster: &cluster::TestCluster, mark: u32, continues: bool) -> StreamOutcome {
     let entry = mark as usize % 3;
-    let mut reply = stream(&world.planes[entry], mark, 150).await;
+    let mut reply = stream(&cluster.planes[entry], mark, 150).await;
     let mut transcript = callers::Transcript::default();
     let cut = tokio::select! {
         () = transcript.read(&mut reply.stream, usize::MAX) => false,
-        () = world.disconnected(entry) => true,
+        () = cluster.disconnected(entry) => true,
     };
     let cut_at = time::Instant::now();
     let mut gap_ms = 0;
     if cut && continues {
         let from = transcript.tokens.len();
         let continued =
-            world.planes[1].continue_generation(callers::headers(), &reply.token, from as u32);
+            cluster.planes[1].continue_generation(callers::headers(), &reply.token, from as u32);
         let mut reply = continued.await.expect("the stream is continued");
         transcript.read(&mut reply.stream, from + 1).await;
         gap_ms = cut_at.elapsed().as_millis();
--- a/crates/flow/benches/relay/main.rs
+++ b/crates/flow/benches/relay/main.rs
@@ -34,8 +34,8 @@
             std::hint::black_box(reader.take().unwrap());
         }
     });
-    let face = body::CompletionApi::Chat;
-    let writer = chunk::ChunkWriter::new(face, id::RequestId(1), "review-llm", 1, false);
+    let api = body::CompletionApi::Chat;
+    let writer = chunk::ChunkWriter::new(api, id::RequestId(1), "review-llm", 1, false);
     let write = per_token(|| {
         let mut out = BytesMut::new();
         for index in 0..TOKENS {
--- a/crates/flow/src/chunk.rs
+++ b/crates/flow/src/chunk.rs
@@ -10,7 +10,7 @@
 /// Writes the chunks of one stream, whose common beginning is formatted once.
 #[derive(Clone, Debug)]
 pub struct ChunkWriter {
-    face: body::CompletionApi,
+    api: body::CompletionApi,
     /// Beginning of every chunk, up to and including the bracket that opens `choices`.
     head: String,
     include_usage: bool,
@@ -60,13 +60,13 @@
     /// Creates a writer for the answer to `request`.
     #[must_use]
     pub fn new(
-        face: body::CompletionApi,
+        api: body::CompletionApi,
         request: id::RequestId,
         model: &str,
         created_s: u64,
         include_usage: bool,
     ) -> Self {
-        let (prefix, object) = match face {
+        let (prefix, object) = match api {
             body::CompletionApi::Chat => ("chatcmpl", "chat.completion.chunk"),
             body::CompletionApi::Completion => ("cmpl", "text_completion"),
         };
@@ -75,7 +75,7 @@
             r#"data: {{"id":"{prefix}-{request}","object":"{object}","created":{created_s},"model":{model},"choices":["#
         );
         Self {
-            face,
+            api,
             head,
             include_usage,
         }
@@ -84,7 +84,7 @@
     /// Writes the chunk of one token.
     pub fn token(&self, out: &mut BytesMut, index: u32, text: &str) {
         out.put_slice(self.head.as_bytes());
-        out.put_slice(match (self.face, index) {
+        out.put_slice(match (self.api, index) {
             (body::CompletionApi::Chat, 0) => {
                 br#"{"index":0,"delta":{"role":"assistant","content":"#.as_slice()
             }
@@ -94,7 +94,7 @@
         let mut writer = out.writer();
         // Writing to memory cannot fail.
         let _ = serde_json::to_writer(&mut writer, text);
-        let close = match self.face {
+        let close = match self.api {
             body::CompletionApi::Chat => "}",
             body::CompletionApi::Completion => "",
         };
@@ -108,7 +108,7 @@
     pub fn finish(&self, out: &mut BytesMut, report: &port::FinishReport) {
         let usage = serde_json::to_string(&UsageBody::of(report)).unwrap_or_default();
         let name = finish_name(report.finish);
-        let variable = match self.face {
+        let variable = match self.api {
             body::CompletionApi::Chat => r#""delta":{}"#,
             body::CompletionApi::Completion => r#""text":"""#,
         };
@@ -161,14 +161,14 @@
 /// Formats a complete answer.
 #[must_use]
 pub fn complete_answer(
-    face: body::CompletionApi,
+    api: body::CompletionApi,
     request: id::RequestId,
     model: &str,
     created_s: u64,
     text: &str,
     report: &port::FinishReport,
 ) -> String {
-    let (prefix, object) = match face {
+    let (prefix, object) = match api {
         body::CompletionApi::Chat => ("chatcmpl", "chat.completion"),
         body::CompletionApi::Completion => ("cmpl", "text_completion"),
     };
@@ -176,7 +176,7 @@
     let text = json_text(text);
     let usage = serde_json::to_string(&UsageBody::of(report)).unwrap_or_default();
     let finish = finish_name(report.finish);
-    let variable = match face {
+    let variable = match api {
         body::CompletionApi::Chat => {
             format!(r#""message":{{"role":"assistant","content":{text}}}"#)
         }
--- a/crates/flow/src/continuation.rs
+++ b/crates/flow/src/continuation.rs
@@ -159,7 +159,7 @@
 
 fn chunk_writer(facts: &token::ContinuationFacts) -> chunk::ChunkWriter {
     chunk::ChunkWriter::new(
-        facts.face(),
+        facts.api(),
         facts.request,
         &facts.model,
         facts.created_s,
--- a/crates/flow/src/deduplicate.rs
+++ b/crates/flow/src/deduplicate.rs
@@ -12,7 +12,7 @@
 };
 
 /// Maximum time by which a key may lie in the future, in milliseconds. The window of a later key
-/// would end after the claim book has forgotten it.
+/// would end after the claim store has forgotten it.
 const CLOCK_SKEW_MS: u64 = 10_000;
 
 /// Retry delay after an earlier call with the key may have run, in milliseconds.
--- a/crates/flow/src/jobs.rs
+++ b/crates/flow/src/jobs.rs
@@ -45,12 +45,12 @@
     pub async fn accept_job(
         &self,
         headers: request::CallerHeaders,
-        face: body::CompletionApi,
+        api: body::CompletionApi,
         body: Bytes,
     ) -> Result<id::RequestId, plane::RefusedRequest> {
         let arrived = self.arrive(headers, ());
         let request = arrived.facts.id;
-        match self.accept_arrived(arrived, face, body).await {
+        match self.accept_arrived(arrived, api, body).await {
             Ok(()) => Ok(request),
             Err(end) => Err(self.refused(request, end)),
         }
@@ -59,12 +59,12 @@
     async fn accept_arrived(
         &self,
         arrived: request::Request<(), request::Arrived>,
-        face: body::CompletionApi,
+        api: body::CompletionApi,
         body: Bytes,
     ) -> Result<(), filter::EarlyEnd> {
         let (arrived, _pass) = self.enter(arrived)?;
         let known = authenticate::AuthenticateFilter.apply(arrived).await?;
-        let job = match self.check_job(&known, face, &body) {
+        let job = match self.check_job(&known, api, &body) {
             Ok(job) => job,
             Err(body) => return Err(known.refused(body).into()),
         };
@@ -84,12 +84,12 @@
     fn check_job(
         &self,
         known: &request::Request<(), request::Authenticated>,
-        face: body::CompletionApi,
+        api: body::CompletionApi,
         body: &Bytes,
     ) -> Result<port::JobRecord, refusal::RefusalBody> {
         let facts = &known.facts;
         let raw = request::RawGeneration {
-            api: face,
+            api,
             body: body.clone(),
             job: true,
         };
@@ -110,7 +110,7 @@
         Ok(port::JobRecord {
             request: facts.id,
             organisation: view.map(|view| view.name.clone()).unwrap_or_default(),
-            chat: face == body::CompletionApi::Chat,
+            chat: api == body::CompletionApi::Chat,
             body: String::from_utf8_lossy(body).into_owned(),
             accepted_ms: self.shared().now_ms(),
         })
@@ -256,13 +256,13 @@
     }
 
     async fn run_once(&self, job: &port::JobRecord) -> Result<String, refusal::RefusalBody> {
-        let face = if job.chat {
+        let api = if job.chat {
             body::CompletionApi::Chat
         } else {
             body::CompletionApi::Completion
         };
         let raw = request::RawGeneration {
-            api: face,
+            api,
             body: Bytes::from(job.body.clone()),
             job: true,
         };
--- a/crates/flow/src/token.rs
+++ b/crates/flow/src/token.rs
@@ -42,7 +42,7 @@
 impl ContinuationFacts {
     /// The API format in which the stream started.
     #[must_use]
-    pub const fn face(&self) -> body::CompletionApi {
+    pub const fn api(&self) -> body::CompletionApi {
         if self.chat {
             body::CompletionApi::Chat
         } else {
--- a/crates/flow/tests/plane/basic.rs
+++ b/crates/flow/tests/plane/basic.rs
@@ -7,8 +7,8 @@
 #[test]
 fn a_stream_arrives_complete() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        let reply = callers::generate(&world.planes[0], callers::chat(7, 20, true, "")).await;
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let reply = callers::generate(&cluster.planes[0], callers::chat(7, 20, true, "")).await;
         let Ok(plane::GenerationReply::Stream(mut reply)) = reply else {
             panic!("no stream: {reply:?}");
         };
@@ -22,8 +22,8 @@
 #[test]
 fn a_non_streamed_answer_arrives_complete() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        let reply = callers::generate(&world.planes[0], callers::chat(8, 20, false, "")).await;
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let reply = callers::generate(&cluster.planes[0], callers::chat(8, 20, false, "")).await;
         let Ok(plane::GenerationReply::Complete { body, .. }) = reply else {
             panic!("no answer: {reply:?}");
         };
@@ -36,13 +36,13 @@
 #[test]
 fn an_unknown_key_is_refused_as_not_run() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let mut headers = callers::headers();
         headers.api_key = Some("nobody's".to_owned());
         let body = callers::chat(9, 5, true, "");
-        let face = flow::body::CompletionApi::Chat;
-        let refused = world.planes[0]
-            .generate(headers, face, body)
+        let api = flow::body::CompletionApi::Chat;
+        let refused = cluster.planes[0]
+            .generate(headers, api, body)
             .await
             .unwrap_err();
         assert_eq!(
--- a/crates/flow/tests/plane/callers.rs
+++ b/crates/flow/tests/plane/callers.rs
@@ -21,7 +21,7 @@
     /// Refusal that ended the stream.
     pub refusal: Option<refusal::RefusalBody>,
     /// Whether the refusal says how to continue the stream.
-    pub moved: bool,
+    pub continuable: bool,
 }
 
 pub fn headers() -> request::CallerHeaders {
@@ -81,7 +81,7 @@
         let json: serde_json::Value = serde_json::from_str(data).unwrap();
         if let Some(error) = json.get("error") {
             self.refusal = Some(serde_json::from_value(error.clone()).unwrap());
-            self.moved = json["pollenchute"].get("continue").is_some();
+            self.continuable = json["pollenchute"].get("continue").is_some();
             return;
         }
         if let Some(count) = json["usage"]["completion_tokens"].as_u64() {
--- a/crates/flow/tests/plane/calls.rs
+++ b/crates/flow/tests/plane/calls.rs
@@ -170,9 +170,9 @@
     cluster::run_paused(async {
         let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         tokio::spawn(cluster.planes[0].clone().run_jobs());
-        let face = flow::body::CompletionApi::Chat;
+        let api = flow::body::CompletionApi::Chat;
         let body = callers::chat(40, 150, false, "");
-        let accepted = cluster.planes[0].accept_job(callers::headers(), face, body);
+        let accepted = cluster.planes[0].accept_job(callers::headers(), api, body);
         let job = accepted.await.unwrap();
         time::sleep(Duration::from_secs(1)).await;
         cluster.kill_first_entry();
--- a/crates/flow/tests/plane/faults.rs
+++ b/crates/flow/tests/plane/faults.rs
@@ -151,54 +151,54 @@
         })
     }
 
-    pub async fn inject(self, world: sync::Arc<cluster::TestCluster>) {
+    pub async fn inject(self, cluster: sync::Arc<cluster::TestCluster>) {
         time::sleep(Duration::from_millis(self.start_ms)).await;
-        self.begin(&world);
+        self.begin(&cluster);
         time::sleep(Duration::from_millis(self.duration_ms)).await;
-        self.end(&world);
+        self.end(&cluster);
     }
 
-    fn begin(self, world: &cluster::TestCluster) {
+    fn begin(self, cluster: &cluster::TestCluster) {
         match self.fault {
-            Fault::EngineCrash { engine, .. } => world.engines[engine].crash(),
-            Fault::ServiceCrash { service } => world.services[service].crash(),
+            Fault::EngineCrash { engine, .. } => cluster.engines[engine].crash(),
+            Fault::ServiceCrash { service } => cluster.services[service].crash(),
             Fault::LogOutage => {
-                world.log_down.send_replace(true);
+                cluster.log_down.send_replace(true);
             }
             Fault::LateClaims { delay_ms } => {
-                *world.claim_delay.lock().unwrap() = Duration::from_millis(delay_ms);
+                *cluster.claim_delay.lock().unwrap() = Duration::from_millis(delay_ms);
             }
-            Fault::EntryPause { entry } => world.switches[entry].set(false),
-            Fault::EntryCrash => world.kill_first_entry(),
-            Fault::FirstEngineLeaves => world.mark_leaving(0),
+            Fault::EntryPause { entry } => cluster.switches[entry].set(false),
+            Fault::EntryCrash => cluster.kill_first_entry(),
+            Fault::FirstEngineLeaves => cluster.mark_leaving(0),
             Fault::Engine { engine, fault } => {
-                world.engines[engine].apply(&fault.to_stand_in_fault(true));
+                cluster.engines[engine].apply(&fault.to_stand_in_fault(true));
             }
             Fault::Service { service, fault } => {
-                world.services[service].apply(&fault.to_stand_in_fault(true, self.duration_ms));
+                cluster.services[service].apply(&fault.to_stand_in_fault(true, self.duration_ms));
             }
         }
     }
 
-    fn end(self, world: &cluster::TestCluster) {
+    fn end(self, cluster: &cluster::TestCluster) {
         match self.fault {
             Fault::EngineCrash {
                 engine,
                 restarts: true,
-            } => world.engines[engine].restart(),
-            Fault::ServiceCrash { service } => world.services[service].restart(),
+            } => cluster.engines[engine].restart(),
+            Fault::ServiceCrash { service } => cluster.services[service].restart(),
             Fault::LogOutage => {
-                world.log_down.send_replace(false);
+                cluster.log_down.send_replace(false);
             }
-            Fault::LateClaims { .. } => *world.claim_delay.lock().unwrap() = Duration::ZERO,
-            Fault::EntryPause { entry } if entry > 0 || !world.is_first_entry_dead() => {
-                world.switches[entry].set(true);
+            Fault::LateClaims { .. } => *cluster.claim_delay.lock().unwrap() = Duration::ZERO,
+            Fault::EntryPause { entry } if entry > 0 || !cluster.is_first_entry_dead() => {
+                cluster.switches[entry].set(true);
             }
             Fault::Engine { engine, fault } if fault.is_reversible() => {
-                world.engines[engine].apply(&fault.to_stand_in_fault(false));
+                cluster.engines[engine].apply(&fault.to_stand_in_fault(false));
             }
             Fault::Service { service, fault } if fault.is_reversible() => {
-                world.services[service].apply(&fault.to_stand_in_fault(false, 0));
+                cluster.services[service].apply(&fault.to_stand_in_fault(false, 0));
             }
             _ => {}
         }
--- a/crates/flow/tests/plane/fuzz.rs
+++ b/crates/flow/tests/plane/fuzz.rs
@@ -283,8 +283,8 @@
             () = cluster.disconnected(entry) => {}
         }
         transcript.check(caller.mark, tokens);
-        let moved = std::mem::take(&mut transcript.moved);
-        if moved {
+        let continuable = std::mem::take(&mut transcript.continuable);
+        if continuable {
             transcript.refusal = None;
         } else if transcript.done || transcript.refusal.is_some() {
             return;
@@ -450,9 +450,9 @@
 
 async fn review(cluster: &cluster::TestCluster, oracle: &Oracle, caller: Caller, tokens: u32) {
     let body = callers::chat(caller.mark, tokens, false, "");
-    let face = body::CompletionApi::Chat;
+    let api = body::CompletionApi::Chat;
     let accepted = tokio::select! {
-        accepted = cluster.planes[caller.entry].accept_job(callers::headers(), face, body) => accepted,
+        accepted = cluster.planes[caller.entry].accept_job(callers::headers(), api, body) => accepted,
         () = cluster.disconnected(caller.entry) => return,
     };
     let job = match accepted {
--- a/crates/flow/tests/plane/links.rs
+++ b/crates/flow/tests/plane/links.rs
@@ -18,7 +18,7 @@
     rng_state: u64,
     /// Events per thousand that are repeated, reordered, lost or accompanied by an event of
     /// another generation.
-    mishaps_permille: u64,
+    fault_permille: u64,
     /// Started generations with their marks, from which events of other generations are drawn.
     started: Vec<(id::GenerationId, u32)>,
     /// Starts that a running engine accepted, by mark; false if cancelled before any of it ran.
@@ -26,10 +26,10 @@
 }
 
 impl Chaos {
-    pub fn new(seed: u64, mishaps_permille: u64) -> Self {
+    pub fn new(seed: u64, fault_permille: u64) -> Self {
         let state = ChaosState {
             rng_state: seed | 1,
-            mishaps_permille,
+            fault_permille,
             started: Vec::new(),
             may_have_run: collections::BTreeMap::new(),
         };
@@ -81,7 +81,7 @@
         queue: &mut collections::VecDeque<port::TaggedEvent>,
         event: port::TaggedEvent,
     ) {
-        if self.draw() % 1000 >= self.mishaps_permille {
+        if self.draw() % 1000 >= self.fault_permille {
             queue.push_back(event);
             return;
         }
--- a/crates/flow/tests/plane/streams.rs
+++ b/crates/flow/tests/plane/streams.rs
@@ -21,8 +21,8 @@
 }
 
 /// Returns an engine that is running a generation.
-fn busy(world: &cluster::TestCluster) -> &engine::EngineHandle {
-    let mut engines = world.engines.iter();
+fn busy(cluster: &cluster::TestCluster) -> &engine::EngineHandle {
+    let mut engines = cluster.engines.iter();
     engines
         .find(|engine| engine.is_up() && engine.report().running > 0)
         .expect("an engine that runs a generation")
@@ -33,11 +33,11 @@
 #[test]
 fn a_silent_connection_is_replaced_within_a_second() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        let mut reply = stream(&world.planes[0], 1, 200).await;
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let mut reply = stream(&cluster.planes[0], 1, 200).await;
         let mut transcript = callers::Transcript::default();
         transcript.read(&mut reply.stream, 10).await;
-        busy(&world).apply(&engine::EngineFault::Silence);
+        busy(&cluster).apply(&engine::EngineFault::Silence);
         let silent_at = time::Instant::now();
         transcript.read(&mut reply.stream, 12).await;
         assert!(
@@ -48,7 +48,7 @@
         transcript.read(&mut reply.stream, usize::MAX).await;
         transcript.check(1, 200);
         assert!(transcript.done);
-        assert_eq!(world.chaos.starts(1), 1);
+        assert_eq!(cluster.chaos.starts(1), 1);
     });
 }
 
@@ -57,16 +57,16 @@
 #[test]
 fn a_start_whose_answer_was_lost_is_resumed() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        for engine in &world.engines {
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        for engine in &cluster.engines {
             engine.apply(&engine::EngineFault::LoseAnswers { count: 1 });
         }
-        let mut reply = stream(&world.planes[0], 2, 20).await;
+        let mut reply = stream(&cluster.planes[0], 2, 20).await;
         let mut transcript = callers::Transcript::default();
         transcript.read(&mut reply.stream, usize::MAX).await;
         transcript.check(2, 20);
         assert!(transcript.done);
-        assert_eq!(world.chaos.starts(2), 1);
+        assert_eq!(cluster.chaos.starts(2), 1);
     });
 }
 
@@ -75,17 +75,17 @@
 #[test]
 fn a_dead_engine_is_replaced_only_before_the_first_token() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        let start = stream(&world.planes[0], 3, 50);
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let start = stream(&cluster.planes[0], 3, 50);
         let crash = async {
             time::sleep(Duration::from_millis(5)).await;
-            busy(&world).crash();
+            busy(&cluster).crash();
         };
         let (mut reply, ()) = tokio::join!(start, crash);
-        assert_eq!(world.chaos.starts(3), 2);
+        assert_eq!(cluster.chaos.starts(3), 2);
         let mut transcript = callers::Transcript::default();
         transcript.read(&mut reply.stream, 10).await;
-        busy(&world).crash();
+        busy(&cluster).crash();
         let dead_at = time::Instant::now();
         transcript.read(&mut reply.stream, usize::MAX).await;
         transcript.check(3, 50);
@@ -105,11 +105,11 @@
 #[test]
 fn a_non_streamed_answer_is_restarted_when_its_engine_dies() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        let request = callers::generate(&world.planes[0], callers::chat(4, 60, false, ""));
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let request = callers::generate(&cluster.planes[0], callers::chat(4, 60, false, ""));
         let crash = async {
             time::sleep(Duration::from_millis(300)).await;
-            busy(&world).crash();
+            busy(&cluster).crash();
         };
         let (reply, ()) = tokio::join!(request, crash);
         let Ok(plane::GenerationReply::Complete { body, .. }) = reply else {
@@ -118,7 +118,7 @@
         let mut transcript = callers::Transcript::default();
         transcript.read_complete(&body);
         transcript.check(4, 60);
-        assert_eq!(world.chaos.starts(4), 2);
+        assert_eq!(cluster.chaos.starts(4), 2);
     });
 }
 
@@ -127,9 +127,9 @@
 #[test]
 fn the_generation_of_a_disconnected_caller_is_cancelled() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        let reply = stream(&world.planes[0], 5, 200).await;
-        let engine = busy(&world).clone();
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let reply = stream(&cluster.planes[0], 5, 200).await;
+        let engine = busy(&cluster).clone();
         drop(reply);
         time::sleep(Duration::from_millis(1_700)).await;
         assert_eq!(engine.report().running, 0);
@@ -142,18 +142,18 @@
 #[test]
 fn a_stream_continues_at_another_entry_vm() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        let mut reply = stream(&world.planes[0], 6, 200).await;
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let mut reply = stream(&cluster.planes[0], 6, 200).await;
         let mut transcript = callers::Transcript::default();
         transcript.read(&mut reply.stream, 10).await;
         let plane::StreamReply { stream, token, .. } = reply;
-        let continued = world.planes[1].continue_generation(callers::headers(), &token, 10);
+        let continued = cluster.planes[1].continue_generation(callers::headers(), &token, 10);
         let mut reply = continued.await.unwrap();
         drop(stream);
         transcript.read(&mut reply.stream, usize::MAX).await;
         transcript.check(6, 200);
         assert!(transcript.done, "{transcript:?}");
-        assert_eq!(world.chaos.starts(6), 1);
+        assert_eq!(cluster.chaos.starts(6), 1);
     });
 }
 
@@ -162,9 +162,9 @@
 #[test]
 fn a_graceful_stop_finishes_or_hands_over_streams() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        let mut short = stream(&world.planes[0], 7, 20).await;
-        let mut long = stream(&world.planes[0], 8, 200).await;
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let mut short = stream(&cluster.planes[0], 7, 20).await;
+        let mut long = stream(&cluster.planes[0], 8, 200).await;
         let grace = Duration::from_secs(1);
         let read = async {
             let mut transcript = callers::Transcript::default();
@@ -173,19 +173,19 @@
             assert!(transcript.done);
             let mut transcript = callers::Transcript::default();
             transcript.read(&mut long.stream, usize::MAX).await;
-            assert!(transcript.moved && transcript.refusal.take().is_some());
+            assert!(transcript.continuable && transcript.refusal.take().is_some());
             let from = transcript.tokens.len() as u32;
             let continued =
-                world.planes[1].continue_generation(callers::headers(), &long.token, from);
+                cluster.planes[1].continue_generation(callers::headers(), &long.token, from);
             transcript
                 .read(&mut continued.await.unwrap().stream, usize::MAX)
                 .await;
             transcript.check(8, 200);
             assert!(transcript.done);
         };
-        let (remaining, ()) = tokio::join!(world.planes[0].gate().drain(grace, grace), read);
+        let (remaining, ()) = tokio::join!(cluster.planes[0].gate().drain(grace, grace), read);
         assert_eq!(remaining, 0);
-        let late = callers::generate(&world.planes[0], callers::chat(9, 5, true, "")).await;
+        let late = callers::generate(&cluster.planes[0], callers::chat(9, 5, true, "")).await;
         let refused = late.unwrap_err().body;
         assert_eq!(refused.code, refusal::RefusalCode::NotReady);
         assert!(refused.ran == outcome::RanState::No && refused.retry_after_ms.is_some());
@@ -197,18 +197,18 @@
 #[test]
 fn a_leaving_engine_gets_no_new_work() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
         let mut running = Vec::new();
         for mark in 10..16 {
-            running.push(stream(&world.planes[0], mark, 30).await);
+            running.push(stream(&cluster.planes[0], mark, 30).await);
         }
-        let before = world.engines[0].report().running;
+        let before = cluster.engines[0].report().running;
         assert!(before > 0);
-        world.mark_leaving(0);
+        cluster.mark_leaving(0);
         for mark in 16..22 {
-            running.push(stream(&world.planes[1], mark, 30).await);
+            running.push(stream(&cluster.planes[1], mark, 30).await);
         }
-        assert!(world.engines[0].report().running <= before);
+        assert!(cluster.engines[0].report().running <= before);
         for (reply, mark) in running.iter_mut().zip(10..) {
             let mut transcript = callers::Transcript::default();
             transcript.read(&mut reply.stream, usize::MAX).await;
@@ -223,14 +223,14 @@
 #[test]
 fn the_stream_of_a_stalled_caller_is_ended() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        let mut reply = stream(&world.planes[0], 30, 200).await;
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let mut reply = stream(&cluster.planes[0], 30, 200).await;
         time::sleep(Duration::from_secs(20)).await;
-        assert_eq!(world.planes[0].gate().running(), 0);
+        assert_eq!(cluster.planes[0].gate().running(), 0);
         let mut transcript = callers::Transcript::default();
         transcript.read(&mut reply.stream, usize::MAX).await;
         transcript.check(30, 200);
-        assert!(transcript.moved && !transcript.done, "{transcript:?}");
+        assert!(transcript.continuable && !transcript.done, "{transcript:?}");
     });
 }
 
@@ -240,18 +240,18 @@
 #[test]
 fn an_attempt_on_a_frozen_engine_is_settled_before_another_starts() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        let start = stream(&world.planes[0], 40, 20);
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let start = stream(&cluster.planes[0], 40, 20);
         let freeze = async {
             time::sleep(Duration::from_millis(5)).await;
-            let engine = busy(&world).clone();
+            let engine = busy(&cluster).clone();
             engine.apply(&engine::EngineFault::Hang { on: true });
             time::sleep(Duration::from_secs(6)).await;
-            assert_eq!(world.chaos.starts(40), 1);
+            assert_eq!(cluster.chaos.starts(40), 1);
             engine.apply(&engine::EngineFault::Hang { on: false });
         };
         let (mut reply, ()) = tokio::join!(start, freeze);
-        assert_eq!(world.chaos.starts(40), 2);
+        assert_eq!(cluster.chaos.starts(40), 2);
         let mut transcript = callers::Transcript::default();
         transcript.read(&mut reply.stream, usize::MAX).await;
         transcript.check(40, 20);
@@ -265,8 +265,8 @@
 #[test]
 fn a_restarted_engine_is_no_proof_that_a_request_did_not_run() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        for engine in world.engines.clone() {
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        for engine in cluster.engines.clone() {
             engine.apply(&engine::EngineFault::Slow { factor: 1e5 });
             tokio::spawn(async move {
                 loop {
@@ -280,11 +280,11 @@
             });
         }
         let body = callers::chat(41, 5, true, "");
-        let refused = callers::generate(&world.planes[0], body)
+        let refused = callers::generate(&cluster.planes[0], body)
             .await
             .unwrap_err()
             .body;
-        assert!(world.chaos.may_have_run(41));
+        assert!(cluster.chaos.may_have_run(41));
         assert_ne!(refused.ran, outcome::RanState::No, "{refused:?}");
     });
 }
@@ -294,18 +294,18 @@
 #[test]
 fn a_token_is_refused_for_another_organisation() {
     cluster::run_paused(async {
-        let world = cluster::TestCluster::new(&cluster::ClusterOptions::default());
-        let reply = stream(&world.planes[0], 50, 100).await;
+        let cluster = cluster::TestCluster::new(&cluster::ClusterOptions::default());
+        let reply = stream(&cluster.planes[0], 50, 100).await;
         let mut headers = callers::headers();
         headers.api_key = Some(cluster::OTHER_API_KEY.to_owned());
-        let continued = world.planes[1]
+        let continued = cluster.planes[1]
             .continue_generation(headers, &reply.token, 0)
             .await;
         let refused = continued.map(drop).unwrap_err().body;
         assert_eq!(refused.code, refusal::RefusalCode::Forbidden);
         let mut headers = callers::headers();
         headers.api_key = None;
-        let continued = world.planes[1]
+        let continued = cluster.planes[1]
             .continue_generation(headers, &reply.token, 0)
             .await;
         let refused = continued.map(drop).unwrap_err().body;
--- a/crates/flow/tests/pure.rs
+++ b/crates/flow/tests/pure.rs
@@ -249,8 +249,8 @@
 fn chunks_are_valid_json_for_any_text() {
     for_seeds(200, |u| {
         let text: String = u.arbitrary()?;
-        let face = body::CompletionApi::Chat;
-        let writer = chunk::ChunkWriter::new(face, id::RequestId(1), "mo\"del", 1, true);
+        let api = body::CompletionApi::Chat;
+        let writer = chunk::ChunkWriter::new(api, id::RequestId(1), "mo\"del", 1, true);
         let mut out = BytesMut::new();
         writer.token(&mut out, 3, &text);
         let line = std::str::from_utf8(&out).unwrap();
