--- a/crates/exchange/src/announce.rs
+++ b/crates/exchange/src/announce.rs
@@ -77,7 +77,7 @@
     let mut rounds = 0_u64;
     let mut regular_at = time::Instant::now();
     loop {
-        let more = !pending.is_empty() || !plane.state().updates_to_relay.is_empty();
+        let more = !pending.is_empty() || !plane.state().forwarded_updates.is_empty();
         let cause = wait_for_cause(&plane, more, regular_at).await;
         regular_at = next_regular(&plane.state(), cause, regular_at);
         turn += u64::from(cause == AnnounceCause::Regular);
@@ -198,7 +198,7 @@
     }
     if !large {
         // The VM that requested the forwarding knows of more VMs than this one.
-        state.updates_to_relay.clear();
+        state.forwarded_updates.clear();
     }
     let forwarded = take_forwarded(state);
     if !forwarded.is_empty() {
@@ -310,10 +310,10 @@
 /// Takes the updates that this VM is to forward to its group.
 fn take_forwarded(state: &mut state::PlaneState) -> Vec<message::UpdateItem> {
     let count = state
-        .updates_to_relay
+        .forwarded_updates
         .len()
         .min(MAX_UPDATES_PER_DATAGRAM * MAX_UPDATE_DATAGRAMS);
-    state.updates_to_relay.drain(..count).collect()
+    state.forwarded_updates.drain(..count).collect()
 }
 
 /// Encodes a datagram, leaving out entries that do not fit.
@@ -357,7 +357,7 @@
         catalog_version: state.version(),
         loads,
         accusations,
-        store_away: state.store_away,
+        store_unavailable: state.store_unavailable,
         standing_hash: state.fleet.standing_hash(),
         waiting: state.waiting(now),
         partial: !state.servers_complete,
--- a/crates/exchange/src/catchup.rs
+++ b/crates/exchange/src/catchup.rs
@@ -105,7 +105,7 @@
         let base = plane.state().document.clone();
         let behind = plane.state().behind_since.is_some();
         if behind {
-            plane.state().peers_asked_at = Some(time::Instant::now());
+            plane.state().peers_requested_at = Some(time::Instant::now());
         }
         let limit = if complete { STATE_LIMIT } else { LIST_LIMIT };
         let meter = plane.state().from_peers.clone();
@@ -216,7 +216,7 @@
     };
     let overdue = !state.from_store.is_moving()
         && state.behind_since.is_some_and(|since| {
-            let grace = if state.reads_store(now) && !state.store_away {
+            let grace = if state.reads_store(now) && !state.store_unavailable {
                 STORE_GRACE
             } else {
                 time::Duration::ZERO
--- a/crates/exchange/src/follow.rs
+++ b/crates/exchange/src/follow.rs
@@ -285,7 +285,9 @@
         }
         let behind_since = *self.behind_since.get_or_insert(now);
         let waited = now.saturating_duration_since(behind_since);
-        let requested = state.peers_asked_at.is_some_and(|at| at >= behind_since);
+        let requested = state
+            .peers_requested_at
+            .is_some_and(|at| at >= behind_since);
         waited
             >= if requested {
                 self.duration
--- a/crates/exchange/src/link.rs
+++ b/crates/exchange/src/link.rs
@@ -116,7 +116,7 @@
     if changed && datagram.forward {
         plane
             .state()
-            .updates_to_relay
+            .forwarded_updates
             .extend(datagram.updates.iter().cloned());
         plane.updates.notify_one();
     }
--- a/crates/exchange/src/message.rs
+++ b/crates/exchange/src/message.rs
@@ -175,7 +175,7 @@
     pub known: Vec<String>,
     /// Whether the store does not answer the VM.
     #[prost(bool, tag = "14")]
-    pub store_away: bool,
+    pub store_unavailable: bool,
     /// Hash of the standing of all servers, as far as the VM knows.
     #[prost(fixed64, tag = "15")]
     pub standing_hash: u64,
--- a/crates/exchange/src/peers.rs
+++ b/crates/exchange/src/peers.rs
@@ -46,7 +46,7 @@
     /// Version of the configuration in force at that VM.
     pub catalog_version: u64,
     /// Whether the store does not answer that VM.
-    pub store_away: bool,
+    pub store_unavailable: bool,
     /// Hash of the standing of all servers, as far as that VM knows.
     pub standing_hash: u64,
     /// Whether that VM has not yet received the complete list of servers.
@@ -78,7 +78,7 @@
             entry_address: datagram.entry_address.parse().ok()?,
             link_address: datagram.link_address.parse().ok()?,
             catalog_version: 0,
-            store_away: false,
+            store_unavailable: false,
             standing_hash: 0,
             partial: false,
             waiting: Vec::new(),
@@ -100,7 +100,7 @@
         self.sequence = datagram.sequence;
         self.stage = datagram.stage();
         self.catalog_version = datagram.catalog_version;
-        self.store_away = datagram.store_away;
+        self.store_unavailable = datagram.store_unavailable;
         self.standing_hash = datagram.standing_hash;
         self.partial = datagram.partial;
         self.waiting.clone_from(&datagram.waiting);
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -61,7 +61,7 @@
     /// Notices of leaving servers, sent repeatedly to the other VMs.
     pub notices: notices::LeavingNotices,
     /// Server updates that another VM asked this one to relay.
-    pub updates_to_relay: Vec<message::UpdateItem>,
+    pub forwarded_updates: Vec<message::UpdateItem>,
     /// Sequence number of the last datagram.
     pub sequence: u64,
     /// Stage of this VM.
@@ -71,7 +71,7 @@
     /// When the store last recovered from an outage.
     pub store_recovered_at: Option<time::Instant>,
     /// Whether the last call to the store failed.
-    pub store_away: bool,
+    pub store_unavailable: bool,
     /// Whether the list of servers was complete once: read from the store, or received from a VM
     /// that has it complete.
     pub servers_complete: bool,
@@ -80,7 +80,7 @@
     /// Since when a reachable VM has had a newer configuration.
     pub behind_since: Option<time::Instant>,
     /// When a VM was last asked for a configuration while a reachable one had a newer one.
-    pub peers_asked_at: Option<time::Instant>,
+    pub peers_requested_at: Option<time::Instant>,
     /// Progress of a configuration transfer from the store. While it advances, no VM is asked for
     /// the configuration: over a slow link each transfer would take twice as long.
     pub from_store: transfer::TransferMeter,
@@ -117,16 +117,16 @@
             returning: returning::ReturningRequests::default(),
             unannounced: Vec::new(),
             notices: notices::LeavingNotices::default(),
-            updates_to_relay: Vec::new(),
+            forwarded_updates: Vec::new(),
             sequence: 0,
             stage: message::VmStage::Starting,
             stopping_since: None,
             store_recovered_at: None,
-            store_away: false,
+            store_unavailable: false,
             servers_complete: false,
             evacuated_at: None,
             behind_since: None,
-            peers_asked_at: None,
+            peers_requested_at: None,
             from_store: transfer::TransferMeter::default(),
             from_peers: transfer::TransferMeter::default(),
             differs_since: None,
@@ -209,10 +209,10 @@
 
     /// Records whether a call to the store succeeded. Returns whether its availability changed.
     pub fn note_store(&mut self, answered: bool, now: time::Instant) -> bool {
-        if answered != self.store_away {
+        if answered != self.store_unavailable {
             return false;
         }
-        self.store_away = !answered;
+        self.store_unavailable = !answered;
         if answered {
             self.store_recovered_at = Some(now);
         }
@@ -230,11 +230,13 @@
         let ahead = self
             .peers
             .all()
-            .filter(|(_, peer)| peer.is_alive(now) && peer.store_away == self.store_away)
+            .filter(|(_, peer)| {
+                peer.is_alive(now) && peer.store_unavailable == self.store_unavailable
+            })
             .filter(|(name, _)| rank(name) < own)
             .count();
         ahead
-            < if self.store_away {
+            < if self.store_unavailable {
                 MAX_PROBING_VMS
             } else {
                 READERS
