--- a/crates/exchange/src/fleet.rs
+++ b/crates/exchange/src/fleet.rs
@@ -73,7 +73,7 @@
         let Some(&key) = self.by_id.get(&update.id) else {
             return self.insert_new(update, now);
         };
-        let known = self.servers[key].born;
+        let known = self.servers[key].started_at;
         match &update.entry {
             // A late update of a previous incarnation, or of a writer that does not know
             // incarnations.
@@ -143,10 +143,10 @@
     }
 
     /// Sets the start time of an incarnation that was known without one.
-    fn set_start(&mut self, key: ServerKey, born: update::StartTime) {
+    fn set_start(&mut self, key: ServerKey, started_at: update::StartTime) {
         let record = &mut self.servers[key];
         self.standing_hash ^= standing_hash_of(record);
-        record.born = born;
+        record.started_at = started_at;
         self.standing_hash ^= standing_hash_of(record);
         self.by_hash.insert(record.name_hash(), key);
     }
@@ -182,7 +182,7 @@
     #[must_use]
     pub fn lacks_incarnation(&self, update: &update::ServerUpdate) -> bool {
         let known = self.by_id.get(&update.id);
-        let known = known.is_some_and(|&key| self.servers[key].born.is_known());
+        let known = known.is_some_and(|&key| self.servers[key].started_at.is_known());
         let entry = update.entry.as_ref();
         known && entry.is_some_and(|entry| !entry.started_at.is_known())
     }
@@ -478,6 +478,6 @@
         server::ServerStanding::Ready => 0,
         server::ServerStanding::Leaving => 1,
     };
-    let seed = record.born.millis() << 1 | code;
+    let seed = record.started_at.millis() << 1 | code;
     xxhash_rust::xxh3::xxh3_64_with_seed(record.id.as_bytes(), seed)
 }
--- a/crates/exchange/src/listing.rs
+++ b/crates/exchange/src/listing.rs
@@ -277,7 +277,7 @@
     let state = plane.state();
     let server = state.fleet.server(key);
     let standing = server.map(|server| server.standing);
-    let born_ms = server.map_or(0, |server| server.born.millis());
+    let born_ms = server.map_or(0, |server| server.started_at.millis());
     log::info!(
         server:% = update.id, standing:? = standing, offset = update.offset, born_ms, source:% = source;
         "server changed"
--- a/crates/exchange/src/server.rs
+++ b/crates/exchange/src/server.rs
@@ -41,7 +41,7 @@
     /// Name of the server; incarnations of a server share it.
     pub id: String,
     /// Start time, which identifies the incarnation.
-    pub born: update::StartTime,
+    pub started_at: update::StartTime,
     /// Whether a later incarnation uses the name; copies kept by this one are lost.
     pub superseded: bool,
     /// Service that the server belongs to.
@@ -91,7 +91,7 @@
         };
         Self {
             id: id.to_owned(),
-            born: entry.started_at,
+            started_at: entry.started_at,
             superseded: false,
             service: entry.service.clone(),
             address: entry.address,
@@ -121,7 +121,7 @@
     /// before it may be written seconds later.
     pub(crate) fn apply_update(&mut self, update: &update::ServerUpdate) -> ServerStanding {
         let leaving = update.entry.as_ref().is_some_and(|entry| entry.leaving);
-        self.announced_leaving |= leaving && self.born.is_known();
+        self.announced_leaving |= leaving && self.started_at.is_known();
         if update.entry.is_none() {
             self.removed_offset = self.removed_offset.max(update.offset);
         }
@@ -138,7 +138,7 @@
         self.slots = entry.slots;
         self.address = entry.address;
         // A name without incarnations may be used again after its entry was removed.
-        let left = if self.born.is_known() {
+        let left = if self.started_at.is_known() {
             self.announced_leaving
         } else {
             leaving || self.standing == ServerStanding::Leaving
@@ -168,7 +168,7 @@
     /// Hash of name and start time.
     #[must_use]
     pub fn incarnation_hash(&self) -> u64 {
-        incarnation_hash(&self.id, self.born)
+        incarnation_hash(&self.id, self.started_at)
     }
 
     /// Records that this VM sent an attempt to the server.
@@ -254,7 +254,7 @@
     #[must_use]
     pub fn update(&self) -> update::ServerUpdate {
         let entry = update::ServerEntry {
-            started_at: self.born,
+            started_at: self.started_at,
             service: self.service.clone(),
             address: self.address,
             domain: self.domain.clone(),
@@ -279,8 +279,8 @@
 
 /// Hash of the name and the start time of an incarnation.
 #[must_use]
-pub fn incarnation_hash(id: &str, born: update::StartTime) -> u64 {
-    xxhash_rust::xxh3::xxh3_64_with_seed(id.as_bytes(), born.millis())
+pub fn incarnation_hash(id: &str, started_at: update::StartTime) -> u64 {
+    xxhash_rust::xxh3::xxh3_64_with_seed(id.as_bytes(), started_at.millis())
 }
 
 /// Outcome of an attempt as it counts for its server.
--- a/crates/exchange/tests/incarnations.rs
+++ b/crates/exchange/tests/incarnations.rs
@@ -11,13 +11,13 @@
 const HISTORIES: u64 = 2_000;
 const GAP: time::Duration = time::Duration::from_millis(40);
 
-fn born(millis: u64) -> update::StartTime {
+fn start_time(millis: u64) -> update::StartTime {
     update::StartTime::from_millis(millis)
 }
 
 fn entry(number: u8, millis: u64, leaving: bool) -> update::ServerEntry {
     let mut entry = world::entry("llm", number, "a");
-    entry.started_at = born(millis);
+    entry.started_at = start_time(millis);
     entry.leaving = leaving;
     entry
 }
@@ -82,7 +82,7 @@
                 }
                 let record = fleet.server(fleet.find("e1").expect("known"));
                 let record = record.expect("known");
-                assert_eq!(Some((record.born, record.standing)), oracle(&updates));
+                assert_eq!(Some((record.started_at, record.standing)), oracle(&updates));
                 let taking = fleet.ready("llm", now).count();
                 assert!(taking <= 1, "one incarnation takes work");
                 hashes.insert(fleet.standing_hash());
