--- a/crates/exchange/src/follow.rs
+++ b/crates/exchange/src/follow.rs
@@ -184,7 +184,7 @@
 }
 
 /// Applies the set of evacuated failure domains, whichever source it came from.
-pub fn take_evacuations<P>(
+pub fn apply_evacuations<P>(
     plane: &plane::ExchangePlane<P>,
     evacuations: evacuation::EvacuationSet,
     source: &str,
@@ -246,7 +246,7 @@
                     let known = plane.state().fleet.evacuations().clone();
                     known.followed_by(&page.evacuations, page.end)
                 };
-                take_evacuations(&plane, evacuations, SOURCE_STORE);
+                apply_evacuations(&plane, evacuations, SOURCE_STORE);
                 if let Some(document) = page.document {
                     take_document(&plane, decode, document, SOURCE_STORE);
                 }
--- a/crates/exchange/src/link.rs
+++ b/crates/exchange/src/link.rs
@@ -101,7 +101,7 @@
     }
     drop(state);
     if let Some(item) = &datagram.evacuations {
-        follow::take_evacuations(plane, item.clone().into(), "peer");
+        follow::apply_evacuations(plane, item.clone().into(), "peer");
     }
     // Each update has its own position in the order of the store, so the updates of an overtaken
     // datagram are still valid.
--- a/crates/exchange/src/peers.rs
+++ b/crates/exchange/src/peers.rs
@@ -341,10 +341,10 @@
         u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1)
     }
 
-    /// Memory planned for generations of a service that wait at other VMs and go before one of
-    /// `rank`.
+    /// Memory in tokens planned for generations of a service that wait at other VMs and go before
+    /// one of `rank`.
     #[must_use]
-    pub fn waiting_before(&self, service: u32, rank: wait::WaitRank, now: time::Instant) -> u64 {
+    pub fn ahead_tokens(&self, service: u32, rank: wait::WaitRank, now: time::Instant) -> u64 {
         let alive = self.peers.values().filter(|peer| peer.is_alive(now));
         alive
             .flat_map(|peer| &peer.waiting)
--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -320,7 +320,7 @@
         let service = service_hash(&request.service);
         Some(capacity::MemoryDemand {
             tokens: forecast::planned_tokens(size) as f64,
-            ahead_tokens: self.peers.waiting_before(service, rank, now) as f64,
+            ahead_tokens: self.peers.ahead_tokens(service, rank, now) as f64,
             reserve_fraction: rank.reserve_fraction(),
         })
     }
@@ -368,7 +368,7 @@
         let entries = self.peers.alive_count(now);
         let ahead_tokens = self
             .peers
-            .waiting_before(service_hash(&request.service), rank, now);
+            .ahead_tokens(service_hash(&request.service), rank, now);
         let rule = self
             .catalog
             .as_ref()
--- a/crates/exchange/tests/decisions.rs
+++ b/crates/exchange/tests/decisions.rs
@@ -498,10 +498,10 @@
         peers.take(&datagram, now);
         let expensive = wait::WaitRank::new(false, 7);
         let middle = wait::WaitRank::new(false, 2);
-        assert_eq!(peers.waiting_before(1, expensive, now), 570);
-        assert_eq!(peers.waiting_before(1, middle, now), 500);
-        assert_eq!(peers.waiting_before(1, wait::WaitRank::default(), now), 0);
-        assert_eq!(peers.waiting_before(2, expensive, now), 0);
+        assert_eq!(peers.ahead_tokens(1, expensive, now), 570);
+        assert_eq!(peers.ahead_tokens(1, middle, now), 500);
+        assert_eq!(peers.ahead_tokens(1, wait::WaitRank::default(), now), 0);
+        assert_eq!(peers.ahead_tokens(2, expensive, now), 0);
     });
 }
 
--- a/crates/exchange/tests/notices.rs
+++ b/crates/exchange/tests/notices.rs
@@ -270,7 +270,7 @@
                     position: number,
                     domains: domain.into_iter().collect(),
                 };
-                follow::take_evacuations(reader, evacuations, "store");
+                follow::apply_evacuations(reader, evacuations, "store");
             }
             OperatorChange::Configuration => {
                 let document = number.to_string().into();
