--- a/crates/exchange/tests/configurations.rs
+++ b/crates/exchange/tests/configurations.rs
@@ -12,7 +12,7 @@
     net as sockets,
     time::{self as clock, Instant},
 };
-use world::cluster;
+use world::many_vms;
 
 /// Rate of a small VM's link, in bytes per second.
 const LINK_RATE: usize = 1_250_000;
@@ -164,7 +164,7 @@
 }
 
 async fn spread(load: ConfigurationLoad) -> ConfigurationSpread {
-    let store = rc::Rc::new(cluster::ClusterStore::new(
+    let store = rc::Rc::new(many_vms::ClusterStore::new(
         Vec::new(),
         routes(1, load.routes / 2),
         time::Duration::from_millis(4),
@@ -177,12 +177,12 @@
             LINK_RATE
         }
     };
-    let vms = (0..load.vms).map(|number| cluster::ClusterVm::new(number, rate(number) as f64));
-    let vms: cluster::VmCluster = rc::Rc::new(vms.collect());
+    let vms = (0..load.vms).map(|number| many_vms::ClusterVm::new(number, rate(number) as f64));
+    let vms: many_vms::VmCluster = rc::Rc::new(vms.collect());
     let tasks: Vec<_> = (0..load.vms)
         .map(|number| {
             vms[number].know_all(&store, world::catalog(1));
-            tokio::task::spawn_local(cluster::run_vm(vms.clone(), store.clone(), number, decode))
+            tokio::task::spawn_local(many_vms::run_vm(vms.clone(), store.clone(), number, decode))
         })
         .collect();
     clock::sleep(time::Duration::from_secs(3)).await;
--- a/crates/exchange/tests/recovery.rs
+++ b/crates/exchange/tests/recovery.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use exchange::{catalog, state, update};
 use tokio::time::{self as clock, Instant};
-use world::cluster;
+use world::many_vms;
 
 /// Number of servers for each VM.
 const SERVERS_EACH: usize = 10;
@@ -58,7 +58,7 @@
             "llm"
         };
         let name = format!("i-{:08x}", number.wrapping_mul(0x9E37_79B9) & 0xFFFF_FFFF);
-        let entry = world::entry(service, 9, &format!("d-{}", number % cluster::DOMAINS));
+        let entry = world::entry(service, 9, &format!("d-{}", number % many_vms::DOMAINS));
         world::news(&name, number as u64 + 1, Some(entry))
     };
     let mut entries: Vec<_> = (0..servers).map(entry).collect();
@@ -74,8 +74,8 @@
 
 /// Runs one VM, which either starts anew or has been running and knows everything.
 async fn run_vm(
-    vms: cluster::VmCluster,
-    store: rc::Rc<cluster::ClusterStore>,
+    vms: many_vms::VmCluster,
+    store: rc::Rc<many_vms::ClusterStore>,
     number: usize,
     loss: ClusterLoss,
 ) {
@@ -86,16 +86,16 @@
     } else {
         vm.know_all(&store, world::catalog(1));
     }
-    cluster::run_vm(vms, store, number, decode).await;
+    many_vms::run_vm(vms, store, number, decode).await;
 }
 
 async fn recover(loss: ClusterLoss) -> ClusterRecovery {
     let began = Instant::now();
     let entries = entries(loss.vms * SERVERS_EACH);
     let servers = entries.len();
-    let vms = (0..loss.vms).map(|number| cluster::ClusterVm::new(number, LINK_RATE));
-    let vms: cluster::VmCluster = rc::Rc::new(vms.collect());
-    let store = rc::Rc::new(cluster::ClusterStore::new(
+    let vms = (0..loss.vms).map(|number| many_vms::ClusterVm::new(number, LINK_RATE));
+    let vms: many_vms::VmCluster = rc::Rc::new(vms.collect());
+    let store = rc::Rc::new(many_vms::ClusterStore::new(
         entries,
         Bytes::from(vec![b'x'; DOCUMENT_BYTES]),
         loss.store_time,
--- a/crates/exchange/tests/world/mod.rs
+++ b/crates/exchange/tests/world/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-pub mod cluster;
 pub mod engines;
 pub mod lossy;
+pub mod many_vms;
 pub mod store;
 
 use std::{cell, collections, net, rc, time};
