--- a/crates/exchange/benches/scale.rs
+++ b/crates/exchange/benches/scale.rs
@@ -4,8 +4,8 @@
 //! `cargo bench -p exchange --bench scale`. The last column is the time relative to the smallest
 //! size; it should stay near 1.
 
-#[path = "../tests/world/mod.rs"]
-mod world;
+#[path = "../tests/cluster/mod.rs"]
+mod cluster;
 
 use std::{hint, time};
 
@@ -21,8 +21,8 @@
 /// Repetitions of each measurement.
 const REPETITIONS: u32 = 2_000;
 
-fn plane(vms: u32) -> world::TestPlane {
-    let plane = world::plane();
+fn plane(vms: u32) -> cluster::TestPlane {
+    let plane = cluster::plane();
     let now = tokio::time::Instant::now();
     for number in 0..vms * SERVERS_PER_VM {
         let service = match number % SERVICES {
@@ -30,9 +30,9 @@
             1 => String::from("app"),
             other => format!("other-{other}"),
         };
-        let entry = world::entry(&service, (number % 250) as u8, "a");
-        let news = world::news(&format!("i-{number}"), 9, Some(entry));
-        plane.state().apply_update(news, false, now);
+        let entry = cluster::entry(&service, (number % 250) as u8, "a");
+        let update = cluster::update(&format!("i-{number}"), 9, Some(entry));
+        plane.state().apply_update(update, false, now);
     }
     plane
 }
@@ -59,7 +59,7 @@
         entry_address: String::from("10.0.0.1:80"),
         link_address: format!("10.1.{}.{}:81", sender / 250, sender % 250),
         loads: loads.collect(),
-        system: world::SYSTEM,
+        system: cluster::SYSTEM,
         ..message::PeerDatagram::default()
     }
 }
@@ -73,7 +73,7 @@
 }
 
 fn main() {
-    world::run(async {
+    cluster::run(async {
         println!("VMs  servers  choice of an engine   choice of a server   datagram taken");
         let mut first = None;
         for vms in SIZES {
@@ -82,8 +82,8 @@
             for sender in 1..vms {
                 link::take_datagram(&plane, &datagram(sender, 1, servers));
             }
-            let stream = world::request("a", catalog::ExchangeKind::Stream);
-            let call = world::request("b", catalog::ExchangeKind::Idempotent);
+            let stream = cluster::request("a", catalog::ExchangeKind::Stream);
+            let call = cluster::request("b", catalog::ExchangeKind::Idempotent);
             let place = |request| {
                 let now = tokio::time::Instant::now();
                 let placed = plane.state().place(request, &[], Default::default(), now);
--- a/crates/exchange/tests/audience.rs
+++ b/crates/exchange/tests/audience.rs
@@ -1,6 +1,6 @@
 //! Tests of which VMs receive which datagrams as the number of VMs grows.
 
-mod world;
+mod cluster;
 
 use std::{collections, time};
 
@@ -14,14 +14,14 @@
 fn datagram(number: usize, sequence: u64) -> message::PeerDatagram {
     message::PeerDatagram {
         sender: number as u64 + 1,
-        name: world::vm_name(number),
+        name: cluster::vm_name(number),
         domain: format!("d-{}", number % DOMAINS),
         incarnation: 1,
         sequence,
         stage: message::VmStage::Serving.into(),
         entry_address: String::from("10.0.0.1:80"),
-        link_address: world::vm_address(number).to_string(),
-        system: world::SYSTEM,
+        link_address: cluster::vm_address(number).to_string(),
+        system: cluster::SYSTEM,
         ..message::PeerDatagram::default()
     }
 }
@@ -37,12 +37,15 @@
 
 #[test]
 fn up_to_a_hundred_vms_form_a_full_mesh() {
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         for vms in [2, 30, 100] {
             let table = table(0, vms, &[], now);
             assert_eq!(recipients::regular(&table, 3, now).len(), vms - 1);
-            assert_eq!(recipients::relays(&table, &world::vm_name(0), 3, now), None);
+            assert_eq!(
+                recipients::relays(&table, &cluster::vm_name(0), 3, now),
+                None
+            );
         }
     });
 }
@@ -51,7 +54,7 @@
 fn larger_clusters_send_to_other_domains_in_turns() {
     // Guards against traffic that grows with the square of the number of VMs: with a full mesh of
     // 300 VMs each received 1.4 MB a second and used 42 % of a core for it.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let table = table(0, 410, &[], now);
         let mut received = collections::BTreeMap::<_, u64>::new();
@@ -73,7 +76,7 @@
                 1
             };
             assert_eq!(
-                received.get(&world::vm_address(number)),
+                received.get(&cluster::vm_address(number)),
                 Some(&times),
                 "VM {number}"
             );
@@ -84,7 +87,7 @@
 #[test]
 fn vms_of_other_domains_get_a_datagram_each_round_despite_silent_vms() {
     // Guards against VMs that count as silent because other VMs come and go.
-    world::run(async {
+    cluster::run(async {
         let vms = 300;
         let mut table = table(0, vms, &[], Instant::now());
         // Consecutive turns in which a VM was alive and not among the recipients.
@@ -112,7 +115,7 @@
     // Guards against callers that are sent to a VM which has been dead for five seconds. With many
     // VMs each sends seldom, and a VM counts as alive for three intervals; the interval had no
     // upper bound as the number of VMs grew.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         for vms in [7, 60, 100, 128, 129, 300, 410, 1_000] {
             let table = table(0, vms, &[], now);
@@ -128,28 +131,28 @@
 fn updates_reach_all_vms_through_relays() {
     // Load: 3,000 servers, a hundred of which join, leave or are removed each second. If the VMs
     // that read them sent them to all others, each would send 5 MB a second.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         for vms in [130, 200, 300, 410] {
             for (reader, turn) in [(0, 0), (7, 5), (vms / 2, 91), (vms - 1, 12_345)] {
                 let own = table(reader, vms, &[], now);
                 let relays =
-                    recipients::relays(&own, &world::vm_name(reader), turn, now).expect("large");
+                    recipients::relays(&own, &cluster::vm_name(reader), turn, now).expect("large");
                 assert!(relays.len() < 25, "{} relays", relays.len());
                 let mut reached: collections::BTreeSet<_> = relays.iter().copied().collect();
                 for relay in 0..vms {
-                    if !relays.contains(&world::vm_address(relay)) {
+                    if !relays.contains(&cluster::vm_address(relay)) {
                         continue;
                     }
                     // The relay does not know one of the VMs yet.
                     let unknown = [(relay + 3) % vms];
                     let table = table(relay, vms, &unknown, now);
-                    let group = recipients::relay_group(&table, &world::vm_name(relay), now);
+                    let group = recipients::relay_group(&table, &cluster::vm_name(relay), now);
                     assert!(group.len() < 26, "{} recipients of one relay", group.len());
                     reached.extend(group);
                 }
                 let missed = (0..vms).filter(|number| {
-                    *number != reader && !reached.contains(&world::vm_address(*number))
+                    *number != reader && !reached.contains(&cluster::vm_address(*number))
                 });
                 // Each relay may miss the VM that it does not know; the second sending reaches it.
                 assert!(missed.count() <= relays.len(), "{vms} VMs, reader {reader}");
@@ -163,10 +166,14 @@
     // Guards against a storm of datagrams when 300 VMs start: each announced itself to all others
     // whenever it first received a datagram from one, 27 million datagrams in all, although only
     // that one VM had to learn something.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         let first = link::take_datagram(&plane, &datagram(5, 1));
-        assert_eq!(first, Some(world::vm_address(5)), "a new VM gets an answer");
+        assert_eq!(
+            first,
+            Some(cluster::vm_address(5)),
+            "a new VM gets an answer"
+        );
         let second = link::take_datagram(&plane, &datagram(5, 2));
         assert_eq!(second, None);
         let stale = link::take_datagram(&plane, &datagram(5, 2));
@@ -175,7 +182,7 @@
         let back = link::take_datagram(&plane, &datagram(5, 3));
         assert_eq!(
             back,
-            Some(world::vm_address(5)),
+            Some(cluster::vm_address(5)),
             "a VM that was silent gets an answer"
         );
     });
@@ -186,34 +193,34 @@
     // Guards against VMs that send each other their complete state, 300 KB with 300 VMs and 3,000
     // servers, whenever hundreds of servers change each second and no two VMs have the same view.
     // The traffic between failure domains cost 0.65 of a day's worth.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
-        let (here, there) = (world::plane(), world::plane());
+        let (here, there) = (cluster::plane(), cluster::plane());
         for number in 0..3_000 {
-            let entry = world::entry("llm", 9, "a");
-            let news = world::news(&format!("i-{number}"), 10, Some(entry));
-            here.state().apply_update(news.clone(), false, now);
-            there.state().apply_update(news, false, now);
+            let entry = cluster::entry("llm", 9, "a");
+            let update = cluster::update(&format!("i-{number}"), 10, Some(entry));
+            here.state().apply_update(update.clone(), false, now);
+            there.state().apply_update(update, false, now);
         }
-        let mut leaving = world::entry("llm", 9, "a");
+        let mut leaving = cluster::entry("llm", 9, "a");
         leaving.leaving = true;
         let changes = [
-            world::news("i-5", 20, Some(leaving)),
-            world::news("i-6", 21, None),
-            world::news("i-new", 22, Some(world::entry("llm", 8, "a"))),
+            cluster::update("i-5", 20, Some(leaving)),
+            cluster::update("i-6", 21, None),
+            cluster::update("i-new", 22, Some(cluster::entry("llm", 8, "a"))),
         ];
-        for news in &changes {
-            there.state().apply_update(news.clone(), false, now);
+        for update in &changes {
+            there.state().apply_update(update.clone(), false, now);
         }
         let request = catchup::state_request(&here.state());
         let reply = catchup::state_reply(&mut there.state(), &request);
         let sent: collections::BTreeSet<_> = reply.updates.iter().map(|item| &item.id).collect();
         assert_eq!(sent.len(), 3, "{sent:?}");
         for item in &reply.updates {
-            let news = item.decode_update().expect("valid update");
-            here.state().apply_update(news, false, now);
+            let update = item.decode_update().expect("valid update");
+            here.state().apply_update(update, false, now);
         }
-        let hash = |plane: &world::TestPlane| plane.state().fleet.standing_hash();
+        let hash = |plane: &cluster::TestPlane| plane.state().fleet.standing_hash();
         assert_eq!(hash(&here), hash(&there));
         let request = catchup::state_request(&there.state());
         assert!(
@@ -236,11 +243,11 @@
     // Guards against a server that leaves but gets work for seconds on some VMs. A VM sends several
     // datagrams with updates at once, two of them arrive in reverse order, and the older one is
     // dropped with its updates.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         let item = |id, offset| {
-            let entry = world::entry("llm", 9, "a");
-            message::UpdateItem::from(&world::news(id, offset, Some(entry)))
+            let entry = cluster::entry("llm", 9, "a");
+            message::UpdateItem::from(&cluster::update(id, offset, Some(entry)))
         };
         let (mut first, mut second) = (datagram(5, 1), datagram(5, 2));
         first.updates = vec![item("i-1", 10)];
@@ -258,7 +265,7 @@
     // Guards against a VM that missed updates and sends requests again and again without learning
     // them. The VMs of its failure domain were cut off with it, and it requested the difference
     // from any VM with a different view, preferring these.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut table = peers::PeerTable::new("d-0");
         for number in 1..60 {
@@ -284,8 +291,8 @@
     // Guards against VMs that are missing in lookups because updates postpone their regular
     // datagrams. Of 300 VMs, those that read the store or relay updates send to a few others 450
     // times a second, and each sending restarted the announce interval.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         for number in 1..300 {
             link::take_datagram(&plane, &datagram(number, 1));
         }
--- a/crates/exchange/tests/world/engines.rs
+++ b/crates/exchange/tests/cluster/engines.rs
@@ -22,8 +22,8 @@
     for number in 1..=engines {
         let domain = if number % 2 == 0 { "a" } else { "b" };
         let entry = super::entry("llm", number, domain);
-        let news = super::news(&format!("e{number}"), 1, Some(entry));
-        fleet.apply_update(&news, None, Instant::now());
+        let update = super::update(&format!("e{number}"), 1, Some(entry));
+        fleet.apply_update(&update, None, Instant::now());
     }
     fleet
 }
--- a/crates/exchange/tests/world/lossy.rs
+++ b/crates/exchange/tests/cluster/lossy.rs
@@ -41,7 +41,7 @@
     pub fn append(&self, id: &str, entry: Option<update::ServerEntry>) {
         let mut records = self.records.borrow_mut();
         let offset = records.len() as u64 + 1;
-        records.push(super::news(id, offset, entry));
+        records.push(super::update(id, offset, entry));
     }
 }
 
--- a/crates/exchange/tests/world/mod.rs
+++ b/crates/exchange/tests/cluster/mod.rs
@@ -343,7 +343,7 @@
     }
 }
 
-pub fn news(id: &str, offset: u64, entry: Option<update::ServerEntry>) -> update::ServerUpdate {
+pub fn update(id: &str, offset: u64, entry: Option<update::ServerEntry>) -> update::ServerUpdate {
     update::ServerUpdate {
         id: id.to_owned(),
         offset,
@@ -366,10 +366,10 @@
     let now = tokio::time::Instant::now();
     state.take_catalog(catalog(1), Bytes::from_static(b"1"));
     for (number, id) in [(1, "s1"), (2, "s2")] {
-        state.apply_update(news(id, 1, Some(entry("app", number, "a"))), false, now);
+        state.apply_update(update(id, 1, Some(entry("app", number, "a"))), false, now);
     }
     for (number, id) in [(11, "e1"), (12, "e2")] {
-        state.apply_update(news(id, 1, Some(entry("llm", number, "a"))), false, now);
+        state.apply_update(update(id, 1, Some(entry("llm", number, "a"))), false, now);
     }
     rc::Rc::new(plane::ExchangePlane::new(FakePort::default(), state))
 }
@@ -381,7 +381,7 @@
     let now = tokio::time::Instant::now();
     let change = plane
         .state()
-        .apply_update(news(id, 50, Some(leaving)), false, now);
+        .apply_update(update(id, 50, Some(leaving)), false, now);
     assert!(matches!(change, fleet::FleetChange::Leaves(_)));
     plane.wake_decisions();
 }
--- a/crates/exchange/tests/configurations.rs
+++ b/crates/exchange/tests/configurations.rs
@@ -1,10 +1,11 @@
 //! Large configurations over slow links.
 
-mod world;
+mod cluster;
 
 use std::{net, rc, time};
 
 use bytes::{BufMut as _, Bytes, BytesMut};
+use cluster::many_vms;
 use exchange::{catalog, catchup, message};
 use prost::Message as _;
 use tokio::{
@@ -12,7 +13,6 @@
     net as sockets,
     time::{self as clock, Instant},
 };
-use world::many_vms;
 
 /// Rate of a small VM's link, in bytes per second.
 const LINK_RATE: usize = 1_250_000;
@@ -37,7 +37,7 @@
     let text = std::str::from_utf8(bytes).map_err(|error| error.to_string())?;
     let version = text.split(' ').next().and_then(|word| word.parse().ok());
     version
-        .map(world::catalog)
+        .map(cluster::catalog)
         .ok_or_else(|| String::from("no number"))
 }
 
@@ -51,7 +51,7 @@
             stream.read_exact(&mut request).await.expect("request");
             let reply = message::StateReply {
                 catalog: document(version),
-                system: world::SYSTEM,
+                system: cluster::SYSTEM,
                 ..message::StateReply::default()
             };
             let reply = reply.encode_to_vec();
@@ -77,10 +77,10 @@
         incarnation: 1,
         sequence,
         stage: message::VmStage::Serving.into(),
-        entry_address: world::address(202).to_string(),
+        entry_address: cluster::address(202).to_string(),
         link_address: link_address.to_string(),
         catalog_version: version,
-        system: world::SYSTEM,
+        system: cluster::SYSTEM,
         ..message::PeerDatagram::default()
     }
 }
@@ -102,7 +102,7 @@
         let listener = listener.expect("listener");
         let address = listener.local_addr().expect("address");
         tokio::task::spawn_local(answer_slowly(listener, 2));
-        let plane = world::plane();
+        let plane = cluster::plane();
         let task = catchup::catch_up(plane.clone(), catchup::TcpPeers, decode);
         tokio::task::spawn_local(task);
         let began = Instant::now();
@@ -181,7 +181,7 @@
     let vms: many_vms::VmCluster = rc::Rc::new(vms.collect());
     let tasks: Vec<_> = (0..load.vms)
         .map(|number| {
-            vms[number].know_all(&store, world::catalog(1));
+            vms[number].know_all(&store, cluster::catalog(1));
             tokio::task::spawn_local(many_vms::run_vm(vms.clone(), store.clone(), number, decode))
         })
         .collect();
@@ -212,7 +212,7 @@
 
 fn check(load: ConfigurationLoad) {
     let mut measured = ConfigurationSpread::default();
-    world::run(async { measured = spread(load).await });
+    cluster::run(async { measured = spread(load).await });
     println!("{load:?}: {measured:?}");
     assert!(!measured.first.is_zero() && measured.first <= load.within);
     assert!(!measured.second.is_zero() && measured.second <= load.within);
--- a/crates/exchange/tests/decisions.rs
+++ b/crates/exchange/tests/decisions.rs
@@ -1,15 +1,15 @@
 //! Tests of the pure decisions: placement, waiting, budgets, suspects, events, lookup.
 
-mod world;
+mod cluster;
 
 use std::time;
 
+use cluster::engines;
 use exchange::{
     budget, directory, event, fleet, forecast, loads, message, peers, place, relocate, request,
     returning, server, suspect, wait,
 };
 use tokio::time::Instant;
-use world::engines;
 
 /// Number of random histories per property.
 const HISTORIES: u64 = 400;
@@ -17,7 +17,7 @@
 fn rule() -> exchange::catalog::ServiceRule {
     exchange::catalog::ServiceRule {
         connections: 100,
-        engine: Some(world::engine_rule()),
+        engine: Some(cluster::engine_rule()),
     }
 }
 
@@ -40,8 +40,8 @@
 fn memory_is_never_planned_beyond_an_engine() {
     // Guards against planning more memory or slots on an engine than it has, under a burst of
     // generations of all sizes from several VMs on few engines.
-    world::run(async {
-        world::histories(HISTORIES, |u| {
+    cluster::run(async {
+        cluster::histories(HISTORIES, |u| {
             let now = Instant::now();
             let mut fleet = engines::fleet_of(4);
             for _ in 0..u.int_in_range(1..=60)? {
@@ -72,7 +72,7 @@
 fn prompts_are_spread_over_engines() {
     // Every VM has a waiting prompt when an empty engine starts. Two long prompts at once on one
     // engine delay each other and all streams on it.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(2);
         for _ in 0..2 {
@@ -112,7 +112,7 @@
     // Guards against truncated streams of a reclaimed engine for lack of memory elsewhere: an
     // engine with much memory in use leaves, and waiting requests take all free memory before its
     // runs can be copied.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(2);
         let (first, second) = (fleet.find("e1").expect("e1"), fleet.find("e2").expect("e2"));
@@ -131,9 +131,9 @@
             )
         };
         assert_eq!(choose(&fleet), place::PlacementOutcome::Server(second));
-        let mut leaving = world::entry("llm", 1, "b");
+        let mut leaving = cluster::entry("llm", 1, "b");
         leaving.leaving = true;
-        fleet.apply_update(&world::news("e1", 2, Some(leaving)), None, now);
+        fleet.apply_update(&cluster::update("e1", 2, Some(leaving)), None, now);
         assert_eq!(choose(&fleet), place::PlacementOutcome::Full);
     });
 }
@@ -142,7 +142,7 @@
 fn late_requests_leave_memory_for_requests_on_time_at_other_vms() {
     // Lasting overload over many VMs, each with its own queue. If a late request of one VM started
     // before a request of another VM that can still be on time, soon all would be late.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let fleet = engines::fleet_of(1);
         let size = engines::size(3_000);
@@ -163,7 +163,7 @@
 #[test]
 fn runs_with_most_to_lose_move_first_and_once() {
     // An engine with several runs leaves; copies queue on its link, and it is soon gone.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(3);
         let first = fleet.find("e1").expect("e1");
@@ -172,11 +172,11 @@
         let mut ending = engines::run(first, 4_000, true);
         ending.produced = 2_000;
         let ending = fleet.start(ending);
-        let engine = world::engine_rule();
+        let engine = cluster::engine_rule();
         assert!(relocate::plan(&mut fleet, "llm", &engine, now, &mut engines::rng()).is_empty());
-        let mut leaving = world::entry("llm", 1, "b");
+        let mut leaving = cluster::entry("llm", 1, "b");
         leaving.leaving = true;
-        fleet.apply_update(&world::news("e1", 2, Some(leaving)), None, now);
+        fleet.apply_update(&cluster::update("e1", 2, Some(leaving)), None, now);
         let orders = relocate::plan(&mut fleet, "llm", &engine, now, &mut engines::rng());
         let runs: Vec<_> = orders.iter().map(|(run, _)| *run).collect();
         assert_eq!(
@@ -193,15 +193,23 @@
     // Guards against sending work to a server that left. Updates of a server arrive from the store
     // and from peers in any order, some twice; the newest is the one with the highest store offset,
     // not the one received last.
-    world::run(async {
-        world::histories(HISTORIES, |u| {
+    cluster::run(async {
+        cluster::histories(HISTORIES, |u| {
             let now = Instant::now();
             let length = u.int_in_range(1..=8)?;
-            let mut updates = vec![world::news("e1", 0, Some(world::entry("llm", 1, "a")))];
+            let mut updates = vec![cluster::update(
+                "e1",
+                0,
+                Some(cluster::entry("llm", 1, "a")),
+            )];
             for offset in 1..length {
-                let mut entry = world::entry("llm", 1, "a");
+                let mut entry = cluster::entry("llm", 1, "a");
                 entry.leaving = u.arbitrary()?;
-                updates.push(world::news("e1", offset, u.ratio(3, 4)?.then_some(entry)));
+                updates.push(cluster::update(
+                    "e1",
+                    offset,
+                    u.ratio(3, 4)?.then_some(entry),
+                ));
             }
             let newest = updates.last().cloned().expect("one");
             let mut order: Vec<_> = updates.iter().chain(&updates).collect();
@@ -233,19 +241,19 @@
 fn entries_expired_in_a_store_outage_have_a_grace_period() {
     // Guards against losing all servers for seconds after each outage of the store: entries expire
     // during the outage, and the servers register again after it.
-    world::run(async {
+    cluster::run(async {
         let mut fleet = engines::fleet_of(1);
         let key = fleet.find("e1").expect("e1");
         let now = Instant::now();
         let grace_until = Some(now + fleet::LAPSE_GRACE);
-        fleet.apply_update(&world::news("e1", 2, None), grace_until, now);
+        fleet.apply_update(&cluster::update("e1", 2, None), grace_until, now);
         assert!(fleet.server(key).expect("e1").takes_work(now));
         assert!(fleet.end_lapse_grace(now).is_empty());
         let later = now + fleet::LAPSE_GRACE + time::Duration::from_millis(1);
         assert!(!fleet.server(key).expect("e1").takes_work(later));
         assert_eq!(fleet.end_lapse_grace(later), [key]);
         fleet.apply_update(
-            &world::news("e1", 3, Some(world::entry("llm", 1, "b"))),
+            &cluster::update("e1", 3, Some(cluster::entry("llm", 1, "b"))),
             None,
             later,
         );
@@ -256,8 +264,8 @@
 #[test]
 fn retries_of_all_vms_stay_within_the_budget() {
     // All VMs see failures at once and retry as often as their budgets allow.
-    world::run(async {
-        world::histories(HISTORIES, |u| {
+    cluster::run(async {
+        cluster::histories(HISTORIES, |u| {
             let rule = budget::BudgetRule {
                 ratio: 0.2,
                 slack: 54.0,
@@ -286,7 +294,7 @@
 
 #[test]
 fn on_time_requests_start_first_then_by_cost_and_age() {
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut queue = wait::WaitQueue::default();
         let mut insert = |step, on_time_ms: u64| {
@@ -321,7 +329,7 @@
 fn expensive_and_late_generations_leave_memory_for_cheap_ones() {
     // Guards against short generations waiting for seconds behind long ones that are late anyway:
     // if any waiting request may use the last free memory, new callers find none.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(2);
         let servers: Vec<_> = fleet.ready("llm", now).map(|(key, _)| key).collect();
@@ -350,7 +358,7 @@
     // Guards against losing many generations on one engine that repeatedly goes down and up. Being
     // empty, it attracts a prompt of each VM in turn, which breaks off and may not be sent again.
     // VMs share their losses, and a single own loss is enough to avoid the engine.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(3);
         let key = |fleet: &fleet::ServerFleet, id| fleet.find(id).expect("known");
@@ -405,7 +413,7 @@
 fn idle_engines_accept_the_most_expensive_generations() {
     // Guards against refusing a long generation on idle engines because it must leave memory free
     // for others that do not exist.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let fleet = engines::fleet_of(1);
         let size = engines::size(17_000);
@@ -422,7 +430,7 @@
 fn retried_requests_start_after_requests_on_time() {
     // Guards against refusals that make other requests late: a refused request is retried at
     // another VM after its delay, where it looks new and displaces one that can still be on time.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let span = time::Duration::from_secs(2);
         let (mut here, mut there) = (
@@ -464,7 +472,7 @@
 #[test]
 fn announced_refusals_are_bounded() {
     // Refusals arrive faster than datagrams can announce them for a long time.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut table = returning::ReturningRequests::default();
         for fingerprint in 0..10_000 {
@@ -480,7 +488,7 @@
 fn waiting_requests_of_one_service_do_not_block_another() {
     // Guards against one overloaded service blocking another: the memory of waiting requests on
     // other VMs must be counted per service.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut peers = peers::PeerTable::default();
         let datagram = message::PeerDatagram {
@@ -492,7 +500,7 @@
                 service: 1,
                 tokens: vec![0, 500, 70],
             }],
-            system: world::SYSTEM,
+            system: cluster::SYSTEM,
             ..message::PeerDatagram::default()
         };
         peers.take(&datagram, now);
@@ -524,8 +532,8 @@
 fn retry_delays_are_spread_and_bounded() {
     // A burst is refused at the same moment; simultaneous retries would be refused again. Callers
     // honour a delay of up to a third of their remaining time.
-    world::run(async {
-        world::histories(HISTORIES, |u| {
+    cluster::run(async {
+        cluster::histories(HISTORIES, |u| {
             let wait = time::Duration::from_millis(u.int_in_range(0..=20_000)?);
             let left = time::Duration::from_millis(u.int_in_range(1_000..=39_000)?);
             let draw = f64::from(u.int_in_range(0..=1_000_u32)?) / 1_000.0;
@@ -552,7 +560,7 @@
     // Guards against events that no engine sent: bytes arrive split anywhere, the stream ends
     // within an event and continues on another server. Forwarding a partial event would join two
     // halves.
-    world::histories(HISTORIES, |u| {
+    cluster::histories(HISTORIES, |u| {
         let newline = if u.arbitrary()? { "\n" } else { "\r\n" };
         let count = u.int_in_range(0..=12)?;
         let text: String = (0..count)
@@ -588,7 +596,7 @@
 
 #[test]
 fn quarantine_needs_two_servers_and_expires() {
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut table = suspect::SuspectTable::default();
         assert!(table.record_crash(7, 1, now));
@@ -614,9 +622,9 @@
         incarnation: 1,
         sequence,
         stage: message::VmStage::Serving.into(),
-        entry_address: world::address(number).to_string(),
-        link_address: world::address(number + 100).to_string(),
-        system: world::SYSTEM,
+        entry_address: cluster::address(number).to_string(),
+        link_address: cluster::address(number + 100).to_string(),
+        system: cluster::SYSTEM,
         ..message::PeerDatagram::default()
     }
 }
@@ -624,31 +632,35 @@
 #[test]
 fn lookups_list_near_reachable_vms() {
     // Guards against lookups that list a VM which stopped or froze seconds ago.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut peers = peers::PeerTable::default();
         let own = directory::OwnEntry {
             domain: String::from("a"),
             stage: message::VmStage::Serving,
-            address: world::address(1),
+            address: cluster::address(1),
         };
         for (name, domain, number) in [("vm-2", "a", 2), ("vm-3", "b", 3), ("vm-4", "b", 4)] {
             peers.take(&datagram(name, domain, number, 1), now);
         }
         let near = directory::addresses(&own, &peers, "a", now);
-        assert_eq!(near, [world::address(1), world::address(2)]);
+        assert_eq!(near, [cluster::address(1), cluster::address(2)]);
         let mut stopping = datagram("vm-2", "a", 2, 2);
         stopping.stage = message::VmStage::Stopping.into();
         peers.take(&stopping, now);
         let all = directory::addresses(&own, &peers, "a", now);
         assert_eq!(
             all,
-            [world::address(1), world::address(3), world::address(4)]
+            [
+                cluster::address(1),
+                cluster::address(3),
+                cluster::address(4)
+            ]
         );
         let later = now + time::Duration::from_millis(1_900);
         assert_eq!(
             directory::addresses(&own, &peers, "b", later),
-            [world::address(1)]
+            [cluster::address(1)]
         );
         assert_eq!(
             peers.take(&datagram("vm-2", "a", 2, 1), later),
@@ -694,7 +706,7 @@
     // Guards against lost calls on servers with free slots: 60 VMs use three small servers with a
     // few calls each, a server accepts 100 connections and resets further ones, and a VM that
     // counts only its own connections exceeds that.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(2);
         let first = fleet.find("e1").expect("e1");
@@ -738,16 +750,16 @@
 fn removed_servers_are_dropped_on_every_vm() {
     // Guards against unbounded memory growth when a hundred of 3,000 servers are replaced each
     // second: VMs that learn of servers from peers only must drop removed servers too.
-    world::run(async {
-        let plane = world::plane();
-        world::start(&plane);
+    cluster::run(async {
+        let plane = cluster::plane();
+        cluster::start(&plane);
         for number in 0..100_u64 {
             let id = format!("i-{number}");
-            let entry = world::entry("llm", 9, "a");
+            let entry = cluster::entry("llm", 9, "a");
             let now = Instant::now();
             let mut state = plane.state();
-            state.apply_update(world::news(&id, 10, Some(entry)), false, now);
-            state.apply_update(world::news(&id, 11, None), false, now);
+            state.apply_update(cluster::update(&id, 10, Some(entry)), false, now);
+            state.apply_update(cluster::update(&id, 11, None), false, now);
         }
         tokio::time::sleep(time::Duration::from_secs(60)).await;
         assert_eq!(
--- a/crates/exchange/tests/delta.rs
+++ b/crates/exchange/tests/delta.rs
@@ -1,6 +1,6 @@
 //! Tests of document deltas against the complete documents.
 
-mod world;
+mod cluster;
 
 use bytes::Bytes;
 use exchange::{catchup, delta, message};
@@ -27,7 +27,7 @@
 #[test]
 fn a_delta_reproduces_the_document() {
     // Guards against a configuration that no operator wrote.
-    world::histories(HISTORIES, |u| {
+    cluster::histories(HISTORIES, |u| {
         let mut document = noise(u.int_in_range(0..=200_000)?, u.arbitrary()?);
         let base = chunked(&document);
         for _ in 0..u.int_in_range(0..=4)? {
@@ -47,7 +47,7 @@
 #[test]
 fn a_damaged_delta_is_rejected() {
     // Guards against a configuration assembled from chunks that do not belong together.
-    world::histories(HISTORIES, |u| {
+    cluster::histories(HISTORIES, |u| {
         let mut document = noise(100_000, u.arbitrary()?);
         let base = chunked(&document);
         document.splice(40_000..40_010, noise(3_000, u.arbitrary()?));
@@ -79,14 +79,14 @@
 #[test]
 fn a_vm_requests_the_complete_document_after_a_bad_delta() {
     // Guards against a VM that requests a delta forever although it can't apply it.
-    world::run(async {
+    cluster::run(async {
         let decode = |bytes: &[u8]| match bytes {
-            b"2" => Ok(world::catalog(2)),
+            b"2" => Ok(cluster::catalog(2)),
             _ => Err(String::from("other")),
         };
-        let (plane, there) = (world::plane(), world::plane());
+        let (plane, there) = (cluster::plane(), cluster::plane());
         let document = Bytes::from_static(b"2");
-        there.state().take_catalog(world::catalog(2), document);
+        there.state().take_catalog(cluster::catalog(2), document);
         plane.state().behind_since = Some(tokio::time::Instant::now());
         let request = catchup::state_request(&plane.state());
         assert!(request.takes_delta);
@@ -108,10 +108,10 @@
 #[test]
 fn a_vm_sends_few_long_documents_at_a_time() {
     // Guards against a link that is shared by so many documents that none arrives completely.
-    world::run(async {
-        let there = world::plane();
+    cluster::run(async {
+        let there = cluster::plane();
         let document = Bytes::from(noise(1_000_000, 3));
-        there.state().take_catalog(world::catalog(2), document);
+        there.state().take_catalog(cluster::catalog(2), document);
         let request = message::StateRequest {
             catalog_version: 1,
             takes_delta: true,
--- a/crates/exchange/tests/evacuation.rs
+++ b/crates/exchange/tests/evacuation.rs
@@ -1,6 +1,6 @@
 //! Tests of failure domains that the operator evacuates.
 
-mod world;
+mod cluster;
 
 use std::collections;
 
@@ -95,10 +95,10 @@
 #[test]
 fn the_evacuated_domains_depend_on_the_position_only() {
     // Guards against an evacuation that returns with a delayed datagram after it was revoked.
-    world::histories(HISTORIES, history);
+    cluster::histories(HISTORIES, history);
 }
 
-fn evacuate(plane: &world::TestPlane, position: u64, domains: &[&str]) {
+fn evacuate(plane: &cluster::TestPlane, position: u64, domains: &[&str]) {
     let evacuations = evacuation::EvacuationSet {
         position,
         domains: domains.iter().map(ToString::to_string).collect(),
@@ -109,14 +109,14 @@
 }
 
 /// A plane whose servers `s3` and `e3` are in another failure domain than the others.
-fn plane_of_two_domains() -> world::TestPlane {
-    let plane = world::plane();
+fn plane_of_two_domains() -> cluster::TestPlane {
+    let plane = cluster::plane();
     let now = time::Instant::now();
     for (id, service, number) in [("s3", "app", 3), ("e3", "llm", 13)] {
-        let entry = world::entry(service, number, "b");
+        let entry = cluster::entry(service, number, "b");
         plane
             .state()
-            .apply_update(world::news(id, 1, Some(entry)), false, now);
+            .apply_update(cluster::update(id, 1, Some(entry)), false, now);
     }
     plane
 }
@@ -124,12 +124,12 @@
 #[test]
 fn calls_and_generations_avoid_an_evacuated_domain() {
     // Guards against new work for servers that are about to be removed.
-    world::run(async {
+    cluster::run(async {
         let plane = plane_of_two_domains();
         evacuate(&plane, 1, &["a"]);
         for number in 0..40 {
             for kind in [catalog::ExchangeKind::Once, catalog::ExchangeKind::Stream] {
-                let ask = world::request(&format!("r-{number}"), kind);
+                let ask = cluster::request(&format!("r-{number}"), kind);
                 let now = time::Instant::now();
                 let mut state = plane.state();
                 let rank = state.rank_basis(&ask, now).rank(now);
@@ -140,7 +140,7 @@
             }
         }
         evacuate(&plane, 2, &["a", "b"]);
-        let ask = world::request("none", catalog::ExchangeKind::Once);
+        let ask = cluster::request("none", catalog::ExchangeKind::Once);
         let now = time::Instant::now();
         let mut state = plane.state();
         let rank = state.rank_basis(&ask, now).rank(now);
@@ -152,14 +152,14 @@
 #[test]
 fn runs_in_an_evacuated_domain_finish_there() {
     // Guards against an evacuation that moves running generations.
-    world::run(async {
+    cluster::run(async {
         let plane = plane_of_two_domains();
-        world::start(&plane);
-        let ask = world::request("r-1", catalog::ExchangeKind::Stream);
+        cluster::start(&plane);
+        let ask = cluster::request("r-1", catalog::ExchangeKind::Stream);
         let reply = plane.serve(ask).await.expect("served");
         evacuate(&plane, 1, &["a", "b"]);
         plane.wake_decisions();
-        let read = world::read(world::parts(reply)).await;
+        let read = cluster::read(cluster::parts(reply)).await;
         assert!(read.complete);
         assert_eq!(plane.port().seen.borrow().len(), 1, "sent once");
         assert_eq!(plane.port().copied.borrow().len(), 0, "not moved");
@@ -169,7 +169,7 @@
 #[test]
 fn runs_are_not_copied_to_an_evacuated_domain() {
     // Guards against runs of a leaving engine that are moved to engines which are to be emptied.
-    world::run(async {
+    cluster::run(async {
         let plane = plane_of_two_domains();
         let now = time::Instant::now();
         let mut state = plane.state();
@@ -181,7 +181,7 @@
             service: "llm",
         };
         let mut rng: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(3);
-        let engine = world::engine_rule();
+        let engine = cluster::engine_rule();
         let mut chosen = |state: &exchange::state::PlaneState| {
             place::choose_copy(&state.fleet, &engine, &wanted, now, &mut rng)
         };
@@ -195,21 +195,21 @@
 #[test]
 fn a_run_does_not_resume_in_an_evacuated_domain() {
     // Guards against requests to evacuated engines when the engine of a run fails.
-    world::run(async {
+    cluster::run(async {
         let plane = plane_of_two_domains();
-        world::start(&plane);
+        cluster::start(&plane);
         for engine in ["e1", "e2", "e3"] {
             let gap = std::time::Duration::from_millis(10);
             plane
                 .port()
-                .push_script(engine, world::ServerScript::Breaks(9, gap));
+                .push_script(engine, cluster::ServerScript::Breaks(9, gap));
         }
-        let ask = world::request("r-1", catalog::ExchangeKind::Stream);
+        let ask = cluster::request("r-1", catalog::ExchangeKind::Stream);
         let reply = plane.serve(ask).await.expect("served");
         let backup = plane.port().seen.borrow()[0].backup;
         assert!(backup.is_some(), "a copy is kept");
         evacuate(&plane, 1, &["a", "b"]);
-        let read = world::read(world::parts(reply)).await;
+        let read = cluster::read(cluster::parts(reply)).await;
         assert!(!read.complete, "the stream ends as incomplete");
         assert_eq!(plane.port().seen.borrow().len(), 1, "sent once");
     });
@@ -218,8 +218,8 @@
 #[test]
 fn evacuations_reach_other_vms_by_datagram() {
     // Guards against VMs that do not read the store and never receive an evacuation.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         let told = |sequence, position, domains: &[&str]| message::PeerDatagram {
             sender: 2,
             name: String::from("vm-2"),
@@ -227,9 +227,9 @@
             incarnation: 1,
             sequence,
             stage: message::VmStage::Serving.into(),
-            entry_address: world::address(2).to_string(),
-            link_address: world::address(102).to_string(),
-            system: world::SYSTEM,
+            entry_address: cluster::address(2).to_string(),
+            link_address: cluster::address(102).to_string(),
+            system: cluster::SYSTEM,
             evacuations: Some(message::EvacuationItem {
                 position,
                 domains: domains.iter().map(ToString::to_string).collect(),
--- a/crates/exchange/tests/fuzz.rs
+++ b/crates/exchange/tests/fuzz.rs
@@ -1,12 +1,12 @@
 //! Stateful fuzz test of the plane against a simple oracle.
 
-mod world;
+mod cluster;
 
 use std::{cell, rc, time};
 
 use arbitrary::Unstructured;
+use cluster::ServerScript;
 use exchange::{catalog, port, reply};
-use world::ServerScript;
 
 const INTERVAL: time::Duration = time::Duration::from_millis(30);
 const EVENTS: u32 = 40;
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 enum CallerResult {
     Left,
-    Stream(world::ReadStream),
+    Stream(cluster::ReadStream),
     Complete,
     Refused(reply::Refusal),
 }
@@ -56,19 +56,19 @@
 }
 
 async fn call(
-    plane: world::TestPlane,
+    plane: cluster::TestPlane,
     id: String,
     kind: catalog::ExchangeKind,
     leaves_after: Option<time::Duration>,
     records: rc::Rc<cell::RefCell<Vec<CallerRecord>>>,
 ) {
-    let request = world::request(&id, kind);
+    let request = cluster::request(&id, kind);
     let served = async {
         match plane.serve(request).await {
             Err(refusal) => CallerResult::Refused(refusal),
             Ok(reply) => match reply.body {
                 reply::ReplyBody::Complete(_) => CallerResult::Complete,
-                reply::ReplyBody::Parts(parts) => CallerResult::Stream(world::read(parts).await),
+                reply::ReplyBody::Parts(parts) => CallerResult::Stream(cluster::read(parts).await),
             },
         }
     };
@@ -89,9 +89,9 @@
 
 /// Runs a history and returns everything that servers and callers observed, in order.
 async fn history(u: &mut Unstructured<'_>) -> arbitrary::Result<String> {
-    let plane = world::plane();
+    let plane = cluster::plane();
     plane.state().settings.backups = u.arbitrary()?;
-    world::start(&plane);
+    cluster::start(&plane);
     for server in ["s1", "s2", "e1", "e2"] {
         for _ in 0..12 {
             let script = draw_script(u)?;
@@ -141,7 +141,7 @@
 
 fn change_server(
     u: &mut Unstructured<'_>,
-    plane: &world::TestPlane,
+    plane: &cluster::TestPlane,
     offset: &mut u64,
 ) -> arbitrary::Result<()> {
     *offset += 10;
@@ -150,7 +150,7 @@
     } else {
         ("e2", 12)
     };
-    let mut entry = world::entry("llm", number, "a");
+    let mut entry = cluster::entry("llm", number, "a");
     entry.leaving = u.arbitrary()?;
     // A new incarnation replaces one that left.
     let fresh = format!("{id}-{offset}");
@@ -159,13 +159,13 @@
     let now = tokio::time::Instant::now();
     plane
         .state()
-        .apply_update(world::news(id, *offset, entry), false, now);
+        .apply_update(cluster::update(id, *offset, entry), false, now);
     plane.wake_decisions();
     Ok(())
 }
 
 /// Checks a finished history.
-fn check(plane: &world::TestPlane, records: &[CallerRecord], calls: usize) {
+fn check(plane: &cluster::TestPlane, records: &[CallerRecord], calls: usize) {
     assert_eq!(records.len(), calls, "every caller got a result");
     assert_eq!(plane.open_requests(), 0);
     assert_eq!(
@@ -188,7 +188,7 @@
         }
         match &record.seen {
             CallerResult::Stream(read) => {
-                let complete = world::events(EVENTS);
+                let complete = cluster::events(EVENTS);
                 assert!(complete.starts_with(&read.text), "{record:?}");
                 assert!(!read.complete || read.text == complete, "{record:?}");
             }
@@ -208,9 +208,9 @@
     // Searches for calls that run twice, mixed streams, false "not run" refusals and assignments
     // that are never freed, under servers that reject, break off, stay silent, leave and are
     // replaced, copies that fail in every way, callers that leave, and store outages in any order.
-    world::histories(400, |u| {
+    cluster::histories(400, |u| {
         let mut result = Ok(());
-        world::run(async { result = history(u).await.map(drop) });
+        cluster::run(async { result = history(u).await.map(drop) });
         result
     });
 }
@@ -225,7 +225,7 @@
         let recorder = recorded.clone();
         arbtest::arbtest(move |u| {
             let mut result = Ok(());
-            world::run(async {
+            cluster::run(async {
                 result = history(u).await.map(|text| {
                     recorder.replace(text);
                 });
--- a/crates/exchange/tests/incarnations.rs
+++ b/crates/exchange/tests/incarnations.rs
@@ -1,12 +1,12 @@
 //! Tests of servers that restart under the same name.
 
-mod world;
+mod cluster;
 
 use std::{collections, time};
 
+use cluster::ServerScript;
 use exchange::{capacity, catalog, fleet, port, server, update};
 use tokio::time::Instant;
-use world::ServerScript;
 
 const HISTORIES: u64 = 2_000;
 const GAP: time::Duration = time::Duration::from_millis(40);
@@ -16,7 +16,7 @@
 }
 
 fn entry(number: u8, millis: u64, leaving: bool) -> update::ServerEntry {
-    let mut entry = world::entry("llm", number, "a");
+    let mut entry = cluster::entry("llm", number, "a");
     entry.started_at = start_time(millis);
     entry.leaving = leaving;
     entry
@@ -53,8 +53,8 @@
     // them heartbeats of an earlier incarnation that were written after the later one's first. The
     // order of the store must not be taken for the order of the incarnations, and each incarnation
     // needs its own record.
-    world::run(async {
-        world::histories(HISTORIES, |u| {
+    cluster::run(async {
+        cluster::histories(HISTORIES, |u| {
             let now = Instant::now();
             let first = update::ServerUpdate {
                 id: String::from("e1"),
@@ -66,7 +66,7 @@
                 let named = u.ratio(3, 4)?;
                 let started = 1_000 * u.int_in_range(1..=3)?;
                 let entry = named.then_some(entry(1, started, u.ratio(1, 4)?));
-                updates.push(world::news("e1", offset, entry));
+                updates.push(cluster::update("e1", offset, entry));
             }
             let mut hashes = collections::BTreeSet::new();
             for _ in 0..2 {
@@ -102,11 +102,11 @@
     // Guards against a restarted engine that gets no work for as long as the system runs. It
     // leaves, fails and is full, crashes and restarts under its name; a leaving mark is never
     // revoked, and was kept by name.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut fleet = fleet::ServerFleet::default();
         fleet.apply_update(
-            &world::news("e1", 1, Some(entry(1, 1_000, false))),
+            &cluster::update("e1", 1, Some(entry(1, 1_000, false))),
             None,
             now,
         );
@@ -125,13 +125,13 @@
             fleet.replace_peer_loads(vm, [(before, load)].into_iter(), now);
         }
         fleet.apply_update(
-            &world::news("e1", 2, Some(entry(1, 1_000, true))),
+            &cluster::update("e1", 2, Some(entry(1, 1_000, true))),
             None,
             now,
         );
         let hash = fleet.server(before).expect("known").name_hash();
 
-        let restarted = world::news("e1", 3, Some(entry(1, 2_000, false)));
+        let restarted = cluster::update("e1", 3, Some(entry(1, 2_000, false)));
         let change = fleet.apply_update(&restarted, None, now);
         let after = fleet.find("e1").expect("known");
         assert_eq!(change, fleet::FleetChange::Arrived(after));
@@ -141,7 +141,7 @@
         assert!(record.failure_rate(now) < 0.01 && !fleet.is_failing(after, now));
         let loads = fleet.loads("llm", now);
         assert_eq!((loads[after].runs, loads[after].tokens), (0, 0));
-        let engine = world::engine_rule();
+        let engine = cluster::engine_rule();
         let room = capacity::MemoryCapacity::measure(&fleet, "llm", &engine, &loads, now);
         assert!(
             room.moving < 1.0,
@@ -152,7 +152,7 @@
         let old = fleet.server(before).expect("kept");
         assert!(!old.takes_work(now) && old.superseded);
         // A late update of the earlier incarnation neither removes nor revives anything.
-        let late = world::news("e1", 9, Some(entry(1, 1_000, true)));
+        let late = cluster::update("e1", 9, Some(entry(1, 1_000, true)));
         assert_eq!(
             fleet.apply_update(&late, None, now),
             fleet::FleetChange::Nothing
@@ -166,29 +166,29 @@
     // Guards against an engine that left, gets new work and is stopped with it. It announces that
     // it leaves, its entry is removed, and then a heartbeat from before is written; the leaving
     // mark was dropped with the entry.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut fleet = fleet::ServerFleet::default();
         let ready = || Some(entry(1, 1_000, false));
-        fleet.apply_update(&world::news("e1", 1, ready()), None, now);
+        fleet.apply_update(&cluster::update("e1", 1, ready()), None, now);
         let leaving = Some(entry(1, 1_000, true));
-        fleet.apply_update(&world::news("e1", 2, leaving), None, now);
-        fleet.apply_update(&world::news("e1", 3, None), None, now);
-        fleet.apply_update(&world::news("e1", 4, ready()), None, now);
+        fleet.apply_update(&cluster::update("e1", 2, leaving), None, now);
+        fleet.apply_update(&cluster::update("e1", 3, None), None, now);
+        fleet.apply_update(&cluster::update("e1", 4, ready()), None, now);
         assert_eq!(fleet.ready("llm", now).count(), 0);
     });
 }
 
 #[test]
 fn an_update_without_a_start_time_names_no_incarnation() {
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut fleet = fleet::ServerFleet::default();
-        let update = world::news("e1", 1, Some(entry(1, 1_000, false)));
+        let update = cluster::update("e1", 1, Some(entry(1, 1_000, false)));
         assert!(!fleet.lacks_incarnation(&update));
         fleet.apply_update(&update, None, now);
-        assert!(fleet.lacks_incarnation(&world::news("e1", 2, Some(entry(1, 0, false)))));
-        assert!(!fleet.lacks_incarnation(&world::news("e2", 2, Some(entry(2, 0, false)))));
+        assert!(fleet.lacks_incarnation(&cluster::update("e1", 2, Some(entry(1, 0, false)))));
+        assert!(!fleet.lacks_incarnation(&cluster::update("e2", 2, Some(entry(2, 0, false)))));
     });
 }
 
@@ -197,8 +197,8 @@
     // Guards against a caller that gets the rest of another caller's answer. The backup of a stream
     // crashes and restarts under its name, then the stream's engine crashes, and the copy is
     // requested by name and address from an engine that never had it.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         for server in ["e1", "e2"] {
             plane
                 .port()
@@ -206,10 +206,10 @@
         }
         let now = Instant::now();
         for (number, id) in [(11, "e1"), (12, "e2")] {
-            let update = world::news(id, 2, Some(entry(number, 1_000, false)));
+            let update = cluster::update(id, 2, Some(entry(number, 1_000, false)));
             plane.state().apply_update(update, false, now);
         }
-        let ask = world::request("a", catalog::ExchangeKind::Stream);
+        let ask = cluster::request("a", catalog::ExchangeKind::Stream);
         let reply = plane.serve(ask).await.expect("served");
         let (other, number) = {
             let seen = plane.port().seen.borrow();
@@ -220,11 +220,11 @@
                 ("e1", 11)
             }
         };
-        let restarted = world::news(other, 3, Some(entry(number, 2_000, false)));
+        let restarted = cluster::update(other, 3, Some(entry(number, 2_000, false)));
         plane.state().apply_update(restarted, false, Instant::now());
-        let read = world::read(world::parts(reply)).await;
+        let read = cluster::read(cluster::parts(reply)).await;
         assert!(!read.complete);
-        assert_eq!(read.text, world::events(9));
+        assert_eq!(read.text, cluster::events(9));
         assert_eq!(plane.port().seen.borrow().len(), 1);
     });
 }
@@ -234,26 +234,26 @@
     // Guards against a stream that stays silent until its caller leaves, although a copy of it is
     // kept. Its engine crashes behind a network partition, so that no connection breaks, and
     // restarts; the stream must learn from the update that its run has ended.
-    world::run(async {
-        let plane = world::plane();
-        world::start(&plane);
+    cluster::run(async {
+        let plane = cluster::plane();
+        cluster::start(&plane);
         let now = Instant::now();
         for (number, id) in [(11, "e1"), (12, "e2")] {
-            let update = world::news(id, 2, Some(entry(number, 1_000, false)));
+            let update = cluster::update(id, 2, Some(entry(number, 1_000, false)));
             plane.state().apply_update(update, false, now);
             plane.port().push_script(id, ServerScript::Events(100, GAP));
         }
-        let ask = world::request("a", catalog::ExchangeKind::Stream);
+        let ask = cluster::request("a", catalog::ExchangeKind::Stream);
         let reply = plane.serve(ask).await.expect("served");
         let first = plane.port().seen.borrow()[0].server.clone();
         let number = if first == "e1" { 11 } else { 12 };
         tokio::time::sleep(GAP * 6).await;
-        let restarted = world::news(&first, 3, Some(entry(number, 2_000, false)));
+        let restarted = cluster::update(&first, 3, Some(entry(number, 2_000, false)));
         plane.state().apply_update(restarted, false, Instant::now());
         plane.wake_decisions();
-        let read = world::read(world::parts(reply)).await;
+        let read = cluster::read(cluster::parts(reply)).await;
         assert!(read.complete);
-        assert_eq!(read.text, world::events(100));
+        assert_eq!(read.text, cluster::events(100));
         let seen = plane.port().seen.borrow();
         assert_ne!(seen[1].server, first);
         assert!(seen[1].resume.is_some());
@@ -265,7 +265,7 @@
 fn connections_older_than_the_incarnation_are_not_reused() {
     let target = port::ServerTarget {
         id: String::from("e1"),
-        address: world::address(1),
+        address: cluster::address(1),
         known_for: time::Duration::from_millis(300),
     };
     assert_eq!(
--- a/crates/exchange/tests/moves.rs
+++ b/crates/exchange/tests/moves.rs
@@ -1,17 +1,17 @@
 //! Tests of the choice of the target of a move.
 
-mod world;
+mod cluster;
 
+use cluster::engines;
 use exchange::place;
 use tokio::time::Instant;
-use world::engines;
 
 #[test]
 fn runs_that_move_together_stay_in_their_failure_domain() {
     // Guards against truncated streams of an engine that is gone 1.4 s after its notice: each run
     // was copied to an idle engine of another domain, which took 0.31 s per run, because a single
     // prompt in prefill on the engine of their own domain counted for more.
-    world::run(async {
+    cluster::run(async {
         let now = Instant::now();
         let mut fleet = engines::fleet_of(3);
         let [source, other, near] = ["e1", "e2", "e3"].map(|id| fleet.find(id).expect("known"));
@@ -25,7 +25,7 @@
             proactive: false,
             service: "llm",
         };
-        let engine = world::engine_rule();
+        let engine = cluster::engine_rule();
         for seed in 0..40 {
             let mut rng: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed);
             let chosen = place::choose_copy(&fleet, &engine, &request, now, &mut rng);
--- a/crates/exchange/tests/notices.rs
+++ b/crates/exchange/tests/notices.rs
@@ -1,13 +1,13 @@
 //! Measures the time until the last of many VMs knows that a server leaves, or that a failure
 //! domain is evacuated.
 
-mod world;
+mod cluster;
 
 use std::{collections, rc, time};
 
+use cluster::lossy::{self, VmHealth};
 use exchange::{evacuation, follow, update};
 use tokio::time::{self as clock, Instant};
-use world::lossy::{self, VmHealth};
 
 /// Half of the time that the users allow until a server that leaves gets no more work.
 const KNOWN_WITHIN: time::Duration = time::Duration::from_millis(1_500);
@@ -56,7 +56,7 @@
     update::ServerEntry {
         started_at: update::StartTime::from_millis(1_000 + number as u64),
         leaving,
-        ..world::entry(service, 9, &domain)
+        ..cluster::entry(service, 9, &domain)
     }
 }
 
@@ -165,7 +165,7 @@
     let mut late = Vec::new();
     for scenario in scenarios {
         let mut times = Vec::new();
-        world::run(async { times = run_notices(scenario).await });
+        cluster::run(async { times = run_notices(scenario).await });
         let count = times.iter().filter(|took| **took > KNOWN_WITHIN).count();
         if count > 0 {
             late.push((scenario, count));
@@ -258,7 +258,7 @@
 async fn change(scenario: NoticeScenario, change: OperatorChange) -> time::Duration {
     let running = start(&scenario).await;
     let planes: Vec<_> = running.vms.vms.iter().map(|vm| vm.plane.clone()).collect();
-    let is_reader = |plane: &&world::TestPlane| plane.state().reads_store(Instant::now());
+    let is_reader = |plane: &&cluster::TestPlane| plane.state().reads_store(Instant::now());
     let mut longest = time::Duration::ZERO;
     for number in 2..=OPERATOR_CHANGES + 1 {
         let mut readers = planes.iter().filter(is_reader);
@@ -278,7 +278,7 @@
             }
         }
         let changed_at = Instant::now();
-        let in_force = |plane: &world::TestPlane| match change {
+        let in_force = |plane: &cluster::TestPlane| match change {
             OperatorChange::Evacuation => plane.state().fleet.evacuations().position == number,
             OperatorChange::Configuration => plane.state().version() == number,
         };
@@ -301,7 +301,7 @@
         };
         for changed in [OperatorChange::Evacuation, OperatorChange::Configuration] {
             let mut longest = time::Duration::ZERO;
-            world::run(async { longest = change(scenario, changed).await });
+            cluster::run(async { longest = change(scenario, changed).await });
             assert!(
                 longest <= KNOWN_WITHIN,
                 "{scenario:?}, {changed:?}: {longest:?}"
--- a/crates/exchange/tests/overload.rs
+++ b/crates/exchange/tests/overload.rs
@@ -1,6 +1,6 @@
 //! Simulates lasting overload of engine memory with the decisions on waiting requests.
 
-mod world;
+mod cluster;
 
 use std::time;
 
@@ -102,10 +102,10 @@
     fn new(policy: WaitPolicy, seed: u64) -> Self {
         let mut fleet = fleet::ServerFleet::default();
         for number in 1..=ENGINES {
-            let mut entry = world::entry("llm", number, "a");
+            let mut entry = cluster::entry("llm", number, "a");
             entry.slots = SLOTS;
-            let news = world::news(&format!("e{number}"), 1, Some(entry));
-            fleet.apply_update(&news, None, Instant::now());
+            let update = cluster::update(&format!("e{number}"), 1, Some(entry));
+            fleet.apply_update(&update, None, Instant::now());
         }
         Self {
             policy,
@@ -209,7 +209,7 @@
         };
         let mut rule = exchange::catalog::ServiceRule {
             connections: 100,
-            engine: Some(world::engine_rule()),
+            engine: Some(cluster::engine_rule()),
         };
         rule.engine.as_mut().expect("set").memory_tokens = MEMORY;
         let placed = place::choose(&self.fleet, Some(&rule), &placement, now, &mut self.rng);
@@ -252,7 +252,7 @@
     // engines have for a minute. In order of arrival each new caller waits as long as the oldest
     // one did, half of all responses are late, and the longest generations displace the most
     // others.
-    world::run(async {
+    cluster::run(async {
         let simulate = |policy, seed| LoadSimulation::new(policy, seed).simulate(13.5);
         for seed in 1..=5 {
             let arrival = simulate(WaitPolicy::Arrival, seed);
@@ -282,7 +282,7 @@
 #[test]
 fn light_load_starts_everything_at_once() {
     // Memory reserved for other requests must cost nothing while there is enough.
-    world::run(async {
+    cluster::run(async {
         for seed in 1..=5 {
             let rank = LoadSimulation::new(WaitPolicy::Rank, seed).simulate(6.0);
             assert!(rank.on_time_fraction() > 0.97, "seed {seed}: {rank:?}");
--- a/crates/exchange/tests/recovery.rs
+++ b/crates/exchange/tests/recovery.rs
@@ -1,14 +1,14 @@
 //! Tests of many VMs that start within one second and know nothing: the time until each has what it
 //! needs, and the calls to the store meanwhile.
 
-mod world;
+mod cluster;
 
 use std::{rc, time};
 
 use bytes::Bytes;
+use cluster::many_vms;
 use exchange::{catalog, state, update};
 use tokio::time::{self as clock, Instant};
-use world::many_vms;
 
 /// Number of servers for each VM.
 const SERVERS_EACH: usize = 10;
@@ -26,7 +26,7 @@
 const KNOWS_WITHIN: time::Duration = time::Duration::from_millis(7_500);
 
 fn decode(_: &[u8]) -> Result<catalog::RouteCatalog, String> {
-    Ok(world::catalog(1))
+    Ok(cluster::catalog(1))
 }
 
 /// The lost VMs, and the state of the store.
@@ -58,8 +58,8 @@
             "llm"
         };
         let name = format!("i-{:08x}", number.wrapping_mul(0x9E37_79B9) & 0xFFFF_FFFF);
-        let entry = world::entry(service, 9, &format!("d-{}", number % many_vms::DOMAINS));
-        world::news(&name, number as u64 + 1, Some(entry))
+        let entry = cluster::entry(service, 9, &format!("d-{}", number % many_vms::DOMAINS));
+        cluster::update(&name, number as u64 + 1, Some(entry))
     };
     let mut entries: Vec<_> = (0..servers).map(entry).collect();
     entries.sort_by(|one, other| one.id.cmp(&other.id));
@@ -84,7 +84,7 @@
         let spread = vm.plane.state().draw();
         clock::sleep(START_TIME.mul_f64(spread)).await;
     } else {
-        vm.know_all(&store, world::catalog(1));
+        vm.know_all(&store, cluster::catalog(1));
     }
     many_vms::run_vm(vms, store, number, decode).await;
 }
@@ -126,7 +126,7 @@
 /// Runs a loss and checks the recovery times.
 fn check(loss: ClusterLoss) -> ClusterRecovery {
     let mut recovery = ClusterRecovery::default();
-    world::run(async { recovery = recover(loss).await });
+    cluster::run(async { recovery = recover(loss).await });
     println!("{loss:?}: {recovery:?}");
     let from = loss.store_down;
     assert!(!recovery.serves.is_zero() && recovery.serves <= from + SERVES_WITHIN);
--- a/crates/exchange/tests/room.rs
+++ b/crates/exchange/tests/room.rs
@@ -1,6 +1,6 @@
 //! Tests of when requests are refused for lack of engine memory.
 
-mod world;
+mod cluster;
 
 use std::time;
 
@@ -43,7 +43,7 @@
 #[test]
 fn memory_is_exhausted_only_if_no_recent_sample_fits() {
     // Three loads: engines full for long, full since a burst began, and full except for one sample.
-    world::run(async {
+    cluster::run(async {
         tokio::time::advance(time::Duration::from_secs(60)).await;
         let now = Instant::now();
         let seconds = time::Duration::from_secs;
@@ -70,7 +70,7 @@
 }
 
 /// Lets peers report both engines as full, for as long as this runs.
-async fn keep_full(plane: world::TestPlane) {
+async fn keep_full(plane: cluster::TestPlane) {
     loop {
         {
             let mut state = plane.state();
@@ -98,13 +98,13 @@
     // Guards against holding late requests without benefit: with engines full for seconds, nearly
     // all generations that start do so while they can be on time; the others waited for 5.9 s to be
     // refused, were retried and were refused again.
-    world::run(async {
-        let plane = world::plane();
-        world::start(&plane);
+    cluster::run(async {
+        let plane = cluster::plane();
+        cluster::start(&plane);
         tokio::task::spawn_local(keep_full(plane.clone()));
         tokio::time::sleep(time::Duration::from_secs(8)).await;
         let started = Instant::now();
-        let request = world::request("a", catalog::ExchangeKind::Stream);
+        let request = cluster::request("a", catalog::ExchangeKind::Stream);
         let Err(refusal) = plane.serve(request).await else {
             panic!("served");
         };
@@ -132,14 +132,14 @@
 #[test]
 fn waiting_requests_in_a_burst_are_not_refused_early() {
     // Engines had free memory two seconds ago, so waiting is worthwhile.
-    world::run(async {
-        let plane = world::plane();
-        world::start(&plane);
+    cluster::run(async {
+        let plane = cluster::plane();
+        cluster::start(&plane);
         tokio::time::sleep(time::Duration::from_secs(3)).await;
         tokio::task::spawn_local(keep_full(plane.clone()));
         tokio::time::sleep(time::Duration::from_secs(1)).await;
         let started = Instant::now();
-        let request = world::request("a", catalog::ExchangeKind::Stream);
+        let request = cluster::request("a", catalog::ExchangeKind::Stream);
         let Err(refusal) = plane.serve(request).await else {
             panic!("served");
         };
--- a/crates/exchange/tests/storm.rs
+++ b/crates/exchange/tests/storm.rs
@@ -1,12 +1,12 @@
 //! Tests of the load on the store: rapid configuration changes, and discovery of other VMs.
 
-mod world;
+mod cluster;
 
 use std::time;
 
+use cluster::store;
 use exchange::{follow, message};
 use tokio::time::Instant;
-use world::store;
 
 /// Number of other VMs; six of all VMs read the store on behalf of all.
 const OTHERS: u8 = 40;
@@ -16,7 +16,7 @@
 fn decode(bytes: &[u8]) -> Result<exchange::catalog::RouteCatalog, String> {
     let text = std::str::from_utf8(bytes).map_err(|error| error.to_string())?;
     let version = text.parse().map_err(|_| String::from("no number"))?;
-    Ok(world::catalog(version))
+    Ok(cluster::catalog(version))
 }
 
 /// Datagram of another VM that has the newest version in force.
@@ -28,10 +28,10 @@
         incarnation: 1,
         sequence,
         stage: message::VmStage::Serving.into(),
-        entry_address: world::address(number).to_string(),
-        link_address: world::address(number + 100).to_string(),
+        entry_address: cluster::address(number).to_string(),
+        link_address: cluster::address(number + 100).to_string(),
         catalog_version: version,
-        system: world::SYSTEM,
+        system: cluster::SYSTEM,
         ..message::PeerDatagram::default()
     }
 }
@@ -40,8 +40,8 @@
 fn rapid_changes_cause_few_reads_and_little_lag() {
     // A configuration change every 165 ms for 4.6 s. Guards against every VM reading every version
     // from the store although only a few VMs should read it on behalf of all.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         let store = store::FakeStore::changing(CHANGE_INTERVAL);
         let mut sequence = 0;
         let mut receive = |version| {
@@ -75,9 +75,12 @@
     // Guards against VMs that ignore the streams of all others and all read the store for 2.4 s
     // after a common power loss: their settings name no other VM, all start within 0.4 s, and each
     // waits to be found at an address that nobody has.
-    world::run(async {
-        for (seeds, min, max) in [(vec![], 0, 300), (vec![world::address(202)], 2_500, 2_500)] {
-            let plane = world::plane();
+    cluster::run(async {
+        for (seeds, min, max) in [
+            (vec![], 0, 300),
+            (vec![cluster::address(202)], 2_500, 2_500),
+        ] {
+            let plane = cluster::plane();
             plane.state().settings.seeds = seeds;
             let started = Instant::now();
             let store = store::FakeStore::changing(CHANGE_INTERVAL);
--- a/crates/exchange/tests/streams.rs
+++ b/crates/exchange/tests/streams.rs
@@ -1,21 +1,21 @@
 //! Tests of streams: each event arrives once and in order, from a single run, on whichever server
 //! it continues.
 
-mod world;
+mod cluster;
 
 use std::time;
 
 use base::outcome;
+use cluster::ServerScript;
 use exchange::{catalog, port, reply};
-use world::ServerScript;
 
 const INTERVAL: time::Duration = time::Duration::from_millis(40);
 
 fn stream(id: &str) -> exchange::request::ExchangeRequest {
-    world::request(id, catalog::ExchangeKind::Stream)
+    cluster::request(id, catalog::ExchangeKind::Stream)
 }
 
-fn script_both(plane: &world::TestPlane, script: &ServerScript) {
+fn script_both(plane: &cluster::TestPlane, script: &ServerScript) {
     for server in ["e1", "e2"] {
         plane.port().push_script(server, script.clone());
     }
@@ -23,15 +23,15 @@
 
 #[test]
 fn a_stream_is_forwarded_completely() {
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         script_both(&plane, &ServerScript::Events(30, INTERVAL));
         let reply = plane.serve(stream("a")).await.expect("served");
-        let read = world::read(world::parts(reply)).await;
+        let read = cluster::read(cluster::parts(reply)).await;
         assert_eq!(
             read,
-            world::ReadStream {
-                text: world::events(30),
+            cluster::ReadStream {
+                text: cluster::events(30),
                 complete: true
             }
         );
@@ -44,16 +44,16 @@
 fn a_stream_that_breaks_off_never_looks_complete() {
     // Guards against a truncated stream that looks complete: the engine crashes within an event,
     // and there is no copy.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         plane.state().settings.backups = false;
         script_both(&plane, &ServerScript::Breaks(5, INTERVAL));
         let reply = plane.serve(stream("a")).await.expect("head");
-        let read = world::read(world::parts(reply)).await;
+        let read = cluster::read(cluster::parts(reply)).await;
         assert_eq!(
             read,
-            world::ReadStream {
-                text: world::events(5),
+            cluster::ReadStream {
+                text: cluster::events(5),
                 complete: false
             }
         );
@@ -70,8 +70,8 @@
     // Guards against losing a stream whose run has a copy, and against a continuation that repeats
     // events or joins a partial one: the engine crashes within an event, and the other engine has
     // the copy.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         script_both(&plane, &ServerScript::Breaks(5, INTERVAL));
         script_both(&plane, &ServerScript::Events(20, INTERVAL));
         let reply = plane.serve(stream("a")).await.expect("served");
@@ -85,11 +85,11 @@
             .get_mut(other)
             .expect("script")
             .pop_front();
-        let read = world::read(world::parts(reply)).await;
+        let read = cluster::read(cluster::parts(reply)).await;
         assert_eq!(
             read,
-            world::ReadStream {
-                text: world::events(20),
+            cluster::ReadStream {
+                text: cluster::events(20),
                 complete: true
             }
         );
@@ -107,10 +107,10 @@
     // Guards against releasing copies of unfinished moves: five runs leave an engine whose link
     // copies one after the other, the last part of the first run waits behind the others, and the
     // engine is gone before it is copied. The run must continue from the part copied before.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         plane.state().settings.backups = false;
-        world::start(&plane);
+        cluster::start(&plane);
         let reply = {
             for server in ["e1", "e2"] {
                 plane
@@ -141,10 +141,10 @@
             }
         }
         tokio::time::sleep(INTERVAL * 6).await;
-        world::leave(&plane, &first, number);
-        let read = world::read(world::parts(reply)).await;
+        cluster::leave(&plane, &first, number);
+        let read = cluster::read(cluster::parts(reply)).await;
         assert!(read.complete);
-        assert_eq!(read.text, world::events(60));
+        assert_eq!(read.text, cluster::events(60));
         let seen = plane.port().seen.borrow();
         assert_eq!(seen.len(), 2, "one run, resumed once");
         let resume = seen[1].resume.clone().expect("from the copy");
@@ -161,10 +161,10 @@
     // Guards against losing streams on reclaimed engines: the engine is told to leave while the
     // stream runs, and there is no proactive copy. The run is copied while it continues, then
     // stopped, copied again and continued on the other engine.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         plane.state().settings.backups = false;
-        world::start(&plane);
+        cluster::start(&plane);
         script_both(&plane, &ServerScript::Events(100, INTERVAL));
         let reply = plane.serve(stream("a")).await.expect("served");
         let first = plane.port().seen.borrow()[0].server.clone();
@@ -174,12 +174,12 @@
             (12, "e1")
         };
         tokio::time::sleep(INTERVAL * 6).await;
-        world::leave(&plane, &first, number);
-        let read = world::read(world::parts(reply)).await;
+        cluster::leave(&plane, &first, number);
+        let read = cluster::read(cluster::parts(reply)).await;
         assert_eq!(
             read,
-            world::ReadStream {
-                text: world::events(100),
+            cluster::ReadStream {
+                text: cluster::events(100),
                 complete: true
             }
         );
@@ -201,10 +201,10 @@
 fn a_stopped_run_continues_on_its_source_if_the_target_is_full() {
     // Guards against losing a run that was stopped for a move: the last copy finds no memory on the
     // target, and the source keeps the stopped run under the handle in the error.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         plane.state().settings.backups = false;
-        world::start(&plane);
+        cluster::start(&plane);
         script_both(&plane, &ServerScript::Events(100, INTERVAL));
         script_both(&plane, &ServerScript::Events(100, INTERVAL));
         let done = port::CopyDone {
@@ -220,10 +220,10 @@
         let reply = plane.serve(stream("a")).await.expect("served");
         let first = plane.port().seen.borrow()[0].server.clone();
         tokio::time::sleep(INTERVAL * 6).await;
-        world::leave(&plane, &first, if first == "e1" { 11 } else { 12 });
-        let read = world::read(world::parts(reply)).await;
+        cluster::leave(&plane, &first, if first == "e1" { 11 } else { 12 });
+        let read = cluster::read(cluster::parts(reply)).await;
         assert!(read.complete);
-        assert_eq!(read.text, world::events(100));
+        assert_eq!(read.text, cluster::events(100));
         let seen = plane.port().seen.borrow();
         assert_eq!(seen[1].server, first);
         assert_eq!(seen[1].resume.as_ref().expect("copy").handle, "h1");
@@ -234,9 +234,9 @@
 fn a_full_engine_is_not_sent_a_stream() {
     // Guards against streams that wait in an engine's queue and are lost with it: load reports of
     // other VMs are outdated and show free memory; only the engine's reservation is reliable.
-    world::run(async {
-        let plane = world::plane();
-        world::start(&plane);
+    cluster::run(async {
+        let plane = cluster::plane();
+        cluster::start(&plane);
         plane.port().full.borrow_mut().insert(String::from("e1"));
         for number in 0..4 {
             let id = format!("a{number}");
@@ -258,9 +258,9 @@
 fn a_stream_without_capacity_is_refused_before_its_caller_leaves() {
     // Guards against holding a stream until its caller leaves: all engines stay full, and callers
     // leave after four times the target latency, long before the deadline of 39 s.
-    world::run(async {
-        let plane = world::plane();
-        world::start(&plane);
+    cluster::run(async {
+        let plane = cluster::plane();
+        cluster::start(&plane);
         plane
             .port()
             .full
@@ -278,8 +278,8 @@
 #[test]
 fn a_stream_is_cancelled_when_its_caller_leaves() {
     // Guards against runs whose caller has left in the middle of the stream.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         script_both(&plane, &ServerScript::Events(1_000, INTERVAL));
         let reply = plane.serve(stream("a")).await.expect("served");
         tokio::time::sleep(INTERVAL * 3).await;
@@ -295,8 +295,8 @@
 fn a_stream_lost_before_its_head_is_not_retried() {
     // Guards against running one stream on two engines: the connection breaks before the head,
     // while the engine may be in prefill. No event yet does not mean not run.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         script_both(&plane, &ServerScript::Lost);
         let refusal = plane.serve(stream("a")).await.expect_err("lost");
         assert_eq!(refusal.ran, outcome::RanState::Unknown);
@@ -308,8 +308,8 @@
 fn a_request_that_crashed_two_engines_is_quarantined() {
     // Guards against one request that crashes each engine that starts it, with all its streams, and
     // is retried.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         plane.state().settings.backups = false;
         script_both(&plane, &ServerScript::Breaks(0, INTERVAL));
         let mut causes = Vec::new();
@@ -317,7 +317,7 @@
             let mut request = stream("a");
             request.fingerprint = 77;
             match plane.serve(request).await {
-                Ok(reply) => assert!(!world::read(world::parts(reply)).await.complete),
+                Ok(reply) => assert!(!cluster::read(cluster::parts(reply)).await.complete),
                 Err(refusal) => causes.push(refusal.cause),
             }
             tokio::time::sleep(time::Duration::from_secs(3)).await;
@@ -332,8 +332,8 @@
 fn a_stream_sent_to_a_silent_engine_may_have_run() {
     // Guards against reporting a stream as not run while its engine runs it: the engine accepts the
     // request and stays silent until the time limit.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         script_both(&plane, &ServerScript::Silent);
         let refusal = plane.serve(stream("a")).await.expect_err("out of time");
         assert_eq!(refusal.ran, outcome::RanState::Unknown);
@@ -345,19 +345,19 @@
 fn a_stopping_vm_refuses_streams_that_it_cannot_finish() {
     // Guards against truncating streams at the end of a stop: a caller with an outdated lookup
     // sends a stream late in the grace period.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         script_both(&plane, &ServerScript::Events(20, INTERVAL));
         plane.stop();
         tokio::time::sleep(time::Duration::from_secs(1)).await;
         let reply = plane.serve(stream("a")).await.expect("early enough");
-        assert!(world::read(world::parts(reply)).await.complete);
+        assert!(cluster::read(cluster::parts(reply)).await.complete);
         tokio::time::sleep(time::Duration::from_secs(1)).await;
         let refusal = plane.serve(stream("b")).await.expect_err("too late");
         assert_eq!(refusal.cause, reply::RefusalCause::Stopping);
         assert_eq!(refusal.ran, outcome::RanState::No);
         let call = plane
-            .serve(world::request("c", catalog::ExchangeKind::Once))
+            .serve(cluster::request("c", catalog::ExchangeKind::Once))
             .await;
         assert!(call.is_ok(), "a call still ends in time");
         assert_eq!(plane.port().seen.borrow().len(), 2);
--- a/crates/exchange/tests/systems.rs
+++ b/crates/exchange/tests/systems.rs
@@ -1,14 +1,14 @@
 //! Tests of VMs of other systems, whose messages must change nothing, and of how a VM finds out its
 //! own system.
 
-mod world;
+mod cluster;
 
 use std::{rc, time};
 
 use arbitrary::Unstructured;
+use cluster::store;
 use exchange::{catchup, link, message, system};
 use tokio::time as clock;
-use world::store;
 
 /// Number of another system.
 const OTHER_SYSTEM: u64 = 42;
@@ -26,8 +26,8 @@
         incarnation: 1,
         sequence,
         stage: message::VmStage::Serving.into(),
-        entry_address: world::address(number).to_string(),
-        link_address: world::address(number + 100).to_string(),
+        entry_address: cluster::address(number).to_string(),
+        link_address: cluster::address(number + 100).to_string(),
         system,
         ..message::PeerDatagram::default()
     }
@@ -40,7 +40,11 @@
     // The last two VMs are of another system; one of them has the name of a VM of this system.
     let number = u.int_in_range(1..=SENDERS)?;
     let foreign = number > SENDERS - 2;
-    let system = if foreign { OTHER_SYSTEM } else { world::SYSTEM };
+    let system = if foreign {
+        OTHER_SYSTEM
+    } else {
+        cluster::SYSTEM
+    };
     let mut datagram = introduction(number, sequence, system);
     if number == SENDERS {
         datagram.name = String::from("vm-1");
@@ -53,11 +57,11 @@
     datagram.standing_hash = u.int_in_range(0..=3)?;
     let server = u.int_in_range(1..=9_u8)?;
     let leaves = u.arbitrary()?;
-    let mut entry = world::entry("app", server, "a");
+    let mut entry = cluster::entry("app", server, "a");
     entry.leaving = leaves;
-    let news = world::news(&format!("i-{server}"), sequence, Some(entry));
-    datagram.updates = vec![message::UpdateItem::from(&news)];
-    datagram.known = vec![world::address(200 + number).to_string()];
+    let update = cluster::update(&format!("i-{server}"), sequence, Some(entry));
+    datagram.updates = vec![message::UpdateItem::from(&update)];
+    datagram.known = vec![cluster::address(200 + number).to_string()];
     datagram.accusations = vec![message::AccusationItem {
         fingerprint: u.int_in_range(1..=3)?,
         server: u.int_in_range(1..=3)?,
@@ -67,7 +71,7 @@
 }
 
 /// All that a VM knows of others and of servers, for comparison.
-fn known_state(plane: &world::TestPlane) -> String {
+fn known_state(plane: &cluster::TestPlane) -> String {
     let now = clock::Instant::now();
     let mut state = plane.state();
     let peers: Vec<_> = state.peers.all().map(|peer| format!("{peer:?}")).collect();
@@ -80,7 +84,7 @@
 
 async fn history(u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
     // The oracle is a VM that receives datagrams of its own system only.
-    let (plane, oracle) = (world::plane(), world::plane());
+    let (plane, oracle) = (cluster::plane(), cluster::plane());
     for sequence in 1..u.int_in_range(2..=30)? {
         let (foreign, datagram) = draw_datagram(u, sequence)?;
         let answered = link::take_datagram(&plane, &datagram);
@@ -99,23 +103,23 @@
     // Guards against calls that run at servers of another system, and against callers that are sent
     // to its VMs. VMs of another system send datagrams to this one, some under a name that is known
     // here, and any sender was taken for a peer.
-    world::histories(HISTORIES, |u| {
+    cluster::histories(HISTORIES, |u| {
         let mut end = Ok(());
-        world::run(async { end = history(u).await });
+        cluster::run(async { end = history(u).await });
         end
     });
 }
 
 /// A VM that does not know its system yet.
-fn fresh_plane() -> world::TestPlane {
-    let plane = world::plane();
+fn fresh_plane() -> cluster::TestPlane {
+    let plane = cluster::plane();
     plane.state().system = system::SystemBelief::Unasked;
     plane
 }
 
 /// Identifies the plane's system in a task.
 fn identify(
-    plane: &world::TestPlane,
+    plane: &cluster::TestPlane,
     store: rc::Rc<store::FakeStore>,
 ) -> tokio::task::JoinHandle<Result<(), system::JoinedOther>> {
     let plane = plane.clone();
@@ -127,7 +131,7 @@
     // Guards against a new VM that takes over the configuration of another system. It receives a
     // datagram from a VM of that system before its own store has answered, and joined the system of
     // the first sender.
-    world::run(async {
+    cluster::run(async {
         let plane = fresh_plane();
         let store = store::FakeStore::silent_for(time::Duration::from_millis(300));
         let identified = identify(&plane, store);
@@ -135,10 +139,10 @@
         let answered = link::take_datagram(&plane, &introduction(2, 1, OTHER_SYSTEM));
         assert_eq!((answered, plane.state().peers.len()), (None, 0));
         assert_eq!(identified.await.expect("ends"), Ok(()));
-        let own = system::SystemBelief::Known(world::system_id(world::SYSTEM));
+        let own = system::SystemBelief::Known(cluster::system_id(cluster::SYSTEM));
         assert_eq!(plane.state().system, own);
         link::take_datagram(&plane, &introduction(2, 2, OTHER_SYSTEM));
-        link::take_datagram(&plane, &introduction(3, 1, world::SYSTEM));
+        link::take_datagram(&plane, &introduction(3, 1, cluster::SYSTEM));
         assert_eq!(plane.state().peers.len(), 1);
     });
 }
@@ -149,8 +153,11 @@
     // join another system and keep serving with its configuration. The store does not answer for
     // seconds, a VM of this or of another system sends a datagram, then the store is back. Either
     // no sender was believed, or the first one forever.
-    world::run(async {
-        for (first, other) in [(world::SYSTEM, OTHER_SYSTEM), (OTHER_SYSTEM, world::SYSTEM)] {
+    cluster::run(async {
+        for (first, other) in [
+            (cluster::SYSTEM, OTHER_SYSTEM),
+            (OTHER_SYSTEM, cluster::SYSTEM),
+        ] {
             let plane = fresh_plane();
             let store = store::FakeStore::silent_for(time::Duration::from_secs(5));
             let identified = identify(&plane, store.clone());
@@ -159,10 +166,10 @@
             link::take_datagram(&plane, &introduction(2, 1, first));
             link::take_datagram(&plane, &introduction(3, 1, other));
             assert_eq!(plane.state().peers.len(), 1, "one system at a time");
-            let joined = system::SystemBelief::Told(world::system_id(first));
+            let joined = system::SystemBelief::Told(cluster::system_id(first));
             assert_eq!(plane.state().system, joined);
             let end = identified.await.expect("ends");
-            assert_eq!(end.is_ok(), first == world::SYSTEM);
+            assert_eq!(end.is_ok(), first == cluster::SYSTEM);
             assert!(store.asked.get() <= 15, "{} calls", store.asked.get());
         }
     });
@@ -173,10 +180,10 @@
     // Guards against a VM of another system that is a peer for as long as its own store is silent.
     // It has an address that this VM knows and sends before it knows its system; no system was
     // taken for the same one.
-    world::run(async {
-        let plane = world::plane();
+    cluster::run(async {
+        let plane = cluster::plane();
         let answered = link::take_datagram(&plane, &introduction(2, 1, 0));
-        assert_eq!(answered, Some(world::address(102)));
+        assert_eq!(answered, Some(cluster::address(102)));
         assert_eq!(plane.state().peers.len(), 0);
         let fresh = fresh_plane();
         let answered = link::take_datagram(&fresh, &introduction(2, 1, 0));
@@ -192,18 +199,18 @@
     // Guards against a VM that puts another system's configuration in force. It requests the newer
     // configuration of a peer that has just stopped, and a VM of another system has its address by
     // then.
-    world::run(async {
-        let plane = world::plane();
-        let there = world::plane();
-        there.state().system = system::SystemBelief::Known(world::system_id(OTHER_SYSTEM));
-        let decode = |_: &[u8]| Ok(world::catalog(9));
+    cluster::run(async {
+        let plane = cluster::plane();
+        let there = cluster::plane();
+        there.state().system = system::SystemBelief::Known(cluster::system_id(OTHER_SYSTEM));
+        let decode = |_: &[u8]| Ok(cluster::catalog(9));
         let request = message::StateRequest::default();
         there.state().document = rc::Rc::new(bytes::Bytes::from_static(b"9").into());
         let mut reply = catchup::state_reply(&mut there.state(), &request);
         let base = plane.state().document.clone();
         catchup::take_state(&plane, &base, reply.clone(), decode);
         assert_eq!(plane.state().version(), 1);
-        reply.system = world::SYSTEM;
+        reply.system = cluster::SYSTEM;
         catchup::take_state(&plane, &base, reply, decode);
         assert_eq!(plane.state().version(), 9);
     });
