--- a/crates/entry/src/adapt/schedule.rs
+++ b/crates/entry/src/adapt/schedule.rs
@@ -56,7 +56,7 @@
         Ok(PlaneGrant::Engine(grant))
     }
 
-    fn generation_ask(
+    fn generation_request(
         &self,
         asked: &port::AdmissionRequest,
     ) -> Result<request::GenerationRequest, refusal::RefusalBody> {
@@ -182,7 +182,7 @@
 
     fn early_refusal(&self, ask: &port::AdmissionRequest) -> Option<refusal::RefusalBody> {
         match &ask.work {
-            port::RequestedWork::Generation { .. } => self.generation_ask(ask).err(),
+            port::RequestedWork::Generation { .. } => self.generation_request(ask).err(),
             port::RequestedWork::Service { service } => self
                 .candidates(service, &ask.avoid)
                 .is_empty()
@@ -196,7 +196,7 @@
     ) -> Result<PlaneGrant, refusal::RefusalBody> {
         match &ask.work {
             port::RequestedWork::Generation { .. } => {
-                self.admit_generation(self.generation_ask(ask)?).await
+                self.admit_generation(self.generation_request(ask)?).await
             }
             port::RequestedWork::Service { service } => self.admit_call(service, ask).await,
         }
--- a/crates/entry/src/assemble.rs
+++ b/crates/entry/src/assemble.rs
@@ -142,11 +142,11 @@
 
 /// Time between two appends of a partition of deferrable work. Nobody waits for it at a gate, and
 /// the log's appends are few.
-const JOB_APPEND_GAP: Duration = Duration::from_millis(100);
+const JOB_APPEND_INTERVAL: Duration = Duration::from_millis(100);
 
 fn ledger_settings() -> host::HostSettings {
     let mut settings = host::HostSettings::default();
-    settings.jobs.append.min_interval = JOB_APPEND_GAP;
+    settings.jobs.append.min_interval = JOB_APPEND_INTERVAL;
     settings
 }
 
--- a/crates/entry/src/roster.rs
+++ b/crates/entry/src/roster.rs
@@ -50,7 +50,7 @@
 }
 
 impl RosterState {
-    fn place(&mut self, region: &str, failure_domain: &str) -> view::ServerLocation {
+    fn location(&mut self, region: &str, failure_domain: &str) -> view::ServerLocation {
         view::ServerLocation {
             region: self.regions.number(region),
             failure_domain: self.domains.number(failure_domain),
@@ -72,7 +72,7 @@
         engine: &inventory::EngineEntry,
         loaded: Option<&[watch::LoadedBody]>,
     ) -> view::EngineSpec {
-        let place = self.place(&server.region, &server.entry.failure_domain);
+        let location = self.location(&server.region, &server.entry.failure_domain);
         // Until an engine has said what it has ready, it is taken to have its first model.
         let names: Vec<String> = match loaded {
             Some(loaded) => loaded.iter().map(|model| model.model.clone()).collect(),
@@ -81,7 +81,7 @@
         let models = names.iter().map(|name| self.model_key(name)).collect();
         view::EngineSpec {
             identity: rendezvous::score("engine", &server.name),
-            location: place,
+            location,
             models,
             total_blocks: engine.kv_blocks,
             block_tokens: engine.block_tokens,
@@ -160,7 +160,7 @@
     /// Takes in a new snapshot: servers, models, organisations and the policy's settings.
     pub fn configure(&self, snapshot: &snapshot::ConfigSnapshot, own: &sight::OwnPlace) {
         let mut state = self.lock();
-        let place = state.place(&own.region, &own.failure_domain);
+        let location = state.location(&own.region, &own.failure_domain);
         let engines: Vec<(id::ServerKey, view::EngineSpec)> = snapshot
             .servers()
             .filter_map(|(key, server)| match &server.entry.kind {
@@ -190,7 +190,7 @@
         let organisations = snapshot.organisations().map(|(key, _)| key).collect();
         let former = std::mem::replace(&mut state.organisations, organisations);
         drop(state);
-        let policy = sight::policy_settings(snapshot, place, own);
+        let policy = sight::policy_settings(snapshot, location, own);
         self.driver.change(|core, now| {
             core.settings_changed(policy);
             for key in gone {
