--- a/crates/carry/src/transfer.rs
+++ b/crates/carry/src/transfer.rs
@@ -20,7 +20,7 @@
     /// Between two bytes after that.
     pub silence: time::Duration,
     /// The whole. Far beyond what any transfer needs: it ends those that only trickle.
-    pub whole: time::Duration,
+    pub total: time::Duration,
 }
 
 /// A transfer that came to a halt.
@@ -70,7 +70,7 @@
         } else {
             limit.silence
         };
-        (self.moved_at + gap).min(self.began + limit.whole)
+        (self.moved_at + gap).min(self.began + limit.total)
     }
 }
 
--- a/crates/carry/tests/transfer.rs
+++ b/crates/carry/tests/transfer.rs
@@ -7,7 +7,7 @@
 const LIMIT: transfer::TransferLimit = transfer::TransferLimit {
     first: time::Duration::from_millis(1_000),
     silence: time::Duration::from_millis(300),
-    whole: time::Duration::from_millis(5_000),
+    total: time::Duration::from_millis(5_000),
 };
 
 fn run<F: Future<Output = ()>>(test: F) {
--- a/crates/exchange/src/catchup.rs
+++ b/crates/exchange/src/catchup.rs
@@ -25,7 +25,7 @@
 const STATE_LIMIT: transfer::TransferLimit = transfer::TransferLimit {
     first: STATE_IDLE_TIMEOUT,
     silence: STATE_IDLE_TIMEOUT,
-    whole: STATE_TIMEOUT,
+    total: STATE_TIMEOUT,
 };
 /// Limits while the requester has only a part of the list of servers, and for the VM that replies.
 /// The first byte may take longer, because other VMs send requests at the same time.
--- a/crates/exchange/tests/cluster/many_vms.rs
+++ b/crates/exchange/tests/cluster/many_vms.rs
@@ -158,7 +158,7 @@
         let limit = transfer::TransferLimit {
             first,
             silence: ANSWER_IDLE_TIMEOUT,
-            whole: ANSWER_TIMEOUT,
+            total: ANSWER_TIMEOUT,
         };
         let carried = carry(bytes, (&store.output, &self.link), meter);
         let carried = meter.limit(&limit, carried).await;
