--- a/crates/exchange/src/state.rs
+++ b/crates/exchange/src/state.rs
@@ -60,7 +60,7 @@
     pub unannounced: Vec<update::ServerUpdate>,
     /// Notices of leaving servers, sent repeatedly to the other VMs.
     pub notices: notices::LeavingNotices,
-    /// Server updates that another VM asked this one to relay.
+    /// Server updates that another VM asked this one to forward.
     pub forwarded_updates: Vec<message::UpdateItem>,
     /// Sequence number of the last datagram.
     pub sequence: u64,
