--- a/crates/carry/src/transfer.rs
+++ b/crates/carry/src/transfer.rs
@@ -20,7 +20,7 @@
     /// Maximum time between two later bytes.
     pub silence: time::Duration,
     /// Maximum total time. Far more than any transfer needs: it ends those that only trickle.
-    pub whole: time::Duration,
+    pub total: time::Duration,
 }
 
 /// Error of a transfer that stalled.
@@ -70,7 +70,7 @@
         } else {
             limit.silence
         };
-        (self.moved_at + timeout).min(self.began + limit.whole)
+        (self.moved_at + timeout).min(self.began + limit.total)
     }
 }
 
--- a/crates/exchange/src/catchup.rs
+++ b/crates/exchange/src/catchup.rs
@@ -25,7 +25,7 @@
 const STATE_LIMIT: transfer::TransferLimit = transfer::TransferLimit {
     first: STATE_IDLE_TIMEOUT,
     silence: STATE_IDLE_TIMEOUT,
-    whole: STATE_TIMEOUT,
+    total: STATE_TIMEOUT,
 };
 /// Limits while the requester has only a part of the list of servers, and for the VM that replies.
 /// The first byte may take longer, because other VMs send requests at the same time.
@@ -105,7 +105,7 @@
         let base = plane.state().document.clone();
         let behind = plane.state().behind_since.is_some();
         if behind {
-            plane.state().peers_asked_at = Some(time::Instant::now());
+            plane.state().peers_requested_at = Some(time::Instant::now());
         }
         let limit = if complete { STATE_LIMIT } else { LIST_LIMIT };
         let meter = plane.state().from_peers.clone();
@@ -216,7 +216,7 @@
     };
     let overdue = !state.from_store.is_moving()
         && state.behind_since.is_some_and(|since| {
-            let grace = if state.reads_store(now) && !state.store_away {
+            let grace = if state.reads_store(now) && !state.store_unavailable {
                 STORE_GRACE
             } else {
                 time::Duration::ZERO
