--- a/crates/stand/src/admin.rs
+++ b/crates/stand/src/admin.rs
@@ -1,5 +1,5 @@
-//! One listener that switches the faults of all stand-ins of a process, also of those that are
-//! down and have no listener of their own.
+//! Admin listener that switches faults of all stand-ins of a process, including those that are down
+//! and have no listener of their own.
 
 use std::{net, sync};
 
@@ -9,11 +9,11 @@
 
 type Members = sync::Arc<Vec<fleet::FleetMember>>;
 
-/// Serves the faults of `members` on `address` (port 0: any).
+/// Serves the admin routes for `members` on `address` (port 0: any free port).
 ///
 /// # Errors
 ///
-/// When the address can't be had.
+/// Returns an error if the address can't be bound.
 pub async fn serve(
     members: Vec<fleet::FleetMember>,
     address: net::SocketAddr,
@@ -23,7 +23,7 @@
     http::serve(address, gate, members, routes![list, faults]).await
 }
 
-/// One stand-in as `GET /admin/members` tells it.
+/// Entry of a stand-in in the answer of `GET /admin/members`.
 #[derive(serde::Serialize)]
 struct MemberAnswer<'a> {
     name: &'a str,
@@ -37,7 +37,7 @@
 struct FaultCall {
     /// Name of the stand-in.
     target: String,
-    /// A fault of its kind.
+    /// A fault that this kind of stand-in supports.
     fault: serde_json::Value,
 }
 
--- a/crates/stand/src/bucket.rs
+++ b/crates/stand/src/bucket.rs
@@ -1,22 +1,22 @@
-//! A token bucket: so much a second, with a burst after a pause.
+//! Token bucket rate limiter.
 
 use std::time;
 
-/// Longest time that a refusal names.
-const LONGEST_WAIT: time::Duration = time::Duration::from_secs(86_400);
+/// Upper limit of the wait that a refusal returns.
+const MAX_WAIT: time::Duration = time::Duration::from_secs(86_400);
 
-/// A rate with a burst; `now` is the time since any fixed moment and never goes back.
+/// Token bucket; `now` is the time since any fixed moment and is monotonic.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     per_second: f64,
     burst: f64,
-    /// What may be taken at `filled_at`; never above the burst.
+    /// Amount available at `filled_at`; never above the burst.
     available: f64,
     filled_at: time::Duration,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     #[must_use]
     pub const fn new(per_second: f64, burst: f64) -> Self {
         Self {
@@ -31,7 +31,8 @@
     ///
     /// # Errors
     ///
-    /// When there is not as much now: the time until there is, or would be without the burst.
+    /// If less than `amount` is available, returns the time until the rate has supplied the missing
+    /// amount, ignoring the burst limit.
     pub fn take(&mut self, now: time::Duration, amount: f64) -> Result<(), time::Duration> {
         let gained = now.saturating_sub(self.filled_at).as_secs_f64() * self.per_second;
         self.available = (self.available + gained).min(self.burst);
@@ -42,6 +43,6 @@
             return Ok(());
         }
         let wait = time::Duration::try_from_secs_f64(missing / self.per_second);
-        Err(wait.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT))
+        Err(wait.unwrap_or(MAX_WAIT).min(MAX_WAIT))
     }
 }
--- a/crates/stand/src/command.rs
+++ b/crates/stand/src/command.rs
@@ -1,4 +1,4 @@
-//! What `pollenstand` does.
+//! Entry point of the `pollenstand` command.
 
 use std::{fs, path};
 
@@ -7,10 +7,10 @@
 
 use crate::{cli, exit, fleet, settings};
 
-/// Port of the admin listener when nothing else is said.
-const USUAL_PORT: u16 = 7_900;
+/// Default port of the admin listener.
+const DEFAULT_PORT: u16 = 7_900;
 
-/// Parses `arguments` and does what they say; prints to standard output and standard error.
+/// Parses `arguments` and runs the command; prints to standard output and standard error.
 #[must_use]
 pub fn execute(program: &str, arguments: &[String]) -> exit::ExitKind {
     let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
@@ -22,7 +22,7 @@
             return exit::ExitKind::Success;
         }
         Err(early) => {
-            eprintln!("{}\nRun {program} --help for what there is.", early.output);
+            eprintln!("{}\nRun {program} --help for usage.", early.output);
             return exit::ExitKind::Usage;
         }
     };
@@ -46,15 +46,15 @@
     if let Some(level) = level {
         builder.filter_level(level);
     }
-    // The HTTP library tells every request; nothing there is a change of state.
+    // The HTTP library logs every request; none of its lines report a state change.
     builder.filter_module("rocket", log::LevelFilter::Off);
     builder.init();
 }
 
-/// The settings of the file or of the options; a fault is printed.
+/// Reads the settings from the file or the options; prints an error.
 fn read_settings(command: &cli::StandCommand) -> Result<settings::StandSettings, exit::ExitKind> {
     let Some(file) = &command.config else {
-        let first_port = command.first_port.unwrap_or(USUAL_PORT);
+        let first_port = command.first_port.unwrap_or(DEFAULT_PORT);
         let engines = command.engines.unwrap_or(1);
         let services = command.services.unwrap_or(1);
         return Ok(settings::StandSettings::on_loopback(
@@ -63,13 +63,13 @@
     };
     if command.engines.is_some() || command.services.is_some() || command.first_port.is_some() {
         eprintln!(
-            "--config says what to run; leave --engines, --services and --first-port out, or leave --config out"
+            "--config can't be combined with --engines, --services or --first-port; omit one or the other"
         );
         return Err(exit::ExitKind::Usage);
     }
     let name = file.display().to_string();
     let text = fs::read_to_string(file).map_err(|cause| {
-        eprintln!("{name}: {cause}; name a file that can be read");
+        eprintln!("{name}: {cause}; give a readable file");
         exit::ExitKind::Settings
     })?;
     conf::settings::parse(&name, &text).map_err(|faults| {
@@ -95,7 +95,7 @@
     }
     log::info!(members = fleet.members().len(); "stand-ins are ready");
     if let Err(cause) = wait_for_stop().await {
-        eprintln!("signals can't be received: {cause}; run this on a Unix system");
+        eprintln!("can't register signal handlers: {cause}; run this on a Unix system");
         return exit::ExitKind::Failed;
     }
     fleet.stop().await;
--- a/crates/stand/src/engine.rs
+++ b/crates/stand/src/engine.rs
@@ -1,4 +1,4 @@
-//! The model engine: continuous batching against a limited budget of KV cache blocks.
+//! Stand-in for a model engine: continuous batching with a limited number of KV cache blocks.
 
 use std::{collections, mem, time};
 
@@ -28,24 +28,26 @@
     stream::{EngineStream, StreamEvent},
 };
 
-/// One engine without I/O and clock: `now` is the time since any fixed moment and never goes back.
+/// Engine state machine without I/O or clock: `now` is the time since any fixed moment and is
+/// monotonic.
 #[derive(Clone, Debug)]
 pub struct EngineCore {
     profile: EngineProfile,
     incarnation: id::Incarnation,
     sequences: slotmap::SlotMap<sequence::SequenceKey, sequence::Sequence>,
     by_id: collections::HashMap<id::GenerationId, sequence::SequenceKey>,
-    /// Exactly the sequences in phase `Waiting`.
+    /// All sequences in phase `Waiting`, and no others.
     waiting: collections::BTreeMap<sequence::QueueRank, sequence::SequenceKey>,
-    /// Exactly the sequences in phase `Running`; at most `max_batch`.
+    /// All sequences in phase `Running`, and no others; at most `max_batch`.
     running: collections::BTreeMap<sequence::QueueRank, sequence::SequenceKey>,
-    /// The step under way; `None` when there is nothing to do.
+    /// The step in progress; `None` when the engine is idle.
     plan: Option<batch::StepPlan>,
     pool: pool::BlockPool,
-    /// Ended generations by the time when they are forgotten, earliest first.
+    /// Ended generations with the time at which they are forgotten, earliest first.
     ended: collections::VecDeque<(time::Duration, sequence::SequenceKey)>,
-    /// Cancelled unknown ids, and until when they are remembered, earliest first.
+    /// Cancelled unknown ids; a start with one of them is refused.
     tombstones: collections::HashSet<id::GenerationId>,
+    /// Expiry times of the tombstones, earliest first.
     tombstone_ends: collections::VecDeque<(time::Duration, id::GenerationId)>,
     models: Vec<call::LoadedModel>,
     role: String,
@@ -57,7 +59,7 @@
     events: Vec<EngineEvent>,
     arrivals: u64,
     preemptions: u64,
-    /// Preemptions in all lives of the process.
+    /// Preemptions over all incarnations of the process.
     preemptions_by_priority: [u64; 3],
     down: bool,
     stalled: bool,
@@ -104,19 +106,19 @@
         core
     }
 
-    /// Works up to `now` and gives out all that happened since the last call.
+    /// Advances to `now` and returns all events since the last call.
     pub fn step(&mut self, now: time::Duration) -> Vec<EngineEvent> {
         self.advance(now);
         mem::take(&mut self.events)
     }
 
-    /// Preemptions in all lives of the process, by priority.
+    /// Preemptions over all incarnations of the process, by priority.
     #[must_use]
     pub const fn preemptions_by_priority(&self) -> [u64; 3] {
         self.preemptions_by_priority
     }
 
-    /// When `step` has something to do next, if nobody calls anything else before.
+    /// Time at which `step` next has work to do, unless another call comes first.
     #[must_use]
     pub fn next_wake(&self) -> Option<time::Duration> {
         if self.down {
@@ -132,11 +134,11 @@
         times.into_iter().flatten().min()
     }
 
-    /// Queues a generation.
+    /// Adds a generation to the queue.
     ///
     /// # Errors
     ///
-    /// When nothing was started, and why.
+    /// Returns the reason if the generation was not started.
     pub fn start(&mut self, now: time::Duration, call: &StartCall) -> Result<(), EngineError> {
         self.advance(now);
         self.check_start(call)?;
@@ -178,7 +180,7 @@
         Ok(())
     }
 
-    /// Tokens that one generation can have at the most, prompt and output together.
+    /// Maximum number of tokens of one generation, prompt and output together.
     fn context_limit(&self) -> u32 {
         let memory = self
             .profile
@@ -187,11 +189,11 @@
         memory.min(self.profile.context_tokens)
     }
 
-    /// Ends a generation, or remembers that its start must be refused.
+    /// Cancels a generation, or records an unknown id so that its start is refused.
     ///
     /// # Errors
     ///
-    /// When the engine is down.
+    /// Returns an error if the engine is down.
     pub fn cancel(
         &mut self,
         now: time::Duration,
@@ -217,11 +219,11 @@
         })
     }
 
-    /// How far a generation is.
+    /// Returns the progress of a generation.
     ///
     /// # Errors
     ///
-    /// When it isn't held.
+    /// Returns an error if the engine doesn't hold the generation.
     pub fn progress(
         &self,
         generation: id::GenerationId,
@@ -234,11 +236,11 @@
         progress.ok_or(EngineError::NotHeld { id: generation })
     }
 
-    /// The newest load report that is given out at `now`.
+    /// Returns the newest load report that is visible at `now`.
     ///
     /// # Errors
     ///
-    /// When the engine is down.
+    /// Returns an error if the engine is down.
     pub fn load(&mut self, now: time::Duration) -> Result<call::LoadReport, EngineError> {
         self.advance(now);
         if self.down {
@@ -248,11 +250,11 @@
         Ok(self.history.newest(now))
     }
 
-    /// The cache events above number `after` that are given out at `now`.
+    /// Returns the cache events with numbers above `after` that are visible at `now`.
     ///
     /// # Errors
     ///
-    /// When the engine is down.
+    /// Returns an error if the engine is down.
     pub fn cache_events(
         &mut self,
         now: time::Duration,
@@ -266,7 +268,7 @@
         Ok(self.feed.page(now, after, PAGE_EVENTS))
     }
 
-    /// The state at this moment, as the engine itself knows it.
+    /// Returns the current load, without the reporting lag.
     #[must_use]
     pub fn report(&self) -> call::LoadReport {
         call::LoadReport {
@@ -284,26 +286,26 @@
         }
     }
 
-    /// Its blocks.
+    /// Returns the block pool.
     #[must_use]
     pub const fn pool(&self) -> &pool::BlockPool {
         &self.pool
     }
 
-    /// Its profile.
+    /// Returns the engine's profile.
     #[must_use]
     pub const fn profile(&self) -> &EngineProfile {
         &self.profile
     }
 
-    /// Whether it is dead.
+    /// Returns whether the engine is down.
     #[must_use]
     pub const fn is_down(&self) -> bool {
         self.down
     }
 
-    /// Does all that is due up to `now`, in the order of time: how often it is called changes
-    /// nothing.
+    /// Processes everything due up to `now`, in order of time. The result doesn't depend on how
+    /// often this is called.
     fn advance(&mut self, now: time::Duration) {
         while !self.down {
             let ready_at = self.loading.as_ref().map(|loading| loading.ready_at);
@@ -330,7 +332,7 @@
         self.begin_step(now);
     }
 
-    /// Takes the load reports that are due; to be called before any change at `now`.
+    /// Records the load reports that are due. Must be called before any change at `now`.
     fn observe(&mut self, now: time::Duration) {
         if self.history.is_due(now) {
             let report = self.report();
--- a/crates/stand/src/engine/batch.rs
+++ b/crates/stand/src/engine/batch.rs
@@ -1,17 +1,17 @@
-//! Steps of continuous batching: who decodes, who prefills, who must give its memory back.
+//! Steps of continuous batching: chooses which generations decode, prefill or are preempted.
 
 use std::{mem, time};
 
 use super::{EngineCore, call, sequence};
 
-/// One step under way.
+/// A step in progress.
 #[derive(Clone, Debug)]
 pub struct StepPlan {
-    /// When it ends.
+    /// Time at which the step ends.
     pub ends_at: time::Duration,
-    /// Generations that get a token.
+    /// Generations that produce a token.
     decode: Vec<sequence::SequenceKey>,
-    /// Generations that prefill, and how many tokens.
+    /// Generations that prefill, with the number of tokens.
     prefill: Vec<(sequence::SequenceKey, u32)>,
 }
 
@@ -33,7 +33,7 @@
         let cost_us = self.profile.step_base_us
             + self.profile.step_sequence_us * decode.len() as u64
             + self.profile.prefill_token_us * u64::from(prefill_tokens);
-        // A step without any cost would let one call of `step` go on for ever.
+        // A step of zero duration would keep a single call of `step` looping forever.
         let cost = time::Duration::from_micros(cost_us.max(1)).mul_f64(self.slow_factor.max(0.001));
         self.plan = Some(StepPlan {
             ends_at: now + cost,
@@ -65,7 +65,7 @@
         (decode, prefill)
     }
 
-    /// Ends the step: its generations get their tokens, except those that ended meanwhile.
+    /// Ends the step: its generations produce their tokens, except those that ended meanwhile.
     pub(super) fn finish_step(&mut self, plan: &StepPlan) {
         for &(key, tokens) in &plan.prefill {
             let Some(sequence) = self.sequences.get_mut(key) else {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Makes room for the next token of each decoding generation, most urgent first.
+    /// Allocates blocks for the next token of each decoding generation, most urgent first.
     fn grow_running(&mut self, now: time::Duration) {
         let keys: Vec<sequence::SequenceKey> = self.running.values().copied().collect();
         for key in keys {
@@ -122,7 +122,8 @@
                 if self.pool.take(1) {
                     self.sequences[key].private += 1;
                 } else if self.running.len() == 1 {
-                    // Alone it has all the memory there is: preempting it could not help.
+                    // The only running generation already has all the memory; preempting it
+                    // could not help.
                     self.end(now, key, call::FinishReason::Length);
                 } else {
                     self.preempt_last(now);
@@ -137,7 +138,7 @@
         runs && sequence.blocks() * self.profile.block_tokens < sequence.context() + 1
     }
 
-    /// Takes the least urgent, latest generation out of the batch.
+    /// Preempts the latest arrival of the least urgent priority.
     fn preempt_last(&mut self, now: time::Duration) {
         let Some((rank, key)) = self.running.pop_last() else {
             return;
@@ -157,7 +158,7 @@
             .push(call::EngineEvent::Preempted { id, at: now });
     }
 
-    /// Fills the batch from the queue; more urgent work may push less urgent out of the batch.
+    /// Fills the batch from the queue; more urgent generations may preempt less urgent ones.
     fn admit_waiting(&mut self, now: time::Duration) {
         while let Some((&rank, &key)) = self.waiting.first_key_value() {
             let full = self.running.len() >= self.profile.max_batch.max(1) as usize;
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Puts a queued generation into the batch if its context and one more token fit.
+    /// Moves a queued generation into the batch if its context and one more token fit.
     fn admit(
         &mut self,
         now: time::Duration,
@@ -185,12 +186,12 @@
     ) -> bool {
         let sequence = &mut self.sequences[key];
         let block_tokens = self.profile.block_tokens;
-        // At least one token must be worked out anew to get the next one.
+        // At least one token must be recomputed to produce the next one.
         let usable = (sequence.context() - 1) / block_tokens;
         let usable = sequence.chain.len().min(usable as usize);
         let (hits, idle) = self.pool.find(&sequence.chain[..usable]);
         let need = (sequence.context() + 1).div_ceil(block_tokens) - hits as u32;
-        // A little slack, else the newcomer is preempted at once when the others grow.
+        // Keep some blocks free, or the new generation is preempted as soon as the others grow.
         let slack = self.profile.total_blocks / 100;
         let slack = if self.running.is_empty() { 0 } else { slack };
         if need + idle + slack > self.pool.free() {
@@ -219,7 +220,7 @@
         true
     }
 
-    /// Ends a generation that has not ended yet, and frees what it holds.
+    /// Ends a generation that has not ended yet, and frees its blocks.
     pub(super) fn end(
         &mut self,
         now: time::Duration,
--- a/crates/stand/src/engine/call.rs
+++ b/crates/stand/src/engine/call.rs
@@ -1,4 +1,4 @@
-//! What goes into an engine and what comes out, as on the wire.
+//! Requests, answers and events of an engine, in their wire format.
 
 use std::time;
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct StartCall {
-    /// Name of the generation, drawn by the caller.
+    /// Id of the generation, chosen by the caller.
     pub id: id::GenerationId,
     /// Model that must be loaded.
     pub model: String,
@@ -18,27 +18,27 @@
     /// Words; each is one token. `[[len=N]]` sets the output length, `[[mark=<hexadecimal>]]` is
     /// repeated in every token, `[[crash]]` kills the engine.
     pub prompt: String,
-    /// Output tokens at the most.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
     /// 0 urgent, 1 normal, 2 deferrable.
     pub priority: u8,
-    /// Seed of the output length; the id stands in when it is absent.
+    /// Seed of the output length; defaults to the id.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
 }
 
-/// Why a generation ended.
+/// Reason why a generation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// It was complete.
+    /// The output was complete.
     Stop,
-    /// It came to `max_tokens`, or to the end of the engine's memory.
+    /// The output reached `max_tokens` or the engine ran out of memory.
     Length,
-    /// Somebody cancelled it.
+    /// The generation was cancelled.
     Cancelled,
-    /// The engine gave it up, for instance because its model was unloaded.
+    /// The engine aborted the generation, for instance because its model was unloaded.
     Error,
 }
 
@@ -46,72 +46,72 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct FinishReport {
-    /// Why it ended.
+    /// Reason why the generation ended.
     pub finish: FinishReason,
-    /// Tokens produced in all; their numbers are 0 to `produced - 1`.
+    /// Number of tokens produced, numbered 0 to `produced - 1`.
     pub produced: u32,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Of these, those found in the prefix cache at the first prefill.
+    /// Prompt tokens found in the prefix cache at the first prefill.
     pub cached_tokens: u32,
-    /// Times that its memory was taken away and worked out again.
+    /// Number of preemptions, each followed by recomputation.
     pub preempted: u32,
 }
 
-/// How far a generation is.
+/// Progress of a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GenerationProgress {
     /// Tokens produced.
     pub produced: u32,
-    /// Set when it has ended.
+    /// Set once the generation has ended.
     pub finish: Option<FinishReport>,
-    /// The mark of its prompt, which each token carries.
+    /// Mark of the prompt, repeated in each token.
     pub mark: Option<u32>,
 }
 
-/// What happened in an engine, in the order of time.
+/// Event in an engine; events are emitted in order of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineEvent {
     /// A generation left the queue for the batch.
     Admitted {
-        /// Which.
+        /// Id of the generation.
         id: id::GenerationId,
-        /// When.
+        /// Time of the event.
         at: time::Duration,
     },
-    /// A generation lost its memory and is queued again.
+    /// A generation was preempted and is queued again.
     Preempted {
-        /// Which.
+        /// Id of the generation.
         id: id::GenerationId,
-        /// When.
+        /// Time of the event.
         at: time::Duration,
     },
     /// A token was produced.
     Token {
-        /// Of which generation.
+        /// Id of the generation.
         id: id::GenerationId,
-        /// Its number, from 0.
+        /// Number of the token, from 0.
         seq: u32,
-        /// When.
+        /// Time of the event.
         at: time::Duration,
     },
     /// A generation ended.
     Finished {
-        /// Which.
+        /// Id of the generation.
         id: id::GenerationId,
-        /// How.
+        /// Final report.
         report: FinishReport,
-        /// When.
+        /// Time of the event.
         at: time::Duration,
     },
-    /// An ended generation can't be resumed any more.
+    /// An ended generation was forgotten and can't be resumed any more.
     Forgotten {
-        /// Which.
+        /// Id of the generation.
         id: id::GenerationId,
     },
-    /// The engine died, with all that it held.
+    /// The engine crashed and lost all its generations.
     Crashed {
-        /// When.
+        /// Time of the event.
         at: time::Duration,
     },
 }
@@ -119,39 +119,39 @@
 /// Answer to a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelAnswer {
-    /// The generation is known and won't produce any more.
+    /// The generation is known and produces no more tokens.
     Known {
         /// Whether any part of it ran.
         ran: bool,
         /// Tokens produced.
         produced: u32,
     },
-    /// The id isn't known, and a start of it that comes late is refused. Whether it ran once, in an
-    /// earlier life or longer ago than generations are kept, isn't known either.
+    /// The id is unknown, and a later start with it is refused. The generation may still have run
+    /// in an earlier incarnation, or before the retention time of ended generations.
     Remembered,
 }
 
-/// A model as the engine has it.
+/// A loaded model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct LoadedModel {
-    /// Its name.
+    /// Name of the model.
     pub model: String,
-    /// Its version.
+    /// Version of the model.
     pub version: String,
-    /// Adapters beside it.
+    /// Loaded adapters of the model.
     pub adapters: Vec<String>,
 }
 
-/// What an order wants the engine to be.
+/// State that an order requests of the engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct WantedState {
     /// Model.
     pub model: String,
-    /// Its version.
+    /// Version of the model.
     pub version: String,
-    /// Adapters beside it; others are unloaded.
+    /// Adapters of the model; others are unloaded.
     #[serde(default)]
     pub adapters: Vec<String>,
     /// Role.
@@ -162,12 +162,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct OrderCall {
-    /// The giver's fencing number.
+    /// Fencing number of the sender.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fencing: Option<u64>,
-    /// What is wanted.
+    /// Requested state.
     pub want: WantedState,
-    /// An order older than this is refused.
+    /// Maximum age of the order; an older one is refused.
     pub within_ms: u64,
 }
 
@@ -175,17 +175,17 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct EngineState {
-    /// This life of the process.
+    /// Incarnation of the process.
     pub incarnation: id::Incarnation,
-    /// What is loaded.
+    /// Loaded models.
     pub models: Vec<LoadedModel>,
-    /// Its role.
+    /// Role of the engine.
     pub role: String,
-    /// What is being loaded.
+    /// State that is being loaded, if any.
     pub loading: Option<WantedState>,
-    /// The newest fencing number that it saw, also when it doesn't check them.
+    /// Newest fencing number seen, recorded even if the engine doesn't check fencing numbers.
     pub fencing: Option<u64>,
-    /// Whether it is leaving.
+    /// Whether the engine has announced that it is leaving.
     pub leaving: bool,
 }
 
@@ -193,9 +193,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct LoadReport {
-    /// This life of the process.
+    /// Incarnation of the process.
     pub incarnation: id::Incarnation,
-    /// Age of all that follows.
+    /// Age of the values below.
     pub taken_ms_ago: u64,
     /// KV cache blocks.
     pub total_blocks: u32,
@@ -209,10 +209,10 @@
     pub waiting: u32,
     /// Preemptions since the start of the process.
     pub preemptions: u64,
-    /// What is loaded.
+    /// Loaded models.
     pub models: Vec<LoadedModel>,
-    /// Its role.
+    /// Role of the engine.
     pub role: String,
-    /// Whether it is leaving.
+    /// Whether the engine has announced that it is leaving.
     pub leaving: bool,
 }
--- a/crates/stand/src/engine/fault.rs
+++ b/crates/stand/src/engine/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of an engine that are switched on from outside.
+//! Injected faults of an engine.
 
 use std::{mem, time};
 
@@ -6,67 +6,67 @@
 
 use super::{EngineCore, call};
 
-/// A fault that is switched on from outside.
+/// Fault that a caller injects.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "fault", rename_all = "snake_case", deny_unknown_fields)]
 pub enum EngineFault {
-    /// Dies with all it holds, and comes up again after `down_ms` if that is given.
+    /// Crashes and loses all state; restarts after `down_ms` if given.
     Crash {
-        /// Time until another incarnation comes up.
+        /// Time until the next incarnation starts.
         #[serde(default)]
         down_ms: Option<u64>,
     },
-    /// Comes up again.
+    /// Restarts a crashed engine.
     Restart,
-    /// Makes no progress while streams stay open and ping.
+    /// Stops all progress while streams stay open and deliver pings.
     Stall {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
-    /// Makes all connections of now silent for good; new ones work.
+    /// Silences all existing connections permanently; new ones work.
     Silence,
-    /// Lets nothing through in either direction.
+    /// Blocks traffic in both directions.
     Hang {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
     /// Makes each step take `factor` times as long.
     Slow {
-        /// 1 is usual.
+        /// Multiplier of the step duration; 1 is normal speed.
         factor: f64,
     },
-    /// Announces that it is reclaimed, and dies after `notice_ms` for good.
+    /// Announces that the engine is reclaimed, then stops it permanently after `notice_ms`.
     Reclaim {
-        /// Time from the notice to the end.
+        /// Time from the notice to the stop.
         notice_ms: u64,
     },
-    /// Cuts every stream that is opened from now on, once it has carried this many tokens; absent: no more.
+    /// Cuts each newly opened stream after this many tokens; switched off if absent.
     Truncate {
-        /// Tokens that a stream carries.
+        /// Number of tokens before the cut.
         #[serde(default)]
         after_tokens: Option<u32>,
     },
-    /// Breaks the answers of the next starts, cancellations and orders, which take effect.
+    /// Drops the answers of the next starts, cancellations and orders, which still take effect.
     LoseAnswers {
-        /// How many.
+        /// Number of answers to drop.
         count: u32,
     },
-    /// Sends nonsense in place of tokens, on streams that are opened from now on.
+    /// Sends malformed data in place of tokens on newly opened streams.
     Nonsense {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
 }
 
 impl EngineCore {
-    /// Dies: all that it held is lost.
+    /// Crashes the engine; all its state is lost.
     pub fn crash(&mut self, now: time::Duration) {
         self.advance(now);
         self.die(now);
     }
 
-    /// Dies at `now`, up to which it has worked already.
+    /// Crashes the engine at `now`; must already be advanced to `now`.
     pub(super) fn die(&mut self, now: time::Duration) {
         if self.down {
             return;
@@ -76,7 +76,7 @@
         self.events.push(call::EngineEvent::Crashed { at: now });
     }
 
-    /// Comes up again as another incarnation that knows nothing of the earlier one.
+    /// Restarts as a new incarnation without any state of the earlier one.
     pub fn restart(&mut self, now: time::Duration, incarnation: id::Incarnation) {
         let events = mem::take(&mut self.events);
         *self = Self::new(self.profile.clone(), incarnation, now);
@@ -97,13 +97,13 @@
         }
     }
 
-    /// Makes every step take `factor` times as long, from the next one on.
+    /// Multiplies the duration of each step by `factor`, starting with the next step.
     pub fn set_slow_factor(&mut self, now: time::Duration, factor: f64) {
         self.advance(now);
         self.slow_factor = factor.max(0.0);
     }
 
-    /// Announces that it will go.
+    /// Sets whether the engine announces that it is leaving.
     pub fn set_leaving(&mut self, now: time::Duration, leaving: bool) {
         self.advance(now);
         self.observe(now);
--- a/crates/stand/src/engine/feeds.rs
+++ b/crates/stand/src/engine/feeds.rs
@@ -1,26 +1,26 @@
-//! What an engine tells about itself: late, and not all of it.
+//! Load reports and cache events of an engine, delivered late and with losses.
 
 use std::{collections, time};
 
 use super::{call, pool, profile};
 use crate::draw;
 
-/// Cache events kept for readers; older ones are a gap to them.
-const KEPT_CACHE_EVENTS: usize = 20_000;
+/// Maximum number of cache events kept for readers; readers see older ones as a gap.
+const MAX_CACHE_EVENTS: usize = 20_000;
 
-/// Load reports taken at fixed times and given out later.
+/// Load reports recorded at a fixed interval and published after a lag.
 #[derive(Clone, Debug)]
 pub struct LoadHistory {
     every: time::Duration,
     lag: time::Duration,
     next_at: time::Duration,
-    /// Oldest first; never empty after the first `observe`. The first one is the newest that may
-    /// be given out, or nothing may be yet.
+    /// Reports, oldest first; never empty after the first `observe`. The first one is the newest
+    /// report old enough to be published, or no report is old enough yet.
     reports: collections::VecDeque<(time::Duration, call::LoadReport)>,
 }
 
 impl LoadHistory {
-    /// A history whose first report is due at `now`.
+    /// Creates a history whose first report is due at `now`.
     #[must_use]
     pub fn new(profile: &profile::EngineProfile, now: time::Duration) -> Self {
         let every = time::Duration::from_millis(profile.load_every_ms.max(1));
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Whether a report is to be taken.
+    /// Returns whether a report is due.
     #[must_use]
     pub fn is_due(&self, now: time::Duration) -> bool {
         now >= self.next_at
     }
 
-    /// Takes the reports that were due up to `now`; `report` is the state since the last one.
+    /// Records the reports due up to `now`; `report` is the state since the last one.
     pub fn observe(&mut self, now: time::Duration, report: call::LoadReport) {
         let periods = now.saturating_sub(self.next_at).as_nanos() / self.every.as_nanos();
         let last_at = self.next_at + self.every * periods as u32;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The newest report that is at least the lag old, with its age.
+    /// Returns the newest report that is at least as old as the lag, with its age.
     #[must_use]
     pub fn newest(&self, now: time::Duration) -> call::LoadReport {
         let old_enough = now.saturating_sub(self.lag);
@@ -60,7 +60,7 @@
         let found = later.saturating_sub(1);
         let &(mut at, ref report) = &self.reports[found];
         if let Some((next_at, _)) = self.reports.get(found + 1) {
-            // Reports left out between two kept ones were all like the earlier one.
+            // Reports omitted between two stored ones are equal to the earlier one.
             let newest = old_enough.min(*next_at - self.every).saturating_sub(at);
             let periods = newest.as_nanos() / self.every.as_nanos();
             at += self.every * periods as u32;
@@ -72,14 +72,14 @@
     }
 }
 
-/// What a cache event tells.
+/// Kind of a cache event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEventKind {
-    /// The prefix can be found from now on.
+    /// The prefix was added to the cache.
     Stored,
-    /// It was dropped.
+    /// The prefix was evicted from the cache.
     Evicted,
 }
 
@@ -87,13 +87,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct CacheEvent {
-    /// Number, from 1; a missing one was lost.
+    /// Sequence number, from 1; a missing number means a lost event.
     pub seq: u64,
-    /// When it happened, on the engine's clock.
+    /// Time of the event on the engine's clock.
     pub at_ms: u64,
-    /// What happened.
+    /// Kind of the event.
     pub kind: CacheEventKind,
-    /// Which prefix, see `base::prefix`.
+    /// Hash of the prefix, see `base::prefix`.
     pub prefix_hash: u64,
     /// Tokens that the prefix covers.
     pub tokens: u32,
@@ -103,13 +103,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct CachePage {
-    /// Events with numbers above the one asked for.
+    /// Events with numbers above the requested one.
     pub events: Vec<CacheEvent>,
-    /// The number to ask with next.
+    /// Number to pass in the next request.
     pub next: u64,
 }
 
-/// Cache events on their way out.
+/// Cache events that readers can fetch after a lag.
 #[derive(Clone, Debug)]
 pub struct CacheFeed {
     lag: time::Duration,
@@ -121,7 +121,7 @@
 }
 
 impl CacheFeed {
-    /// An empty feed.
+    /// Creates an empty feed.
     #[must_use]
     pub fn new(profile: &profile::EngineProfile) -> Self {
         Self {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Takes in what happened at `now`; some of it is lost here.
+    /// Records the changes at `now`; drops some of them at random.
     pub fn push(&mut self, now: time::Duration, changes: Vec<pool::PoolChange>) {
         for change in changes {
             self.last_seq += 1;
@@ -153,13 +153,13 @@
                 prefix_hash: change.hash,
                 tokens: change.depth * self.block_tokens,
             });
-            if self.events.len() > KEPT_CACHE_EVENTS {
+            if self.events.len() > MAX_CACHE_EVENTS {
                 self.events.pop_front();
             }
         }
     }
 
-    /// At most `max` events above `after` that are old enough to be given out.
+    /// Returns at most `max` events above `after` that are at least as old as the lag.
     #[must_use]
     pub fn page(&self, now: time::Duration, after: u64, max: usize) -> CachePage {
         let visible_ms = now.saturating_sub(self.lag).as_millis() as u64;
--- a/crates/stand/src/engine/front.rs
+++ b/crates/stand/src/engine/front.rs
@@ -1,4 +1,4 @@
-//! The HTTP face of an engine.
+//! HTTP server of an engine.
 
 use std::net;
 
@@ -15,14 +15,14 @@
 use super::{call, handle, refuse, stream};
 use crate::http;
 
-/// Events that are written at once when they are ready at once.
-const EVENTS_AT_ONCE: usize = 64;
+/// Maximum number of ready events written in one chunk.
+const MAX_EVENTS_PER_CHUNK: usize = 64;
 
-/// Serves the engine on `address` (port 0: any).
+/// Serves the engine on `address` (port 0: any free port).
 ///
 /// # Errors
 ///
-/// When the address can't be had.
+/// Returns an error if the address can't be bound.
 pub async fn serve(
     handle: handle::EngineHandle,
     address: net::SocketAddr,
@@ -40,7 +40,7 @@
     http::serve(address, handle.gate().clone(), handle, routes).await
 }
 
-/// A stream of events whose header names its generation, so that a crossed answer can be told.
+/// Event stream whose header names its generation, so that mixed-up answers can be detected.
 struct EventReply<S> {
     generation: id::GenerationId,
     texts: TextStream<S>,
@@ -163,14 +163,14 @@
     http::error(status, code, &error.to_string())
 }
 
-/// The stream as text; events that are ready together make one piece.
+/// Formats the stream as text; events that are ready together form one chunk.
 fn texts(stream: stream::EngineStream) -> impl futures_util::Stream<Item = String> + use<> {
     let events = futures_util::stream::unfold(stream, |mut stream| async move {
         let event = stream.next().await?;
         Some((event_text(&event), stream))
     });
     events
-        .ready_chunks(EVENTS_AT_ONCE)
+        .ready_chunks(MAX_EVENTS_PER_CHUNK)
         .map(|texts| texts.concat())
 }
 
--- a/crates/stand/src/engine/handle.rs
+++ b/crates/stand/src/engine/handle.rs
@@ -1,4 +1,4 @@
-//! A running engine in this process, on the runtime's clock.
+//! In-process engine that runs on the runtime's clock.
 
 use std::{collections, sync};
 
@@ -8,22 +8,23 @@
 use super::{EngineCore, call, fault, feeds, profile, refuse, stream};
 use crate::{draw, gate};
 
-/// What the lock guards.
+/// State behind the lock.
 #[derive(Debug)]
 struct EngineShared {
     core: EngineCore,
-    /// One sender for each generation that the core holds.
+    /// Progress sender of each generation that the core holds.
     progress:
         collections::HashMap<id::GenerationId, signal::watch::Sender<call::GenerationProgress>>,
     spoil: stream::StreamSpoil,
     lose_answers: u32,
     incarnation_seed: u64,
-    /// Incarnations so far.
+    /// Number of incarnations so far.
     incarnations: u64,
     starts_while_leaving: u64,
 }
 
-/// A running engine; clones share it. Its task ends with the last clone.
+/// Handle of a running engine, shared between clones. Its task ends after the last clone is
+/// dropped.
 #[derive(Clone, Debug)]
 pub struct EngineHandle {
     shared: sync::Arc<sync::Mutex<EngineShared>>,
@@ -33,13 +34,14 @@
 }
 
 impl EngineHandle {
-    /// Starts an engine on the current runtime. The same profile gives the same incarnations.
+    /// Starts an engine on the current runtime. Equal profiles yield equal incarnations.
     #[must_use]
     pub fn spawn(profile: profile::EngineProfile) -> Self {
         Self::spawn_salted(profile, 0)
     }
 
-    /// The same, with `salt` for the incarnations alone: two processes must not share them.
+    /// Like `spawn`, but mixes `salt` into the seed of the incarnations only, so that two processes
+    /// don't share them.
     #[must_use]
     pub fn spawn_salted(profile: profile::EngineProfile, salt: u64) -> Self {
         let incarnation_seed = draw::bits(profile.seed, salt);
@@ -70,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// When nothing was started, and why.
+    /// Returns the reason if the generation was not started, or `AnswerLost`.
     pub async fn start(
         &self,
         call: call::StartCall,
@@ -95,11 +97,11 @@
         Ok(self.open_stream(call.id, 0, watcher, silence_epoch))
     }
 
-    /// Streams a generation again from token `from`.
+    /// Resumes the stream of a generation at token `from`.
     ///
     /// # Errors
     ///
-    /// When the engine doesn't hold it.
+    /// Returns an error if the engine doesn't hold the generation.
     pub async fn resume(
         &self,
         generation: id::GenerationId,
@@ -117,11 +119,11 @@
         Ok(self.open_stream(generation, from, watcher, silence_epoch))
     }
 
-    /// Cancels a generation, or remembers that its start must be refused.
+    /// Cancels a generation, or records an unknown id so that its start is refused.
     ///
     /// # Errors
     ///
-    /// When the engine is down.
+    /// Returns an error if the engine is down.
     pub async fn cancel(
         &self,
         generation: id::GenerationId,
@@ -131,31 +133,31 @@
         self.deliver(silence_epoch, answer).await
     }
 
-    /// The newest load report that is given out.
+    /// Returns the newest published load report.
     ///
     /// # Errors
     ///
-    /// When the engine is down.
+    /// Returns an error if the engine is down.
     pub async fn load(&self) -> Result<call::LoadReport, refuse::EngineError> {
         self.connect().await?;
         self.change(EngineCore::load)
     }
 
-    /// Cache events above number `after`.
+    /// Returns cache events with numbers above `after`.
     ///
     /// # Errors
     ///
-    /// When the engine is down.
+    /// Returns an error if the engine is down.
     pub async fn cache_events(&self, after: u64) -> Result<feeds::CachePage, refuse::EngineError> {
         self.connect().await?;
         self.change(|core, now| core.cache_events(now, after))
     }
 
-    /// Takes an order whose connection was first seen at `opened_at`.
+    /// Applies an order whose connection was first seen at `opened_at`.
     ///
     /// # Errors
     ///
-    /// When it took no effect, and why.
+    /// Returns the reason if the order had no effect, or `AnswerLost`.
     pub async fn order(
         &self,
         call: call::OrderCall,
@@ -167,48 +169,48 @@
         self.deliver(silence_epoch, answer).await
     }
 
-    /// What the engine has and is asked to be.
+    /// Returns the loaded and the requested state.
     ///
     /// # Errors
     ///
-    /// When the engine is down.
+    /// Returns an error if the engine is down.
     pub async fn state(&self) -> Result<call::EngineState, refuse::EngineError> {
         self.connect().await?;
         Ok(self.change(|core, _| core.state()))
     }
 
-    /// The present load without lag, for checkers.
+    /// Returns the current load without lag, for checkers.
     #[must_use]
     pub fn report(&self) -> call::LoadReport {
         self.change(|core, _| core.report())
     }
 
-    /// Preemptions since the start, by the priority of what was preempted, for checkers. Unlike
-    /// the load report's counter it outlives a crash.
+    /// Returns the preemptions since the start by priority of the preempted generation, for
+    /// checkers. Unlike the counter of the load report, they survive a crash.
     #[must_use]
     pub fn preemptions_by_priority(&self) -> [u64; 3] {
         self.lock().core.preemptions_by_priority()
     }
 
-    /// Generations that were started after the engine announced that it is leaving.
+    /// Returns the number of generations started after the engine announced that it is leaving.
     #[must_use]
     pub fn starts_while_leaving(&self) -> u64 {
         self.lock().starts_while_leaving
     }
 
-    /// Whether the process lives.
+    /// Returns whether the engine is up.
     #[must_use]
     pub fn is_up(&self) -> bool {
         self.gate.state().up
     }
 
-    /// The way to this engine.
+    /// Returns the gate for connections to this engine.
     #[must_use]
     pub const fn gate(&self) -> &gate::LinkGate {
         &self.gate
     }
 
-    /// Switches a fault.
+    /// Injects or clears a fault.
     pub fn apply(&self, fault: &fault::EngineFault) {
         match *fault {
             fault::EngineFault::Crash { down_ms } => {
@@ -236,12 +238,12 @@
         }
     }
 
-    /// Dies: all streams are cut, all state is lost, new connections are refused.
+    /// Crashes the engine: streams are cut, state is lost, new connections are refused.
     pub fn crash(&self) {
         self.change(EngineCore::crash);
     }
 
-    /// Comes up again as another incarnation.
+    /// Restarts the engine as a new incarnation.
     pub fn restart(&self) {
         let mut shared = self.lock();
         if !shared.core.is_down() {
@@ -263,7 +265,7 @@
         });
     }
 
-    /// Opens a connection: the silence epoch that it belongs to.
+    /// Opens a connection and returns its silence epoch.
     async fn connect(&self) -> Result<u64, refuse::EngineError> {
         let silence_epoch = self.gate.state().silence_epoch;
         self.gate.pass(silence_epoch).await;
@@ -274,7 +276,7 @@
         }
     }
 
-    /// Carries the answer of a call that had its effect back to its caller, or loses it.
+    /// Delivers the answer of a completed call to its caller, or drops it.
     async fn deliver<T>(
         &self,
         silence_epoch: u64,
@@ -334,7 +336,7 @@
         lost
     }
 
-    /// Works up to `now` and tells the streams.
+    /// Advances the core to `now` and notifies the streams.
     fn publish(&mut self, now: time::Duration, gate: &gate::LinkGate) {
         for event in self.core.step(now) {
             match event {
@@ -363,15 +365,15 @@
     id::Incarnation((high << 64) | u128::from(draw::bits(!seed, number)))
 }
 
-/// Steps the core whenever it has something to do, as long as a handle exists.
+/// Steps the core whenever it has work, as long as a handle exists.
 async fn drive(
     shared: sync::Weak<sync::Mutex<EngineShared>>,
     wake: sync::Arc<signal::Notify>,
     gate: gate::LinkGate,
     origin: time::Instant,
 ) {
-    /// Upper bound on the time that the task outlives the last handle.
-    const LOOK_AGAIN: time::Duration = time::Duration::from_secs(3_600);
+    /// Bounds the time for which the task outlives the last handle.
+    const MAX_SLEEP: time::Duration = time::Duration::from_secs(3_600);
     loop {
         let next = {
             let Some(shared) = shared.upgrade() else {
@@ -381,7 +383,7 @@
             shared.publish(origin.elapsed(), &gate);
             shared.core.next_wake()
         };
-        let deadline = next.map_or_else(|| time::Instant::now() + LOOK_AGAIN, |at| origin + at);
+        let deadline = next.map_or_else(|| time::Instant::now() + MAX_SLEEP, |at| origin + at);
         tokio::select! {
             () = time::sleep_until(deadline) => {}
             () = wake.notified() => {}
--- a/crates/stand/src/engine/orders.rs
+++ b/crates/stand/src/engine/orders.rs
@@ -1,24 +1,24 @@
-//! Orders to an engine: which model, version and adapters, and which role.
+//! Orders that set an engine's model, version, adapters and role.
 
 use std::time;
 
 use super::{EngineCore, call, refuse};
 
-/// What is being loaded.
+/// Load in progress.
 #[derive(Clone, Debug)]
 pub struct LoadingState {
-    /// What is wanted.
+    /// Requested state.
     pub want: call::WantedState,
-    /// When it is there.
+    /// Time at which loading completes.
     pub ready_at: time::Duration,
 }
 
 impl EngineCore {
-    /// Takes an order whose connection the engine first saw at `opened_at`.
+    /// Applies an order whose connection the engine first saw at `opened_at`.
     ///
     /// # Errors
     ///
-    /// When it took no effect, and why.
+    /// Returns the reason if the order had no effect.
     pub fn order(
         &mut self,
         now: time::Duration,
@@ -46,7 +46,7 @@
         Ok(self.state())
     }
 
-    /// What the engine has and is asked to be.
+    /// Returns the loaded and the requested state.
     #[must_use]
     pub fn state(&self) -> call::EngineState {
         call::EngineState {
@@ -85,7 +85,7 @@
         self.finish_loading(now);
     }
 
-    /// Puts what was loaded in place of what was there. Generations of what goes end with an error.
+    /// Replaces the loaded models. Generations of unloaded models or adapters end with an error.
     pub(super) fn finish_loading(&mut self, now: time::Duration) {
         let Some(loading) = self.loading.take_if(|loading| loading.ready_at <= now) else {
             return;
--- a/crates/stand/src/engine/pool.rs
+++ b/crates/stand/src/engine/pool.rs
@@ -1,44 +1,44 @@
-//! The KV cache blocks of one engine: those of running generations and those of cached prefixes.
+//! KV cache blocks of one engine, used by running generations and cached prefixes.
 
 use std::{collections, mem};
 
-/// What happened to a cached block.
+/// Change of a cached block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolChange {
-    /// Hash of the prefix that ends with this block.
+    /// Hash of the prefix that this block completes.
     pub hash: u64,
-    /// Blocks of that prefix.
+    /// Number of blocks of that prefix.
     pub depth: u32,
-    /// `true`: it can be found from now on; `false`: it was dropped to make room.
+    /// `true` if the block was stored, `false` if it was evicted to free memory.
     pub stored: bool,
 }
 
-/// A block whose content is known by its prefix hash.
+/// Cached block, identified by its prefix hash.
 #[derive(Clone, Copy, Debug)]
 struct CachedBlock {
-    /// Running generations that hold it.
+    /// Number of running generations that hold the block.
     holders: u32,
-    /// Blocks of the prefix that ends with it.
+    /// Number of blocks of the prefix that this block completes.
     depth: u32,
-    /// Order of its last release; while it is held it stands for nothing.
+    /// Sequence number of the last release; meaningless while the block is held.
     released: u64,
 }
 
-/// Budget of blocks.
+/// Pool of KV cache blocks.
 #[derive(Clone, Debug)]
 pub struct BlockPool {
     total: u32,
-    /// Blocks of single generations; `private + cached.len() <= total` always.
+    /// Blocks owned by single generations. Invariant: `private + cached.len() <= total`.
     private: u32,
     cached: collections::HashMap<u64, CachedBlock>,
-    /// Exactly the cached blocks without holders, longest released first.
+    /// All cached blocks without holders, least recently released first.
     idle: collections::BTreeMap<u64, u64>,
     releases: u64,
     changes: Vec<PoolChange>,
 }
 
 impl BlockPool {
-    /// An empty pool of `total` blocks.
+    /// Creates an empty pool of `total` blocks.
     #[must_use]
     pub fn new(total: u32) -> Self {
         Self {
@@ -51,19 +51,19 @@
         }
     }
 
-    /// Blocks that no running generation holds; cached ones without holders count as free.
+    /// Returns the number of blocks that no running generation holds, including cached ones.
     #[must_use]
     pub fn free(&self) -> u32 {
         self.total - self.private - (self.cached.len() - self.idle.len()) as u32
     }
 
-    /// Blocks that hold something, cached ones without holders included.
+    /// Returns the number of used blocks, including cached ones without holders.
     #[must_use]
     pub fn occupied(&self) -> u32 {
         self.private + self.cached.len() as u32
     }
 
-    /// How many leading hashes of `chain` are cached, and how many of these nobody holds.
+    /// Returns how many leading hashes of `chain` are cached, and how many of these have no holder.
     #[must_use]
     pub fn find(&self, chain: &[u64]) -> (usize, u32) {
         let mut idle = 0;
@@ -76,7 +76,7 @@
         (chain.len(), idle)
     }
 
-    /// Takes a hold on a cached block.
+    /// Adds a holder to a cached block.
     pub fn hold(&mut self, hash: u64) {
         let Some(block) = self.cached.get_mut(&hash) else {
             return;
@@ -87,7 +87,7 @@
         block.holders += 1;
     }
 
-    /// Takes `count` private blocks, dropping idle cached ones when needed; all or nothing.
+    /// Allocates `count` private blocks or none, evicting idle cached blocks if needed.
     pub fn take(&mut self, count: u32) -> bool {
         if count > self.free() {
             return false;
@@ -101,8 +101,8 @@
         true
     }
 
-    /// Turns one private block into a cached one that its owner holds; `false` when the prefix is
-    /// cached already and the block stays private.
+    /// Converts one private block into a cached block held by its owner. Returns `false` if the
+    /// prefix is already cached; the block then stays private.
     pub fn store(&mut self, hash: u64, depth: u32) -> bool {
         if self.cached.contains_key(&hash) || self.private == 0 {
             return false;
@@ -123,10 +123,11 @@
         true
     }
 
-    /// Gives back a generation's blocks.
+    /// Releases a generation's blocks.
     pub fn release(&mut self, private: u32, held: &[u64]) {
         self.private -= private;
-        // The last block first: a prefix is useless without its beginning, so ends go first.
+        // Release the last block first, so that ends are evicted first: a prefix is useless without
+        // its start.
         for hash in held.iter().rev() {
             let Some(block) = self.cached.get_mut(hash) else {
                 continue;
@@ -140,14 +141,14 @@
         }
     }
 
-    /// Drops all idle cached blocks.
+    /// Evicts all idle cached blocks.
     pub fn clear_idle(&mut self) {
         for hash in mem::take(&mut self.idle).into_values() {
             self.evict(hash);
         }
     }
 
-    /// The changes of the cache since the last call.
+    /// Returns the cache changes since the last call.
     pub fn drain_changes(&mut self) -> Vec<PoolChange> {
         mem::take(&mut self.changes)
     }
--- a/crates/stand/src/engine/profile.rs
+++ b/crates/stand/src/engine/profile.rs
@@ -1,8 +1,8 @@
-//! What one model engine can do and what it costs.
+//! Capacity and cost model of one model engine.
 
-/// Capacity, costs and manners of one model engine.
+/// Capacity, costs and behaviour of one model engine.
 ///
-/// The default takes about 20 ms for a decode step of 32 generations.
+/// With the defaults, a decode step of 32 generations takes about 20 ms.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
@@ -17,43 +17,43 @@
     pub role: String,
     /// Whether an order with an old fencing number is refused.
     pub checks_fencing: bool,
-    /// KV cache blocks; what runs and what is cached together never take more.
+    /// Number of KV cache blocks, shared by running generations and cached prefixes.
     pub total_blocks: u32,
     /// Tokens in one block.
     pub block_tokens: u32,
-    /// Generations that run at once at the most.
+    /// Maximum number of running generations.
     pub max_batch: u32,
-    /// Longest prompt and output together, in tokens.
+    /// Maximum length of prompt and output together, in tokens.
     pub context_tokens: u32,
-    /// Cost of a step before any generation is counted, in microseconds.
+    /// Fixed cost of a step, in microseconds.
     pub step_base_us: u64,
-    /// Cost of a step for each generation that decodes in it, in microseconds.
+    /// Additional cost of a step for each decoding generation, in microseconds.
     pub step_sequence_us: u64,
     /// Cost of one uncached prompt token, in microseconds.
     pub prefill_token_us: u64,
-    /// Prompt tokens that one step prefills at the most, so that decoding goes on beside it.
+    /// Maximum number of prompt tokens prefilled in one step, so that decoding continues meanwhile.
     pub prefill_chunk_tokens: u32,
-    /// Median of the drawn output lengths, in tokens.
+    /// Median of the random output lengths, in tokens.
     pub output_median_tokens: f64,
-    /// Spread of the logarithm of the drawn output lengths.
+    /// Standard deviation of the logarithm of the random output lengths.
     pub output_sigma: f64,
-    /// An ended generation can be resumed for this long.
+    /// Time for which an ended generation can be resumed.
     pub kept_ms: u64,
-    /// The cancellation of an unknown id is remembered for this long.
+    /// Time for which the cancellation of an unknown id is remembered.
     pub tombstone_ms: u64,
-    /// Age of the newest load report that is given out.
+    /// Age of the newest published load report.
     pub load_lag_ms: u64,
-    /// Time between two load reports.
+    /// Interval between load reports.
     pub load_every_ms: u64,
-    /// Time from a change of the prefix cache until its event is given out.
+    /// Delay from a change of the prefix cache to the publication of its event.
     pub cache_lag_ms: u64,
-    /// Chance that a cache event is lost, from 0 to 1.
+    /// Probability that a cache event is lost, from 0 to 1.
     pub cache_gap_chance: f64,
     /// Time to load a model or another version of it.
     pub model_load_ms: u64,
     /// Time to load one adapter.
     pub adapter_load_ms: u64,
-    /// Seed of all that is drawn.
+    /// Seed of all random values.
     pub seed: u64,
 }
 
--- a/crates/stand/src/engine/refuse.rs
+++ b/crates/stand/src/engine/refuse.rs
@@ -1,60 +1,60 @@
-//! Why an engine says no.
+//! Errors of an engine.
 
 use base::id;
 
-/// What an engine refuses. Each but `AnswerLost` proves that the call took no effect.
+/// Error of an engine call. Every variant except `AnswerLost` proves that the call had no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(snafu::Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum EngineError {
-    /// The process is dead: the connection was refused.
+    /// The process is down and the connection was refused.
     #[snafu(display("the engine is down; choose another one"))]
     Down,
-    /// The id is running, ended lately or was cancelled.
+    /// The generation is running, ended recently or was cancelled.
     #[snafu(display(
         "generation {id} is known here (running, ended or cancelled); resume it, or draw a new id"
     ))]
     Known {
-        /// Which.
+        /// Id of the generation.
         id: id::GenerationId,
     },
-    /// The id isn't held.
+    /// The engine doesn't hold the generation.
     #[snafu(display("generation {id} is not held here; start it with a new id"))]
     NotHeld {
-        /// Which.
+        /// Id of the generation.
         id: id::GenerationId,
     },
     /// The model or the adapter isn't loaded.
     #[snafu(display("{name} is not loaded here; choose an engine whose load report names it"))]
     NotLoaded {
-        /// Which.
+        /// Name of the model or adapter.
         name: String,
     },
-    /// The prompt can never fit.
+    /// The prompt exceeds the engine's limit.
     #[snafu(display("the prompt has {tokens} tokens and {limit} fit here; shorten it"))]
     TooLong {
         /// Tokens of the prompt.
         tokens: u32,
-        /// Tokens that fit.
+        /// Maximum number of tokens.
         limit: u32,
     },
-    /// The order's fencing number is old.
+    /// The order's fencing number is outdated.
     #[snafu(display("fencing number {got} is older than {newest}; read the lease again"))]
     OldFencing {
-        /// The number that came.
+        /// Fencing number of the order.
         got: u64,
-        /// The newest one seen.
+        /// Newest fencing number seen.
         newest: u64,
     },
-    /// The order took too long to arrive.
+    /// The order arrived after its time limit.
     #[snafu(display(
-        "the order came {late_ms} ms after its time limit; give it again if the lease still holds"
+        "the order arrived {late_ms} ms after its time limit; send it again if the lease is still held"
     ))]
     LateOrder {
-        /// Time past its limit.
+        /// Time past the limit.
         late_ms: u64,
     },
-    /// The call took effect and its answer was lost: its caller can't know.
+    /// The call took effect but its answer was lost, so the caller can't know the outcome.
     #[snafu(display("the answer was lost; cancel the generation, or read the state back"))]
     AnswerLost,
 }
--- a/crates/stand/src/engine/sequence.rs
+++ b/crates/stand/src/engine/sequence.rs
@@ -1,4 +1,4 @@
-//! One generation inside an engine.
+//! State of one generation inside an engine.
 
 use std::time;
 
@@ -12,19 +12,19 @@
     pub struct SequenceKey;
 }
 
-/// Order of service: urgent first, then first come.
+/// Queue order: by priority, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueRank {
     /// 0 is served first.
     pub priority: u8,
-    /// Number of its arrival.
+    /// Arrival number.
     pub arrival: u64,
 }
 
-/// Where a generation is.
+/// Phase of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SequencePhase {
-    /// Queued; holds no blocks.
+    /// In the queue; holds no blocks.
     Waiting,
     /// In the batch, with this many tokens still to prefill; 0 means that it decodes.
     Running {
@@ -35,51 +35,51 @@
     Ended,
 }
 
-/// One generation.
+/// State of one generation.
 #[derive(Clone, Debug)]
 pub struct Sequence {
-    /// Its name.
+    /// Id of the generation.
     pub id: id::GenerationId,
-    /// Its place in every order.
+    /// Rank in the queue and in the batch.
     pub rank: QueueRank,
-    /// The model that makes it.
+    /// Model used.
     pub model: String,
-    /// The adapter that makes it.
+    /// Adapter used.
     pub adapter: Option<String>,
-    /// Where it is.
+    /// Current phase.
     pub phase: SequencePhase,
     /// Hashes of the prompt's full blocks.
     pub chain: Vec<u64>,
     /// Tokens of the prompt; at least 1.
     pub prompt_tokens: u32,
-    /// Tokens that it will have produced when it ends by itself; at least 1.
+    /// Number of output tokens at its regular end; at least 1.
     pub target: u32,
-    /// Why it will end then.
+    /// Finish reason at its regular end.
     pub reason: call::FinishReason,
-    /// Tokens produced; never shrinks.
+    /// Tokens produced; never decreases.
     pub produced: u32,
     /// Prompt tokens found in the cache at the first prefill.
     pub cached_tokens: u32,
     /// Whether any part of it ran.
     pub ran: bool,
-    /// Times it was preempted.
+    /// Number of preemptions.
     pub preempted: u32,
-    /// Blocks that it alone holds.
+    /// Number of private blocks.
     pub private: u32,
-    /// Cached blocks that it holds, in order of the prompt.
+    /// Held cached blocks, in prompt order.
     pub held: Vec<u64>,
-    /// Whether the engine dies of it.
+    /// Whether running it crashes the engine.
     pub crashes: bool,
-    /// The mark of its prompt.
+    /// Mark of the prompt.
     pub mark: Option<u32>,
-    /// Set when it has ended.
+    /// Set once the generation has ended.
     pub finish: Option<call::FinishReport>,
-    /// When it ended.
+    /// Time at which the generation ended.
     pub ended_at: time::Duration,
 }
 
 impl Sequence {
-    /// The generation that `call` asks for, waiting.
+    /// Creates the waiting generation that `call` requests.
     #[must_use]
     pub fn new(call: &call::StartCall, arrival: u64, profile: &profile::EngineProfile) -> Self {
         let prompt_tokens = (call.prompt.split_whitespace().count() as u32).max(1);
@@ -123,19 +123,19 @@
         }
     }
 
-    /// Tokens whose keys and values it needs in memory.
+    /// Returns the number of tokens whose keys and values must be in memory.
     #[must_use]
     pub const fn context(&self) -> u32 {
         self.prompt_tokens + self.produced
     }
 
-    /// Blocks that it holds.
+    /// Returns the number of blocks held.
     #[must_use]
     pub fn blocks(&self) -> u32 {
         self.private + self.held.len() as u32
     }
 
-    /// How far it is.
+    /// Returns the progress.
     #[must_use]
     pub const fn progress(&self) -> call::GenerationProgress {
         call::GenerationProgress {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The report that ends it now.
+    /// Builds the final report for an end with `finish`.
     #[must_use]
     pub const fn report(&self, finish: call::FinishReason) -> call::FinishReport {
         call::FinishReport {
@@ -158,7 +158,7 @@
     }
 }
 
-/// The output length that nobody knows before: by directive, or drawn from the seed.
+/// Output length, which callers can't know in advance: set by a directive or derived from the seed.
 fn output_tokens(call: &call::StartCall, profile: &profile::EngineProfile) -> u32 {
     if let Some(Ok(tokens)) = text::directive(&call.prompt, "len").map(str::parse::<u32>) {
         return tokens.max(1);
--- a/crates/stand/src/engine/stream.rs
+++ b/crates/stand/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! One connection's view of a generation.
+//! Stream of a generation's tokens over one connection.
 
 use base::id;
 use tokio::{sync as signal, time};
@@ -6,64 +6,65 @@
 use super::{call, text};
 use crate::gate;
 
-/// A live generation shows at least this often that it lives.
-const PING_EVERY: time::Duration = time::Duration::from_millis(500);
+/// Maximum interval between events of a live generation; a ping fills longer pauses.
+const PING_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// What a stream delivers. A stream that ends without `Finish` was cut.
+/// Event of a stream. A stream that ends without `Finish` was cut.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamEvent {
     /// One token.
     Token {
-        /// Its number, from 0.
+        /// Number of the token, from 0.
         seq: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The generation lives.
+    /// Keep-alive: the generation is still live.
     Ping,
-    /// It ended; nothing follows.
+    /// The generation ended; no events follow.
     Finish(call::FinishReport),
-    /// Bytes that are no event (fault `Nonsense`).
+    /// Bytes that don't form an event (fault `Nonsense`).
     Nonsense,
 }
 
-/// How streams are spoilt.
+/// Injected stream faults.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StreamSpoil {
     /// Tokens after which a stream is cut.
     pub(super) truncate_after: Option<u32>,
-    /// Whether tokens are replaced by nonsense.
+    /// Whether tokens are replaced by malformed data.
     pub(super) nonsense: bool,
 }
 
-/// One connection's view of a generation.
+/// Stream of a generation's tokens over one connection.
 #[derive(Debug)]
 pub struct EngineStream {
     pub(super) generation: id::GenerationId,
     /// Number of the next token to deliver.
     pub(super) next_seq: u32,
-    /// Tokens delivered here.
+    /// Tokens delivered over this connection.
     pub(super) carried: u32,
     pub(super) watcher: signal::watch::Receiver<call::GenerationProgress>,
     pub(super) gate: gate::LinkGate,
     pub(super) silence_epoch: u64,
     pub(super) spoil: StreamSpoil,
-    /// Whether nothing follows.
+    /// Whether the stream has ended.
     pub(super) ended: bool,
 }
 
 impl EngineStream {
-    /// The next event; `None` when the stream has ended or was cut. Safe to cancel.
+    /// Returns the next event, or `None` when the stream has ended or was cut. Cancel safe.
     pub async fn next(&mut self) -> Option<StreamEvent> {
         loop {
             self.gate.pass(self.silence_epoch).await;
             if let Some(event) = self.ready() {
                 return event;
             }
-            match time::timeout(PING_EVERY, self.watcher.changed()).await {
+            match time::timeout(PING_INTERVAL, self.watcher.changed()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => {
-                    // The engine died or forgot the generation. A silent connection shows neither.
+                    // The engine crashed or forgot the generation; a silent connection shows
+                    // neither.
                     self.gate.pass(self.silence_epoch).await;
                     self.ended = true;
                     return None;
@@ -76,7 +77,7 @@
         }
     }
 
-    /// What can be said without waiting: `Some(None)` is the end.
+    /// Returns the event that is ready without waiting; `Some(None)` is the end.
     fn ready(&mut self) -> Option<Option<StreamEvent>> {
         let cut = self
             .spoil
--- a/crates/stand/src/engine/text.rs
+++ b/crates/stand/src/engine/text.rs
@@ -1,39 +1,40 @@
-//! The text of tokens: each names its generation and its number, so that a checker can tell.
+//! Token texts, which carry the generation and token number so that checkers can verify streams.
 
 use base::id;
 use xxhash_rust::xxh3;
 
-/// Eight hexadecimal digits that stand for a generation in the text of its tokens.
+/// Returns the 32-bit tag that identifies a generation in its token texts, written as eight
+/// hexadecimal digits.
 #[must_use]
 pub fn tag(generation: id::GenerationId) -> u32 {
     xxh3::xxh3_64(&generation.0.to_le_bytes()) as u32
 }
 
-/// The text of token `seq`: `"<tag>.<seq> "`.
+/// Returns the text of token `seq`: `"<tag>.<seq> "`.
 #[must_use]
 pub fn token(generation: id::GenerationId, seq: u32) -> String {
     format!("{:08x}.{seq} ", tag(generation))
 }
 
-/// The text of token `seq` when the prompt carries `[[mark=<hexadecimal>]]`:
-/// `"<tag>.<seq>.<mark> "`. The caller chose the mark, so it knows its own answer by it.
+/// Returns the text of token `seq` when the prompt carries `[[mark=<hexadecimal>]]`:
+/// `"<tag>.<seq>.<mark> "`. The caller chose the mark and recognises its own answer by it.
 #[must_use]
 pub fn marked_token(generation: id::GenerationId, seq: u32, mark: u32) -> String {
     format!("{:08x}.{seq}.{mark:x} ", tag(generation))
 }
 
-/// What a token says of itself.
+/// Parsed token text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenText {
-    /// Stands for its generation.
+    /// Tag of the generation.
     pub tag: u32,
-    /// Its number.
+    /// Number of the token.
     pub seq: u32,
-    /// The mark of the prompt, if it has one.
+    /// Mark of the prompt, if any.
     pub mark: Option<u32>,
 }
 
-/// What the token `word` says of itself; `None` when it is no token of a stand-in.
+/// Parses the token `word`; returns `None` if it is not a token of a stand-in.
 #[must_use]
 pub fn read_token(word: &str) -> Option<TokenText> {
     let mut parts = word.trim_end().split('.');
@@ -47,7 +48,7 @@
     is_whole.then_some(TokenText { tag, seq, mark })
 }
 
-/// Tag and number of every token in `text`; `None` when anything else is in it.
+/// Returns tag and number of every token in `text`, or `None` if it contains anything else.
 #[must_use]
 pub fn parse(text: &str) -> Option<Vec<(u32, u32)>> {
     let tokens = text.split_whitespace().map(read_token);
@@ -56,7 +57,7 @@
         .collect()
 }
 
-/// The value of the directive `[[name=value]]` in `prompt`; empty for a bare `[[name]]`.
+/// Returns the value of the directive `[[name=value]]` in `prompt`; empty for a bare `[[name]]`.
 #[must_use]
 pub fn directive<'a>(prompt: &'a str, name: &str) -> Option<&'a str> {
     let mut rest = prompt;
