--- a/crates/stand/src/exit.rs
+++ b/crates/stand/src/exit.rs
@@ -1,13 +1,13 @@
-//! How `pollenstand` ends.
+//! Exit codes of `pollenstand`.
 
 use std::process;
 
-/// Kind of an end; its number is the process's exit code.
+/// Outcome of the process; determines its exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitKind {
-    /// It did what it was told.
+    /// The command succeeded.
     Success,
-    /// It could not go on, for instance because an address was taken.
+    /// The command failed, for instance because an address was in use.
     Failed,
     /// The command line is wrong.
     Usage,
@@ -16,7 +16,7 @@
 }
 
 impl ExitKind {
-    /// The exit code.
+    /// Returns the exit code.
     #[must_use]
     pub const fn code(self) -> u8 {
         match self {
--- a/crates/stand/src/fleet.rs
+++ b/crates/stand/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use crate::{admin, engine, http, log, service, settings, vms, weights};
 
-/// A stand-in that can be given faults.
+/// Handle of a stand-in, through which faults are injected.
 #[derive(Clone, Debug)]
 pub enum StandHandle {
     /// A model engine.
@@ -20,11 +20,11 @@
 }
 
 impl StandHandle {
-    /// Switches the fault that `fault` tells.
+    /// Injects or clears the fault described by `fault`.
     ///
     /// # Errors
     ///
-    /// When it isn't a fault of this kind of stand-in.
+    /// Returns an error if this kind of stand-in doesn't support the fault.
     pub fn apply(&self, fault: serde_json::Value) -> Result<(), serde_json::Error> {
         match self {
             Self::Engine(handle) => handle.apply(&serde_json::from_value(fault)?),
@@ -36,7 +36,7 @@
         Ok(())
     }
 
-    /// Its kind, as the settings call it.
+    /// Returns the kind, as named in the settings.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
@@ -52,11 +52,11 @@
 /// One stand-in of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetMember {
-    /// Its name: `log`, `weights`, `vms`, or its group's with a number.
+    /// Name: `log`, `weights`, `vms`, or the group's name with a number.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the stand-in listens.
     pub address: net::SocketAddr,
-    /// Its handle.
+    /// Handle of the stand-in.
     pub handle: StandHandle,
 }
 
@@ -69,11 +69,11 @@
 }
 
 impl StandFleet {
-    /// Starts everything that the settings ask for.
+    /// Starts all stand-ins that the settings list.
     ///
     /// # Errors
     ///
-    /// When an address can't be had; then nothing goes on running.
+    /// Returns an error if an address can't be bound; all stand-ins are stopped then.
     pub async fn start(settings: &settings::StandSettings) -> Result<Self, http::ServeError> {
         let mut fleet = Self {
             members: Vec::new(),
@@ -93,19 +93,19 @@
         Ok(fleet)
     }
 
-    /// Every stand-in.
+    /// Returns all stand-ins.
     #[must_use]
     pub fn members(&self) -> &[FleetMember] {
         &self.members
     }
 
-    /// Where faults are switched.
+    /// Returns the address of the admin listener, if any.
     #[must_use]
     pub fn admin_address(&self) -> Option<net::SocketAddr> {
         self.admin.as_ref().map(http::RunningServer::address)
     }
 
-    /// Stops everything, cutting what is open.
+    /// Stops all stand-ins and cuts open connections.
     pub async fn stop(self) {
         for server in self.servers.into_iter().chain(self.admin) {
             server.stop().await;
@@ -142,7 +142,7 @@
         let salt = since.map_or(0, |since| since.as_nanos() as u64);
         for index in 0..group.count {
             let mut profile = group.profile.clone();
-            // Engines that are alike must not draw alike.
+            // Engines of one group must not draw the same random values.
             profile.seed = profile.seed.wrapping_add(self.members.len() as u64);
             let handle = engine::EngineHandle::spawn_salted(profile, salt);
             let address = member_address(group.address, index)?;
--- a/crates/stand/src/gate.rs
+++ b/crates/stand/src/gate.rs
@@ -1,21 +1,21 @@
-//! What every stand-in's connections share: up or down, hanging, gone silent.
+//! Link state shared by all connections of a stand-in: up or down, hanging or silent.
 
 use std::future;
 
 use tokio::sync::watch;
 
-/// State of the way between callers and one stand-in.
+/// State of the link between callers and one stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GateState {
-    /// Whether the process lives; connections to a dead one are refused.
+    /// Whether the process is up; connections are refused while it is down.
     pub up: bool,
-    /// Whether the link stalls: nothing passes, in either direction, until it ends.
+    /// Whether the link hangs: it blocks traffic in both directions until the fault is cleared.
     pub hanging: bool,
-    /// Connections opened in an earlier silence epoch deliver nothing more, for good.
+    /// Current silence epoch. Connections opened in an earlier one never deliver anything again.
     pub silence_epoch: u64,
 }
 
-/// Switch for the way between callers and one stand-in; clones share it.
+/// Fault switch for the link between callers and one stand-in, shared between clones.
 #[derive(Clone, Debug)]
 pub struct LinkGate {
     state: watch::Sender<GateState>,
@@ -35,35 +35,35 @@
 }
 
 impl LinkGate {
-    /// The state now.
+    /// Returns the current state.
     #[must_use]
     pub fn state(&self) -> GateState {
         *self.state.borrow()
     }
 
-    /// Marks the process as alive or dead.
+    /// Marks the process as up or down.
     pub fn set_up(&self, up: bool) {
         self.state.send_modify(|state| state.up = up);
     }
 
-    /// Starts or ends a stall of the link.
+    /// Starts or ends a hang of the link.
     pub fn set_hanging(&self, hanging: bool) {
         self.state.send_modify(|state| state.hanging = hanging);
     }
 
-    /// Makes every connection of now silent for good; new ones work.
+    /// Silences all existing connections permanently; new ones work.
     pub fn silence(&self) {
         self.state.send_modify(|state| state.silence_epoch += 1);
     }
 
-    /// Returns when the process is up (or down, for `up = false`).
+    /// Waits until the process is up (or down, for `up = false`).
     pub async fn wait_up(&self, up: bool) {
         let mut watcher = self.state.subscribe();
-        // An error would mean that the sender is gone, and `self` holds it.
+        // This can't fail: `self` holds the sender.
         let _ = watcher.wait_for(|state| state.up == up).await;
     }
 
-    /// Returns when something may pass a connection of `silence_epoch`; never, when it is silent.
+    /// Waits until a connection of `silence_epoch` may deliver data; never returns if it is silent.
     pub async fn pass(&self, silence_epoch: u64) {
         let mut watcher = self.state.subscribe();
         let passed = watcher
--- a/crates/stand/src/http.rs
+++ b/crates/stand/src/http.rs
@@ -1,4 +1,4 @@
-//! What the HTTP fronts share: a server that dies and comes back with its stand-in.
+//! HTTP server shared by all stand-ins; it stops and restarts together with its stand-in.
 
 use std::{collections, future, io, net, pin, sync, task};
 
@@ -13,25 +13,25 @@
 pub enum JsonReply {
     /// A JSON body with its status.
     Told((Status, response::content::RawJson<String>)),
-    /// Nothing that its caller could use.
+    /// A broken connection without a usable answer.
     Lost(LostAnswer),
 }
 
-/// Largest body that a stand-in takes, in bytes.
+/// Maximum size of a request body.
 pub const BODY_LIMIT: data::ByteUnit = data::ByteUnit::Mebibyte(4);
 
-/// Why a stand-in could not listen.
+/// Error of a stand-in that could not listen.
 #[derive(Debug)]
 #[derive(snafu::Snafu)]
 #[snafu(display("a stand-in could not listen on {address}: {reason}; choose a free address"))]
 pub struct ServeError {
-    /// The address that was asked for.
+    /// Requested address.
     pub address: net::SocketAddr,
-    /// What the library said.
+    /// Error text of the HTTP library.
     pub reason: String,
 }
 
-/// A stand-in that listens. It stops when this is dropped.
+/// Running HTTP server of a stand-in; stops on drop.
 #[derive(Debug)]
 pub struct RunningServer {
     address: net::SocketAddr,
@@ -40,28 +40,28 @@
 }
 
 impl RunningServer {
-    /// Where it listens.
+    /// Returns the address on which the server listens.
     #[must_use]
     pub const fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Stops it, cutting what is open.
+    /// Stops the server and cuts open connections.
     pub async fn stop(self) {
         self.stop.send_replace(true);
-        // An error is the task's panic, which the runtime has printed.
+        // An error means that the task panicked, which the runtime has already reported.
         let _ = self.task.await;
     }
 }
 
-/// A JSON answer.
+/// Builds a JSON answer.
 pub fn json<T: serde::Serialize>(status: u16, body: &T) -> JsonReply {
     let status = Status::from_code(status).unwrap_or(Status::InternalServerError);
     let text = serde_json::to_string(body).unwrap_or_else(|_| String::from("null"));
     JsonReply::Told((status, response::content::RawJson(text)))
 }
 
-/// A JSON error `{"error": {"code", "message", …}}`.
+/// Builds a JSON error `{"error": {"code", "message", …}}`.
 pub fn error(status: u16, code: &str, message: &str) -> JsonReply {
     json(
         status,
@@ -69,7 +69,7 @@
     )
 }
 
-/// A JSON error that says when to try again.
+/// Builds a JSON error with the time after which to retry.
 pub fn error_after(status: u16, code: &str, message: &str, retry_after_ms: u64) -> JsonReply {
     let error = serde_json::json!({
         "code": code, "message": message, "retry_after_ms": retry_after_ms
@@ -80,7 +80,7 @@
     )
 }
 
-/// An answer that never arrives whole: the connection breaks in the middle of it.
+/// Answer that is never delivered completely because the connection breaks midway.
 #[derive(Clone, Copy, Debug)]
 pub struct LostAnswer;
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// A body that breaks at once.
+/// Body whose first read fails.
 struct LostBody;
 
 impl tokio::io::AsyncRead for LostBody {
@@ -111,14 +111,13 @@
 ///
 /// # Errors
 ///
-/// The answer to send, when the body is too large or isn't what is expected.
+/// Returns the answer to send if the body is too large or malformed.
 pub async fn read_json<T: serde::de::DeserializeOwned>(
     body: data::Data<'_>,
 ) -> Result<T, JsonReply> {
     let bytes = read_bytes(body).await?;
     serde_json::from_slice(&bytes).map_err(|cause| {
-        let message =
-            format!("the body is not what this call takes: {cause}; see docs/INTERFACES.md");
+        let message = format!("the request body is invalid: {cause}; see docs/INTERFACES.md");
         error(400, "bad_request", &message)
     })
 }
@@ -127,7 +126,7 @@
 ///
 /// # Errors
 ///
-/// The answer to send, when the body is too large or was cut.
+/// Returns the answer to send if the body is too large or truncated.
 pub async fn read_bytes(body: data::Data<'_>) -> Result<Vec<u8>, JsonReply> {
     let body = body.open(BODY_LIMIT).into_bytes().await;
     let body = body.map_err(|_| error(400, "bad_request", "the body was cut; send it again"))?;
@@ -139,7 +138,7 @@
     }
 }
 
-/// When the front first saw a request.
+/// Time at which the server first saw a request.
 #[derive(Clone, Copy, Debug)]
 pub struct SeenAt(pub time::Instant);
 
@@ -167,22 +166,23 @@
 impl ConnectionTable {
     /// The silence epoch in which the connection from `remote` was opened.
     fn epoch(&self, remote: net::SocketAddr, current: u64) -> u64 {
-        /// Longer than clients keep idle connections; a later one from there is another one.
-        const FORGOTTEN_AFTER: time::Duration = time::Duration::from_secs(120);
-        const LOOK_THROUGH: usize = 1_024;
+        /// Longer than clients keep idle connections; a later request from the same address belongs
+        /// to a new connection.
+        const ENTRY_RETENTION: time::Duration = time::Duration::from_secs(120);
+        const CLEANUP_SIZE_STEP: usize = 1_024;
         let now = time::Instant::now();
         let mut seen = self
             .seen
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner);
-        if seen.len() % LOOK_THROUGH == LOOK_THROUGH - 1 {
-            seen.retain(|_, entry| now - entry.used_at < FORGOTTEN_AFTER);
+        if seen.len() % CLEANUP_SIZE_STEP == CLEANUP_SIZE_STEP - 1 {
+            seen.retain(|_, entry| now - entry.used_at < ENTRY_RETENTION);
         }
         let entry = seen.entry(remote).or_insert(ConnectionEntry {
             silence_epoch: current,
             used_at: now,
         });
-        if now - entry.used_at > FORGOTTEN_AFTER {
+        if now - entry.used_at > ENTRY_RETENTION {
             entry.silence_epoch = current;
         }
         entry.used_at = now;
@@ -190,12 +190,12 @@
     }
 }
 
-/// Serves `routes` on `address` (port 0: any) for as long as the gate is up, and again when it
-/// comes up again, on the same port.
+/// Serves `routes` on `address` (port 0: any free port) while the gate is up, and listens on the
+/// same port again whenever it comes back up.
 ///
 /// # Errors
 ///
-/// When the address can't be had.
+/// Returns an error if the address can't be bound.
 pub async fn serve<S: Clone + Send + Sync + 'static>(
     address: net::SocketAddr,
     gate: gate::LinkGate,
@@ -208,11 +208,11 @@
         routes,
         connections: sync::Arc::new(ConnectionTable::default()),
     };
-    let life = ServerLife::begin(front.rocket(address)).await;
-    let life = life.map_err(|reason| ServeError { address, reason })?;
-    let address = life.address;
+    let run = ServerRun::begin(front.rocket(address)).await;
+    let run = run.map_err(|reason| ServeError { address, reason })?;
+    let address = run.address;
     let (stop, stopped) = signal::watch::channel(false);
-    let task = tokio::spawn(keep_serving(front, life, stopped));
+    let task = tokio::spawn(keep_serving(front, run, stopped));
     Ok(RunningServer {
         address,
         stop,
@@ -220,7 +220,7 @@
     })
 }
 
-/// What each life of a front is built from.
+/// Parameters from which each server run is built.
 struct FrontSpec<S> {
     gate: gate::LinkGate,
     state: S,
@@ -237,7 +237,7 @@
             shutdown: rocket::config::Shutdown {
                 ctrlc: false,
                 signals: collections::HashSet::new(),
-                // A process that dies doesn't say goodbye.
+                // A crashed process doesn't shut connections down gracefully.
                 grace: 0,
                 mercy: 0,
                 ..rocket::config::Shutdown::default()
@@ -271,22 +271,22 @@
 }
 
 impl<S: Clone + Send + Sync + 'static> FrontSpec<S> {
-    /// Begins another life at the address of an earlier one, as soon as that has let it go.
-    async fn begin_again(&self, address: net::SocketAddr) -> ServerLife {
-        const TRY_AGAIN: time::Duration = time::Duration::from_millis(20);
-        /// Tries that may fail before it is worth a line.
-        const QUIET_TRIES: u32 = 50;
-        let mut tries = 0;
+    /// Starts a new server run at the address of an earlier one, as soon as the address is free.
+    async fn restart(&self, address: net::SocketAddr) -> ServerRun {
+        const RETRY_INTERVAL: time::Duration = time::Duration::from_millis(20);
+        /// Number of failed attempts before a warning is logged.
+        const ATTEMPTS_BEFORE_WARNING: u32 = 50;
+        let mut attempts = 0;
         loop {
-            match ServerLife::begin(self.rocket(address)).await {
-                Ok(life) => return life,
-                Err(reason) if tries == QUIET_TRIES => {
-                    log::warn!(address:%, reason; "stand-in can't listen again yet");
+            match ServerRun::begin(self.rocket(address)).await {
+                Ok(run) => return run,
+                Err(reason) if attempts == ATTEMPTS_BEFORE_WARNING => {
+                    log::warn!(address:%, reason; "stand-in can't listen after its restart; retrying");
                 }
                 Err(_) => {}
             }
-            tries += 1;
-            time::sleep(TRY_AGAIN).await;
+            attempts += 1;
+            time::sleep(RETRY_INTERVAL).await;
         }
     }
 }
@@ -295,20 +295,20 @@
     request.uri().path().starts_with("/admin/")
 }
 
-/// One life of a front, from listening to the end of all its connections.
-struct ServerLife {
+/// One run of a server, from listening to the end of all its connections.
+struct ServerRun {
     address: net::SocketAddr,
     shutdown: rocket::Shutdown,
     task: tokio::task::JoinHandle<Result<(), String>>,
 }
 
-impl ServerLife {
+impl ServerRun {
     async fn begin(rocket: rocket::Rocket<rocket::Build>) -> Result<Self, String> {
-        let (tell, mut told) = signal::mpsc::unbounded_channel();
+        let (address_sender, mut address_receiver) = signal::mpsc::unbounded_channel();
         let liftoff = fairing::AdHoc::on_liftoff("address", move |rocket| {
             let config = rocket.config();
-            // Nobody listens any more only when `begin` was given up.
-            let _ = tell.send(net::SocketAddr::new(config.address, config.port));
+            // Sending fails only if `begin` was cancelled and its receiver dropped.
+            let _ = address_sender.send(net::SocketAddr::new(config.address, config.port));
             Box::pin(future::ready(()))
         });
         let rocket = rocket.attach(liftoff).ignite().await;
@@ -319,19 +319,19 @@
             outcome.map(drop).map_err(|cause| cause.to_string())
         });
         tokio::select! {
-            Some(address) = told.recv() => Ok(Self { address, shutdown, task }),
+            Some(address) = address_receiver.recv() => Ok(Self { address, shutdown, task }),
             outcome = &mut task => match outcome {
-                Ok(Ok(())) => Err(String::from("it ended at once")),
+                Ok(Ok(())) => Err(String::from("the server stopped immediately after its start")),
                 Ok(Err(reason)) => Err(reason),
                 Err(cause) => Err(cause.to_string()),
             },
         }
     }
 
-    /// Stops listening at once and cuts what is open.
+    /// Stops listening immediately and cuts open connections.
     ///
-    /// The library waits for every connection, and for those that went silent in vain: so whoever
-    /// comes up again at this address doesn't wait for it, only a stop does, and not for long.
+    /// The library waits for every connection, and silent ones never end. So a restart at the same
+    /// address doesn't wait for the returned task; only a stop does, for a limited time.
     fn end(self) -> tokio::task::JoinHandle<Result<(), String>> {
         self.shutdown.notify();
         self.task
@@ -340,27 +340,27 @@
 
 async fn keep_serving<S: Clone + Send + Sync + 'static>(
     front: FrontSpec<S>,
-    mut life: ServerLife,
+    mut run: ServerRun,
     mut stopped: signal::watch::Receiver<bool>,
 ) {
-    const STOP_LIMIT: time::Duration = time::Duration::from_secs(1);
-    let address = life.address;
+    const STOP_TIMEOUT: time::Duration = time::Duration::from_secs(1);
+    let address = run.address;
     loop {
         let stops = stopped_or(&mut stopped, front.gate.wait_up(false)).await;
-        let task = life.end();
+        let task = run.end();
         if stops {
-            // What is still open then is silent, and ends with the process.
-            let _ = time::timeout(STOP_LIMIT, task).await;
+            // Connections still open after the timeout are silent and end with the process.
+            let _ = time::timeout(STOP_TIMEOUT, task).await;
             return;
         }
         if stopped_or(&mut stopped, front.gate.wait_up(true)).await {
             return;
         }
-        life = front.begin_again(address).await;
+        run = front.restart(address).await;
     }
 }
 
-/// Whether the stop came before `other`.
+/// Returns whether the stop came before `other` completed.
 async fn stopped_or(
     stopped: &mut signal::watch::Receiver<bool>,
     other: impl Future<Output = ()>,
--- a/crates/stand/src/lib.rs
+++ b/crates/stand/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins for what pollenchute meets: model engine, plain service, log, weight store, VM list.
+//! Stand-ins for the systems around pollenchute: model engine, plain service, log, weight store and
+//! VM list.
 //!
-//! Each is a pure core without I/O and clock, an in-process handle on the runtime's clock (paused
-//! or not), and an HTTP front with the faces of `docs/INTERFACES.md`. Faults are switched on by
-//! methods of the handles, or from outside by `POST /admin/faults`.
+//! Each consists of a core without I/O or clock, an in-process handle on the runtime's clock (which
+//! may be paused), and an HTTP server with the interfaces of `docs/INTERFACES.md`. Faults are
+//! injected through methods of the handles, or from other processes through `POST /admin/faults`.
 
 pub mod admin;
 pub mod bucket;
--- a/crates/stand/src/log.rs
+++ b/crates/stand/src/log.rs
@@ -1,4 +1,4 @@
-//! The platform's append-only log with offsets.
+//! Stand-in for the platform's append-only log with offsets.
 
 use std::{collections, time};
 
@@ -12,24 +12,24 @@
     handle::{LogFault, LogHandle},
 };
 
-/// Capacity and manners of the log.
+/// Capacity and behaviour of the log.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogProfile {
-    /// Appends a second over all streams.
+    /// Appends per second over all streams.
     pub appends_per_second: f64,
-    /// Appends that may come at once after a pause.
+    /// Burst of appends after a pause.
     pub burst: f64,
     /// Records older than this are dropped.
     pub retention_ms: u64,
-    /// Largest record, in bytes.
+    /// Maximum size of a record, in bytes.
     pub max_record_bytes: usize,
-    /// Records in one answer at the most.
+    /// Maximum number of records in one answer.
     pub max_page: usize,
-    /// Time that an append takes.
+    /// Duration of an append.
     pub append_ms: u64,
-    /// Time that a read takes, waiting for records apart.
+    /// Duration of a read, not counting the wait for records.
     pub read_ms: u64,
     /// The log's own clock at its start, in Unix milliseconds; absent: this machine's clock.
     pub clock_ms: Option<u64>,
@@ -50,34 +50,34 @@
     }
 }
 
-/// What the log refuses or loses.
+/// Error of a log call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(snafu::Snafu)]
 pub enum LogError {
-    /// Over the cap; took no effect.
+    /// The append rate limit is exceeded; the call had no effect.
     #[snafu(display("the cap on appends is reached; append again in {retry_after_ms} ms"))]
     OverCap {
-        /// When to try again.
+        /// Time after which to retry.
         retry_after_ms: u64,
     },
-    /// The record is too large; took no effect.
+    /// The record is too large; the call had no effect.
     #[snafu(display("the record has {bytes} bytes and {limit} are taken; split it"))]
     TooLarge {
         /// Size of the record.
         bytes: usize,
-        /// Largest size.
+        /// Maximum size.
         limit: usize,
     },
-    /// Retention has dropped the offset asked for.
+    /// Retention has dropped the requested offset.
     #[snafu(display("records below offset {first} are dropped; start there, from a checkpoint"))]
     Dropped {
-        /// The first offset that is kept.
+        /// First retained offset.
         first: u64,
     },
-    /// The log is down; took no effect, but a caller can't know that.
+    /// The log is down; the call had no effect, but a caller can't know that.
     #[snafu(display("the log is down; try again later, and read before appending again"))]
     Outage,
-    /// The answer was lost. Whether the call took effect isn't known to its caller.
+    /// The answer was lost; the caller can't know whether the call took effect.
     #[snafu(display("the answer was lost; read back whether the append took effect"))]
     AnswerLost,
 }
@@ -85,35 +85,35 @@
 /// One record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogRecord {
-    /// Its place in its stream: 0, 1, 2 and so on.
+    /// Position in the stream: 0, 1, 2 and so on.
     pub offset: u64,
-    /// When it was appended, on the log's own clock.
+    /// Time of the append on the log's own clock.
     pub at_ms: u64,
-    /// What was appended.
+    /// Content of the record.
     pub body: bytes::Bytes,
 }
 
 /// Answer to a read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReadPage {
-    /// The first offset that is kept.
+    /// First retained offset.
     pub first: u64,
-    /// The offset to read from next.
+    /// Offset of the next read.
     pub next: u64,
-    /// Records from the offset asked for, without gaps.
+    /// Records from the requested offset, without gaps.
     pub records: Vec<LogRecord>,
 }
 
-/// What an append did.
+/// Result of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendOutcome {
-    /// Offset of the record, which is kept.
+    /// Offset of the stored record.
     pub offset: u64,
-    /// Whether its writer is not told.
+    /// Whether the answer to the writer is lost.
     pub answer_lost: bool,
 }
 
-/// One stream. Offsets `first..first + records.len()` are kept, without gaps.
+/// One stream. Offsets `first..first + records.len()` are retained, without gaps.
 #[derive(Clone, Debug, Default)]
 struct LogStream {
     first: u64,
@@ -136,14 +136,15 @@
     }
 }
 
-/// The log without I/O and clock: `now` is the time since any fixed moment and never goes back.
+/// Log state machine without I/O or clock: `now` is the time since any fixed moment and is
+/// monotonic.
 #[derive(Clone, Debug)]
 pub struct LogCore {
     profile: LogProfile,
-    /// The log's clock at `now` zero.
+    /// Log clock at `now` zero.
     clock_ms: u64,
     streams: collections::BTreeMap<String, LogStream>,
-    /// Appends that may come now.
+    /// Rate limit of appends.
     bucket: bucket::TokenBucket,
     outage: bool,
     lose_answers: u32,
@@ -151,7 +152,7 @@
 }
 
 impl LogCore {
-    /// An empty log whose clock shows `clock_ms` at `now` zero.
+    /// Creates an empty log whose clock shows `clock_ms` at `now` zero.
     #[must_use]
     pub fn new(profile: LogProfile, clock_ms: u64) -> Self {
         Self {
@@ -169,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// When the append took no effect, and why.
+    /// Returns the reason if the append had no effect.
     pub fn append(
         &mut self,
         now: time::Duration,
@@ -206,11 +207,11 @@
         })
     }
 
-    /// At most `max` records of a stream from offset `from`; none when there are none yet.
+    /// Returns at most `max` records of a stream from offset `from`; empty if there are none yet.
     ///
     /// # Errors
     ///
-    /// When the log is down or has dropped what was asked for.
+    /// Returns an error if the log is down or has dropped the requested offset.
     pub fn read(
         &mut self,
         now: time::Duration,
@@ -246,17 +247,17 @@
         })
     }
 
-    /// Begins or ends an outage.
+    /// Starts or ends an outage.
     pub fn set_outage(&mut self, outage: bool) {
         self.outage = outage;
     }
 
-    /// Loses the answers of the next `count` appends, which take effect.
+    /// Drops the answers of the next `count` appends, which still take effect.
     pub fn lose_answers(&mut self, count: u32) {
         self.lose_answers = count;
     }
 
-    /// Shifts the log's own clock, which need not be right.
+    /// Shifts the log's own clock, which need not be accurate.
     pub fn shift_clock(&mut self, shift_ms: i64) {
         self.clock_shift_ms = shift_ms;
     }
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Every record of a stream that is kept, for checkers.
+    /// Returns all retained records of a stream, for checkers.
     pub fn records(&self, stream: &str) -> impl Iterator<Item = &LogRecord> {
         self.streams
             .get(stream)
@@ -278,14 +279,14 @@
             .flat_map(|stream| &stream.records)
     }
 
-    /// The log's own clock.
+    /// Returns the time of the log's own clock.
     #[must_use]
     pub fn at_ms(&self, now: time::Duration) -> u64 {
         let clock_ms = self.clock_ms + now.as_millis() as u64;
         clock_ms.saturating_add_signed(self.clock_shift_ms)
     }
 
-    /// Its profile.
+    /// Returns the profile.
     #[must_use]
     pub const fn profile(&self) -> &LogProfile {
         &self.profile
--- a/crates/stand/src/log/front.rs
+++ b/crates/stand/src/log/front.rs
@@ -1,4 +1,4 @@
-//! The HTTP face of the log.
+//! HTTP server of the log.
 
 use std::net;
 
@@ -9,11 +9,11 @@
 use super::{LogError, handle};
 use crate::http;
 
-/// Serves the log on `address` (port 0: any).
+/// Serves the log on `address` (port 0: any free port).
 ///
 /// # Errors
 ///
-/// When the address can't be had.
+/// Returns an error if the address can't be bound.
 pub async fn serve(
     handle: handle::LogHandle,
     address: net::SocketAddr,
@@ -65,9 +65,9 @@
     wait_ms: Option<u64>,
     handle: &State<handle::LogHandle>,
 ) -> http::JsonReply {
-    const USUAL_PAGE: usize = 100;
+    const DEFAULT_PAGE_RECORDS: usize = 100;
     let wait = time::Duration::from_millis(wait_ms.unwrap_or(0));
-    let max = max.unwrap_or(USUAL_PAGE);
+    let max = max.unwrap_or(DEFAULT_PAGE_RECORDS);
     let page = match handle.read(stream, from.unwrap_or(0), max, wait).await {
         Ok(page) => page,
         Err(error) => return refuse(&error),
--- a/crates/stand/src/log/handle.rs
+++ b/crates/stand/src/log/handle.rs
@@ -1,4 +1,4 @@
-//! A running log in this process, on the runtime's clock.
+//! In-process log that runs on the runtime's clock.
 
 use std::sync;
 
@@ -7,51 +7,51 @@
 use super::{LogCore, LogError, LogProfile, LogRecord, ReadPage};
 use crate::gate;
 
-/// Longest wait of one read for records.
+/// Maximum time that one read waits for records.
 const MAX_WAIT: time::Duration = time::Duration::from_secs(30);
 
-/// A fault that is switched on from outside.
+/// Fault that a caller injects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "fault", rename_all = "snake_case", deny_unknown_fields)]
 pub enum LogFault {
     /// Answers every call with an error.
     Outage {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
-    /// Lets nothing through in either direction: callers wait.
+    /// Blocks traffic in both directions: callers wait.
     Hang {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
     /// Refuses connections.
     Refuse {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
-    /// Makes all connections of now silent for good; new ones work.
+    /// Silences all existing connections permanently; new ones work.
     Silence,
-    /// Adds this to the time of each call: half of it before the effect, half of it after.
+    /// Delays each call, half before and half after its effect.
     Slow {
-        /// Added time.
+        /// Added delay.
         delay_ms: u64,
     },
-    /// Loses the answers of the next appends, which take effect.
+    /// Drops the answers of the next appends, which still take effect.
     LoseAnswers {
-        /// How many.
+        /// Number of answers to drop.
         count: u32,
     },
     /// Drops old records, as retention would.
     DropBelow {
         /// Stream.
         stream: String,
-        /// The first offset that stays.
+        /// First retained offset.
         first: u64,
     },
     /// Shifts the log's own clock.
     ShiftClock {
-        /// How far.
+        /// Shift in milliseconds; may be negative.
         shift_ms: i64,
     },
 }
@@ -62,18 +62,18 @@
     delay: time::Duration,
 }
 
-/// A running log; clones share it.
+/// Handle of a running log, shared between clones.
 #[derive(Clone, Debug)]
 pub struct LogHandle {
     shared: sync::Arc<sync::Mutex<LogShared>>,
-    /// Told at every append and at every fault.
+    /// Notified on every append and fault.
     changed: sync::Arc<signal::Notify>,
     gate: gate::LinkGate,
     origin: time::Instant,
 }
 
 impl LogHandle {
-    /// Starts an empty log.
+    /// Creates an empty log.
     #[must_use]
     pub fn new(profile: LogProfile) -> Self {
         let clock_ms = profile.clock_ms.unwrap_or_else(unix_ms);
@@ -89,11 +89,11 @@
         }
     }
 
-    /// Appends one record and answers its offset.
+    /// Appends one record and returns its offset.
     ///
     /// # Errors
     ///
-    /// `Outage` and `AnswerLost` don't prove that it took no effect; the others do.
+    /// `Outage` and `AnswerLost` don't prove that the append had no effect; all other errors do.
     pub async fn append(&self, stream: &str, body: bytes::Bytes) -> Result<u64, LogError> {
         let silence_epoch = self.connect().await?;
         let cost = time::Duration::from_millis(self.lock().core.profile().append_ms);
@@ -111,11 +111,11 @@
         }
     }
 
-    /// Reads at most `max` records from `from`; waits at most `wait` when there are none.
+    /// Reads at most `max` records from offset `from`; waits at most `wait` if there are none.
     ///
     /// # Errors
     ///
-    /// When the log is down or has dropped what was asked for.
+    /// Returns an error if the log is down or has dropped the requested offset.
     pub async fn read(
         &self,
         stream: &str,
@@ -148,19 +148,19 @@
         }
     }
 
-    /// Every record of a stream that is kept, for checkers.
+    /// Returns all retained records of a stream, for checkers.
     #[must_use]
     pub fn records(&self, stream: &str) -> Vec<LogRecord> {
         self.lock().core.records(stream).cloned().collect()
     }
 
-    /// The way to this log.
+    /// Returns the gate for connections to this log.
     #[must_use]
     pub const fn gate(&self) -> &gate::LinkGate {
         &self.gate
     }
 
-    /// Switches a fault.
+    /// Injects or clears a fault.
     pub fn apply(&self, fault: &LogFault) {
         match fault {
             LogFault::Outage { on } => self.lock().core.set_outage(*on),
--- a/crates/stand/src/main.rs
+++ b/crates/stand/src/main.rs
@@ -1,4 +1,4 @@
-//! Thin front of `pollenstand`; the work is in the library.
+//! Binary of `pollenstand`; the implementation is in the library.
 
 use std::process;
 
--- a/crates/stand/src/service.rs
+++ b/crates/stand/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service server: it runs what it is told and counts it.
+//! Stand-in for a plain service server that runs calls and counts them.
 
 use std::collections;
 
@@ -10,14 +10,14 @@
     handle::{ServiceFault, ServiceHandle},
 };
 
-/// Manners of one plain service server.
+/// Behaviour of one plain service server.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceProfile {
-    /// Its name, which each of its answers carries.
+    /// Name, repeated in each answer.
     pub server: String,
-    /// Time that a call takes; it takes effect halfway.
+    /// Duration of a call, which takes effect halfway through.
     pub latency_ms: u64,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// One call as a server sees it.
+/// Call received by a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceCall {
     /// HTTP method.
@@ -45,31 +45,31 @@
     pub body: bytes::Bytes,
 }
 
-/// What a server answers; it repeats enough of the call to tell crossed answers apart.
+/// Answer of a server, which repeats enough of the call to detect mixed-up answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct ServiceAnswer {
-    /// The server.
+    /// Name of the server.
     pub server: String,
     /// Path of the call.
     pub path: String,
-    /// Its request id.
+    /// Request id of the call.
     pub request_id: Option<String>,
-    /// Its idempotency key.
+    /// Idempotency key of the call.
     pub idempotency_key: Option<String>,
-    /// Size of its body.
+    /// Size of the request body.
     pub body_bytes: usize,
-    /// SHA-256 of its body in hexadecimal.
+    /// SHA-256 of the request body in hexadecimal.
     pub body_sha256: String,
-    /// Number of this run among all of this server, from 1.
+    /// Number of this run on this server, from 1.
     pub run: u64,
 }
 
-/// What ran on one server.
+/// Counts of the calls that ran on one server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct RunCounts {
-    /// All runs.
+    /// Total number of runs.
     pub total: u64,
     /// Runs by idempotency key.
     pub by_key: collections::BTreeMap<String, u64>,
@@ -77,9 +77,9 @@
     pub by_request: collections::BTreeMap<String, u64>,
 }
 
-/// The server without I/O and clock.
+/// Server state machine without I/O or clock.
 ///
-/// The counts stand for what the world outside saw, so they outlive a crash.
+/// The counts represent effects visible outside the server, so they survive a crash.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceCore {
     profile: ServiceProfile,
@@ -88,7 +88,7 @@
 }
 
 impl ServiceCore {
-    /// A server that has run nothing.
+    /// Creates a server without any runs.
     #[must_use]
     pub fn new(profile: ServiceProfile) -> Self {
         Self {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Runs a call. The answer is `None` when it is lost.
+    /// Runs a call. Returns `None` if the answer is lost.
     pub fn run(&mut self, call: &ServiceCall) -> Option<ServiceAnswer> {
         self.counts.total += 1;
         if let Some(key) = &call.idempotency_key {
@@ -125,19 +125,19 @@
         })
     }
 
-    /// What ran.
+    /// Returns the run counts.
     #[must_use]
     pub const fn counts(&self) -> &RunCounts {
         &self.counts
     }
 
-    /// Its profile.
+    /// Returns the profile.
     #[must_use]
     pub const fn profile(&self) -> &ServiceProfile {
         &self.profile
     }
 
-    /// Loses the answers of the next `count` calls, which run.
+    /// Drops the answers of the next `count` calls, which still run.
     pub fn lose_answers(&mut self, count: u32) {
         self.lose_answers = count;
     }
--- a/crates/stand/src/service/front.rs
+++ b/crates/stand/src/service/front.rs
@@ -1,4 +1,4 @@
-//! The HTTP face of a plain service server: any method, any path.
+//! HTTP server of a plain service server; accepts any method and path.
 
 use std::net;
 
@@ -7,11 +7,11 @@
 use super::{ServiceCall, handle};
 use crate::http;
 
-/// Serves the server on `address` (port 0: any).
+/// Serves the server on `address` (port 0: any free port).
 ///
 /// # Errors
 ///
-/// When the address can't be had.
+/// Returns an error if the address can't be bound.
 pub async fn serve(
     handle: handle::ServiceHandle,
     address: net::SocketAddr,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Takes every call that no other route takes.
+/// Handles every call that no other route matches.
 #[derive(Clone, Copy, Debug)]
 struct AnyCall;
 
--- a/crates/stand/src/service/handle.rs
+++ b/crates/stand/src/service/handle.rs
@@ -1,4 +1,4 @@
-//! A running plain service server in this process, on the runtime's clock.
+//! In-process plain service server that runs on the runtime's clock.
 
 use std::sync;
 
@@ -7,53 +7,53 @@
 use super::{RunCounts, ServiceAnswer, ServiceCall, ServiceCore, ServiceProfile};
 use crate::gate;
 
-/// A fault that is switched on from outside.
+/// Fault that a caller injects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "fault", rename_all = "snake_case", deny_unknown_fields)]
 pub enum ServiceFault {
-    /// Dies: connections break and are refused; it comes up again after `down_ms` if given.
+    /// Crashes: connections break and are refused; restarts after `down_ms` if given.
     Crash {
-        /// Time until it comes up.
+        /// Time until the restart.
         #[serde(default)]
         down_ms: Option<u64>,
     },
-    /// Comes up again.
+    /// Restarts a crashed server.
     Restart,
-    /// Makes all connections of now silent for good; new ones work.
+    /// Silences all existing connections permanently; new ones work.
     Silence,
-    /// Lets nothing through in either direction.
+    /// Blocks traffic in both directions.
     Hang {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
-    /// Adds this to the time of each call: half of it before the effect, half of it after.
+    /// Delays each call, half before and half after its effect.
     Slow {
-        /// Added time.
+        /// Added delay.
         delay_ms: u64,
     },
-    /// Loses the answers of the next calls, which run.
+    /// Drops the answers of the next calls, which still run.
     LoseAnswers {
-        /// How many.
+        /// Number of answers to drop.
         count: u32,
     },
-    /// Announces in its health that it is leaving, or not any more.
+    /// Sets whether the health check announces that the server is leaving.
     Leaving {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
 }
 
-/// What a caller of a server sees in place of an answer.
+/// Error of a call to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(snafu::Snafu)]
 pub enum ServiceError {
-    /// The connection was refused: the call did not run.
+    /// The connection was refused; the call did not run.
     #[snafu(display(
         "the server refused the connection; the call did not run, choose another one"
     ))]
     Refused,
-    /// The connection broke: the call may have run.
+    /// The connection broke; the call may have run.
     #[snafu(display("the connection broke; the call may have run"))]
     Broken,
 }
@@ -64,11 +64,11 @@
     delay: time::Duration,
     leaving: bool,
     calls_while_leaving: u64,
-    /// Number of this life; a call that began in an earlier one is dead.
-    life: u64,
+    /// Number of this incarnation; calls that began in an earlier one fail.
+    incarnation: u64,
 }
 
-/// A running server; clones share it.
+/// Handle of a running server, shared between clones.
 #[derive(Clone, Debug)]
 pub struct ServiceHandle {
     shared: sync::Arc<sync::Mutex<ServiceShared>>,
@@ -76,7 +76,7 @@
 }
 
 impl ServiceHandle {
-    /// Starts a server.
+    /// Creates a server.
     #[must_use]
     pub fn new(profile: ServiceProfile) -> Self {
         let shared = ServiceShared {
@@ -84,7 +84,7 @@
             delay: time::Duration::ZERO,
             leaving: false,
             calls_while_leaving: 0,
-            life: 0,
+            incarnation: 0,
         };
         Self {
             shared: sync::Arc::new(sync::Mutex::new(shared)),
@@ -96,33 +96,33 @@
     ///
     /// # Errors
     ///
-    /// Only `Refused` proves that it did not run.
+    /// Only `Refused` proves that the call did not run.
     pub async fn call(&self, call: ServiceCall) -> Result<ServiceAnswer, ServiceError> {
         let silence_epoch = self.gate.state().silence_epoch;
         self.gate.pass(silence_epoch).await;
         if !self.gate.state().up {
             return Err(ServiceError::Refused);
         }
-        let (life, half) = self.begin();
+        let (incarnation, half) = self.begin();
         time::sleep(half).await;
         let answer = {
             let mut shared = self.lock();
-            if shared.life != life {
+            if shared.incarnation != incarnation {
                 return Err(ServiceError::Broken);
             }
             shared.core.run(&call)
         };
         time::sleep(half).await;
         self.gate.pass(silence_epoch).await;
-        let alive = self.lock().life == life;
+        let alive = self.lock().incarnation == incarnation;
         answer.filter(|_| alive).ok_or(ServiceError::Broken)
     }
 
-    /// The health of the server.
+    /// Returns whether the server's health check reports that it is leaving.
     ///
     /// # Errors
     ///
-    /// When the connection is refused.
+    /// Returns an error if the connection is refused.
     pub async fn leaving(&self) -> Result<bool, ServiceError> {
         self.gate.pass(self.gate.state().silence_epoch).await;
         if !self.gate.state().up {
@@ -131,25 +131,25 @@
         Ok(self.lock().leaving)
     }
 
-    /// What ran.
+    /// Returns the run counts.
     #[must_use]
     pub fn counts(&self) -> RunCounts {
         self.lock().core.counts().clone()
     }
 
-    /// Calls that came after the server announced that it is leaving.
+    /// Returns the number of calls received after the server announced that it is leaving.
     #[must_use]
     pub fn calls_while_leaving(&self) -> u64 {
         self.lock().calls_while_leaving
     }
 
-    /// The way to this server.
+    /// Returns the gate for connections to this server.
     #[must_use]
     pub const fn gate(&self) -> &gate::LinkGate {
         &self.gate
     }
 
-    /// Switches a fault.
+    /// Injects or clears a fault.
     pub fn apply(&self, fault: &ServiceFault) {
         match *fault {
             ServiceFault::Crash { down_ms } => {
@@ -173,26 +173,26 @@
         }
     }
 
-    /// Dies: what is under way breaks, connections are refused.
+    /// Crashes the server: calls in progress break, new connections are refused.
     pub fn crash(&self) {
-        self.lock().life += 1;
+        self.lock().incarnation += 1;
         self.gate.set_up(false);
     }
 
-    /// Comes up again.
+    /// Restarts the server.
     pub fn restart(&self) {
         self.lock().leaving = false;
         self.gate.set_up(true);
     }
 
-    /// The life in which a call begins, and half the time that it takes.
+    /// Returns the incarnation in which a call begins and half its duration.
     fn begin(&self) -> (u64, time::Duration) {
         let mut shared = self.lock();
         if shared.leaving {
             shared.calls_while_leaving += 1;
         }
         let latency = time::Duration::from_millis(shared.core.profile().latency_ms);
-        (shared.life, (latency + shared.delay) / 2)
+        (shared.incarnation, (latency + shared.delay) / 2)
     }
 
     fn lock(&self) -> sync::MutexGuard<'_, ServiceShared> {
--- a/crates/stand/src/settings.rs
+++ b/crates/stand/src/settings.rs
@@ -6,12 +6,12 @@
 
 use crate::{engine, log, service, vms, weights};
 
-/// All stand-ins of one process.
+/// Settings of all stand-ins of one process.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct StandSettings {
-    /// Where faults are switched for all of them, also for those that are down.
+    /// Address of the admin listener, which switches faults of all stand-ins, including those down.
     #[schemars(extend("format" = "socket-address"))]
     pub admin: Option<net::SocketAddr>,
     /// The append-only log.
@@ -33,10 +33,10 @@
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
-    /// Where it listens; port 0 is any.
+    /// Listen address; port 0 is any free port.
     #[schemars(extend("format" = "socket-address"))]
     pub address: net::SocketAddr,
-    /// Its capacity and manners.
+    /// Capacity and behaviour of the log.
     #[serde(default)]
     pub profile: log::LogProfile,
 }
@@ -46,10 +46,10 @@
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightsSettings {
-    /// Where it listens; port 0 is any.
+    /// Listen address; port 0 is any free port.
     #[schemars(extend("format" = "socket-address"))]
     pub address: net::SocketAddr,
-    /// Its capacity.
+    /// Capacity of the weight store.
     #[serde(default)]
     pub profile: weights::WeightsProfile,
 }
@@ -59,47 +59,47 @@
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmsSettings {
-    /// Where it listens; port 0 is any.
+    /// Listen address; port 0 is any free port.
     #[schemars(extend("format" = "socket-address"))]
     pub address: net::SocketAddr,
-    /// Its manners.
+    /// Behaviour of the VM list.
     #[serde(default)]
     pub profile: vms::VmsProfile,
 }
 
-/// Model engines that are alike.
+/// Group of identical model engines.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineGroup {
-    /// Their names are this with `-0`, `-1` and so on.
+    /// Prefix of the names, followed by `-0`, `-1` and so on.
     pub name: String,
-    /// Where the first listens; the others take the ports after it. Port 0 is any for each.
+    /// Listen address of the first; the others use the following ports. Port 0 is any free port.
     #[schemars(extend("format" = "socket-address"))]
     pub address: net::SocketAddr,
-    /// How many; 1 when absent.
+    /// Number of servers; 1 if absent.
     #[serde(default = "one")]
     pub count: u16,
-    /// Their capacity, costs and manners.
+    /// Capacity, costs and behaviour of each engine.
     #[serde(default)]
     pub profile: engine::EngineProfile,
 }
 
-/// Plain service servers that are alike.
+/// Group of identical plain service servers.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceGroup {
-    /// Their names are this with `-0`, `-1` and so on.
+    /// Prefix of the names, followed by `-0`, `-1` and so on.
     pub name: String,
-    /// Where the first listens; the others take the ports after it. Port 0 is any for each.
+    /// Listen address of the first; the others use the following ports. Port 0 is any free port.
     #[schemars(extend("format" = "socket-address"))]
     pub address: net::SocketAddr,
-    /// How many; 1 when absent.
+    /// Number of servers; 1 if absent.
     #[serde(default = "one")]
     pub count: u16,
-    /// Time that a call takes; it takes effect halfway.
-    #[serde(default = "usual_latency_ms")]
+    /// Duration of a call, which takes effect halfway through.
+    #[serde(default = "default_latency_ms")]
     pub latency_ms: u64,
 }
 
@@ -107,14 +107,14 @@
     1
 }
 
-fn usual_latency_ms() -> u64 {
+fn default_latency_ms() -> u64 {
     service::ServiceProfile::default().latency_ms
 }
 
 impl StandSettings {
-    /// The platform, `engines` model engines and `services` plain servers on loopback, from
-    /// `first_port` on: admin, log, weight store, VM list, then engines from 100 and plain servers
-    /// from 1,000 ports above. With 0 all ports are any.
+    /// Creates settings for the platform, `engines` model engines and `services` plain servers on
+    /// loopback. Admin, log, weight store and VM list use the ports from `first_port`, engines those
+    /// from 100 above and plain servers those from 1,000 above. With 0 every port is any free port.
     #[must_use]
     pub fn on_loopback(first_port: u16, engines: u16, services: u16) -> Self {
         let at = |above: u16| {
@@ -135,7 +135,7 @@
             name: String::from("service"),
             address: at(1_000),
             count: services,
-            latency_ms: usual_latency_ms(),
+            latency_ms: default_latency_ms(),
         };
         Self {
             admin: Some(at(0)),
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Every listener with its path in the settings and its name.
+    /// Returns every listener with its path in the settings and its name.
     fn listeners(&self) -> Vec<ListenerClaim> {
         let mut claims = Vec::new();
         let mut single = |name: &str, address: Option<net::SocketAddr>| {
@@ -225,11 +225,11 @@
     }
 }
 
-/// One listener that the settings ask for.
+/// Listener that the settings configure.
 struct ListenerClaim {
     path: Vec<String>,
     name: String,
-    /// Absent when there is no such port.
+    /// Listen address; `None` if the port would exceed 65535.
     address: Option<net::SocketAddr>,
 }
 
@@ -257,7 +257,7 @@
     })
 }
 
-/// The address of member `index` of a group; absent when there is no such port.
+/// Returns the address of member `index` of a group, or `None` if its port would exceed 65535.
 #[must_use]
 pub fn nth_address(first: net::SocketAddr, index: u16) -> Option<net::SocketAddr> {
     if first.port() == 0 {
--- a/crates/stand/src/vms.rs
+++ b/crates/stand/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving VMs, which lags.
+//! Stand-in for the platform's list of live and leaving VMs, which shows changes after a lag.
 
 use std::{collections, net, sync};
 
@@ -7,14 +7,14 @@
 
 use crate::{gate, http};
 
-/// Manners of the list.
+/// Behaviour of the VM list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct VmsProfile {
-    /// Time until a change shows.
+    /// Lag until a change is visible.
     pub lag_ms: u64,
-    /// VMs that are live at the start.
+    /// Names of the VMs that are live at the start.
     pub live: Vec<String>,
 }
 
@@ -32,19 +32,19 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It runs.
+    /// The VM is running.
     Live,
-    /// It will be taken away.
+    /// The VM will be removed.
     Leaving,
 }
 
-/// One VM of the list.
+/// Entry of a VM in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct VmEntry {
-    /// Its name.
+    /// Name of the VM.
     pub name: String,
-    /// Its state.
+    /// State of the VM.
     pub state: VmState,
 }
 
@@ -52,23 +52,23 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct VmList {
-    /// All that were there.
+    /// All VMs on the list.
     pub vms: Vec<VmEntry>,
-    /// When it was so, on the platform's clock.
+    /// Time of the list on the platform's clock.
     pub as_of_ms: u64,
 }
 
-/// The list without I/O and clock: `now` is the time since any fixed moment and never goes back.
+/// VM list without I/O or clock: `now` is the time since any fixed moment and is monotonic.
 #[derive(Clone, Debug)]
 pub struct VmsCore {
     lag: time::Duration,
     shown: collections::BTreeMap<String, VmState>,
-    /// Changes that don't show yet, oldest first; `None` takes a VM off the list.
+    /// Changes that are not visible yet, oldest first; `None` removes a VM from the list.
     pending: collections::VecDeque<(time::Duration, String, Option<VmState>)>,
 }
 
 impl VmsCore {
-    /// The list at the start.
+    /// Creates the initial list.
     #[must_use]
     pub fn new(profile: &VmsProfile) -> Self {
         let live = profile
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Changes one VM at `now`; `None` takes it off the list.
+    /// Sets the state of one VM at `now`; `None` removes it from the list.
     pub fn set(&mut self, now: time::Duration, name: &str, state: Option<VmState>) {
         self.pending.push_back((now, String::from(name), state));
     }
 
-    /// The list as it was a lag before `now`.
+    /// Returns the list as it was one lag before `now`.
     pub fn list(&mut self, now: time::Duration) -> Vec<VmEntry> {
         let lag = self.lag;
         while let Some((_, name, state)) = self.pending.pop_front_if(|entry| entry.0 + lag <= now) {
@@ -104,46 +104,46 @@
     }
 }
 
-/// A fault that is switched on from outside.
+/// Fault that a caller injects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "fault", rename_all = "snake_case", deny_unknown_fields)]
 pub enum VmsFault {
-    /// Changes one VM; no `state` takes it off the list.
+    /// Sets the state of one VM; an absent `state` removes it from the list.
     Set {
-        /// Its name.
+        /// Name of the VM.
         name: String,
-        /// Its state from now on.
+        /// New state.
         #[serde(default)]
         state: Option<VmState>,
     },
     /// Refuses connections.
     Refuse {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
-    /// Lets nothing through in either direction.
+    /// Blocks traffic in both directions.
     Hang {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
-    /// Makes all connections of now silent for good; new ones work.
+    /// Silences all existing connections permanently; new ones work.
     Silence,
 }
 
-/// A running VM list; clones share it.
+/// Handle of a running VM list, shared between clones.
 #[derive(Clone, Debug)]
 pub struct VmsHandle {
     core: sync::Arc<sync::Mutex<VmsCore>>,
     gate: gate::LinkGate,
     origin: time::Instant,
-    /// The platform's clock at `origin`, in Unix milliseconds.
+    /// Platform clock at `origin`, in Unix milliseconds.
     clock_ms: u64,
     lag_ms: u64,
 }
 
 impl VmsHandle {
-    /// Starts a list.
+    /// Creates a list.
     #[must_use]
     pub fn new(profile: &VmsProfile) -> Self {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The list as it was a lag ago.
+    /// Returns the list as it was one lag ago.
     #[must_use]
     pub fn list(&self) -> VmList {
         let now = self.origin.elapsed();
@@ -166,19 +166,19 @@
         }
     }
 
-    /// Changes one VM; `None` takes it off the list.
+    /// Sets the state of one VM; `None` removes it from the list.
     pub fn set(&self, name: &str, state: Option<VmState>) {
         let now = self.origin.elapsed();
         self.lock().set(now, name, state);
     }
 
-    /// The way to this list.
+    /// Returns the gate for connections to this list.
     #[must_use]
     pub const fn gate(&self) -> &gate::LinkGate {
         &self.gate
     }
 
-    /// Switches a fault.
+    /// Injects or clears a fault.
     pub fn apply(&self, fault: &VmsFault) {
         match fault {
             VmsFault::Set { name, state } => self.set(name, *state),
@@ -195,11 +195,11 @@
     }
 }
 
-/// Serves the list on `address` (port 0: any).
+/// Serves the list on `address` (port 0: any free port).
 ///
 /// # Errors
 ///
-/// When the address can't be had.
+/// Returns an error if the address can't be bound.
 pub async fn serve(
     handle: VmsHandle,
     address: net::SocketAddr,
--- a/crates/stand/src/weights.rs
+++ b/crates/stand/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: bytes at a limited rate.
+//! Stand-in for the weight store, which serves bytes at a limited rate.
 
 use std::{net, sync};
 
@@ -12,9 +12,9 @@
 #[derive(schemars::JsonSchema, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WeightsProfile {
-    /// Bytes a second.
+    /// Bytes per second.
     pub bytes_per_second: f64,
-    /// Bytes that may be taken at once after a pause; more than that are never given at once.
+    /// Burst after a pause, in bytes; a larger request is never granted.
     pub burst_bytes: f64,
 }
 
@@ -27,50 +27,50 @@
     }
 }
 
-/// The store without I/O and clock: `now` is the time since any fixed moment and never goes back.
+/// Weight store without I/O or clock: `now` is the time since any fixed moment and is monotonic.
 #[derive(Clone, Debug)]
 pub struct WeightsCore {
     bucket: bucket::TokenBucket,
 }
 
 impl WeightsCore {
-    /// A store that nobody has taken from.
+    /// Creates a store with a full burst.
     #[must_use]
     pub const fn new(profile: WeightsProfile) -> Self {
         let bucket = bucket::TokenBucket::new(profile.bytes_per_second, profile.burst_bytes);
         Self { bucket }
     }
 
-    /// Takes `bytes` of the rate.
+    /// Takes `bytes` from the rate limit.
     ///
     /// # Errors
     ///
-    /// When there are not as many now: the time to wait.
+    /// Returns the time to wait if fewer bytes are available.
     pub fn take(&mut self, now: time::Duration, bytes: u64) -> Result<(), time::Duration> {
         self.bucket.take(now, bytes as f64)
     }
 }
 
-/// A fault that is switched on from outside.
+/// Fault that a caller injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(tag = "fault", rename_all = "snake_case", deny_unknown_fields)]
 pub enum WeightsFault {
     /// Refuses connections.
     Refuse {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
-    /// Lets nothing through in either direction.
+    /// Blocks traffic in both directions.
     Hang {
-        /// Whether from now on or no more.
+        /// Whether the fault is switched on or off.
         on: bool,
     },
-    /// Makes all connections of now silent for good; new ones work.
+    /// Silences all existing connections permanently; new ones work.
     Silence,
 }
 
-/// A running weight store; clones share it.
+/// Handle of a running weight store, shared between clones.
 #[derive(Clone, Debug)]
 pub struct WeightsHandle {
     core: sync::Arc<sync::Mutex<WeightsCore>>,
@@ -79,7 +79,7 @@
 }
 
 impl WeightsHandle {
-    /// Starts a store.
+    /// Creates a store.
     #[must_use]
     pub fn new(profile: WeightsProfile) -> Self {
         Self {
@@ -89,11 +89,11 @@
         }
     }
 
-    /// Takes `bytes` of the rate.
+    /// Takes `bytes` from the rate limit.
     ///
     /// # Errors
     ///
-    /// When there are not as many now: the time to wait.
+    /// Returns the time to wait if fewer bytes are available.
     pub fn take(&self, bytes: u64) -> Result<(), time::Duration> {
         let mut core = self
             .core
@@ -102,13 +102,13 @@
         core.take(self.origin.elapsed(), bytes)
     }
 
-    /// The way to this store.
+    /// Returns the gate for connections to this store.
     #[must_use]
     pub const fn gate(&self) -> &gate::LinkGate {
         &self.gate
     }
 
-    /// Switches a fault.
+    /// Injects or clears a fault.
     pub fn apply(&self, fault: WeightsFault) {
         match fault {
             WeightsFault::Refuse { on } => self.gate.set_up(!on),
@@ -118,11 +118,11 @@
     }
 }
 
-/// Serves the store on `address` (port 0: any).
+/// Serves the store on `address` (port 0: any free port).
 ///
 /// # Errors
 ///
-/// When the address can't be had.
+/// Returns an error if the address can't be bound.
 pub async fn serve(
     handle: WeightsHandle,
     address: net::SocketAddr,
@@ -145,7 +145,7 @@
         }
         Err(wait) => {
             let wait_ms = wait.as_millis() as u64 + 1;
-            let message = format!("the rate is used up; ask again in {wait_ms} ms");
+            let message = format!("rate limit exceeded; retry in {wait_ms} ms");
             http::error_after(429, "over_rate", &message, wait_ms)
         }
     }
