--- a/crates/stand/tests/engine_core.rs
+++ b/crates/stand/tests/engine_core.rs
@@ -1,4 +1,4 @@
-//! Properties of the engine's core: random calls and faults against a simple oracle.
+//! Property tests of the engine core: random calls and faults, checked against a simple oracle.
 
 use std::{collections, time};
 
@@ -6,13 +6,13 @@
 use stand::engine::{self, call};
 
 const HISTORIES: u64 = 400;
-const SPAN_MS: u64 = 20_000;
+const DURATION_MS: u64 = 20_000;
 
 fn millis(value: u64) -> time::Duration {
     time::Duration::from_millis(value)
 }
 
-/// Runs `history` on fixed seeds; a failure prints the seed.
+/// Runs `history` with fixed seeds; a failure prints its seed.
 fn fuzz(mut history: impl FnMut(&mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()>) {
     for number in 0..HISTORIES {
         let seed = (number << 32) | 4_096;
@@ -39,7 +39,7 @@
     })
 }
 
-/// One thing done to an engine.
+/// Action on an engine.
 #[derive(Clone, Debug)]
 enum EngineAct {
     Start(engine::StartCall),
@@ -134,7 +134,7 @@
     }
 }
 
-/// What must be true of one generation, from its events alone.
+/// Expected state of one generation, derived from its events alone.
 #[derive(Debug, Default)]
 struct GenerationOracle {
     tokens: u32,
@@ -144,7 +144,7 @@
     finished: bool,
 }
 
-/// Knows what was started and cancelled, and checks every event against it.
+/// Records starts and cancellations and checks every event against them.
 #[derive(Debug, Default)]
 struct EngineOracle {
     generations: collections::HashMap<id::GenerationId, GenerationOracle>,
@@ -158,7 +158,7 @@
             engine::EngineEvent::Token { id, seq, at } => {
                 let generation = self.generations.get_mut(&id).expect("was started");
                 assert!(!generation.finished, "token after the end");
-                assert_eq!(seq, generation.tokens, "tokens in order, each once");
+                assert_eq!(seq, generation.tokens, "token numbers must be consecutive");
                 generation.tokens += 1;
                 self.check_time(now, at);
             }
@@ -183,7 +183,7 @@
             }
             engine::EngineEvent::Forgotten { id } => {
                 let generation = self.generations.remove(&id).expect("was started");
-                assert!(generation.finished, "forgotten while it runs");
+                assert!(generation.finished, "a running generation was forgotten");
             }
             engine::EngineEvent::Admitted { at, .. } => self.check_time(now, at),
             engine::EngineEvent::Crashed { .. } => {
@@ -196,7 +196,7 @@
     fn check_time(&mut self, now: time::Duration, at: time::Duration) {
         assert!(
             at >= self.last_at && at <= now,
-            "events in the order of time"
+            "events must be in order of time"
         );
         self.last_at = at;
     }
@@ -208,7 +208,7 @@
             ..GenerationOracle::default()
         };
         let known = self.generations.insert(call.id, generation);
-        assert!(known.is_none(), "a known id was started again");
+        assert!(known.is_none(), "a start with a known id was accepted");
     }
 }
 
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn tokens_memory_and_reports_keep_their_promises() {
+fn random_calls_keep_token_order_block_budget_and_reports() {
     fuzz(|source| {
         let mut core =
             engine::EngineCore::new(small_profile(source)?, id::Incarnation(0), millis(0));
@@ -243,7 +243,7 @@
             check_budget(&core);
             assert_eq!(core.report().preemptions, oracle.preempted);
         }
-        // Left alone, everything ends and all memory comes back.
+        // Without further calls, all generations end and all memory is freed.
         let mut now = oracle.last_at;
         while let Some(next) = core.next_wake() {
             now = next.max(now);
@@ -252,7 +252,10 @@
             }
             check_budget(&core);
         }
-        assert!(oracle.generations.is_empty(), "left over: {oracle:?}");
+        assert!(
+            oracle.generations.is_empty(),
+            "generations that were not forgotten: {oracle:?}"
+        );
         let report = core.report();
         assert_eq!((report.running, report.waiting), (0, 0));
         assert_eq!(report.free_blocks, report.total_blocks);
@@ -261,7 +264,7 @@
 }
 
 #[test]
-fn how_often_it_is_stepped_changes_nothing() {
+fn step_frequency_does_not_change_the_events() {
     fuzz(|source| {
         let profile = small_profile(source)?;
         let mut coarse = engine::EngineCore::new(profile.clone(), id::Incarnation(0), millis(0));
@@ -269,18 +272,18 @@
         let mut coarse_events = Vec::new();
         let mut fine_events = Vec::new();
         let mut acts = draw_acts(source, true)?;
-        acts.push((millis(SPAN_MS), EngineAct::Stall(false)));
+        acts.push((millis(DURATION_MS), EngineAct::Stall(false)));
         for (now, act) in acts {
             while let Some(next) = fine.next_wake().filter(|next| *next <= now) {
                 fine_events.extend(fine.step(next));
             }
-            let told = perform(&mut coarse, now, &act);
-            assert_eq!(told, perform(&mut fine, now, &act));
+            let outcome = perform(&mut coarse, now, &act);
+            assert_eq!(outcome, perform(&mut fine, now, &act));
             coarse_events.extend(coarse.step(now));
             fine_events.extend(fine.step(now));
             assert_eq!(coarse.report(), fine.report());
         }
-        // When it is forgotten follows from when it ended, so its place among others may differ.
+        // The time of forgetting depends on the end, so the order among other events may differ.
         let forgotten =
             |event: &engine::EngineEvent| matches!(event, engine::EngineEvent::Forgotten { .. });
         coarse_events.retain(|event| !forgotten(event));
@@ -292,9 +295,8 @@
 
 #[test]
 fn a_cancelled_id_never_runs_afterwards() {
-    // Symptom: a generation that was cancelled produces tokens for nobody, or for a second try.
-    // Sequence: the cancellation overtakes the start, or comes in the middle of a step.
-    // Cause: the engine forgot the cancellation, or finished the step for it all the same.
+    // Guards against a cancelled generation that still produces tokens. The cancellation may arrive
+    // before the start or during a step; the engine then forgets it, or completes the step anyway.
     fuzz(|source| {
         let mut core =
             engine::EngineCore::new(small_profile(source)?, id::Incarnation(0), millis(0));
@@ -339,7 +341,7 @@
 }
 
 #[test]
-fn urgent_work_goes_first_and_preempts() {
+fn urgent_generations_run_first_and_preempt_others() {
     let profile = engine::EngineProfile {
         total_blocks: 10,
         block_tokens: 4,
@@ -376,7 +378,7 @@
 }
 
 #[test]
-fn a_cached_prefix_saves_its_prefill() {
+fn a_cached_prefix_skips_prefill() {
     let mut core = engine::EngineCore::new(
         engine::EngineProfile::default(),
         id::Incarnation(0),
@@ -407,7 +409,7 @@
             }
         }
     }
-    // 12 ms for each step and 0.05 ms for each uncached token: 512 and 488, then 8.
+    // Each step costs 12 ms plus 0.05 ms per uncached token: 512 and 488 tokens, then 8.
     let costs = [millis(2 * 12 + 50), time::Duration::from_micros(12_400)];
     assert_eq!(first_tokens, costs);
     let page = core.cache_events(millis(60_000), 0).expect("is up");
@@ -453,7 +455,7 @@
 }
 
 #[test]
-fn load_reports_are_as_old_as_they_say() {
+fn load_reports_state_their_age_correctly() {
     let mut core = engine::EngineCore::new(
         engine::EngineProfile::default(),
         id::Incarnation(0),
--- a/crates/stand/tests/engine_handle.rs
+++ b/crates/stand/tests/engine_handle.rs
@@ -1,4 +1,4 @@
-//! Streams of a running engine under faults, on the paused clock.
+//! Streams of a running engine under faults, on a paused clock.
 
 use base::id;
 use stand::engine::{self, call};
@@ -16,7 +16,7 @@
     }
 }
 
-/// Everything that a stream delivers, without its pings.
+/// Collects all events of a stream except pings.
 async fn collect(mut stream: engine::EngineStream) -> Vec<engine::StreamEvent> {
     let mut events = Vec::new();
     while let Some(event) = stream.next().await {
@@ -27,7 +27,7 @@
     events
 }
 
-/// What a stream delivers in `span`; `None` at the end when it ended.
+/// Collects the events that a stream delivers within `span`; the last is `None` if it ended.
 async fn collect_for(
     stream: &mut engine::EngineStream,
     span: time::Duration,
@@ -84,14 +84,16 @@
             assert_eq!(*resumed, group[0][from.min(tokens)..]);
         }
     }
-    assert!(handle.report().preemptions > 0, "memory was never short");
+    assert!(
+        handle.report().preemptions > 0,
+        "no generation was preempted"
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_silent_stream_stays_silent_and_a_new_one_works() {
-    // Symptom: a stream shows neither token nor ping nor end, for ever.
-    // Sequence: it carries some tokens; something between the ends loses track of it.
-    // Cause: the connection is dead and neither end was told; the generation goes on.
+    // Guards against streams that never deliver a token, ping or end again: a middlebox drops the
+    // connection after some tokens without notifying either end, while the generation continues.
     let handle = engine::EngineHandle::spawn(engine::EngineProfile::default());
     let call = start_call(1, "a [[len=100]]");
     let mut old = handle.start(call).await.expect("starts");
@@ -109,7 +111,7 @@
     assert_eq!(seen + rest.len(), 101);
     let silent = collect_for(&mut old, time::Duration::from_secs(3_600)).await;
     assert_eq!(silent, []);
-    // Not even the death of the engine gets through.
+    // Not even a crash of the engine is visible on the stream.
     handle.crash();
     assert_eq!(
         collect_for(&mut old, time::Duration::from_secs(60)).await,
@@ -118,10 +120,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn silence_also_takes_the_ping_that_is_due() {
-    // Symptom: a silent connection pings once more.
-    // Sequence: a reader waits for the next ping, then the connection goes silent.
-    // Cause: whether it may deliver was asked before the wait and not after it.
+async fn silence_suppresses_a_pending_ping() {
+    // Guards against one more ping on a silent connection: it goes silent while a reader waits for
+    // the next ping, and the gate was checked before the wait but not after it.
     let handle = engine::EngineHandle::spawn(engine::EngineProfile::default());
     handle.apply(&engine::EngineFault::Stall { on: true });
     let mut stream = handle.start(start_call(1, "a")).await.expect("starts");
@@ -141,9 +142,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_stalled_engine_pings_without_tokens() {
-    // Symptom: a stream pings and carries no token.
-    // Sequence: the engine stops working in the middle of a generation, later goes on.
-    // Cause: the process is stuck; its connections live.
+    // Covers streams that deliver pings but no tokens: the engine process stalls during a
+    // generation while its connections stay alive, and continues later.
     let handle = engine::EngineHandle::spawn(engine::EngineProfile::default());
     let call = start_call(1, "a [[len=50]]");
     let mut stream = handle.start(call).await.expect("starts");
@@ -152,7 +152,7 @@
         .len();
     handle.apply(&engine::EngineFault::Stall { on: true });
     let stalled = collect_for(&mut stream, time::Duration::from_secs(10)).await;
-    assert!(stalled.len() >= 19, "a ping at least every 500 ms");
+    assert!(stalled.len() >= 19, "fewer pings than one every 500 ms");
     assert!(
         stalled
             .iter()
@@ -166,9 +166,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_hanging_link_delays_and_loses_nothing() {
-    // Symptom: calls and streams stand still, then all goes on.
-    // Sequence: the link stalls, a start is sent into it, the link comes back.
-    // Cause: packets waited; a start may run long after it was sent.
+    // Covers a link that hangs and recovers: packets sent meanwhile are delayed but not lost, so a
+    // start may run long after it was sent.
     let handle = engine::EngineHandle::spawn(engine::EngineProfile::default());
     let call = start_call(1, "a [[len=50]]");
     let mut stream = handle.start(call).await.expect("starts");
@@ -192,10 +191,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_crashes_engines_takes_its_neighbours_along() {
-    // Symptom: all streams of an engine are cut at once and its connections are refused.
-    // Sequence: a full batch runs, then one more request begins its prefill.
-    // Cause: that request kills each engine that runs it.
+async fn a_request_that_crashes_the_engine_cuts_all_streams() {
+    // Covers an engine that cuts all its streams and refuses connections: a full batch runs, then a
+    // request that crashes any engine running it begins its prefill.
     let handle = engine::EngineHandle::spawn(engine::EngineProfile::default());
     let innocent = handle
         .start(start_call(1, "a [[len=500]]"))
@@ -226,7 +224,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_reclaimed_engine_says_so_and_dies_in_time() {
+async fn a_reclaimed_engine_announces_it_and_stops_on_time() {
     let handle = engine::EngineHandle::spawn(engine::EngineProfile::default());
     handle.apply(&engine::EngineFault::Reclaim { notice_ms: 5_000 });
     time::sleep(time::Duration::from_millis(1_000)).await;
@@ -242,10 +240,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_had_its_effect() {
-    // Symptom: a start fails without proof that nothing runs.
-    // Sequence: the engine takes the start, the answer breaks, its caller cancels the id.
-    // Cause: the answer was lost after the action.
+async fn a_call_whose_answer_is_lost_takes_effect() {
+    // Covers a start that fails although it may be running: the engine accepts it, the answer is
+    // lost afterwards, and the caller cancels the id.
     let handle = engine::EngineHandle::spawn(engine::EngineProfile::default());
     handle.apply(&engine::EngineFault::LoseAnswers { count: 1 });
     let lost = handle.start(start_call(1, "a [[len=100]]")).await.err();
@@ -256,7 +253,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn spoilt_streams_are_cut_or_nonsense() {
+async fn stream_faults_cut_streams_or_send_malformed_data() {
     let handle = engine::EngineHandle::spawn(engine::EngineProfile::default());
     handle.apply(&engine::EngineFault::Truncate {
         after_tokens: Some(3),
--- a/crates/stand/tests/fleet.rs
+++ b/crates/stand/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! All stand-ins of a process: settings, names, faults from outside.
+//! Settings, names and fault injection of all stand-ins of a process.
 
 use conf::{document, place, settings::parse};
 use stand::{fleet, settings};
@@ -6,13 +6,13 @@
 const EXAMPLE: &str = include_str!("../../../examples/stand.jsonc");
 
 #[test]
-fn the_example_settings_are_right() {
+fn the_example_settings_are_valid() {
     let settings: settings::StandSettings = parse("stand.jsonc", EXAMPLE).expect("is right");
     assert_eq!(settings.engines[0].count, 3);
 }
 
 #[test]
-fn the_deployments_of_the_examples_have_a_stand_in_at_each_address() {
+fn the_example_deployments_have_a_stand_in_at_each_address() {
     for (inventory, stand) in [
         (
             include_str!("../../../examples/pass-works/inventory.jsonc"),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn wrong_settings_get_every_fault_with_its_line() {
+fn invalid_settings_report_every_error_with_its_line() {
     let text = r#"{
   "log": {"address": "127.0.0.1:7101"},
   "engines": [
@@ -63,9 +63,9 @@
   ]
 }"#;
     let faults = parse::<settings::StandSettings>("stand.jsonc", text).expect_err("is wrong");
-    let told = faults.to_string();
-    let lines: Vec<&str> = told.lines().collect();
-    assert_eq!(lines.len(), 5, "{told}");
+    let report = faults.to_string();
+    let lines: Vec<&str> = report.lines().collect();
+    assert_eq!(lines.len(), 5, "{report}");
     for (line, part) in [
         (
             "stand.jsonc:4:",
@@ -79,14 +79,14 @@
         assert!(
             lines
                 .iter()
-                .any(|told| told.starts_with(line) && told.contains(part)),
-            "{part} is missing in {told}"
+                .any(|text| text.starts_with(line) && text.contains(part)),
+            "{part} is missing in {report}"
         );
     }
 }
 
 #[tokio::test]
-async fn faults_are_switched_by_name_also_for_one_that_is_down() {
+async fn faults_are_switched_by_name_even_while_a_stand_in_is_down() {
     let settings = settings::StandSettings::on_loopback(0, 2, 1);
     let fleet = fleet::StandFleet::start(&settings).await.expect("listens");
     let names: Vec<&str> = fleet.members().iter().map(|it| it.name.as_str()).collect();
--- a/crates/stand/tests/http.rs
+++ b/crates/stand/tests/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP faces, as another process sees them.
+//! HTTP interfaces of the stand-ins.
 
 use std::net;
 
@@ -24,7 +24,7 @@
     })
 }
 
-/// The events of a whole stream, as JSON.
+/// Parses the events of a complete stream as JSON.
 fn events(text: &str) -> Vec<serde_json::Value> {
     let data = text.lines().filter_map(|line| line.strip_prefix("data: "));
     data.map(|data| serde_json::from_str(data).expect("an event is JSON"))
@@ -69,9 +69,8 @@
 
 #[tokio::test]
 async fn a_crash_cuts_streams_and_refuses_connections_until_the_restart() {
-    // Symptom: a stream ends without `finish`, then connections are refused.
-    // Sequence: a long generation streams, the engine crashes, it comes up on the same port.
-    // Cause: the process died; the front must not go on answering for it.
+    // Guards against an HTTP server that keeps answering for a crashed engine: its streams must end
+    // without `finish` and connections be refused until the engine restarts on the same port.
     let handle = engine::EngineHandle::spawn(engine::EngineProfile::default());
     let server = engine::serve(handle.clone(), ANY).await.expect("listens");
     let url = format!("http://{}", server.address());
@@ -143,11 +142,11 @@
 
     handle.apply(&log::LogFault::LoseAnswers { count: 1 });
     let lost = client.post(&url).body("lost").send().await;
-    let told = match lost {
+    let is_answered = match lost {
         Ok(answer) => answer.bytes().await.is_ok(),
         Err(_) => false,
     };
-    assert!(!told, "the answer arrived");
+    assert!(!is_answered, "the answer arrived");
     assert_eq!(handle.records("leases").len(), 4);
 
     handle.apply(&log::LogFault::DropBelow {
@@ -238,9 +237,8 @@
 
 #[tokio::test]
 async fn an_old_connection_is_silent_for_good_and_a_new_one_works_over_http() {
-    // Symptom: a request on a kept connection gets no answer, a fresh connection does.
-    // Sequence: a client keeps its connection, something between the ends loses track of it.
-    // Cause: neither end of the old connection is told.
+    // Covers a keep-alive connection that no longer gets answers while a new one does: a middlebox
+    // dropped the old connection without notifying either end.
     let handle = engine::EngineHandle::spawn(engine::EngineProfile::default());
     let server = engine::serve(handle.clone(), ANY).await.expect("listens");
     let url = format!("http://{}/v1/load", server.address());
@@ -260,7 +258,7 @@
     handle.apply(&engine::EngineFault::Hang { on: true });
     let hanging = reqwest::Client::new().get(&url).timeout(limit).send().await;
     assert!(hanging.expect_err("hangs").is_timeout());
-    // The admin call passes all the same, else nobody could end the fault.
+    // Admin calls still pass, because otherwise the fault could not be cleared.
     let admin = format!("http://{}/admin/faults", server.address());
     let body = serde_json::json!({"fault": "hang", "on": false});
     let ended = old.post(&admin).json(&body).send().await.expect("answers");
@@ -304,7 +302,7 @@
             "not_served",
         ),
     ];
-    // A server may cut a body that is too large before its answer is read.
+    // A server may close the connection on a body that is too large before its answer is read.
     if too_large.is_ok() {
         cases.push((too_large, 413, "too_large"));
     }
--- a/crates/stand/tests/mark.rs
+++ b/crates/stand/tests/mark.rs
@@ -1,4 +1,4 @@
-//! A marked prompt is told in each token of its answer.
+//! The mark of a prompt is repeated in each token of the answer.
 
 use base::id;
 use stand::engine;
--- a/crates/stand/tests/platform.rs
+++ b/crates/stand/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The log against an oracle, and the other stand-ins of the platform and of plain services.
+//! Tests of the log against an oracle, and of the plain service, weight store and VM list.
 
 use std::collections;
 
@@ -11,11 +11,11 @@
     time::Duration::from_millis(value)
 }
 
-/// What a log must hold: every append that took effect, whether its writer was told or not.
+/// Expected content of a log: every append that took effect, whether or not it was acknowledged.
 #[derive(Debug, Default)]
 struct LogOracle {
     streams: collections::BTreeMap<String, Vec<(u64, bytes::Bytes)>>,
-    /// The first offset that the oracle itself dropped.
+    /// First offset that the explicit drops of the test leave in each stream.
     dropped: collections::BTreeMap<String, u64>,
 }
 
@@ -36,23 +36,31 @@
                 assert_eq!(page.next, from + page.records.len() as u64);
                 let end = held.len() as u64;
                 let wanted = end.saturating_sub(from).min(10);
-                assert_eq!(page.records.len() as u64, wanted, "records are missing");
+                assert_eq!(
+                    page.records.len() as u64,
+                    wanted,
+                    "the page has the wrong number of records"
+                );
                 for (place, record) in page.records.iter().enumerate() {
-                    assert_eq!(record.offset, from + place as u64, "offsets have a gap");
+                    assert_eq!(
+                        record.offset,
+                        from + place as u64,
+                        "offsets must be consecutive"
+                    );
                     let (at_ms, body) = &held[record.offset as usize];
                     assert_eq!((record.at_ms, &record.body), (*at_ms, body));
                 }
             }
-            Err(log::LogError::Dropped { first: told }) => {
+            Err(log::LogError::Dropped { first: reported }) => {
                 assert!(from < first);
-                assert_eq!(told, first);
+                assert_eq!(reported, first);
             }
             Err(other) => panic!("{other}"),
         }
     }
 }
 
-/// One history of a log; the faults are those of the brief.
+/// Runs one random history of a log with the faults that the stand-in must support.
 fn log_history(source: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
     let profile = log::LogProfile {
         appends_per_second: 100.0,
@@ -117,9 +125,9 @@
 
 #[test]
 fn the_log_holds_every_append_that_took_effect_without_gaps() {
-    // Symptom: a writer that got no answer appends again, and the record is there twice or never.
-    // Sequence: appends, lost answers, outages, retention, reads, in any order.
-    // Cause: a log whose offsets have gaps, or that loses what it took.
+    // Guards against a log that loses records or leaves gaps between offsets, so that a writer who
+    // got no answer and appends again finds the record twice or never. Appends, lost answers,
+    // outages, retention and reads come in any order.
     for number in 0..HISTORIES {
         let seed = (number << 32) | 4_096;
         arbtest::arbtest(log_history).seed(seed).run();
@@ -127,7 +135,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_waiting_read_wakes_at_the_append() {
+async fn a_waiting_read_returns_on_append() {
     let handle = log::LogHandle::new(log::LogProfile::default());
     let reader = tokio::spawn({
         let handle = handle.clone();
@@ -155,10 +163,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_or_hanging_append_took_effect() {
-    // Symptom: an append fails or never ends.
-    // Sequence: it reaches the log, its answer does not come back.
-    // Cause: the answer was lost, or the link stalled, after the action.
+async fn an_append_takes_effect_despite_a_lost_answer_or_a_hang() {
+    // Covers an append that fails or never returns although it reached the log: its answer was lost,
+    // or the link hung, after the effect.
     let handle = log::LogHandle::new(log::LogProfile::default());
     handle.apply(&log::LogFault::LoseAnswers { count: 1 });
     let lost = handle.append("leases", bytes::Bytes::from("a")).await;
@@ -178,9 +185,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_plain_call_runs_once_or_not_at_all() {
-    // Symptom: a call has no answer.
-    // Sequence: the server dies before, or after, the call took effect.
-    // Cause: only a refused connection proves that it did not run.
+    // Covers a call without an answer: the server crashes before or after the call takes effect, and
+    // only a refused connection proves that it did not run.
     let handle = service::ServiceHandle::new(service::ServiceProfile {
         latency_ms: 100,
         ..service::ServiceProfile::default()
@@ -214,7 +220,7 @@
 }
 
 #[test]
-fn the_weight_store_gives_no_more_than_its_rate() {
+fn the_weight_store_limits_its_rate() {
     let mut core = weights::WeightsCore::new(weights::WeightsProfile {
         bytes_per_second: 1_000.0,
         burst_bytes: 500.0,
@@ -226,12 +232,14 @@
         }
     }
     assert!((10_000..=10_500).contains(&taken), "{taken} bytes in 10 s");
-    let wait = core.take(millis(20_000), 700).expect_err("over the burst");
+    let wait = core
+        .take(millis(20_000), 700)
+        .expect_err("exceeds the burst");
     assert_eq!(wait, millis(200));
 }
 
 #[test]
-fn the_vm_list_lags() {
+fn the_vm_list_shows_changes_after_its_lag() {
     let profile = vms::VmsProfile {
         lag_ms: 5_000,
         live: vec![String::from("entry-0")],
