--- a/crates/stand/src/engine.rs
+++ b/crates/stand/src/engine.rs
@@ -6,6 +6,7 @@
 
 pub mod batch;
 pub mod call;
+pub mod error;
 pub mod fault;
 pub mod feeds;
 pub mod front;
@@ -13,18 +14,17 @@
 pub mod orders;
 pub mod pool;
 pub mod profile;
-pub mod refuse;
 pub mod sequence;
 pub mod stream;
 pub mod text;
 
 pub use self::{
     call::{EngineEvent, StartCall},
+    error::EngineError,
     fault::EngineFault,
     front::serve,
     handle::EngineHandle,
     profile::EngineProfile,
-    refuse::EngineError,
     stream::{EngineStream, StreamEvent},
 };
 
@@ -157,25 +157,25 @@
 
     fn check_start(&self, call: &StartCall) -> Result<(), EngineError> {
         if self.down {
-            return refuse::DownSnafu.fail();
+            return error::DownSnafu.fail();
         }
         if self.by_id.contains_key(&call.id) || self.tombstones.contains(&call.id) {
-            return refuse::KnownSnafu { id: call.id }.fail();
+            return error::KnownSnafu { id: call.id }.fail();
         }
         let Some(loaded) = self.models.iter().find(|loaded| loaded.model == call.model) else {
-            return refuse::NotLoadedSnafu { name: &call.model }.fail();
+            return error::NotLoadedSnafu { name: &call.model }.fail();
         };
         if let Some(adapter) = call
             .adapter
             .as_ref()
             .filter(|name| !loaded.adapters.contains(name))
         {
-            return refuse::NotLoadedSnafu { name: adapter }.fail();
+            return error::NotLoadedSnafu { name: adapter }.fail();
         }
         let limit = self.context_limit();
         let tokens = call.prompt.split_whitespace().count() as u32;
         if tokens >= limit {
-            return refuse::TooLongSnafu { tokens, limit }.fail();
+            return error::TooLongSnafu { tokens, limit }.fail();
         }
         Ok(())
     }
@@ -201,7 +201,7 @@
     ) -> Result<call::CancelAnswer, EngineError> {
         self.advance(now);
         if self.down {
-            return refuse::DownSnafu.fail();
+            return error::DownSnafu.fail();
         }
         self.observe(now);
         let Some(&key) = self.by_id.get(&generation) else {
@@ -229,7 +229,7 @@
         generation: id::GenerationId,
     ) -> Result<call::GenerationProgress, EngineError> {
         if self.down {
-            return refuse::DownSnafu.fail();
+            return error::DownSnafu.fail();
         }
         let key = self.by_id.get(&generation);
         let progress = key.map(|key| self.sequences[*key].progress());
@@ -244,7 +244,7 @@
     pub fn load(&mut self, now: time::Duration) -> Result<call::LoadReport, EngineError> {
         self.advance(now);
         if self.down {
-            return refuse::DownSnafu.fail();
+            return error::DownSnafu.fail();
         }
         self.observe(now);
         Ok(self.history.newest(now))
@@ -263,7 +263,7 @@
         const PAGE_EVENTS: usize = 1_000;
         self.advance(now);
         if self.down {
-            return refuse::DownSnafu.fail();
+            return error::DownSnafu.fail();
         }
         Ok(self.feed.page(now, after, PAGE_EVENTS))
     }
--- a/crates/stand/src/engine/front.rs
+++ b/crates/stand/src/engine/front.rs
@@ -12,7 +12,7 @@
     routes,
 };
 
-use super::{call, handle, refuse, stream};
+use super::{call, error, handle, stream};
 use crate::http;
 
 /// Maximum number of ready events written in one chunk.
@@ -64,7 +64,7 @@
 ) -> EventAnswer<impl futures_util::Stream<Item = String> + use<>> {
     let call: call::StartCall = http::read_json(body).await?;
     let generation = call.id;
-    let stream = handle.start(call).await.map_err(refuse)?;
+    let stream = handle.start(call).await.map_err(error_reply)?;
     let texts = TextStream::from(texts(stream));
     Ok(EventReply { generation, texts })
 }
@@ -77,7 +77,7 @@
 ) -> EventAnswer<impl futures_util::Stream<Item = String> + use<>> {
     let generation = parse_id(generation)?;
     let stream = handle.resume(generation, from.unwrap_or(0)).await;
-    let texts = TextStream::from(texts(stream.map_err(refuse)?));
+    let texts = TextStream::from(texts(stream.map_err(error_reply)?));
     Ok(EventReply { generation, texts })
 }
 
@@ -95,7 +95,7 @@
             let message = "this id is not held here; a start of it that comes late is refused";
             http::error(404, "not_held", message)
         }
-        Err(error) => refuse(error),
+        Err(error) => error_reply(error),
     }
 }
 
@@ -142,23 +142,23 @@
     parsed.map_err(|cause: id::IdError| http::error(400, "bad_request", &cause.to_string()))
 }
 
-fn answer<T: serde::Serialize>(outcome: Result<T, refuse::EngineError>) -> http::JsonReply {
+fn answer<T: serde::Serialize>(outcome: Result<T, error::EngineError>) -> http::JsonReply {
     match outcome {
         Ok(body) => http::json(200, &body),
-        Err(error) => refuse(error),
+        Err(error) => error_reply(error),
     }
 }
 
-fn refuse(error: refuse::EngineError) -> http::JsonReply {
+fn error_reply(error: error::EngineError) -> http::JsonReply {
     let (status, code) = match &error {
-        refuse::EngineError::Down => (503, "down"),
-        refuse::EngineError::Known { .. } => (409, "known"),
-        refuse::EngineError::NotHeld { .. } => (404, "not_held"),
-        refuse::EngineError::NotLoaded { .. } => (404, "not_loaded"),
-        refuse::EngineError::TooLong { .. } => (400, "too_long"),
-        refuse::EngineError::OldFencing { .. } => (409, "old_fencing"),
-        refuse::EngineError::LateOrder { .. } => (410, "late_order"),
-        refuse::EngineError::AnswerLost => return http::JsonReply::Lost(http::LostAnswer),
+        error::EngineError::Down => (503, "down"),
+        error::EngineError::Known { .. } => (409, "known"),
+        error::EngineError::NotHeld { .. } => (404, "not_held"),
+        error::EngineError::NotLoaded { .. } => (404, "not_loaded"),
+        error::EngineError::TooLong { .. } => (400, "too_long"),
+        error::EngineError::OldFencing { .. } => (409, "old_fencing"),
+        error::EngineError::LateOrder { .. } => (410, "late_order"),
+        error::EngineError::AnswerLost => return http::JsonReply::Lost(http::LostAnswer),
     };
     http::error(status, code, &error.to_string())
 }
--- a/crates/stand/src/engine/handle.rs
+++ b/crates/stand/src/engine/handle.rs
@@ -5,7 +5,7 @@
 use base::id;
 use tokio::{sync as signal, time};
 
-use super::{EngineCore, call, fault, feeds, profile, refuse, stream};
+use super::{EngineCore, call, error, fault, feeds, profile, stream};
 use crate::{draw, gate};
 
 /// State behind the lock.
@@ -15,7 +15,7 @@
     /// Progress sender of each generation that the core holds.
     progress:
         collections::HashMap<id::GenerationId, signal::watch::Sender<call::GenerationProgress>>,
-    spoil: stream::StreamSpoil,
+    faults: stream::StreamFaults,
     lose_answers: u32,
     incarnation_seed: u64,
     /// Number of incarnations so far.
@@ -50,7 +50,7 @@
         let shared = EngineShared {
             core,
             progress: collections::HashMap::new(),
-            spoil: stream::StreamSpoil::default(),
+            faults: stream::StreamFaults::default(),
             lose_answers: 0,
             incarnation_seed,
             incarnations: 1,
@@ -76,7 +76,7 @@
     pub async fn start(
         &self,
         call: call::StartCall,
-    ) -> Result<stream::EngineStream, refuse::EngineError> {
+    ) -> Result<stream::EngineStream, error::EngineError> {
         let silence_epoch = self.connect().await?;
         let mut shared = self.lock();
         let now = self.now();
@@ -92,7 +92,7 @@
         drop(shared);
         self.wake.notify_one();
         if lost {
-            return refuse::AnswerLostSnafu.fail();
+            return error::AnswerLostSnafu.fail();
         }
         Ok(self.open_stream(call.id, 0, watcher, silence_epoch))
     }
@@ -106,7 +106,7 @@
         &self,
         generation: id::GenerationId,
         from: u32,
-    ) -> Result<stream::EngineStream, refuse::EngineError> {
+    ) -> Result<stream::EngineStream, error::EngineError> {
         let silence_epoch = self.connect().await?;
         let mut shared = self.lock();
         shared.publish(self.now(), &self.gate);
@@ -114,7 +114,7 @@
         let progress = shared.progress.get(&generation);
         let watcher = progress
             .map(signal::watch::Sender::subscribe)
-            .ok_or(refuse::EngineError::NotHeld { id: generation })?;
+            .ok_or(error::EngineError::NotHeld { id: generation })?;
         drop(shared);
         Ok(self.open_stream(generation, from, watcher, silence_epoch))
     }
@@ -127,7 +127,7 @@
     pub async fn cancel(
         &self,
         generation: id::GenerationId,
-    ) -> Result<call::CancelAnswer, refuse::EngineError> {
+    ) -> Result<call::CancelAnswer, error::EngineError> {
         let silence_epoch = self.connect().await?;
         let answer = self.change(|core, now| core.cancel(now, generation));
         self.deliver(silence_epoch, answer).await
@@ -138,7 +138,7 @@
     /// # Errors
     ///
     /// Returns an error if the engine is down.
-    pub async fn load(&self) -> Result<call::LoadReport, refuse::EngineError> {
+    pub async fn load(&self) -> Result<call::LoadReport, error::EngineError> {
         self.connect().await?;
         self.change(EngineCore::load)
     }
@@ -148,7 +148,7 @@
     /// # Errors
     ///
     /// Returns an error if the engine is down.
-    pub async fn cache_events(&self, after: u64) -> Result<feeds::CachePage, refuse::EngineError> {
+    pub async fn cache_events(&self, after: u64) -> Result<feeds::CachePage, error::EngineError> {
         self.connect().await?;
         self.change(|core, now| core.cache_events(now, after))
     }
@@ -162,7 +162,7 @@
         &self,
         call: call::OrderCall,
         opened_at: time::Instant,
-    ) -> Result<call::EngineState, refuse::EngineError> {
+    ) -> Result<call::EngineState, error::EngineError> {
         let silence_epoch = self.connect().await?;
         let opened_at = opened_at.saturating_duration_since(self.origin);
         let answer = self.change(|core, now| core.order(now, opened_at, &call));
@@ -174,7 +174,7 @@
     /// # Errors
     ///
     /// Returns an error if the engine is down.
-    pub async fn state(&self) -> Result<call::EngineState, refuse::EngineError> {
+    pub async fn state(&self) -> Result<call::EngineState, error::EngineError> {
         self.connect().await?;
         Ok(self.change(|core, _| core.state()))
     }
@@ -231,10 +231,10 @@
                 self.later(notice_ms, Self::crash);
             }
             fault::EngineFault::Truncate { after_tokens } => {
-                self.lock().spoil.truncate_after = after_tokens;
+                self.lock().faults.truncate_after = after_tokens;
             }
             fault::EngineFault::LoseAnswers { count } => self.lock().lose_answers = count,
-            fault::EngineFault::Nonsense { on } => self.lock().spoil.nonsense = on,
+            fault::EngineFault::Nonsense { on } => self.lock().faults.nonsense = on,
         }
     }
 
@@ -266,13 +266,13 @@
     }
 
     /// Opens a connection and returns its silence epoch.
-    async fn connect(&self) -> Result<u64, refuse::EngineError> {
+    async fn connect(&self) -> Result<u64, error::EngineError> {
         let silence_epoch = self.gate.state().silence_epoch;
         self.gate.pass(silence_epoch).await;
         if self.gate.state().up {
             Ok(silence_epoch)
         } else {
-            refuse::DownSnafu.fail()
+            error::DownSnafu.fail()
         }
     }
 
@@ -280,11 +280,11 @@
     async fn deliver<T>(
         &self,
         silence_epoch: u64,
-        answer: Result<T, refuse::EngineError>,
-    ) -> Result<T, refuse::EngineError> {
+        answer: Result<T, error::EngineError>,
+    ) -> Result<T, error::EngineError> {
         self.gate.pass(silence_epoch).await;
         if answer.is_ok() && self.lock().loses_answer() {
-            return refuse::AnswerLostSnafu.fail();
+            return error::AnswerLostSnafu.fail();
         }
         answer
     }
@@ -313,7 +313,7 @@
             watcher,
             gate: self.gate.clone(),
             silence_epoch,
-            spoil: self.lock().spoil,
+            faults: self.lock().faults,
             ended: false,
         }
     }
--- a/crates/stand/src/engine/orders.rs
+++ b/crates/stand/src/engine/orders.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use super::{EngineCore, call, refuse};
+use super::{EngineCore, call, error};
 
 /// Load in progress.
 #[derive(Clone, Debug)]
@@ -24,21 +24,21 @@
         now: time::Duration,
         opened_at: time::Duration,
         call: &call::OrderCall,
-    ) -> Result<call::EngineState, refuse::EngineError> {
+    ) -> Result<call::EngineState, error::EngineError> {
         self.advance(now);
         if self.down {
-            return refuse::DownSnafu.fail();
+            return error::DownSnafu.fail();
         }
         let age = now.saturating_sub(opened_at);
         let limit = time::Duration::from_millis(call.within_ms);
         if age > limit {
             let late_ms = (age - limit).as_millis() as u64;
-            return refuse::LateOrderSnafu { late_ms }.fail();
+            return error::LateOrderSnafu { late_ms }.fail();
         }
         let newest = self.fencing.unwrap_or(0);
         let got = call.fencing.unwrap_or(0);
         if self.profile.checks_fencing && got < newest {
-            return refuse::OldFencingSnafu { got, newest }.fail();
+            return error::OldFencingSnafu { got, newest }.fail();
         }
         self.fencing = self.fencing.max(call.fencing);
         self.observe(now);
--- a/crates/stand/src/engine/stream.rs
+++ b/crates/stand/src/engine/stream.rs
@@ -29,7 +29,7 @@
 
 /// Injected stream faults.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct StreamSpoil {
+pub(super) struct StreamFaults {
     /// Tokens after which a stream is cut.
     pub(super) truncate_after: Option<u32>,
     /// Whether tokens are replaced by malformed data.
@@ -47,7 +47,7 @@
     pub(super) watcher: signal::watch::Receiver<call::GenerationProgress>,
     pub(super) gate: gate::LinkGate,
     pub(super) silence_epoch: u64,
-    pub(super) spoil: StreamSpoil,
+    pub(super) faults: StreamFaults,
     /// Whether the stream has ended.
     pub(super) ended: bool,
 }
@@ -80,7 +80,7 @@
     /// Returns the event that is ready without waiting; `Some(None)` is the end.
     fn ready(&mut self) -> Option<Option<StreamEvent>> {
         let cut = self
-            .spoil
+            .faults
             .truncate_after
             .is_some_and(|limit| self.carried >= limit);
         if self.ended || cut {
@@ -91,7 +91,7 @@
             let seq = self.next_seq;
             self.next_seq += 1;
             self.carried += 1;
-            if self.spoil.nonsense {
+            if self.faults.nonsense {
                 return Some(Some(StreamEvent::Nonsense));
             }
             let text = progress.mark.map_or_else(
--- a/crates/stand/src/log/front.rs
+++ b/crates/stand/src/log/front.rs
@@ -53,7 +53,7 @@
     };
     match handle.append(stream, body).await {
         Ok(offset) => http::json(200, &AppendAnswer { offset }),
-        Err(error) => refuse(&error),
+        Err(error) => error_reply(&error),
     }
 }
 
@@ -70,7 +70,7 @@
     let max = max.unwrap_or(DEFAULT_PAGE_RECORDS);
     let page = match handle.read(stream, from.unwrap_or(0), max, wait).await {
         Ok(page) => page,
-        Err(error) => return refuse(&error),
+        Err(error) => return error_reply(&error),
     };
     let records = page.records.into_iter().map(|record| RecordAnswer {
         offset: record.offset,
@@ -96,7 +96,7 @@
     }
 }
 
-fn refuse(error: &LogError) -> http::JsonReply {
+fn error_reply(error: &LogError) -> http::JsonReply {
     let message = error.to_string();
     match error {
         LogError::OverCap { retry_after_ms } => {
