--- a/crates/stand/src/admin.rs
+++ b/crates/stand/src/admin.rs
@@ -58,10 +58,7 @@
         Err(reply) => return reply,
     };
     let Some(member) = members.iter().find(|member| member.name == call.target) else {
-        let message = format!(
-            "there is no stand-in \"{}\"; see /admin/members",
-            call.target
-        );
+        let message = format!("unknown stand-in \"{}\"; see /admin/members", call.target);
         return http::error(404, "not_found", &message);
     };
     match member.handle.apply(call.fault.clone()) {
@@ -72,7 +69,7 @@
         Err(cause) => {
             let kind = member.handle.kind();
             let message = format!(
-                "no fault of a stand-in of kind \"{kind}\": {cause}; see docs/STAND-INS.md"
+                "invalid fault for a stand-in of kind \"{kind}\": {cause}; see docs/STAND-INS.md"
             );
             http::error(400, "bad_request", &message)
         }
--- a/crates/stand/src/engine/front.rs
+++ b/crates/stand/src/engine/front.rs
@@ -92,7 +92,7 @@
             http::json(200, &serde_json::json!({"ran": ran, "produced": produced}))
         }
         Ok(call::CancelAnswer::Remembered) => {
-            let message = "this id is not held here; a start of it that comes late is refused";
+            let message = "the generation is unknown; a later start with this id is refused";
             http::error(404, "not_held", message)
         }
         Err(error) => error_reply(error),
--- a/crates/stand/src/settings.rs
+++ b/crates/stand/src/settings.rs
@@ -215,7 +215,7 @@
             };
             if address.port() != 0 && !addresses.insert(address) {
                 let message = format!(
-                    "\"{}\" would listen on {address} beside another",
+                    "\"{}\" would listen on {address}, which another stand-in uses",
                     claim.name
                 );
                 faults.push(fault::ConfigFault::at(&path, message, "take another port"));
--- a/crates/stand/tests/fleet.rs
+++ b/crates/stand/tests/fleet.rs
@@ -69,7 +69,7 @@
     for (line, part) in [
         (
             "stand.jsonc:4:",
-            "would listen on 127.0.0.1:7101 beside another",
+            "would listen on 127.0.0.1:7101, which another stand-in uses",
         ),
         ("stand.jsonc:5:", "two stand-ins would be called \"e-0\""),
         ("stand.jsonc:5:", "two stand-ins would be called \"e-1\""),
--- a/crates/stand/tests/http.rs
+++ b/crates/stand/tests/http.rs
@@ -41,16 +41,16 @@
     let answer = client.post(&url).json(&body).send().await.expect("answers");
     assert_eq!(answer.status(), 200);
     assert_eq!(answer.headers()["content-type"], "text/event-stream");
-    let whole = events(&answer.text().await.expect("whole"));
-    assert_eq!(whole.len(), 21);
-    assert_eq!(whole[20]["finish"], "stop");
-    assert_eq!(whole[20]["produced"], 20);
-    assert_eq!(whole[20]["prompt_tokens"], 3);
+    let complete = events(&answer.text().await.expect("complete"));
+    assert_eq!(complete.len(), 21);
+    assert_eq!(complete[20]["finish"], "stop");
+    assert_eq!(complete[20]["produced"], 20);
+    assert_eq!(complete[20]["prompt_tokens"], 3);
 
     let resume = format!("{url}/{}?from=5", id::GenerationId(7));
     let answer = client.get(&resume).send().await.expect("answers");
-    let rest = events(&answer.text().await.expect("whole"));
-    assert_eq!(rest, whole[5..]);
+    let rest = events(&answer.text().await.expect("complete"));
+    assert_eq!(rest, complete[5..]);
 
     let again = client.post(&url).json(&body).send().await.expect("answers");
     assert_eq!(again.status(), 409);
@@ -245,7 +245,7 @@
     let limit = time::Duration::from_millis(300);
     let old = reqwest::Client::new();
     let first = old.get(&url).send().await.expect("answers");
-    first.bytes().await.expect("whole");
+    first.bytes().await.expect("complete");
     handle.apply(&engine::EngineFault::Silence);
     let silent = old.get(&url).timeout(limit).send().await;
     assert!(silent.expect_err("is silent").is_timeout());
