--- a/crates/stand/src/settings.rs
+++ b/crates/stand/src/settings.rs
@@ -99,7 +99,7 @@
     #[serde(default = "one")]
     pub count: u16,
     /// Duration of a call, which takes effect halfway through.
-    #[serde(default = "default_latency_ms")]
+    #[serde(default = "usual_latency_ms")]
     pub latency_ms: u64,
 }
 
@@ -107,7 +107,7 @@
     1
 }
 
-fn default_latency_ms() -> u64 {
+fn usual_latency_ms() -> u64 {
     service::ServiceProfile::default().latency_ms
 }
 
@@ -135,7 +135,7 @@
             name: String::from("service"),
             address: at(1_000),
             count: services,
-            latency_ms: default_latency_ms(),
+            latency_ms: usual_latency_ms(),
         };
         Self {
             admin: Some(at(0)),
