--- a/crates/stand/src/engine/call.rs
+++ b/crates/stand/src/engine/call.rs
@@ -34,7 +34,7 @@
 pub enum FinishReason {
     /// The output was complete.
     Stop,
-    /// The output reached `max_tokens` or the engine ran out of memory.
+    /// The output reached `max_tokens` or the limit of the engine's memory.
     Length,
     /// The generation was cancelled.
     Cancelled,
--- a/crates/stand/src/engine/pool.rs
+++ b/crates/stand/src/engine/pool.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the number of blocks that no running generation holds, including cached ones.
+    /// Returns the number of blocks that no running generation holds, including idle cached ones.
     #[must_use]
     pub fn free(&self) -> u32 {
         self.total - self.private - (self.cached.len() - self.idle.len()) as u32
--- a/crates/stand/src/engine/profile.rs
+++ b/crates/stand/src/engine/profile.rs
@@ -9,7 +9,7 @@
 pub struct EngineProfile {
     /// Model that is loaded at the start.
     pub model: String,
-    /// Its version.
+    /// Version of that model.
     pub version: String,
     /// Adapters that are loaded at the start.
     pub adapters: Vec<String>,
--- a/crates/stand/src/engine/sequence.rs
+++ b/crates/stand/src/engine/sequence.rs
@@ -83,8 +83,8 @@
     #[must_use]
     pub fn new(call: &call::StartCall, arrival: u64, profile: &profile::EngineProfile) -> Self {
         let prompt_tokens = (call.prompt.split_whitespace().count() as u32).max(1);
-        let room = profile.context_tokens.saturating_sub(prompt_tokens);
-        let limit = call.max_tokens.min(room).max(1);
+        let max_output = profile.context_tokens.saturating_sub(prompt_tokens);
+        let limit = call.max_tokens.min(max_output).max(1);
         let drawn = output_tokens(call, profile);
         let reason = if drawn <= limit {
             call::FinishReason::Stop
--- a/crates/stand/tests/fleet.rs
+++ b/crates/stand/tests/fleet.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn the_example_settings_are_valid() {
-    let settings: settings::StandSettings = parse("stand.jsonc", EXAMPLE).expect("is right");
+    let settings: settings::StandSettings = parse("stand.jsonc", EXAMPLE).expect("is valid");
     assert_eq!(settings.engines[0].count, 3);
 }
 
@@ -24,9 +24,9 @@
         ),
     ] {
         let source = |text| place::SourceText { file: "", text };
-        let configuration = document::parse(source(inventory), source("{}")).expect("right");
+        let configuration = document::parse(source(inventory), source("{}")).expect("valid");
         let inventory = configuration.inventory;
-        let stand: settings::StandSettings = parse("stand.jsonc", stand).expect("right");
+        let stand: settings::StandSettings = parse("stand.jsonc", stand).expect("valid");
         let engines = stand
             .engines
             .iter()
@@ -62,7 +62,7 @@
     {"name": "e", "address": "127.0.0.1:65535", "count": 2, "profile": {"blocks": 1}}
   ]
 }"#;
-    let faults = parse::<settings::StandSettings>("stand.jsonc", text).expect_err("is wrong");
+    let faults = parse::<settings::StandSettings>("stand.jsonc", text).expect_err("is invalid");
     let report = faults.to_string();
     let lines: Vec<&str> = report.lines().collect();
     assert_eq!(lines.len(), 5, "{report}");
