--- a/crates/stand/src/engine/front.rs
+++ b/crates/stand/src/engine/front.rs
@@ -1,4 +1,4 @@
-//! The HTTP face of an engine.
+//! HTTP server of an engine.
 
 use std::net;
 
@@ -12,17 +12,17 @@
     routes,
 };
 
-use super::{call, handle, refuse, stream};
+use super::{call, error, handle, stream};
 use crate::http;
 
-/// Events that are written at once when they are ready at once.
-const EVENTS_AT_ONCE: usize = 64;
+/// Maximum number of ready events written in one chunk.
+const MAX_EVENTS_PER_CHUNK: usize = 64;
 
-/// Serves the engine on `address` (port 0: any).
+/// Serves the engine on `address` (port 0: any free port).
 ///
 /// # Errors
 ///
-/// When the address can't be had.
+/// Returns an error if the address can't be bound.
 pub async fn serve(
     handle: handle::EngineHandle,
     address: net::SocketAddr,
@@ -40,7 +40,7 @@
     http::serve(address, handle.gate().clone(), handle, routes).await
 }
 
-/// A stream of events whose header names its generation, so that a crossed answer can be told.
+/// Event stream whose header names its generation, so that mixed-up answers can be detected.
 struct EventReply<S> {
     generation: id::GenerationId,
     texts: TextStream<S>,
@@ -64,7 +64,7 @@
 ) -> EventAnswer<impl futures_util::Stream<Item = String> + use<>> {
     let call: call::StartCall = http::read_json(body).await?;
     let generation = call.id;
-    let stream = handle.start(call).await.map_err(refuse)?;
+    let stream = handle.start(call).await.map_err(error_reply)?;
     let texts = TextStream::from(texts(stream));
     Ok(EventReply { generation, texts })
 }
@@ -77,7 +77,7 @@
 ) -> EventAnswer<impl futures_util::Stream<Item = String> + use<>> {
     let generation = parse_id(generation)?;
     let stream = handle.resume(generation, from.unwrap_or(0)).await;
-    let texts = TextStream::from(texts(stream.map_err(refuse)?));
+    let texts = TextStream::from(texts(stream.map_err(error_reply)?));
     Ok(EventReply { generation, texts })
 }
 
@@ -92,10 +92,10 @@
             http::json(200, &serde_json::json!({"ran": ran, "produced": produced}))
         }
         Ok(call::CancelAnswer::Remembered) => {
-            let message = "this id is not held here; a start of it that comes late is refused";
+            let message = "the generation is unknown; a later start with this id is refused";
             http::error(404, "not_held", message)
         }
-        Err(error) => refuse(error),
+        Err(error) => error_reply(error),
     }
 }
 
@@ -142,35 +142,35 @@
     parsed.map_err(|cause: id::IdError| http::error(400, "bad_request", &cause.to_string()))
 }
 
-fn answer<T: serde::Serialize>(outcome: Result<T, refuse::EngineError>) -> http::JsonReply {
+fn answer<T: serde::Serialize>(outcome: Result<T, error::EngineError>) -> http::JsonReply {
     match outcome {
         Ok(body) => http::json(200, &body),
-        Err(error) => refuse(error),
+        Err(error) => error_reply(error),
     }
 }
 
-fn refuse(error: refuse::EngineError) -> http::JsonReply {
+fn error_reply(error: error::EngineError) -> http::JsonReply {
     let (status, code) = match &error {
-        refuse::EngineError::Down => (503, "down"),
-        refuse::EngineError::Known { .. } => (409, "known"),
-        refuse::EngineError::NotHeld { .. } => (404, "not_held"),
-        refuse::EngineError::NotLoaded { .. } => (404, "not_loaded"),
-        refuse::EngineError::TooLong { .. } => (400, "too_long"),
-        refuse::EngineError::OldFencing { .. } => (409, "old_fencing"),
-        refuse::EngineError::LateOrder { .. } => (410, "late_order"),
-        refuse::EngineError::AnswerLost => return http::JsonReply::Lost(http::LostAnswer),
+        error::EngineError::Down => (503, "down"),
+        error::EngineError::Known { .. } => (409, "known"),
+        error::EngineError::NotHeld { .. } => (404, "not_held"),
+        error::EngineError::NotLoaded { .. } => (404, "not_loaded"),
+        error::EngineError::TooLong { .. } => (400, "too_long"),
+        error::EngineError::OldFencing { .. } => (409, "old_fencing"),
+        error::EngineError::LateOrder { .. } => (410, "late_order"),
+        error::EngineError::AnswerLost => return http::JsonReply::Lost(http::LostAnswer),
     };
     http::error(status, code, &error.to_string())
 }
 
-/// The stream as text; events that are ready together make one piece.
+/// Formats the stream as text; events that are ready together form one chunk.
 fn texts(stream: stream::EngineStream) -> impl futures_util::Stream<Item = String> + use<> {
     let events = futures_util::stream::unfold(stream, |mut stream| async move {
         let event = stream.next().await?;
         Some((event_text(&event), stream))
     });
     events
-        .ready_chunks(EVENTS_AT_ONCE)
+        .ready_chunks(MAX_EVENTS_PER_CHUNK)
         .map(|texts| texts.concat())
 }
 
--- a/crates/stand/src/engine/orders.rs
+++ b/crates/stand/src/engine/orders.rs
@@ -1,44 +1,44 @@
-//! Orders to an engine: which model, version and adapters, and which role.
+//! Orders that set an engine's model, version, adapters and role.
 
 use std::time;
 
-use super::{EngineCore, call, refuse};
+use super::{EngineCore, call, error};
 
-/// What is being loaded.
+/// Load in progress.
 #[derive(Clone, Debug)]
 pub struct LoadingState {
-    /// What is wanted.
+    /// Requested state.
     pub want: call::WantedState,
-    /// When it is there.
+    /// Time at which loading completes.
     pub ready_at: time::Duration,
 }
 
 impl EngineCore {
-    /// Takes an order whose connection the engine first saw at `opened_at`.
+    /// Applies an order whose connection the engine first saw at `opened_at`.
     ///
     /// # Errors
     ///
-    /// When it took no effect, and why.
+    /// Returns the reason if the order had no effect.
     pub fn order(
         &mut self,
         now: time::Duration,
         opened_at: time::Duration,
         call: &call::OrderCall,
-    ) -> Result<call::EngineState, refuse::EngineError> {
+    ) -> Result<call::EngineState, error::EngineError> {
         self.advance(now);
         if self.down {
-            return refuse::DownSnafu.fail();
+            return error::DownSnafu.fail();
         }
         let age = now.saturating_sub(opened_at);
         let limit = time::Duration::from_millis(call.within_ms);
         if age > limit {
             let late_ms = (age - limit).as_millis() as u64;
-            return refuse::LateOrderSnafu { late_ms }.fail();
+            return error::LateOrderSnafu { late_ms }.fail();
         }
         let newest = self.fencing.unwrap_or(0);
         let got = call.fencing.unwrap_or(0);
         if self.profile.checks_fencing && got < newest {
-            return refuse::OldFencingSnafu { got, newest }.fail();
+            return error::OldFencingSnafu { got, newest }.fail();
         }
         self.fencing = self.fencing.max(call.fencing);
         self.observe(now);
@@ -46,7 +46,7 @@
         Ok(self.state())
     }
 
-    /// What the engine has and is asked to be.
+    /// Returns the loaded and the requested state.
     #[must_use]
     pub fn state(&self) -> call::EngineState {
         call::EngineState {
@@ -85,7 +85,7 @@
         self.finish_loading(now);
     }
 
-    /// Puts what was loaded in place of what was there. Generations of what goes end with an error.
+    /// Replaces the loaded models. Generations of unloaded models or adapters end with an error.
     pub(super) fn finish_loading(&mut self, now: time::Duration) {
         let Some(loading) = self.loading.take_if(|loading| loading.ready_at <= now) else {
             return;
