--- a/crates/base/src/ops/change.rs
+++ b/crates/base/src/ops/change.rs
@@ -70,7 +70,7 @@
     /// The log did not answer in time (`503`): the change may still take effect. Sending the same
     /// request again is safe and returns the outcome.
     Undecided {
-        /// What happened.
+        /// Reason why the outcome is unknown.
         reason: String,
     },
 }
--- a/crates/base/src/ops/status.rs
+++ b/crates/base/src/ops/status.rs
@@ -77,11 +77,11 @@
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReadyState {
-    /// It has no accepted configuration yet.
+    /// The VM has no accepted configuration yet.
     Starting,
-    /// It takes requests.
+    /// The VM accepts requests.
     Ready,
-    /// It finishes running requests and takes no new ones.
+    /// The VM finishes running requests and accepts no new ones.
     Leaving,
 }
 
@@ -126,13 +126,13 @@
 pub enum HealthState {
     /// No report of it has been received yet.
     Unknown,
-    /// It answers.
+    /// The VM or backend server answers.
     Up,
-    /// It may be dead.
+    /// The VM or backend server may be dead.
     Suspect,
-    /// It is considered dead.
+    /// The VM or backend server is considered dead.
     Dead,
-    /// It takes no new work.
+    /// The VM or backend server accepts no new work.
     Leaving,
 }
 
@@ -179,7 +179,7 @@
     pub version: Option<String>,
 }
 
-/// What a backend server is.
+/// Role of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
@@ -257,7 +257,7 @@
     /// Engines that are loading it.
     #[serde(default)]
     pub loading: Vec<String>,
-    /// What blocks the rollout; absent when nothing does.
+    /// Reason why the rollout is blocked; absent when it is not.
     #[serde(default)]
     pub blocked: Option<String>,
 }
@@ -287,7 +287,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct LeaseStatus {
-    /// What the lease is on, for instance a backend server.
+    /// Subject of the lease, for instance a backend server.
     pub subject: String,
     /// The VM that holds it; absent when the lease is free.
     #[serde(default)]
--- a/crates/carry/src/sampling.rs
+++ b/crates/carry/src/sampling.rs
@@ -167,7 +167,8 @@
         }
     }
 
-    /// Ends a period that is over and starts the next; returns what was left out in it, if anything.
+    /// Ends a period that is over and starts the next; returns what was left out in it, if
+    /// anything.
     pub fn end_period(&mut self, now: time::Instant) -> Option<LeftOut> {
         let passed = now.saturating_duration_since(self.period);
         if passed < PERIOD {
--- a/crates/carry/src/signals.rs
+++ b/crates/carry/src/signals.rs
@@ -38,8 +38,8 @@
 }
 
 impl StopSignals {
-    /// Installs the handlers and unblocks the signals that [`hold`] blocked. Must be called within a
-    /// Tokio runtime, on the thread that called `hold`.
+    /// Installs the handlers and unblocks the signals that [`hold`] blocked. Must be called within
+    /// a Tokio runtime, on the thread that called `hold`.
     ///
     /// # Errors
     ///
--- a/crates/carry/tests/transfer.rs
+++ b/crates/carry/tests/transfer.rs
@@ -27,7 +27,8 @@
     }
 }
 
-/// Runs a transfer with these gaps; returns the bytes and milliseconds at which it stalled, if it did.
+/// Runs a transfer with these gaps; returns the bytes and milliseconds at which it stalled, if it
+/// did.
 async fn halted(gaps: &[u64]) -> Option<(usize, u128)> {
     let meter = transfer::TransferMeter::default();
     let ended = meter.limit(&LIMIT, bytes(&meter, gaps)).await;
--- a/crates/conf/src/keeper.rs
+++ b/crates/conf/src/keeper.rs
@@ -32,10 +32,10 @@
     pub at_ms: u64,
 }
 
-/// What one VM knows of the records that a fresh VM could start from.
+/// Knowledge of one VM about the records that a fresh VM could start from.
 ///
-/// It is sent along with the state, because a VM that received its state from another one has not
-/// read the older part of the log and would otherwise append an unnecessary checkpoint.
+/// The cover is sent along with the state, because a VM that received its state from another one
+/// has not read the older part of the log and would otherwise append an unnecessary checkpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct LogCover {
@@ -136,7 +136,7 @@
         self.search = checkpoint::CheckpointSearch::default();
     }
 
-    /// What this VM knows of the records that a fresh VM could start from.
+    /// Returns the knowledge of this VM about the records that a fresh VM could start from.
     #[must_use]
     pub const fn cover(&self) -> LogCover {
         self.cover
--- a/crates/conf/src/peers.rs
+++ b/crates/conf/src/peers.rs
@@ -44,7 +44,8 @@
     /// The VM to fetch a state from if reading the log does not catch up in time; one fetch at a
     /// time.
     ///
-    /// `is_log_truncated` states that the log no longer holds the records that follow the own state.
+    /// `is_log_truncated` states that the log no longer holds the records that follow the own
+    /// state.
     pub fn next_fetch(
         &mut self,
         own: Option<&state::ConfigState>,
--- a/crates/conf/src/structure.rs
+++ b/crates/conf/src/structure.rs
@@ -140,7 +140,8 @@
         Value::Object(members)
     }
 
-    /// Whether this is the `$schema` member at the root, by which editors find the schema of a file.
+    /// Whether this is the `$schema` member at the root, by which editors find the schema of a
+    /// file.
     fn is_schema_link(&self, name: &str) -> bool {
         name == "$schema" && self.path.len() == 1
     }
--- a/crates/conf/src/transfer.rs
+++ b/crates/conf/src/transfer.rs
@@ -14,7 +14,7 @@
     pub hash: fingerprint::ContentHash,
     /// The state, encoded as in a checkpoint.
     pub text: String,
-    /// What the sender knows of the checkpoints and records before this state.
+    /// Knowledge of the sender about the checkpoints and records before this state.
     pub cover: keeper::LogCover,
 }
 
--- a/crates/conf/tests/enumeration.rs
+++ b/crates/conf/tests/enumeration.rs
@@ -12,8 +12,8 @@
 
 /// Number of changes of each operator.
 const CHANGES_PER_OPERATOR: [u8; 2] = [2, 1];
-/// Maximum numbers of appends with a lost response, replaced readers, checkpoints and truncations of
-/// the log.
+/// Maximum numbers of appends with a lost response, replaced readers, checkpoints and truncations
+/// of the log.
 const BUDGET: Budget = Budget {
     lost: 1,
     replaced: 1,
--- a/crates/entry/src/adapt/service_pool.rs
+++ b/crates/entry/src/adapt/service_pool.rs
@@ -26,7 +26,8 @@
     running: collections::HashMap<id::ServerKey, u32>,
     /// Time at which each server that failed a call counts as healthy again.
     failed_until: collections::HashMap<id::ServerKey, time::Instant>,
-    /// Rotates the order of equally good candidates, because the first would get all calls otherwise.
+    /// Rotates the order of equally good candidates, because the first would get all calls
+    /// otherwise.
     turn: usize,
 }
 
--- a/crates/entry/src/configure.rs
+++ b/crates/entry/src/configure.rs
@@ -168,7 +168,8 @@
         self.lock().transfer.clone()
     }
 
-    /// The state that other entry VMs fetch, refreshed if the log has advanced since it was encoded.
+    /// The state that other entry VMs fetch, refreshed if the log has advanced since it was
+    /// encoded.
     ///
     /// Without the refresh, a VM that was disconnected until the log dropped the records that it
     /// lacks would receive a state as old as the last change, from whose offset it cannot read on,
--- a/crates/entry/src/configure/tests.rs
+++ b/crates/entry/src/configure/tests.rs
@@ -5,10 +5,10 @@
 
 use super::ActiveConfig;
 
-/// Guards against a VM that was disconnected fetching 5 MB every second without catching up. The log
-/// advances without a change of revision (checkpoints, refused changes) until retention drops the
-/// records that the VM lacks. A state as of the last change is then useless to it, because the log
-/// no longer has the records after that offset.
+/// Guards against a VM that was disconnected fetching 5 MB every second without catching up. The
+/// log advances without a change of revision (checkpoints, refused changes) until retention drops
+/// the records that the VM lacks. A state as of the last change is then useless to it, because the
+/// log no longer has the records after that offset.
 #[test]
 fn a_transferred_state_is_as_of_now_and_not_as_of_the_last_change() {
     let mut state = state::ConfigState::new();
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -88,8 +88,8 @@
         let _ = (&mut self.server).await;
     }
 
-    /// Stops gracefully: is no longer advertised to callers, accepts requests for the notice period,
-    /// then refuses new ones, finishes or hands over the running ones, and ends.
+    /// Stops gracefully: is no longer advertised to callers, accepts requests for the notice
+    /// period, then refuses new ones, finishes or hands over the running ones, and ends.
     pub async fn stop(mut self) {
         let recorder = &self.state.recorder;
         recorder.record(kind::EventKind::ProcessStopping {
--- a/crates/entry/src/digests.rs
+++ b/crates/entry/src/digests.rs
@@ -120,8 +120,8 @@
         serving.map(|member| member.name.clone()).collect()
     }
 
-    /// Publishes this VM's work to the region, and the demand of each organisation on this VM to the
-    /// organisation's other entry VMs.
+    /// Publishes this VM's work to the region, and the demand of each organisation on this VM to
+    /// the organisation's other entry VMs.
     async fn publish(&self, peers: Vec<String>) {
         let (work, demands) = self
             .driver
--- a/crates/entry/tests/service_pool.rs
+++ b/crates/entry/tests/service_pool.rs
@@ -25,9 +25,9 @@
 }
 
 /// Guards against answering `overloaded` for seconds while two of a service's three servers are
-/// idle. Calls refused by a dead server end at once, so it stays the least busy one; unless a failed
-/// call counts against its server, it is selected until the next health check, up to ten seconds
-/// later.
+/// idle. Calls refused by a dead server end at once, so it stays the least busy one; unless a
+/// failed call counts against its server, it is selected until the next health check, up to ten
+/// seconds later.
 #[tokio::test(start_paused = true)]
 async fn a_server_that_failed_a_call_is_taken_last_for_a_while() {
     let pool = sync::Arc::new(service_pool::ServicePool::default());
--- a/crates/exchange/src/announce.rs
+++ b/crates/exchange/src/announce.rs
@@ -23,8 +23,8 @@
 /// Maximum number of server updates in one datagram, of 70 to 95 bytes each, next to the loads of
 /// one VM.
 const MAX_UPDATES_PER_DATAGRAM: usize = 9;
-/// Maximum number of datagrams with updates in one round. 3,000 servers of which a sixth is replaced
-/// every 3.3 s make 450 updates a second; a lower limit delayed updates for four seconds.
+/// Maximum number of datagrams with updates in one round. 3,000 servers of which a sixth is
+/// replaced every 3.3 s make 450 updates a second; a lower limit delayed updates for four seconds.
 const MAX_UPDATE_DATAGRAMS: usize = 24;
 /// Maximum number of suspect requests in one datagram.
 const MAX_ACCUSATIONS: usize = 16;
--- a/crates/exchange/src/capacity.rs
+++ b/crates/exchange/src/capacity.rs
@@ -14,7 +14,7 @@
 /// Fraction of an engine's memory that expected demand may fill: above it, estimation errors lead
 /// to preemption.
 pub const MEMORY_FILL: f64 = 0.92;
-/// How long memory is reserved for the runs of a leaving server: it is gone soon after.
+/// How long memory is reserved for the runs of a leaving server, which ends soon after.
 const MOVE_TIMEOUT: time::Duration = time::Duration::from_millis(2_500);
 
 /// How long a generation must not have fitted to be refused: longer than it takes until memory is
--- a/crates/exchange/src/directory.rs
+++ b/crates/exchange/src/directory.rs
@@ -1,4 +1,4 @@
-//! Selects the entry VMs that a caller is told to use.
+//! Selects the entry VMs that are advertised to a caller.
 
 use std::net;
 
--- a/crates/exchange/src/follow.rs
+++ b/crates/exchange/src/follow.rs
@@ -19,7 +19,7 @@
 /// reads it there, and the random time added so that not all VMs do so at once.
 const PEERS_GRACE: time::Duration = time::Duration::from_millis(1_200);
 const PEERS_GRACE_JITTER: time::Duration = time::Duration::from_millis(600);
-/// The same time where this VM has not requested the configuration from another VM.
+/// Grace period for other VMs where this VM has not requested the configuration from another VM.
 const PEERS_GRACE_UNREQUESTED: time::Duration = time::Duration::from_millis(150);
 /// Minimum interval between two reads of the configuration by a VM that does not read for all.
 /// Without it, in a burst of changes, one every 165 ms, 68 such VMs read each version: 3,629 calls
--- a/crates/exchange/src/message.rs
+++ b/crates/exchange/src/message.rs
@@ -128,9 +128,9 @@
     }
 }
 
-/// Datagram between entry VMs. Most datagrams carry only the sender's hash and the fields that change all the
-/// time. Name and addresses are sent now and then, and to VMs that have not answered yet, because
-/// at 78 VMs datagrams are most of the traffic between failure domains.
+/// Datagram between entry VMs. Most datagrams carry only the sender's hash and the fields that
+/// change all the time. Name and addresses are sent now and then, and to VMs that have not answered
+/// yet, because at 78 VMs datagrams are most of the traffic between failure domains.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct PeerDatagram {
--- a/crates/exchange/src/moving.rs
+++ b/crates/exchange/src/moving.rs
@@ -21,7 +21,7 @@
 /// Max duration of a copy for the links to count as free: the remainder is then copied within a
 /// pause of 180 ms, which callers still accept as on time.
 const MAX_QUICK_COPY: time::Duration = time::Duration::from_millis(70);
-/// Delay after a server's notice from which its runs are stopped for the move: the server is gone
+/// Delay after a server's notice from which its runs are stopped for the move: the server ends
 /// 1.5 to 2.1 s after the notice.
 const STOP_DELAY: time::Duration = time::Duration::from_millis(1_150);
 
@@ -29,7 +29,7 @@
 /// request it.
 const SPARE_RETENTION: time::Duration = time::Duration::from_millis(4_500);
 
-/// A copy completed before its source was gone. The output produced since is recomputed on the
+/// A copy completed before its source ended. The output produced since is recomputed on the
 /// server that holds the copy. Without these copies, runs that waited for others on their engine's
 /// link were lost with the engine, about twice as many streams.
 pub(crate) struct SpareCopy {
--- a/crates/exchange/src/place.rs
+++ b/crates/exchange/src/place.rs
@@ -32,7 +32,7 @@
 /// Fraction of the prefill backlog of an engine that counts as cost for a run copied there. Counted
 /// in full, an engine of the same domain with a single prompt in prefill lost to every engine of
 /// another domain; five runs that leave an engine together then need 1.5 s on its link, and the
-/// engine is gone after 1.4 s.
+/// engine ends after 1.4 s.
 const COPY_BACKLOG_FRACTION: f64 = 0.2;
 /// Cost of a server that failed all recent attempts; scaled by its failure rate.
 const FAILED_MS: f64 = 1_500.0;
--- a/crates/exchange/src/plane.rs
+++ b/crates/exchange/src/plane.rs
@@ -18,7 +18,7 @@
 
 /// The exchange plane of one VM.
 ///
-/// It runs on a single thread; no `RefCell` is borrowed across an await.
+/// The plane runs on a single thread; no `RefCell` is borrowed across an await.
 #[derive(Debug)]
 pub struct ExchangePlane<P> {
     pub(crate) port: P,
--- a/crates/exchange/src/stopping.rs
+++ b/crates/exchange/src/stopping.rs
@@ -15,7 +15,7 @@
 /// How long after the start of a stop streams are accepted: some last longer than the time that is
 /// left, and would be cut off when the process ends.
 const STREAM_ACCEPT_TIME: time::Duration = time::Duration::from_millis(2_500);
-/// The same for calls, which take at most a second.
+/// How long after the start of a stop calls are accepted; they take at most a second.
 const CALL_ACCEPT_TIME: time::Duration = time::Duration::from_millis(6_000);
 
 /// Returns whether a VM that has been stopping since `since` still accepts a request of this kind.
--- a/crates/exchange/src/system.rs
+++ b/crates/exchange/src/system.rs
@@ -110,7 +110,7 @@
     known: u64,
 }
 
-/// Time for the store to say which system this is before other VMs are believed.
+/// Time for the store to identify this system before the system named by other VMs is accepted.
 const STORE_GRACE: time::Duration = time::Duration::from_millis(500);
 /// Interval between two attempts to read the system while the store is unavailable.
 const STORE_RETRY_INTERVAL: time::Duration = time::Duration::from_millis(400);
--- a/crates/flow/src/attempt.rs
+++ b/crates/flow/src/attempt.rs
@@ -141,7 +141,8 @@
                 };
             }
             Ok(Err(declined @ link_error::StartError::Declined { status, .. })) => {
-                // The caller settles this outcome, which cancels; a second cancel would be redundant.
+                // The caller settles this outcome, which cancels; a second cancel would be
+                // redundant.
                 live.released = true;
                 return proof::AttemptOutcome::Unknown {
                     ticket,
--- a/crates/flow/src/authenticate.rs
+++ b/crates/flow/src/authenticate.rs
@@ -16,8 +16,8 @@
         input: request::Request<W, request::Arrived>,
     ) -> Result<Self::Out, filter::EarlyEnd> {
         let config = &input.facts.view.config;
-        // Without a configuration no key is known. Callers treat "unauthenticated" as final, so those
-        // that reach a VM in its first second would never retry.
+        // Without a configuration no key is known. Callers treat "unauthenticated" as final, so
+        // those that reach a VM in its first second would never retry.
         if config.revision() == 0 {
             return Err(input.refused(no_configuration()).into());
         }
--- a/crates/flow/src/claim.rs
+++ b/crates/flow/src/claim.rs
@@ -58,7 +58,8 @@
         self.end_on_drop = port::ClaimEnd::NotRun;
     }
 
-    /// Settles the claim. The outcome is stored in the background; a graceful shutdown waits for it.
+    /// Settles the claim. The outcome is stored in the background; a graceful shutdown waits for
+    /// it.
     pub(crate) fn settle(mut self, end: port::ClaimEnd) {
         self.end_on_drop = end;
     }
--- a/crates/flow/src/collect.rs
+++ b/crates/flow/src/collect.rs
@@ -21,8 +21,8 @@
     Preempted,
 }
 
-/// Collects the answer to its end. If a generation is lost, all its tokens are discarded and another
-/// one starts from the beginning, since none of them has been sent to the caller.
+/// Collects the answer to its end. If a generation is lost, all its tokens are discarded and
+/// another one starts from the beginning, since none of them has been sent to the caller.
 ///
 /// # Errors
 ///
--- a/crates/flow/src/deduplicate.rs
+++ b/crates/flow/src/deduplicate.rs
@@ -71,8 +71,8 @@
     /// Claims a key in a separate task.
     ///
     /// A caller may disconnect while the claim is appended. Without a task of its own the claim
-    /// would stay on the log for a call that is never sent, and repeats would be answered as unknown
-    /// although nothing ran. The task either hands the claim to the request or releases it.
+    /// would stay on the log for a call that is never sent, and repeats would be answered as
+    /// unknown although nothing ran. The task either hands the claim to the request or releases it.
     async fn claim(
         &self,
         request: port::ClaimRequest,
--- a/crates/flow/src/gate.rs
+++ b/crates/flow/src/gate.rs
@@ -8,8 +8,8 @@
     time,
 };
 
-/// Retry delay for a caller of an entry VM that is leaving, in milliseconds. Another entry VM may be
-/// called at once.
+/// Retry delay for a caller of an entry VM that is leaving, in milliseconds. Another entry VM may
+/// be called at once.
 const LEAVING_RETRY_MS: u64 = 1_000;
 
 /// New requests are accepted.
@@ -135,9 +135,9 @@
         let _ = watcher.wait_for(|running| *running == 0).await;
     }
 
-    /// Shuts down gracefully: refuses new requests, waits at most `grace` for the running ones, then
-    /// hands over the remaining streams and waits at most `handover`. Returns the number of requests
-    /// that still run.
+    /// Shuts down gracefully: refuses new requests, waits at most `grace` for the running ones,
+    /// then hands over the remaining streams and waits at most `handover`. Returns the number of
+    /// requests that still run.
     pub async fn drain(&self, grace: Duration, handover: Duration) -> u64 {
         self.close();
         if time::timeout(grace, self.idle()).await.is_err() {
--- a/crates/flow/src/opening.rs
+++ b/crates/flow/src/opening.rs
@@ -136,8 +136,8 @@
         running.first_step(&self.shared, facts, terms.due_at).await
     }
 
-    /// Ends an attempt whose answer was buffered here and opens another one. A `loss` of `None` means
-    /// that the scheduler preempts it.
+    /// Ends an attempt whose answer was buffered here and opens another one. A `loss` of `None`
+    /// means that the scheduler preempts it.
     ///
     /// # Errors
     ///
--- a/crates/flow/src/port.rs
+++ b/crates/flow/src/port.rs
@@ -52,9 +52,9 @@
 pub enum FinishReason {
     /// The model ended the answer.
     Stop,
-    /// It reached its maximum number of tokens.
+    /// The generation reached its maximum number of tokens.
     Length,
-    /// It was cancelled.
+    /// The generation was cancelled.
     Cancelled,
     /// The engine failed.
     Error,
--- a/crates/flow/src/proof.rs
+++ b/crates/flow/src/proof.rs
@@ -1,8 +1,8 @@
 //! Evidence of whether a request's attempts ran, as types that are moved and never copied.
 //!
-//! Without them a lost answer could be mistaken for "did not run": the caller would be told so or
-//! the call sent again, and a pass charged twice, which only the accounts would reveal. Here only
-//! the holder of a [`NotRunProof`] can report "not run". Sending consumes the proof, and it is
+//! Without them a lost answer could be mistaken for "did not run": the caller would get that reply,
+//! or the call sent again, and a pass charged twice, which only the accounts would reveal. Here
+//! only the holder of a [`NotRunProof`] can report "not run". Sending consumes the proof, and it is
 //! restored only by evidence of a specific kind.
 
 use std::marker;
@@ -43,8 +43,8 @@
 impl SendPermit {
     /// Returns the permit: no byte of the attempt was sent, or the connection was refused.
     ///
-    /// Only links may call this, and only in these two cases. A timeout after the first byte, a reset
-    /// or an answer of any kind is not evidence that the attempt was never sent.
+    /// Only links may call this, and only in these two cases. A timeout after the first byte, a
+    /// reset or an answer of any kind is not evidence that the attempt was never sent.
     pub const fn never_sent(self) -> NeverSent {
         NeverSent { _private: () }
     }
@@ -180,9 +180,9 @@
 
     /// Settles an attempt whose cancellation was answered: it does not run from here on.
     ///
-    /// An answer of "not held" does not mean "did not run": a restarted server process knows nothing
-    /// of an attempt that its previous incarnation ran, and the caller would be told "not run" for
-    /// work that was done.
+    /// An answer of "not held" does not mean "did not run": a restarted server process knows
+    /// nothing of an attempt that its previous incarnation ran, and the caller would get "not run"
+    /// for work that was done.
     pub fn cancelled(self, answer: &port::CancelAnswer) -> StartPermit {
         let this_attempt = match answer {
             _ if self.seen_running => outcome::RanState::Yes,
@@ -215,8 +215,8 @@
 
 /// A generation of which a token has been sent to the caller.
 ///
-/// It cannot become a [`StartPermit`]: a second generation would be appended to the tokens of the
-/// first, and the caller would read the mixture as one answer.
+/// The attempt cannot become a [`StartPermit`]: a second generation would be appended to the tokens
+/// of the first, and the caller would read the mixture as one answer.
 #[derive(Debug)]
 #[must_use = "an answer that has started must be ended"]
 pub struct RelayedAttempt {
--- a/crates/flow/src/refused.rs
+++ b/crates/flow/src/refused.rs
@@ -4,14 +4,16 @@
 
 /// End of a request without a complete answer.
 ///
-/// Created only from a proof, permit or ticket of [`crate::proof`], which determine its `ran` state.
+/// Created only from a proof, permit or ticket of [`crate::proof`], which determine its `ran`
+/// state.
 #[derive(Debug)]
 pub struct Refused {
     body: refusal::RefusalBody,
 }
 
 impl Refused {
-    /// Creates a refusal whose `ran` state claims no more than both the evidence and `body` support.
+    /// Creates a refusal whose `ran` state claims no more than both the evidence and `body`
+    /// support.
     pub(crate) fn with_evidence(body: refusal::RefusalBody, ran: outcome::RanState) -> Self {
         let ran = ran.and(body.ran);
         Self {
--- a/crates/flow/src/settings.rs
+++ b/crates/flow/src/settings.rs
@@ -28,8 +28,8 @@
     /// cancelled and started elsewhere.
     pub opening_reconnect_timeout: Duration,
     /// Time after which an attempt that can be neither reached nor cancelled is abandoned: another
-    /// one is started while a background task continues to cancel it. `None`: never, and the request
-    /// is refused when its time limit passes.
+    /// one is started while a background task continues to cancel it. `None`: never, and the
+    /// request is refused when its time limit passes.
     pub abandon_after: Option<Duration>,
     /// Time for which a cancel request is repeated in the background.
     pub cancel_timeout: Duration,
--- a/crates/flow/src/settle.rs
+++ b/crates/flow/src/settle.rs
@@ -22,17 +22,17 @@
 }
 
 impl LostAttempt {
-    /// Repeats the cancel request until it is answered, the server process is found to have ended, or
-    /// `deadline` is reached. Only the first two permit another attempt, unless
+    /// Repeats the cancel request until it is answered, the server process is found to have ended,
+    /// or `deadline` is reached. Only the first two permit another attempt, unless
     /// [`abandon_after`](crate::settings::PlaneSettings::abandon_after) is set and has passed.
     ///
-    /// Otherwise the first generation would run beside the second, and engines would work on answers
-    /// that nobody reads, which hurts most when they are short of memory.
+    /// Otherwise the first generation would run beside the second, and engines would work on
+    /// answers that nobody reads, which hurts most when they are short of memory.
     ///
     /// # Errors
     ///
-    /// Returns the ticket if the attempt could not be settled; a background task continues to cancel
-    /// it.
+    /// Returns the ticket if the attempt could not be settled; a background task continues to
+    /// cancel it.
     pub async fn settle<P: port::PortSet>(
         self,
         shared: &sync::Arc<shared::SharedPlane<P>>,
--- a/crates/flow/src/suspect.rs
+++ b/crates/flow/src/suspect.rs
@@ -70,14 +70,14 @@
 /// How content may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContentStanding {
-    /// It runs without restriction.
+    /// The content runs without restriction.
     Clear,
-    /// It runs alone on a server.
+    /// The content runs alone on a server.
     Suspect {
         /// Deaths during which it was running.
         deaths: u32,
     },
-    /// It is refused.
+    /// The content is refused.
     Quarantined {
         /// Time left, milliseconds.
         left_ms: u64,
--- a/crates/flow/tests/plane/callers.rs
+++ b/crates/flow/tests/plane/callers.rs
@@ -108,8 +108,8 @@
         self.done = true;
     }
 
-    /// Checks promises 1 and 2: each token once, in order, of one generation and of the caller's own
-    /// request; and an answer that ends as complete has all its tokens.
+    /// Checks promises 1 and 2: each token once, in order, of one generation and of the caller's
+    /// own request; and an answer that ends as complete has all its tokens.
     pub fn check(&self, mark: u32, expected: u32) {
         let first = self.tokens.first().map(|(_, token)| token.tag);
         for (place, (index, token)) in self.tokens.iter().enumerate() {
--- a/crates/gossip/src/digest.rs
+++ b/crates/gossip/src/digest.rs
@@ -97,7 +97,7 @@
     pub model_hash: u64,
     /// Engine memory requested by urgent and normal work, in tokens.
     pub firm: f32,
-    /// The same for deferrable work.
+    /// Engine memory requested by deferrable work, in tokens.
     pub deferrable: f32,
     /// The waiting part of both, in tokens.
     pub waiting: f32,
@@ -336,8 +336,8 @@
 }
 
 impl DigestTable {
-    /// Records a digest measured at `measured_at`; `false` when an equally new or newer one is known,
-    /// or the table is full.
+    /// Records a digest measured at `measured_at`; `false` when an equally new or newer one is
+    /// known, or the table is full.
     pub fn record(
         &mut self,
         key: DigestKey,
--- a/crates/gossip/src/in_force.rs
+++ b/crates/gossip/src/in_force.rs
@@ -1,7 +1,7 @@
 //! Dissemination of the configuration in force on each VM.
 //!
-//! It is nearly always the same on all VMs. So the state itself is disseminated once, as an item,
-//! and each VM adds only the eight bytes that identify its incarnation.
+//! The configuration is nearly always the same on all VMs. So the state itself is disseminated
+//! once, as an item, and each VM adds only the eight bytes that identify its incarnation.
 
 use std::{fmt, time};
 
--- a/crates/gossip/src/settings.rs
+++ b/crates/gossip/src/settings.rs
@@ -44,7 +44,7 @@
     pub fanout: usize,
     /// Number of datagrams in which each member that learns an urgent update forwards it.
     pub urgent_copies: u32,
-    /// The same for updates that may take a few seconds.
+    /// Number of datagrams in which each member forwards an update that may take a few seconds.
     pub slow_copies: u32,
     /// Time between two rounds for updates that are not urgent.
     pub slow_interval: time::Duration,
--- a/crates/ledger/src/claim_store.rs
+++ b/crates/ledger/src/claim_store.rs
@@ -74,9 +74,9 @@
     /// expired.
     ///
     /// A lagging reader may not have read the holder's proof that nothing ran, which frees the key.
-    /// It would reply "unknown" while another VM runs the call, and a caller that acted on
-    /// "unknown", for instance by paying in another way, would be charged twice. Proofs that follow
-    /// on the log after this read do not free the key.
+    /// Such a reader would reply "unknown" while another VM runs the call, and a caller that acted
+    /// on "unknown", for instance by paying in another way, would be charged twice. Proofs that
+    /// follow on the log after this read do not free the key.
     async fn confirm_unknown(
         &self,
         claim: id::RecordId,
--- a/crates/ledger/src/permit.rs
+++ b/crates/ledger/src/permit.rs
@@ -24,7 +24,7 @@
 impl SendPermit {
     /// Whether the call may still be sent. Must be checked right before the call is written to the
     /// server: a process that was paused since the claim could otherwise send the call after its
-    /// caller, or another caller, was told that it will not run any more.
+    /// caller, or another caller, got the reply that it will not run any more.
     #[must_use]
     pub fn may_send(&self, now: time::Instant) -> bool {
         now < self.deadline
--- a/crates/ledger/tests/jobs_fuzz.rs
+++ b/crates/ledger/tests/jobs_fuzz.rs
@@ -23,7 +23,7 @@
     until: time::Instant,
 }
 
-/// What callers and holders observed of one job.
+/// Observations of one job by its callers and holders.
 #[derive(Clone, Debug, Default)]
 struct ObservedJob {
     kept_ms: u64,
--- a/crates/protogen/src/main.rs
+++ b/crates/protogen/src/main.rs
@@ -1,5 +1,5 @@
-//! Generates `crates/wire/src/proto/*.rs` from `crates/wire/proto/*.proto`: `cargo run -p protogen`.
-//! A test of crate `wire` fails when the generated files are out of date.
+//! Generates `crates/wire/src/proto/*.rs` from `crates/wire/proto/*.proto`:
+//! `cargo run -p protogen`. A test of crate `wire` fails when the generated files are out of date.
 
 use std::{fs, io, path};
 
--- a/crates/sched/src/explain.rs
+++ b/crates/sched/src/explain.rs
@@ -49,7 +49,7 @@
 pub struct DispatchReason {
     /// Reason for the choice of the server.
     pub cause: ChoiceCause,
-    /// What the request last waited for.
+    /// Cause of the last wait of the request.
     pub wait_cause: WaitCause,
     /// Time from submission to dispatch.
     pub waited: time::Duration,
--- a/crates/sched/src/ticket.rs
+++ b/crates/sched/src/ticket.rs
@@ -44,7 +44,7 @@
     pub submitted_at: time::Instant,
     /// Time at which the request was first at the front of its queue and no server had capacity.
     pub blocked_at: Option<time::Instant>,
-    /// What the request last waited for.
+    /// Cause of the last wait of the request.
     pub wait_cause: explain::WaitCause,
     /// Expected number of output tokens.
     pub expected: f32,
--- a/crates/stand/src/settings.rs
+++ b/crates/stand/src/settings.rs
@@ -113,8 +113,9 @@
 
 impl StandSettings {
     /// Creates settings for the platform, `engines` model engines and `services` plain servers on
-    /// loopback. Admin, log, weight store and VM list use the ports from `first_port`, engines those
-    /// from 100 above and plain servers those from 1,000 above. With 0 every port is any free port.
+    /// loopback. Admin, log, weight store and VM list use the ports from `first_port`, engines
+    /// those from 100 above and plain servers those from 1,000 above. With 0 every port is any free
+    /// port.
     #[must_use]
     pub fn on_loopback(first_port: u16, engines: u16, services: u16) -> Self {
         let at = |above: u16| {
--- a/crates/stand/tests/platform.rs
+++ b/crates/stand/tests/platform.rs
@@ -164,8 +164,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_append_takes_effect_despite_a_lost_answer_or_a_hang() {
-    // Covers an append that fails or never returns although it reached the log: its answer was lost,
-    // or the link hung, after the effect.
+    // Covers an append that fails or never returns although it reached the log: its answer was
+    // lost, or the link hung, after the effect.
     let handle = log::LogHandle::new(log::LogProfile::default());
     handle.apply(&log::LogFault::LoseAnswers { count: 1 });
     let lost = handle.append("leases", bytes::Bytes::from("a")).await;
@@ -185,8 +185,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_plain_call_runs_once_or_not_at_all() {
-    // Covers a call without an answer: the server crashes before or after the call takes effect, and
-    // only a refused connection proves that it did not run.
+    // Covers a call without an answer: the server crashes before or after the call takes effect,
+    // and only a refused connection proves that it did not run.
     let handle = service::ServiceHandle::new(service::ServiceProfile {
         latency_ms: 100,
         ..service::ServiceProfile::default()
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -5,7 +5,8 @@
 
 use carry::signals;
 
-/// Blocks the stop signals, so that one sent before `main` has installed its handlers stays pending.
+/// Blocks the stop signals, so that one sent before `main` has installed its handlers stays
+/// pending.
 #[ctor::ctor(unsafe)]
 fn hold_signals() {
     // If this fails, a signal during the start ends the process, as it would without this crate.
--- a/crates/trace/src/clock.rs
+++ b/crates/trace/src/clock.rs
@@ -110,7 +110,7 @@
 
 /// The hybrid logical clock of one process. Threads share it; the stamps it issues are unique.
 ///
-/// It does not read the wall clock: callers pass its milliseconds.
+/// The clock does not read the wall clock: callers pass its milliseconds.
 #[derive(Debug)]
 pub struct HybridClock {
     /// The newest stamp issued or merged; never decreases.
--- a/crates/trace/src/kind.rs
+++ b/crates/trace/src/kind.rs
@@ -165,7 +165,7 @@
     RequestCancelled = "request_cancelled" {
         /// Whether it ran.
         ran: outcome::RanState,
-        /// Who cancelled it.
+        /// Origin of the cancellation.
         reason: String,
     }
     /// This entry VM took over an accepted request from another entry VM.
@@ -370,7 +370,7 @@
     DrainStarted = "drain_started" {
         /// The entry VM or backend server.
         subject: String,
-        /// Who requested the drain.
+        /// Origin of the drain request.
         source: String,
     }
     /// Draining finished: the entry VM or backend server has no running work.
@@ -390,7 +390,8 @@
         /// Source of the request.
         reason: String,
     }
-    /// A peer's clock is ahead by more than the maximum drift: the order of its events is uncertain.
+    /// A peer's clock is ahead by more than the maximum drift: the order of its events is
+    /// uncertain.
     ClockAhead = "clock_ahead" {
         /// The entry VM whose clock is ahead.
         member: String,
