--- a/crates/conf/src/part.rs
+++ b/crates/conf/src/part.rs
@@ -195,9 +195,9 @@
         PartOutcome::Complete { text, first_offset }
     }
 
-    /// Evicts the text that has gone longest without a new part once the table is full. Otherwise
-    /// the parts of writers that died would accumulate in memory. Texts that still receive parts
-    /// are not evicted in favour of a new one.
+    /// Evicts the text whose last part is the oldest once the table is full. Otherwise the
+    /// parts of writers that died would accumulate in memory. Texts that still receive parts are
+    /// not evicted in favour of a new one.
     fn evict_stalest(&mut self) {
         if self.wholes.len() <= MAX_PENDING_TEXTS {
             return;
--- a/crates/exchange/src/fleet.rs
+++ b/crates/exchange/src/fleet.rs
@@ -48,7 +48,7 @@
     in_lapse_grace: Vec<ServerKey>,
     /// Servers with failed attempts since the last sweep.
     recently_failed: collections::HashSet<ServerKey>,
-    /// Hash over the standing of all servers; each that has not departed contributes.
+    /// Hash over the standing of all servers; each whose standing is not `Gone` contributes.
     standing_hash: u64,
     /// Failure domains whose servers get no new work.
     evacuations: evacuation::EvacuationSet,
--- a/crates/exchange/src/update.rs
+++ b/crates/exchange/src/update.rs
@@ -1,6 +1,6 @@
 //! Updates of backend servers, ordered by their position in the store.
 //!
-//! A server that crashed may start again under the same name. Its incarnations are told apart by
+//! A server that crashed may start again under the same name. Its incarnations are distinguished by
 //! their start times, which the server itself reports.
 
 use std::{net, time};
--- a/crates/flow/src/gate.rs
+++ b/crates/flow/src/gate.rs
@@ -23,7 +23,7 @@
 
 /// Counts running requests; closed when this entry VM leaves.
 ///
-/// Without it, a process that is told to stop would cut off the streams that it relays, and every
+/// Without the gate, a process that is stopped would cut off the streams that it relays, and every
 /// rollout would leave streams without their `[DONE]`. Draining refuses new requests first, waits
 /// for the running ones, and hands over the remaining streams by their continuation tokens.
 #[derive(Debug)]
--- a/crates/flow/src/pipe.rs
+++ b/crates/flow/src/pipe.rs
@@ -47,8 +47,8 @@
     shared: sync::Arc<SharedPipe>,
 }
 
-/// The caller's end of the pipe: a stream of bytes to send. Dropping it tells the relay that the
-/// caller disconnected.
+/// The caller's end of the pipe: a stream of bytes to send. Dropping it signals to the relay that
+/// the caller disconnected.
 #[derive(Debug)]
 pub struct CallerStream {
     shared: sync::Arc<SharedPipe>,
--- a/crates/sched/src/driver.rs
+++ b/crates/sched/src/driver.rs
@@ -33,7 +33,7 @@
 struct TicketSlot {
     /// Sends the decision that ends the wait; taken when used.
     answer: Option<async_sync::oneshot::Sender<Result<GrantedServer, RefusedRequest>>>,
-    /// Tells the holder to stop the generation.
+    /// Signals the holder to stop the generation.
     preempt: async_sync::watch::Sender<Option<explain::PreemptReason>>,
 }
 
