--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -99,7 +99,8 @@
     /// Maximum number of events kept for the time line.
     pub timeline_events: usize,
     /// Time for which a stopping daemon still accepts requests after it is no longer advertised to
-    /// callers, in milliseconds. Callers that use its address for longer get a refusal that says so.
+    /// callers, in milliseconds. Callers that use its address for longer get a refusal that says
+    /// so.
     pub notice_ms: u64,
     /// Time for which a stopping daemon then waits for running requests, in milliseconds.
     pub drain_ms: u64,
