--- a/crates/ctl/src/saved_logs.rs
+++ b/crates/ctl/src/saved_logs.rs
@@ -195,7 +195,7 @@
     if let Some(line) = last_of("stream whole") {
         let value = |key| line.field(key).unwrap_or("?");
         return format!(
-            "complete; first event after {} ms, longest pause {} ms, moved {} times",
+            "whole; first event after {} ms, longest pause {} ms, moved {} times",
             value("first_ms"),
             value("worst_pause_ms"),
             value("passed")
